--- a/model/budget.pml
+++ b/model/budget.pml
@@ -54,7 +54,7 @@
 byte in_map[MAPS + 1], second[MAPS + 1], marked[MAPS + 1];
 bool near;
 
-/* cellar::group_of: the three nearest */
+/* storage::group_of: the three nearest */
 #define first_three(m) ((has_bit(m, 0) && has_bit(m, 1) && has_bit(m, 2)) -> ((m) & 7) : (m))
 #define nearest_three(m) ((has_bit(m, 3) && count(m) == 4) -> ((m) & 11) : (m))
 #define group(m) (near -> (nearest_three(in_map[m])) : (first_three(in_map[m])))
@@ -144,7 +144,7 @@
   od
 }
 
-/* --- Maps: Roster::cellars, value_came, take_over, look_ready ------------------------------------- */
+/* --- Maps: Roster::storage nodes, value_came, take_over, look_ready ------------------------------------- */
 
 /* One that is in the map with this disk */
 #define named(s, m) (has_bit(in_map[m], s) && has_bit(second[m], s) == disk[s])
--- a/src/clerk/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -1,4 +1,4 @@
-#include "clerk/control_plane.hpp"
+#include "control/control_plane.hpp"
 
 #include <unistd.h>
 #include <xxhash.h>
@@ -10,7 +10,7 @@
 
 #include "market/log.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 namespace {
 
 using market::Gossip;
@@ -36,7 +36,7 @@
 std::uint64_t stamp_of(const Gossip& word) {
   Gossip part;
   part.initial = word.initial;
-  part.clerks = word.clerks;
+  part.controllers = word.controllers;
   part.members = word.members;
   const std::string bytes = market::encoded(part);
   return XXH3_64bits(bytes.data(), bytes.size());
@@ -60,7 +60,7 @@
       settings_(settings),
       later_(scheduler),
       disk_(std::move(disk)),
-      record_slots_(*disk_, "clerk"),
+      record_slots_(*disk_, "control"),
       address_(net::text_of(settings.internal_address(market::control_plane_port))),
       register_(later_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
       desk_(scheduler),
@@ -82,7 +82,7 @@
 absl::Status ControlPlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
-    if (!market::decode(got->state, record_)) return absl::DataLossError("clerk: record not read");
+    if (!market::decode(got->state, record_)) return absl::DataLossError("control: record not read");
   } else {
     // A first write that was torn told nobody anything: this disk is as good as new.
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
@@ -115,7 +115,7 @@
   for (const sockaddr_in& seed : settings_.seeds)
     know(market::inner_address(
         seed, static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port)));
-  for (const std::string& one : record_.clerks) know(one);
+  for (const std::string& one : record_.controllers) know(one);
   listen();
   tick();
   read_list();
@@ -223,7 +223,7 @@
   }
 }
 
-std::vector<std::string> ControlPlane::clerk_addresses() const {
+std::vector<std::string> ControlPlane::controller_addresses() const {
   std::vector<std::string> out;
   if (!leaving_) out.push_back(address_);
   for (const auto& [address, peer] : peers_) {
@@ -260,7 +260,7 @@
   out.full = true;
   out.initial.epoch = register_.initial().epoch;
   out.initial.acceptors = register_.initial().acceptors;
-  out.clerks = clerk_addresses();
+  out.controllers = controller_addresses();
   for (const auto& [id, session] : sessions_) out.members.push_back(session.member);
   return out;
 }
@@ -295,11 +295,11 @@
   Gossip last = word;
   if (!word.full && peer.last) {
     last.initial = std::move(peer.last->initial);
-    last.clerks = std::move(peer.last->clerks);
+    last.controllers = std::move(peer.last->controllers);
     last.members = std::move(peer.last->members);
   }
   peer.last = std::move(last);
-  for (const std::string& one : word.clerks) know(one);
+  for (const std::string& one : word.controllers) know(one);
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
     const auto held = std::find_if(word.duties.begin(), word.duties.end(),
                                    [&](const market::HeldDuty& d) { return d.name == duty->name(); });
@@ -395,7 +395,7 @@
 // So that it finds the others again, whatever the seeds of its settings are by then.
 void ControlPlane::store_known() {
   record_.initial = register_.initial();
-  record_.clerks = clerk_addresses();
+  record_.controllers = controller_addresses();
   if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) die(s);
 }
 
@@ -422,7 +422,7 @@
     session.pushed = hello.member.number;
     market::Beat word;
     word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
-    word.clerks = clerk_addresses();
+    word.controllers = controller_addresses();
     guest.tell(word);
   }
   if (fresh || session.first) push(guest.id(), session);
@@ -457,10 +457,10 @@
   word.number = register_.known() ? register_.known()->number : 0;
   const TimePoint now = later_.now();
   const std::vector<Member> all = members();
-  word.stalls = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "stall"; });
-  const std::vector<std::string> clerks = clerk_addresses();
-  if (clerks != told_clerks_ || now - told_since_ > full_every) {
-    word.clerks = told_clerks_ = clerks;
+  word.edges = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
+  const std::vector<std::string> controllers = controller_addresses();
+  if (controllers != told_controllers_ || now - told_since_ > full_every) {
+    word.controllers = told_controllers_ = controllers;
     told_since_ = now;
   }
   std::vector<std::uint64_t> silent;
@@ -485,7 +485,7 @@
   while (!waiting_.empty()) {
     const Waiting& first = waiting_.front();
     const bool all = std::all_of(sessions_.begin(), sessions_.end(), [&](const auto& one) {
-      return one.second.member.plane != "stall" || one.second.member.number >= first.number;
+      return one.second.member.plane != "edge" || one.second.member.number >= first.number;
     });
     if (!all && now < first.until) return;
     const auto answer = first.answer;
@@ -609,13 +609,13 @@
   if (changing_roster_ || !register_.known() || !majority_heard(peer_heard)) return;
   const TimePoint now = later_.now();
   const market::Value& value = *register_.known();
-  std::vector<LiveClerk> live{{address_, record_.disk, record_.first, !leaving_}};
+  std::vector<LiveController> live{{address_, record_.disk, record_.first, !leaving_}};
   for (const auto& [address, peer] : peers_) {
     if (peer.last && now - peer.heard < peer_heard)
       live.push_back({address, peer.last->disk, peer.last->first, !peer.last->leaving});
   }
   const auto next = roster_.acceptors(value, live, now);
-  const auto wanted = next ? std::nullopt : roster_.cellars(value, members(), now);
+  const auto wanted = next ? std::nullopt : roster_.storage_nodes(value, members(), now);
   if (!next && !wanted) return;
   changing_roster_ = true;
   const std::int64_t number = value.number;
@@ -632,10 +632,10 @@
         changing_roster_ = false;
         if (!got.ok()) return;
         tell_chosen(*got);
-        market::log_info(changed ? "roster.acceptors" : "roster.cellars",
+        market::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
                          "number " + std::to_string(got->number) + ", epoch " + std::to_string(got->epoch) +
                              ", map " + std::to_string(got->map) + " of " +
-                             std::to_string(got->cellars.size()));
+                             std::to_string(got->storage_nodes.size()));
         if (changed) gossip();
       });
 }
@@ -669,4 +669,4 @@
         seed, static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port)));
 }
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "clerk/duty.hpp"
-#include "clerk/platform.hpp"
-#include "clerk/register.hpp"
-#include "clerk/roster.hpp"
+#include "control/duty.hpp"
+#include "control/platform.hpp"
+#include "control/register.hpp"
+#include "control/roster.hpp"
 #include "market/configuration.hpp"
 #include "market/http_port.hpp"
 #include "market/link.hpp"
@@ -20,7 +20,7 @@
 #include "market/session.hpp"
 #include "market/settings.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 
 class ControlPlane final : public market::Plane, Voters {
  public:
@@ -65,7 +65,7 @@
   void catch_up();
   bool majority_heard(Span within) const;
   Span fresh_age() const;
-  std::vector<std::string> clerk_addresses() const;
+  std::vector<std::string> controller_addresses() const;
 
   void chosen(const market::Value& value);
   void tell_chosen(const market::Value& value);
@@ -98,7 +98,7 @@
   net::Later later_;
   std::unique_ptr<market::Disk> disk_;
   market::Slots record_slots_;
-  market::ClerkRecord record_;
+  market::ControllerRecord record_;
   const std::string address_;
   std::optional<AcceptorState> acceptor_;
   Register register_;
@@ -111,7 +111,7 @@
   std::string push_record_;
   std::int64_t push_number_ = -1;
   TimePoint fresh_at_, full_since_, told_since_;
-  std::vector<std::string> told_clerks_;
+  std::vector<std::string> told_controllers_;
   std::uint64_t full_stamp_ = 0;
   bool catching_up_ = false, leaving_ = false, finished_ = false;
   std::optional<TimePoint> behind_since_;
@@ -130,4 +130,4 @@
   std::deque<Waiting> waiting_;
 };
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/duty.cpp
+++ b/src/control/duty.cpp
@@ -1,10 +1,10 @@
-#include "clerk/duty.hpp"
+#include "control/duty.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 namespace {
 
 constexpr Span stand_spread = Span::ms(150);  // so that two seldom stand at once
@@ -78,4 +78,4 @@
   wait_until_ = TimePoint();
 }
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/duty.hpp
+++ b/src/control/duty.hpp
@@ -10,7 +10,7 @@
 
 #include "chutevane/types.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 
 constexpr Span duty_vacant_after =
     Span::ms(900);  // without a word of its holder: three and a half of its words
@@ -56,4 +56,4 @@
   std::uint64_t luck_;
 };
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -2,11 +2,11 @@
 #include <algorithm>
 #include <charconv>
 
-#include "clerk/control_plane.hpp"
+#include "control/control_plane.hpp"
 #include "json/value.hpp"
 #include "market/log.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 namespace {
 
 constexpr Span acks_most = Span::ms(300);     // an operator waits so long for sidecars to acknowledge
@@ -156,7 +156,7 @@
         if (*verdict == RetireVerdict::too_few) return reply(problem(409, "too few would be left"));
         const auto all = members();
         const bool there = std::any_of(all.begin(), all.end(), [&](const market::Member& m) {
-          return m.plane == "cellar" && m.node == node;
+          return m.plane == "storage" && m.node == node;
         });
         reply(there ? unclear() : problem(404, "no storage machine of that name"));
       });
@@ -169,8 +169,8 @@
       if (r.node != node) continue;
       return reply({200, r.completed ? "{\"state\":\"completed\"}" : "{\"state\":\"active\"}", {}});
     }
-    const bool serves = std::any_of(got->cellars.begin(), got->cellars.end(),
-                                    [&](const market::Cellar& c) { return c.node == node; });
+    const bool serves = std::any_of(got->storage_nodes.begin(), got->storage_nodes.end(),
+                                    [&](const market::StorageNode& c) { return c.node == node; });
     reply(serves ? market::HttpAnswer{200, "{\"state\":\"active\"}", {}}
                  : problem(404, "no storage machine of that name"));
   });
@@ -187,9 +187,9 @@
   out.key("acceptors").open('[');
   for (const market::Acceptor& a : register_.initial().acceptors)
     out.open('{').key("address").text(a.address).key("disk").text(a.disk).close('}');
-  out.close(']').key("cellars").open('[');
+  out.close(']').key("storageNodes").open('[');
   if (v) {
-    for (const market::Cellar& c : v->cellars)
+    for (const market::StorageNode& c : v->storage_nodes)
       out.open('{').key("node").text(c.node).key("zone").text(c.zone).key("leaving").truth(c.leaving).close(
           '}');
   }
@@ -216,4 +216,4 @@
   reply({200, out.result(), {}});
 }
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/platform.cpp
+++ b/src/control/platform.cpp
@@ -1,11 +1,11 @@
-#include "clerk/platform.hpp"
+#include "control/platform.hpp"
 
 #include <simdjson.h>
 
 #include "http/writer.hpp"
 #include "market/log.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 namespace {
 
 constexpr Span page_most = Span::ms(800);  // for one page: it is small, and the next reading is due by then
@@ -129,4 +129,4 @@
   if (done_) finish(false);
 }
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/platform.hpp
+++ b/src/control/platform.hpp
@@ -12,7 +12,7 @@
 #include "net/channel.hpp"
 #include "net/later.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 
 // One page as the platform answers it; nothing where it cannot be read.
 struct Page {
@@ -47,4 +47,4 @@
   Done done_;
 };
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/register.cpp
+++ b/src/control/register.cpp
@@ -1,10 +1,10 @@
-#include "clerk/register.hpp"
+#include "control/register.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 namespace {
 
 using market::Accept;
@@ -314,4 +314,4 @@
   finish(round, value);
 }
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/register.hpp
+++ b/src/control/register.hpp
@@ -16,7 +16,7 @@
 #include "market/messages.hpp"
 #include "net/later.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 
 using market::Acceptor;
 using market::Ballot;
@@ -121,4 +121,4 @@
   std::function<void(const Value&)> told_;
 };
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/clerk/roster.hpp
+++ b/src/control/roster.hpp
@@ -10,18 +10,18 @@
 #include "chutevane/types.hpp"
 #include "market/messages.hpp"
 
-namespace chutevane::clerk {
+namespace chutevane::control {
 
 // A control sidecar that is heard of.
-struct LiveClerk {
+struct LiveController {
   std::string address, disk;
   bool first = false;  // its disk is as old as the system
   bool ready = false;  // it may be made an acceptor
 };
 
-constexpr Span acceptor_lost_after = Span::ms(2500);  // another takes its place: well within `catchUpS`
-constexpr Span cellar_spared_after = Span::ms(1500);  // where enough are left without it and one more
-constexpr Span cellar_lost_after = Span::ms(4000);    // as long: shorter ends come back with their disk
+constexpr Span acceptor_lost_after = Span::ms(2500);        // another takes its place: well within `catchUpS`
+constexpr Span storage_node_spared_after = Span::ms(1500);  // where enough are left without it and one more
+constexpr Span storage_node_lost_after = Span::ms(4000);    // as long: shorter ends come back with their disk
 
 class Roster {
  public:
@@ -31,10 +31,11 @@
 
   // The next set of acceptors, where it should change.
   std::optional<std::vector<market::Acceptor>> acceptors(const market::Value& now_chosen,
-                                                         const std::vector<LiveClerk>& live, TimePoint now);
-  // The value with another map of cellars, where it should change.
-  std::optional<market::Value> cellars(const market::Value& now_chosen,
-                                       const std::vector<market::Member>& live, TimePoint now);
+                                                         const std::vector<LiveController>& live,
+                                                         TimePoint now);
+  // The value with another map of storage nodes, where it should change.
+  std::optional<market::Value> storage_nodes(const market::Value& now_chosen,
+                                             const std::vector<market::Member>& live, TimePoint now);
 
  private:
   bool lost(const std::string& key, bool seen, Span after, TimePoint now);
@@ -49,4 +50,4 @@
 enum class RetireVerdict : std::uint8_t { taken, known, unknown, too_few };
 RetireVerdict retire(market::Value& value, const std::string& node, std::size_t losses);
 
-}  // namespace chutevane::clerk
+}  // namespace chutevane::control
--- a/src/crier/caller.cpp
+++ b/src/ctl/caller.cpp
@@ -1,4 +1,4 @@
-#include "crier/caller.hpp"
+#include "ctl/caller.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 
 #include "http/parser.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 namespace {
 
 constexpr Span silence_most = Span::ms(1000);     // by the protocol, before the next sidecar is asked
@@ -137,4 +137,4 @@
                                 (out.tries == 1 ? " try)" : " tries)"));
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/caller.hpp
+++ b/src/ctl/caller.hpp
@@ -12,7 +12,7 @@
 #include "absl/status/statusor.h"
 #include "chutevane/types.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 struct Ask {
   std::string method, target;
@@ -77,4 +77,4 @@
 // Where a redirect leads: address and target. False: it cannot be followed.
 bool read_location(const std::string& location, std::string& address, std::string& target);
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/difference.cpp
+++ b/src/ctl/difference.cpp
@@ -1,9 +1,9 @@
-#include "crier/difference.hpp"
+#include "ctl/difference.hpp"
 
 #include <cmath>
 #include <map>
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 namespace {
 
 using json::Value;
@@ -130,4 +130,4 @@
   return out;
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/difference.hpp
+++ b/src/ctl/difference.hpp
@@ -9,7 +9,7 @@
 #include "absl/status/statusor.h"
 #include "json/value.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 struct FieldChange {
   std::string field, before, after;  // as JSON; empty: not there
@@ -33,4 +33,4 @@
 std::string canonical(const json::Value& value);
 void write_value(json::Writer& out, const json::Value& value);
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/folder.cpp
+++ b/src/ctl/folder.cpp
@@ -1,4 +1,4 @@
-#include "crier/folder.hpp"
+#include "ctl/folder.hpp"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -9,9 +9,9 @@
 #include <cerrno>
 #include <memory>
 
-#include "cellar/store.hpp"
+#include "storage/store.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 namespace {
 
 constexpr int readings_most = 5;  // of a folder that changes meanwhile: a process writes some times a second
@@ -62,7 +62,7 @@
 
 // Which of a state's files this is; empty: none.
 std::string state_of(const std::string& name) {
-  for (const std::string state : {"acceptor", "clerk", "cellar"}) {
+  for (const std::string state : {"acceptor", "control", "storage"}) {
     for (const std::string kind : {".slot0", ".slot1", ".log0", ".log1"}) {
       if (name == state + kind) return state;
     }
@@ -147,10 +147,10 @@
   out.moving = snapshot.moving();
   for (const auto& [name, text] : snapshot.files()) {
     out.file_bytes += text.size();
-    const auto segment = cellar::Store::segment_of(name);
+    const auto segment = storage::Store::segment_of(name);
     if (segment) {
       std::size_t good = 0;
-      const std::size_t records = cellar::Store::records(text, *segment, &good).size();
+      const std::size_t records = storage::Store::records(text, *segment, &good).size();
       out.segments.push_back({*segment, text.size(), records});
       if (good < text.size()) out.torn.push_back({name, good, text.size() - good});
     } else if (state_of(name).empty()) {
@@ -165,10 +165,10 @@
   std::sort(out.segments.begin(), out.segments.end(),
             [](const Segment& a, const Segment& b) { return a.number < b.number; });
   out.has_acceptor = read_state(snapshot, "acceptor", out.acceptor);
-  out.has_clerk = read_state(snapshot, "clerk", out.clerk);
-  out.has_cellar = read_state(snapshot, "cellar", out.cellar);
+  out.has_controller = read_state(snapshot, "control", out.controller);
+  out.has_storage_node = read_state(snapshot, "storage", out.storage_node);
   out.torn.insert(out.torn.end(), snapshot.torn().begin(), snapshot.torn().end());
-  cellar::Store store(snapshot, static_cast<std::size_t>(-1));
+  storage::Store store(snapshot, static_cast<std::size_t>(-1));
   if (absl::Status s = store.open(TimePoint()); !s.ok()) return s;
   store.each_turn("", [&](const market::Turn& turn) {
     out.turns.push_back(turn);
@@ -182,4 +182,4 @@
   return out;
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/folder.hpp
+++ b/src/ctl/folder.hpp
@@ -12,7 +12,7 @@
 #include "market/disk.hpp"
 #include "market/messages.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 struct Torn {
   std::string file;
@@ -52,14 +52,14 @@
 enum class Presence : std::uint8_t { none, whole, lost };
 
 struct Holdings {
-  Presence has_acceptor = Presence::none, has_clerk = Presence::none, has_cellar = Presence::none;
+  Presence has_acceptor = Presence::none, has_controller = Presence::none, has_storage_node = Presence::none;
   market::AcceptorRecord acceptor;
-  market::ClerkRecord clerk;
-  market::CellarRecord cellar;
+  market::ControllerRecord controller;
+  market::StorageNodeRecord storage_node;
   std::vector<Segment> segments;
   std::vector<market::Turn> turns;  // by their ids
   std::vector<market::Account> accounts;
-  std::size_t turn_bytes = 0;  // as a cellar counts them against its room
+  std::size_t turn_bytes = 0;  // as a storage node counts them against its room
   std::size_t file_bytes = 0;
   std::vector<Torn> torn;
   std::vector<std::string> unknown;  // files that no program of the tier writes
@@ -69,4 +69,4 @@
 // An error: a file that is there cannot be read.
 absl::StatusOr<Holdings> holdings_of(Snapshot snapshot);
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,14 +1,14 @@
-// chutevane-crier: the operators' client of the serving tier.
+// chutevanectl: the operators' client of the serving tier.
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
 
-#include "crier/orders.hpp"
-#include "crier/run.hpp"
-#include "crier/wire.hpp"
+#include "ctl/orders.hpp"
+#include "ctl/run.hpp"
+#include "ctl/wire.hpp"
 
 int main(int argc, char** argv) {
-  using namespace chutevane::crier;
+  using namespace chutevane::ctl;
   std::signal(SIGPIPE, SIG_IGN);  // a closed standard output is told by its stream
   const char* const control = std::getenv(control_variable);
   Wire wire;
--- a/src/crier/orders.cpp
+++ b/src/ctl/orders.cpp
@@ -1,4 +1,4 @@
-#include "crier/orders.hpp"
+#include "ctl/orders.hpp"
 
 #include <algorithm>
 #include <array>
@@ -7,7 +7,7 @@
 #include <cxxopts.hpp>
 #include <sstream>
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 namespace {
 
 constexpr double timeout_s = 10;          // outlasts the change of a set of acceptors, some 4 s
@@ -42,7 +42,7 @@
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~:@!$&'()*+,;=";
 
 cxxopts::Options described() {
-  cxxopts::Options out("chutevane-crier",
+  cxxopts::Options out("chutevanectl",
                        "Asks and orders control sidecars of the serving tier; reads its files and folders.");
   auto add = out.add_options();
   add("control", "control addresses, HOST:PORT,...; else $CHUTEVANE_CONTROL", cxxopts::value<std::string>());
@@ -104,7 +104,7 @@
 absl::StatusOr<Order> read_order(const std::vector<std::string>& arguments, const std::string& control) {
   Order out;
   out.timeout = Span::ms(timeout_s * 1000);
-  std::vector<const char*> argv = {"chutevane-crier"};
+  std::vector<const char*> argv = {"chutevanectl"};
   for (const std::string& a : arguments) argv.push_back(a.c_str());
   try {
     cxxopts::Options options = described();
@@ -203,8 +203,8 @@
     const std::string second = words.substr(word.size() + 1);
     rules.insert(end, (rules[end - 1] == '"' ? "" : " ") + second);
   }
-  return "# bash completion of chutevane-crier: source this, or lay it in bash-completion's folder\n"
-         "_chutevane_crier() {\n"
+  return "# bash completion of chutevanectl: source this, or lay it in bash-completion's folder\n"
+         "_chutevane_ctl() {\n"
          "  local at=${COMP_WORDS[COMP_CWORD]} before=${COMP_WORDS[COMP_CWORD-1]} words=\n"
          "  COMPREPLY=()\n"
          "  case $at in\n"
@@ -215,7 +215,7 @@
          "      return ;;\n"
          "  esac\n"
          "  case ${before##*/} in\n"
-         "    chutevane-crier) words=\"" +
+         "    chutevanectl) words=\"" +
          first + "\" ;;\n" + rules +
          "    completion) words=bash ;;\n"
          "    check|put|diff|-o|--output) compopt -o default; return ;;\n"
@@ -224,7 +224,7 @@
          "  esac\n"
          "  COMPREPLY=($(compgen -W \"$words\" -- \"$at\"))\n"
          "}\n"
-         "complete -F _chutevane_crier chutevane-crier\n";
+         "complete -F _chutevane_ctl chutevanectl\n";
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/orders.hpp
+++ b/src/ctl/orders.hpp
@@ -1,4 +1,4 @@
-// The command line of chutevane-crier, read and checked whole before anything is called or opened.
+// The command line of chutevanectl, read and checked whole before anything is called or opened.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include "absl/status/statusor.h"
 #include "chutevane/types.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 enum class Verb : std::uint8_t {
   status,
@@ -59,4 +59,4 @@
 std::string help_text();
 std::string bash_completion();
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/run.cpp
+++ b/src/ctl/run.cpp
@@ -1,4 +1,4 @@
-#include "crier/run.hpp"
+#include "ctl/run.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,14 +6,14 @@
 #include <fstream>
 #include <set>
 
-#include "crier/difference.hpp"
-#include "crier/folder.hpp"
-#include "crier/orders.hpp"
-#include "crier/table.hpp"
+#include "ctl/difference.hpp"
+#include "ctl/folder.hpp"
+#include "ctl/orders.hpp"
+#include "ctl/table.hpp"
 #include "market/configuration.hpp"
 #include "market/settings.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 namespace {
 
 using json::Value;
@@ -77,7 +77,7 @@
   }
 
  private:
-  void complain(const std::string& what) { around_.err << "chutevane-crier: " << plain(what) << '\n'; }
+  void complain(const std::string& what) { around_.err << "chutevanectl: " << plain(what) << '\n'; }
   int end(Exit code, const std::string& what) {
     complain(what);
     return code;
@@ -157,8 +157,8 @@
     for (const Value& a : member_items(*got, "acceptors"))
       rows.push_back({member_text(a, "address"), member_text(a, "disk")});
     print_table(rows);
-    rows = {{"CELLAR", "ZONE", "LEAVING"}};
-    for (const Value& c : member_items(*got, "cellars"))
+    rows = {{"STORAGE", "ZONE", "LEAVING"}};
+    for (const Value& c : member_items(*got, "storageNodes"))
       rows.push_back({member_text(c, "node"), member_text(c, "zone"), member_text(c, "leaving")});
     print_table(rows);
     rows = {{"DUTY HERE", "TERM"}};
@@ -569,8 +569,8 @@
     if (!held) return code;
     order_.json ? print_holdings_json(*held) : print_holdings(*held);
     for (const auto& [name, presence] : {std::pair("acceptor", held->has_acceptor),
-                                         {"clerk", held->has_clerk},
-                                         {"cellar", held->has_cellar}}) {
+                                         {"control", held->has_controller},
+                                         {"storage", held->has_storage_node}}) {
       if (presence != Presence::lost) continue;
       complain(order_.operand + ": " + name + ": there was a record, and it cannot be read");
       code = refused;
@@ -591,16 +591,18 @@
       for (const market::Acceptor& one : a.initial.acceptors)
         rows.push_back({"acceptor of the epoch", one.address + (one.disk.empty() ? "" : " " + one.disk)});
     }
-    if (held.has_clerk == Presence::lost) rows.push_back({"clerk", "cannot be read"});
-    if (held.has_clerk == Presence::whole) {
-      rows.push_back({"clerk disk", held.clerk.disk + (held.clerk.first ? " (first start)" : "")});
-      rows.push_back({"clerk knows", "number " + std::to_string(held.clerk.known.number) + ", epoch " +
-                                         std::to_string(held.clerk.initial.epoch)});
-      for (const std::string& one : held.clerk.clerks) rows.push_back({"clerk knows of", one});
+    if (held.has_controller == Presence::lost) rows.push_back({"control", "cannot be read"});
+    if (held.has_controller == Presence::whole) {
+      rows.push_back(
+          {"control disk", held.controller.disk + (held.controller.first ? " (first start)" : "")});
+      rows.push_back({"control knows", "number " + std::to_string(held.controller.known.number) + ", epoch " +
+                                           std::to_string(held.controller.initial.epoch)});
+      for (const std::string& one : held.controller.controllers) rows.push_back({"control knows of", one});
     }
-    if (held.has_cellar == Presence::lost) rows.push_back({"cellar", "cannot be read"});
-    if (held.has_cellar == Presence::whole)
-      rows.push_back({"cellar disk", held.cellar.disk + (held.cellar.held ? " (in a map before)" : "")});
+    if (held.has_storage_node == Presence::lost) rows.push_back({"storage", "cannot be read"});
+    if (held.has_storage_node == Presence::whole)
+      rows.push_back(
+          {"storage disk", held.storage_node.disk + (held.storage_node.held ? " (in a map before)" : "")});
     rows.push_back(
         {"turns", std::to_string(held.turns.size()) + ", " + std::to_string(held.turn_bytes) + " bytes"});
     rows.push_back({"accounts", std::to_string(held.accounts.size())});
@@ -630,20 +632,20 @@
         json.open('{').key("address").text(one.address).key("disk").text(one.disk).close('}');
       json.close(']');
     }
-    json.close('}').key("clerk").open('{').key("record").text(word(held.has_clerk));
-    if (held.has_clerk == Presence::whole) {
-      json.key("disk").text(held.clerk.disk).key("first").truth(held.clerk.first);
+    json.close('}').key("control").open('{').key("record").text(word(held.has_controller));
+    if (held.has_controller == Presence::whole) {
+      json.key("disk").text(held.controller.disk).key("first").truth(held.controller.first);
       json.key("number")
-          .number(count(held.clerk.known.number))
+          .number(count(held.controller.known.number))
           .key("epoch")
-          .number(count(held.clerk.initial.epoch));
-      json.key("clerks").open('[');
-      for (const std::string& one : held.clerk.clerks) json.text(one);
+          .number(count(held.controller.initial.epoch));
+      json.key("controllers").open('[');
+      for (const std::string& one : held.controller.controllers) json.text(one);
       json.close(']');
     }
-    json.close('}').key("cellar").open('{').key("record").text(word(held.has_cellar));
-    if (held.has_cellar == Presence::whole)
-      json.key("disk").text(held.cellar.disk).key("held").truth(held.cellar.held);
+    json.close('}').key("storage").open('{').key("record").text(word(held.has_storage_node));
+    if (held.has_storage_node == Presence::whole)
+      json.key("disk").text(held.storage_node.disk).key("held").truth(held.storage_node.held);
     json.close('}').key("turns").number(held.turns.size()).key("turnBytes").number(held.turn_bytes);
     json.key("accounts").number(held.accounts.size()).key("segments").open('[');
     for (const Segment& s : held.segments)
@@ -754,20 +756,20 @@
 int run(const std::vector<std::string>& arguments, Surroundings& around) {
   auto order = read_order(arguments, around.control);
   if (!order.ok()) {
-    around.err << "chutevane-crier: " << plain(std::string(order.status().message())) << '\n';
+    around.err << "chutevanectl: " << plain(std::string(order.status().message())) << '\n';
     return wrong_use;
   }
   int code = good;
   if (order->help) {
     around.out << help_text();
   } else if (order->version) {
-    around.out << "chutevane-crier " << around.version << '\n';
+    around.out << "chutevanectl " << around.version << '\n';
   } else {
     code = Run(*std::move(order), around).command();
   }
   if (around.out.flush()) return code;
-  around.err << "chutevane-crier: standard output: cannot be written\n";
+  around.err << "chutevanectl: standard output: cannot be written\n";
   return code == good ? wrong_use : code;
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/run.hpp
+++ b/src/ctl/run.hpp
@@ -1,13 +1,13 @@
-// One run of chutevane-crier: its command, what it prints, its exit code.
+// One run of chutevanectl: its command, what it prints, its exit code.
 #pragma once
 
 #include <ostream>
 #include <string>
 #include <vector>
 
-#include "crier/caller.hpp"
+#include "ctl/caller.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 // What scripts go by; the words for them are in --help and docs/operators/system.md.
 enum Exit : int {
@@ -28,4 +28,4 @@
 
 int run(const std::vector<std::string>& arguments, Surroundings& around);
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/table.hpp
+++ b/src/ctl/table.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 // Without what would move a terminal's cursor: names come from other machines.
 inline std::string plain(std::string text) {
@@ -30,4 +30,4 @@
   }
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/wire.cpp
+++ b/src/ctl/wire.cpp
@@ -1,4 +1,4 @@
-#include "crier/wire.hpp"
+#include "ctl/wire.hpp"
 
 #include <netdb.h>
 #include <poll.h>
@@ -18,7 +18,7 @@
 #include "http/writer.hpp"
 #include "net/buffer.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 namespace {
 
 // Over a configuration of 8 MiB, the most that a sidecar takes, with what JSON may add to it.
@@ -179,4 +179,4 @@
 
 void MachineClock::pause(Span span) { std::this_thread::sleep_for(std::chrono::microseconds(span.as_us())); }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/crier/wire.hpp
+++ b/src/ctl/wire.hpp
@@ -1,9 +1,9 @@
-// The transport of chutevane-crier: one connection for each call, HTTP/1.1, waits bounded by poll(2).
+// The transport of chutevanectl: one connection for each call, HTTP/1.1, waits bounded by poll(2).
 #pragma once
 
-#include "crier/caller.hpp"
+#include "ctl/caller.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 // The address and port of "HOST:PORT" or "[::1]:PORT".
 void split_address(const std::string& address, std::string& host, std::string& port);
@@ -22,4 +22,4 @@
   void pause(Span span) override;
 };
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/src/stall/client.cpp
+++ b/src/edge/client.cpp
@@ -1,12 +1,12 @@
-#include "stall/client.hpp"
+#include "edge/client.hpp"
 
 #include <algorithm>
 
+#include "edge/data_plane.hpp"
 #include "http/writer.hpp"
 #include "market/log.hpp"
-#include "stall/data_plane.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 namespace {
 
 using http::same_name;
@@ -528,4 +528,4 @@
   plane_.clients_.retire(*this);
 }
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/client.hpp
+++ b/src/edge/client.hpp
@@ -6,15 +6,15 @@
 #include <optional>
 #include <string>
 
+#include "edge/endpoints.hpp"
+#include "edge/request.hpp"
+#include "edge/tier.hpp"
 #include "http/parser.hpp"
 #include "market/configuration.hpp"
 #include "net/channel.hpp"
 #include "net/later.hpp"
-#include "stall/endpoints.hpp"
-#include "stall/request.hpp"
-#include "stall/tier.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 class DataPlane;
 
@@ -102,4 +102,4 @@
   std::optional<std::int64_t> last_event_;
 };
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -1,4 +1,4 @@
-#include "stall/data_plane.hpp"
+#include "edge/data_plane.hpp"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 #include "json/value.hpp"
 #include "market/log.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 namespace {
 
 constexpr double cache_part = 0.2;        // of the memory, for turns that went through here
@@ -55,7 +55,7 @@
   front_.listen(*settings_.front);
   market::Member self;
   self.node = settings_.node;
-  self.plane = "stall";
+  self.plane = "edge";
   self.address = net::text_of(*settings_.front);
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
@@ -67,7 +67,7 @@
 }
 
 void DataPlane::value_came(const market::Value& value) {
-  ledger_.map_came(value.map, value.cellars);
+  ledger_.map_came(value.map, value.storage_nodes);
   if (value.config_version == 0 || (configuration_ && configuration_->version >= value.config_version))
     return;
   market::Findings findings;
@@ -113,7 +113,7 @@
   const market::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
   if (service == nullptr || service->max_connections == 0) return true;
   const double part = connections_part * static_cast<double>(service->max_connections) /
-                      static_cast<double>(sessions_->stalls());
+                      static_cast<double>(sessions_->edges());
   return static_cast<double>(endpoint.connections) < std::max(part, connections_least);
 }
 
@@ -194,4 +194,4 @@
   }
 }
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -6,16 +6,16 @@
 #include <string>
 
 #include "base/pcg.hpp"
+#include "edge/client.hpp"
+#include "edge/endpoints.hpp"
+#include "edge/ledger.hpp"
+#include "edge/tier.hpp"
 #include "market/http_port.hpp"
 #include "market/process.hpp"
 #include "market/session.hpp"
 #include "net/crew.hpp"
-#include "stall/client.hpp"
-#include "stall/endpoints.hpp"
-#include "stall/ledger.hpp"
-#include "stall/tier.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 // What was done, for operators.
 struct Counters {
@@ -63,4 +63,4 @@
   TimePoint leaving_since_;
 };
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -1,11 +1,11 @@
-#include "stall/endpoints.hpp"
+#include "edge/endpoints.hpp"
 
 #include <algorithm>
 #include <charconv>
 
 #include "market/log.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 namespace {
 
 constexpr http::Limits answer_limits{.head = 16 * 1024, .body = 64U << 20U, .fields = 100};  // bytes
@@ -244,4 +244,4 @@
   connection.drop();
 }
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/endpoints.hpp
+++ b/src/edge/endpoints.hpp
@@ -12,7 +12,7 @@
 #include "net/crew.hpp"
 #include "net/later.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 class Endpoints;
 class EndpointConnection;
@@ -103,4 +103,4 @@
   net::Crew<EndpointConnection> crew_;
 };
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/held_parts.hpp
+++ b/src/edge/held_parts.hpp
@@ -6,7 +6,7 @@
 #include <list>
 #include <unordered_map>
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 class HeldParts {
  public:
@@ -43,4 +43,4 @@
   double tokens_ = 0;
 };
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/ledger.cpp
+++ b/src/edge/ledger.cpp
@@ -1,14 +1,14 @@
-#include "stall/ledger.hpp"
+#include "edge/ledger.hpp"
 
 #include <algorithm>
 
 #include "market/log.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 namespace {
 
-using cellar::Verdict;
 using market::Turn;
+using storage::Verdict;
 
 constexpr Span ask_most = Span::ms(400);   // for one answer of storage: two ways and a sync take some ms
 constexpr Span ask_again = Span::ms(15);   // where the map is about to change
@@ -74,16 +74,16 @@
       cache_most_(cache_most),
       seed_(seed) {}
 
-void Ledger::map_came(std::int64_t map, const std::vector<market::Cellar>& cellars) {
+void Ledger::map_came(std::int64_t map, const std::vector<market::StorageNode>& storage_nodes) {
   if (map <= map_) return;
   map_ = map;
-  cellars_ = cellars;
-  for (const market::Cellar& c : cellars_) link(c.address);  // stands before it is needed
+  storage_nodes_ = storage_nodes;
+  for (const market::StorageNode& c : storage_nodes_) link(c.address);  // stands before it is needed
 }
 
 bool Ledger::usable() const {
-  const auto staying =
-      std::count_if(cellars_.begin(), cellars_.end(), [](const market::Cellar& c) { return !c.leaving; });
+  const auto staying = std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
+                                     [](const market::StorageNode& c) { return !c.leaving; });
   return static_cast<std::size_t>(staying) > losses_;
 }
 
@@ -98,7 +98,7 @@
 }
 
 std::vector<std::size_t> Ledger::group(const std::string& program) const {
-  return cellar::group_of(program, cellars_, losses_);
+  return storage::group_of(program, storage_nodes_, losses_);
 }
 
 // ---- budgets
@@ -144,7 +144,7 @@
     later_.after(ask_again, [this, asked] { ask_reserve(asked); });
   };
   if (places.size() <= losses_) return anew();
-  const std::size_t needed = std::max(cellar::quorum(places.size()), losses_ + 1);
+  const std::size_t needed = std::max(storage::quorum(places.size()), losses_ + 1);
   const market::Reserve ask{map_, asked->program, asked->attempt, asked->most};
   const Span most = std::min(ask_most, asked->until - later_.now());
   const auto answered = [this, asked, turn, needed, anew](absl::StatusOr<market::Reserved> got) {
@@ -175,12 +175,13 @@
       asked->rest = later_.after(rest_most, second);
     }
   };
-  for (const std::size_t i : places) link(cellars_[i].address).call<market::Reserved>(ask, most, answered);
+  for (const std::size_t i : places)
+    link(storage_nodes_[i].address).call<market::Reserved>(ask, most, answered);
 }
 
 void Ledger::settle(const std::string& program, const std::string& attempt, std::int64_t used) {
   for (const std::size_t i : group(program))
-    link(cellars_[i].address).tell(market::Settle{program, attempt, used});
+    link(storage_nodes_[i].address).tell(market::Settle{program, attempt, used});
 }
 
 // ---- turns
@@ -205,9 +206,9 @@
   keeping->again_due = false;
   keeping->group = group(keeping->turn.program);
   std::stable_partition(keeping->group.begin(), keeping->group.end(),
-                        [&](std::size_t i) { return cellars_[i].zone == zone_; });
+                        [&](std::size_t i) { return storage_nodes_[i].zone == zone_; });
   keeping->asked = keeping->yes = 0;
-  keeping->needed = std::max(cellar::quorum(keeping->group.size()), losses_ + 1);
+  keeping->needed = std::max(storage::quorum(keeping->group.size()), losses_ + 1);
   later_.cancel(keeping->hedge);
   if (keeping->group.size() < keeping->needed) {
     later_.after(ask_again, [this, keeping] { ask_keep(keeping); });
@@ -217,7 +218,7 @@
   // The others hear what it came to: their count of the budget is no less than it is.
   for (std::size_t n = keeping->needed; n < keeping->group.size(); ++n) {
     if (keeping->used >= 0)
-      link(cellars_[keeping->group[n]].address)
+      link(storage_nodes_[keeping->group[n]].address)
           .tell(market::Settle{keeping->turn.program, keeping->turn.id, keeping->used});
   }
   const auto hedge = [this, keeping] {
@@ -230,7 +231,7 @@
 void Ledger::keep_at(const std::shared_ptr<Keeping>& keeping, std::size_t place) {
   const std::uint64_t turn = keeping->turn_number;
   const Span most = std::min(ask_most, std::max(keeping->until - later_.now(), Span::ms(1)));
-  link(cellars_[place].address)
+  link(storage_nodes_[place].address)
       .call<market::Kept>(market::Keep{map_, keeping->turn, keeping->used}, most,
                           [this, keeping, turn](absl::StatusOr<market::Kept> got) {
                             if (keeping->over || keeping->turn_number != turn) return;
@@ -307,8 +308,8 @@
   seeking->map = map_;
   seeking->order = group(seeking->program);
   std::stable_partition(seeking->order.begin(), seeking->order.end(),
-                        [&](std::size_t i) { return cellars_[i].zone == zone_; });
-  for (std::size_t i = 0; i < cellars_.size(); ++i) {
+                        [&](std::size_t i) { return storage_nodes_[i].zone == zone_; });
+  for (std::size_t i = 0; i < storage_nodes_.size(); ++i) {
     if (std::find(seeking->order.begin(), seeking->order.end(), i) == seeking->order.end())
       seeking->order.push_back(i);
   }
@@ -329,7 +330,7 @@
   seeking->hedge = later_.after(find_hedge, [this, seeking, turn, which] {
     if (seeking->turn == turn) seek_at(seeking, which + 1);
   });
-  link(cellars_[seeking->order[which]].address)
+  link(storage_nodes_[seeking->order[which]].address)
       .call<market::Found>(market::Find{seeking->map, seeking->want}, most,
                            [this, seeking, turn](absl::StatusOr<market::Found> got) {
                              sought(seeking, turn, std::move(got));
@@ -363,4 +364,4 @@
   seek_at(seeking, seeking->asked);
 }
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/ledger.hpp
+++ b/src/edge/ledger.hpp
@@ -11,11 +11,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cellar/placement.hpp"
 #include "market/link.hpp"
 #include "market/messages.hpp"
+#include "storage/placement.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 class Ledger {
  public:
@@ -24,7 +24,7 @@
 
   Ledger(net::Scheduler& scheduler, net::Later& later, std::string zone, std::size_t losses,
          std::size_t cache_most, std::uint64_t seed);
-  void map_came(std::int64_t map, const std::vector<market::Cellar>& cellars);
+  void map_came(std::int64_t map, const std::vector<market::StorageNode>& storage_nodes);
   bool usable() const;  // enough storage sidecars are known for copies that bear the losses
 
   // Sets `most` tokens aside, unless others of the program have too much of the budget. Until `until`.
@@ -66,7 +66,7 @@
   const std::size_t losses_, cache_most_;
   const std::uint64_t seed_;
   std::int64_t map_ = 0;
-  std::vector<market::Cellar> cellars_;
+  std::vector<market::StorageNode> storage_nodes_;
   std::map<std::string, std::unique_ptr<market::Link>> links_;
   struct Cached {
     std::shared_ptr<const market::Turn> turn;
@@ -78,4 +78,4 @@
   std::size_t cached_bytes_ = 0;
 };
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/main.cpp
+++ b/src/edge/main.cpp
@@ -1,12 +1,12 @@
-// chutevane-stall: a sidecar of the traffic.
+// chutevane-edge: a sidecar of the traffic.
+#include "edge/data_plane.hpp"
 #include "market/process.hpp"
-#include "stall/data_plane.hpp"
 
 int main(int argc, char** argv) {
   using namespace chutevane;
-  return market::run_process("chutevane-stall", "Traffic: clients in front, endpoints behind", argc, argv,
+  return market::run_process("chutevane-edge", "Traffic: clients in front, endpoints behind", argc, argv,
                              [](net::Scheduler& scheduler,
                                 const market::ProcessSettings& settings) -> std::unique_ptr<market::Plane> {
-                               return std::make_unique<stall::DataPlane>(scheduler, settings);
+                               return std::make_unique<edge::DataPlane>(scheduler, settings);
                              });
 }
--- a/src/stall/request.cpp
+++ b/src/edge/request.cpp
@@ -1,11 +1,11 @@
-#include "stall/request.hpp"
+#include "edge/request.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <charconv>
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 namespace {
 
 using http::same_name;
@@ -138,4 +138,4 @@
   return out;
 }
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/request.hpp
+++ b/src/edge/request.hpp
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
+#include "edge/tier.hpp"
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
-#include "stall/tier.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 struct Request {
   std::string method, target, host, body;
@@ -43,4 +43,4 @@
 std::size_t whole_event(std::string_view bytes);
 Event read_event(std::string_view bytes);
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/tier.cpp
+++ b/src/edge/tier.cpp
@@ -1,4 +1,4 @@
-#include "stall/tier.hpp"
+#include "edge/tier.hpp"
 
 #include <xxhash.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 namespace {
 
 constexpr double other_zone = 0.6;             // of its share, for an endpoint of another zone
@@ -199,4 +199,4 @@
   return all > 0 && taken > all / 2;
 }
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/stall/tier.hpp
+++ b/src/edge/tier.hpp
@@ -17,11 +17,11 @@
 #include "base/pcg.hpp"
 #include "base/windowed_count.hpp"
 #include "chutevane/types.hpp"
+#include "edge/held_parts.hpp"
 #include "policy/estimate.hpp"
 #include "policy/shares.hpp"
-#include "stall/held_parts.hpp"
 
-namespace chutevane::stall {
+namespace chutevane::edge {
 
 struct Part {
   std::uint64_t id = 0;
@@ -109,4 +109,4 @@
   Shares shares_{TimePoint()};
 };
 
-}  // namespace chutevane::stall
+}  // namespace chutevane::edge
--- a/src/lab/tier/fleet.cpp
+++ b/src/lab/tier/fleet.cpp
@@ -57,7 +57,7 @@
       lines_(scheduler_, later_),
       front_(lines_, later_) {
   std::signal(SIGPIPE, SIG_IGN);
-  for (const char* program : {"chutevane-clerk", "chutevane-cellar", "chutevane-stall"}) {
+  for (const char* program : {"chutevane-control", "chutevane-storage", "chutevane-edge"}) {
     if (!fs::exists(fs::path(spec_.programs) / program))
       throw std::runtime_error((fs::path(spec_.programs) / program).string() +
                                ": no such program; name their folder with --programs");
@@ -78,16 +78,16 @@
   };
   for (const char* id : {"i-w1", "i-w2", "i-w3", "i-w4"}) endpoint(id, endpoints_.size() + 1, true);
   for (const char* id : {"i-t1", "i-t2"}) endpoint(id, endpoints_.size() + 1, false);
-  for (std::size_t i = 0; i < 3; ++i) add("clerk", i + 1, core, zones[i], true);
-  for (std::size_t i = 0; i < 4; ++i) add("cellar", i + 1, storage, zones[i % 3], true);
-  for (std::size_t i = 0; i < 3; ++i) add("stall", i + 1, edge, zones[i], true);
-  std::vector<sockaddr_in> clerks;
+  for (std::size_t i = 0; i < 3; ++i) add("control", i + 1, core, zones[i], true);
+  for (std::size_t i = 0; i < 4; ++i) add("storage", i + 1, storage, zones[i % 3], true);
+  for (std::size_t i = 0; i < 3; ++i) add("edge", i + 1, edge, zones[i], true);
+  std::vector<sockaddr_in> controllers;
   for (const auto& m : machines_) {
-    if (m->plane == "clerk") clerks.push_back(with_port(m->at, control_port));
-    if (m->plane == "stall")
+    if (m->plane == "control") controllers.push_back(with_port(m->at, control_port));
+    if (m->plane == "edge")
       front_.add(m->node, with_port(m->at, front_port), with_port(m->at, readiness_port));
   }
-  operator_ = std::make_unique<OperatorStandIn>(scheduler_, later_, lines_, auditor_, clerks);
+  operator_ = std::make_unique<OperatorStandIn>(scheduler_, later_, lines_, auditor_, controllers);
   load_ = std::make_unique<Load>(scheduler_, later_, lines_, front_, auditor_,
                                  Load::Spec{spec_.seed, spec_.programs_per_s});
 }
@@ -111,7 +111,7 @@
   const fs::path stem = fs::path(spec_.folder) / m->node;
   m->settings = stem.string() + ".conf";
   m->log = stem.string() + ".log";
-  if (plane != "stall") m->data = stem.string() + ".data";
+  if (plane != "edge") m->data = stem.string() + ".data";
   std::ofstream(m->log, std::ios::trunc);
   if (first && !m->data.empty()) {
     fs::remove_all(m->data);
@@ -128,22 +128,22 @@
   std::string seeds;
   for (std::size_t i = 1; i <= 3; ++i)
     seeds += (i > 1 ? "," : "") + net::text_of(addresses_.at(core, i, control_port));
-  const std::string machine_class = m.plane == "stall" ? "edge" : m.plane == "clerk" ? "core" : "storage";
+  const std::string machine_class = m.plane == "edge" ? "edge" : m.plane == "control" ? "core" : "storage";
   std::ofstream out(m.settings, std::ios::trunc);
   out << "nodeName=" << m.node << "\nrole=" << m.plane << "\nmachineClass=" << machine_class << "\nserves="
-      << (m.plane == "stall"   ? "edge"
-          : m.plane == "clerk" ? "control"
-                               : "storage")
+      << (m.plane == "edge"      ? "edge"
+          : m.plane == "control" ? "control"
+                                 : "storage")
       << "\nipAddress=" << ip(m.at) << "\nzone=" << m.zone << "\nregion=lab\n";
   for (const char* zone : zones) out << "zones." << zone << "=lab\n";
-  if (m.plane == "stall")
+  if (m.plane == "edge")
     out << "listenAddrs.front=" << net::text_of(with_port(m.at, front_port))
         << "\nlistenAddrs.readiness=" << net::text_of(with_port(m.at, readiness_port)) << "\n";
-  if (m.plane == "clerk")
+  if (m.plane == "control")
     out << "listenAddrs.control=" << net::text_of(with_port(m.at, control_port)) << "\n";
   if (!m.data.empty()) out << "dataDir=" << m.data << "\n";
   out << "internalPorts=7380,7395\nseedNodes=" << seeds << "\ninitialStart=" << (first ? "true" : "false")
-      << "\nlossCounted=" << (m.plane == "stall" ? "false" : "true")
+      << "\nlossCounted=" << (m.plane == "edge" ? "false" : "true")
       << "\nlimits.memoryMb=260\nlimits.maxFds=1000\nlimits.diskMb=" << (m.data.empty() ? 0 : 200)
       << "\nfaultTolerance.machineLosses=1\nbounds.drainMs=" << drain.as_ms() << "\nbounds.graceS=8"
       << "\nbounds.configApplyMs=2000\nbounds.settleMs=1000\nbounds.ackMs=4000\nbounds.recoveryS=12"
@@ -229,9 +229,9 @@
 }
 
 // The machine's disk is gone with it: it comes back empty, under its address.
-void Fleet::lose_cellar() {
+void Fleet::lose_storage_node() {
   std::size_t which = 0;
-  Machine& m = drawn("cellar", which);
+  Machine& m = drawn("storage", which);
   const std::size_t record = faults_.size();
   fault(m.node + " killed, its folder gone");
   m.ends_by_order = true;
@@ -257,10 +257,10 @@
   later_.after(Span::ms(20), [=, this] { look_whole(record, log, since); });
 }
 
-// A change is under way at the clerk that dies.
-void Fleet::kill_clerk() {
+// A change is under way at the controller that dies.
+void Fleet::kill_controller() {
   std::size_t which = 0;
-  Machine& m = drawn("clerk", which);
+  Machine& m = drawn("control", which);
   change(9, which);
   const Span into = Span::ms(12 * chance_.unit());
   later_.after(into, [this, &m] {
@@ -271,9 +271,9 @@
   });
 }
 
-void Fleet::end_stall() {
+void Fleet::end_edge() {
   std::size_t which = 0;
-  Machine& m = drawn("stall", which);
+  Machine& m = drawn("edge", which);
   const std::size_t record = faults_.size();
   fault(m.node + " told to end");
   m.ends_by_order = true;
@@ -318,25 +318,25 @@
 }
 
 // Asks a sidecar by the route that came, then by the one that went, until it has the change in force.
-void Fleet::probe(std::int64_t version, std::int64_t before, std::size_t stall, TimePoint since,
+void Fleet::probe(std::int64_t version, std::int64_t before, std::size_t edge, TimePoint since,
                   const std::shared_ptr<std::size_t>& left) {
   const auto over = [this, left, since] {
     if (--*left > 0) return;
     --probes_open_;
     force_ms_.push_back((later_.now() - since).as_ms());
   };
-  const auto ask = [this, stall](std::int64_t of, std::function<void(int)> done) {
+  const auto ask = [this, edge](std::int64_t of, std::function<void(int)> done) {
     const std::uint64_t high = chance_();
     const std::string id = "probe" + std::to_string(high) + std::to_string(chance_());
     auditor_.asked({id, Sort::idempotent, "", "", "", 0, std::nullopt});
-    Errand::run(lines_, later_, front_.address(stall),
+    Errand::run(lines_, later_, front_.address(edge),
                 request_text("GET", mark_of(of) + "x", host,
                              {{"X-Chutevane-Attempt-Id", id}, {"X-Chutevane-Time-Remaining", "900"}}, ""),
                 Span::ms(1000), [done](const Errand::Got& got) { done(got.whole ? got.status : 0); });
   };
   Machine* machine = nullptr;
   for (std::size_t i = 0, n = 0; i < machines_.size(); ++i) {
-    if (machines_[i]->plane == "stall" && n++ == stall) machine = machines_[i].get();
+    if (machines_[i]->plane == "edge" && n++ == edge) machine = machines_[i].get();
   }
   if (machine->ends_by_order) return over();  // one that is leaving need not take it
   const auto again = [=, this](const std::string& what) {
@@ -347,7 +347,7 @@
                             " after " + std::to_string((later_.now() - since).as_ms()) + " ms: " + what);
       return over();
     }
-    later_.after(Span::ms(20), [=, this] { probe(version, before, stall, since, left); });
+    later_.after(Span::ms(20), [=, this] { probe(version, before, edge, since, left); });
   };
   ask(version, [=](int status) {
     if (status != 200) return again("its new route answers " + std::to_string(status));
@@ -375,10 +375,10 @@
   at(0.05, [this] { change(4, 1); });
   at(0.12, [this] { drain_endpoint(); });
   at(0.20, [this] { replace_endpoint(); });
-  // Of planes whose losses do not add up: cellars, clerks, stalls.
-  at(0.30, [this] { lose_cellar(); });
-  at(0.55, [this] { kill_clerk(); });
-  at(0.75, [this] { end_stall(); });
+  // Of planes whose losses do not add up: storage nodes, controllers, edges.
+  at(0.30, [this] { lose_storage_node(); });
+  at(0.55, [this] { kill_controller(); });
+  at(0.75, [this] { end_edge(); });
   at(0.90, [this] { change(11, 2); });
 }
 
@@ -442,12 +442,13 @@
   return result;
 }
 
-// Clerks and cellars are told to end, and have to do so in order; the stalls have shown it by one of them.
+// Controllers and storage nodes are told to end, and have to do so in order; the edges have shown it by one
+// of them.
 void Fleet::end_all() {
   quiet_ = true;
   std::vector<Machine*> told;
   for (auto& m : machines_) {
-    const bool in_order = m->plane != "stall" && !m->ends_by_order && m->process.running();
+    const bool in_order = m->plane != "edge" && !m->ends_by_order && m->process.running();
     m->ends_by_order = true;
     if (!in_order || told_to_stop_ || auditor_.count(Check::crashed) > 0) {
       m->process.kill();
@@ -529,7 +530,8 @@
   if (!r.started) return "the tier did not come up; its last words:\n" + r.trouble;
   const auto n = [](std::uint64_t v) { return std::to_string(v); };
   const auto count = [&](Check c) { return r.counts[static_cast<std::size_t>(c)]; };
-  std::string out = "tier: 3 clerks, 4 cellars, 3 stalls, up after " + filled("%.0f ms\n", r.up.as_ms());
+  std::string out =
+      "tier: 3 controllers, 4 storage_nodes, 3 edges, up after " + filled("%.0f ms\n", r.up.as_ms());
   out += line("turns asked", n(r.figures.turns_asked));
   out += line("answered whole", n(r.figures.turns_whole));
   out += line("lost (0)", n(count(Check::lost)));
--- a/src/lab/tier/fleet.hpp
+++ b/src/lab/tier/fleet.hpp
@@ -16,8 +16,8 @@
 namespace chutevane::lab::tier {
 
 struct FleetSpec {
-  std::string programs;  // folder of chutevane-clerk, -cellar, -stall
-  std::string folder;    // for settings, logs and the cellars' data; it is there
+  std::string programs;  // folder of chutevane-control, -storage node, -edge
+  std::string folder;    // for settings, logs and the storage nodes' data; it is there
   std::uint64_t seed = 1;
   double seconds = 20;  // of load, with what follows it
   double programs_per_s = 12;
@@ -51,7 +51,7 @@
   };
   std::vector<BadTry> bad_tries;
   std::vector<double> change_ms;             // from the operator's first call to the 200
-  std::vector<double> force_ms;              // from the 200 to the last stall
+  std::vector<double> force_ms;              // from the 200 to the last edge
   std::vector<double> lateness_ms, sync_ms;  // the lab's own
   std::uint64_t operator_calls = 0, list_pages = 0, list_over_rate = 0, turned_away = 0, troubles = 0;
   bool broken() const;
@@ -81,14 +81,14 @@
   bool wait(Span most, const std::function<bool()>& what);
   void plan(TimePoint begin, Span lasts);
   FaultRecord& fault(const std::string& name);
-  void lose_cellar();
-  void kill_clerk();
-  void end_stall();
+  void lose_storage_node();
+  void kill_controller();
+  void end_edge();
   void drain_endpoint();
   void replace_endpoint();
   void look_whole(std::size_t record, const std::string& node, TimePoint since);
   void change(std::int64_t version, std::size_t first_to);
-  void probe(std::int64_t version, std::int64_t before, std::size_t stall, TimePoint since,
+  void probe(std::int64_t version, std::int64_t before, std::size_t edge, TimePoint since,
              const std::shared_ptr<std::size_t>& left);
   void judge_faults(FleetResult& result, TimePoint begin, TimePoint end);
   void end_all();
--- a/src/lab/tier/operators.cpp
+++ b/src/lab/tier/operators.cpp
@@ -9,7 +9,7 @@
 namespace chutevane::lab::tier {
 namespace {
 
-constexpr Span silent_most = Span::ms(1000);  // then another clerk is asked
+constexpr Span silent_most = Span::ms(1000);  // then another controller is asked
 constexpr Span pause_first = Span::ms(100), pause_most = Span::ms(800);
 
 }  // namespace
@@ -53,8 +53,8 @@
 }
 
 OperatorStandIn::OperatorStandIn(net::Scheduler&, net::Later& later, Lines& lines, Auditor& auditor,
-                                 std::vector<sockaddr_in> clerks)
-    : later_(later), lines_(lines), auditor_(auditor), clerks_(std::move(clerks)) {}
+                                 std::vector<sockaddr_in> controllers)
+    : later_(later), lines_(lines), auditor_(auditor), controllers_(std::move(controllers)) {}
 
 void OperatorStandIn::change(std::int64_t version, std::size_t first_to, std::function<void(Span)> taken) {
   busy_ = true;
@@ -64,7 +64,7 @@
 void OperatorStandIn::send(std::int64_t version, std::size_t to, int times, TimePoint since,
                            std::function<void(Span)> taken) {
   ++sent_;
-  const sockaddr_in& at = clerks_[to % clerks_.size()];
+  const sockaddr_in& at = controllers_[to % controllers_.size()];
   std::string text = request_text(
       "POST", "/v1/Configuration.Replace", net::text_of(at),
       {{"X-Chutevane-Base-Version", std::to_string(acknowledged_)}, {"Content-Type", "application/json"}},
@@ -85,35 +85,35 @@
 }
 
 void OperatorStandIn::read_back(Span most, std::function<void()> done) {
-  const auto left = std::make_shared<std::size_t>(clerks_.size());
-  for (std::size_t i = 0; i < clerks_.size(); ++i) {
+  const auto left = std::make_shared<std::size_t>(controllers_.size());
+  for (std::size_t i = 0; i < controllers_.size(); ++i) {
     read(i, later_.now() + most, [left, done] {
       if (--*left == 0) done();
     });
   }
 }
 
-void OperatorStandIn::read(std::size_t clerk, TimePoint until, std::function<void()> done) {
-  const sockaddr_in& at = clerks_[clerk];
-  Errand::run(lines_, later_, at, request_text("GET", "/v1/Configuration.Retrieve", net::text_of(at), {}, ""),
-              silent_most, [=, this](const Errand::Got& got) {
-                if (got.whole && got.status == 200 && got.body == configuration_text(acknowledged_))
-                  return done();
-                // A clerk that answers has to answer with the newest: no second chance for an older one.
-                if (got.whole && got.status == 200) {
-                  auditor_.breach(Check::configuration, "read back from clerk " + std::to_string(clerk) +
-                                                            ", not version " + std::to_string(acknowledged_) +
-                                                            ": " + got.body.substr(0, 60));
-                  return done();
-                }
-                if (later_.now() > until) {
-                  auditor_.breach(Check::configuration,
-                                  "clerk " + std::to_string(clerk) + " does not give back version " +
-                                      std::to_string(acknowledged_) + ": " + std::to_string(got.status));
-                  return done();
-                }
-                later_.after(pause_first, [=, this] { read(clerk, until, done); });
-              });
+void OperatorStandIn::read(std::size_t controller, TimePoint until, std::function<void()> done) {
+  const sockaddr_in& at = controllers_[controller];
+  Errand::run(
+      lines_, later_, at, request_text("GET", "/v1/Configuration.Retrieve", net::text_of(at), {}, ""),
+      silent_most, [=, this](const Errand::Got& got) {
+        if (got.whole && got.status == 200 && got.body == configuration_text(acknowledged_)) return done();
+        // A controller that answers has to answer with the newest: no second chance for an older one.
+        if (got.whole && got.status == 200) {
+          auditor_.breach(Check::configuration, "read back from controller " + std::to_string(controller) +
+                                                    ", not version " + std::to_string(acknowledged_) + ": " +
+                                                    got.body.substr(0, 60));
+          return done();
+        }
+        if (later_.now() > until) {
+          auditor_.breach(Check::configuration,
+                          "controller " + std::to_string(controller) + " does not give back version " +
+                              std::to_string(acknowledged_) + ": " + std::to_string(got.status));
+          return done();
+        }
+        later_.after(pause_first, [=, this] { read(controller, until, done); });
+      });
 }
 
 }  // namespace chutevane::lab::tier
--- a/src/lab/tier/operators.hpp
+++ b/src/lab/tier/operators.hpp
@@ -18,25 +18,27 @@
 class OperatorStandIn {
  public:
   OperatorStandIn(net::Scheduler& scheduler, net::Later& later, Lines& lines, Auditor& auditor,
-                  std::vector<sockaddr_in> clerks);
+                  std::vector<sockaddr_in> controllers);
 
-  // Sends the version on top of the one before, first to that clerk, until it is taken; how long it took.
+  // Sends the version on top of the one before, first to that controller, until it is taken; how long it
+  // took.
   void change(std::int64_t version, std::size_t first_to, std::function<void(Span)> taken);
   bool busy() const { return busy_; }
   std::int64_t acknowledged() const { return acknowledged_; }
   std::uint64_t sent() const { return sent_; }  // calls, repeats among them
 
-  // Asks each clerk until it answers with what was acknowledged last, or `most` is over, which is a breach.
+  // Asks each controller until it answers with what was acknowledged last, or `most` is over, which is a
+  // breach.
   void read_back(Span most, std::function<void()> done);
 
  private:
   void send(std::int64_t version, std::size_t to, int times, TimePoint since,
             std::function<void(Span)> taken);
-  void read(std::size_t clerk, TimePoint until, std::function<void()> done);
+  void read(std::size_t controller, TimePoint until, std::function<void()> done);
   net::Later& later_;
   Lines& lines_;
   Auditor& auditor_;
-  std::vector<sockaddr_in> clerks_;
+  std::vector<sockaddr_in> controllers_;
   bool busy_ = false;
   std::int64_t acknowledged_ = 0;
   std::uint64_t sent_ = 0;
--- a/src/lab/tier/platform.cpp
+++ b/src/lab/tier/platform.cpp
@@ -65,19 +65,19 @@
 }
 
 void Front::add(const std::string& name, const sockaddr_in& front, const sockaddr_in& readiness) {
-  stalls_.push_back({name, front, readiness, false, 0});
+  edges_.push_back({name, front, readiness, false, 0});
 }
 
 void Front::begin(Span every) {
   every_ = every;
-  for (std::size_t i = 0; i < stalls_.size(); ++i) look(i);
+  for (std::size_t i = 0; i < edges_.size(); ++i) look(i);
 }
 
 void Front::look(std::size_t which) {
-  Errand::run(lines_, later_, stalls_[which].readiness,
-              request_text("GET", "/v1/readiness", net::text_of(stalls_[which].readiness), {}, ""),
+  Errand::run(lines_, later_, edges_[which].readiness,
+              request_text("GET", "/v1/readiness", net::text_of(edges_[which].readiness), {}, ""),
               readiness_most, [this, which](const Errand::Got& got) {
-                Stall& s = stalls_[which];
+                Edge& s = edges_[which];
                 if (got.whole && got.status == 200) {
                   s.misses = 0;
                   s.in = true;
@@ -90,13 +90,13 @@
 
 std::size_t Front::in() const {
   return static_cast<std::size_t>(
-      std::count_if(stalls_.begin(), stalls_.end(), [](const Stall& s) { return s.in; }));
+      std::count_if(edges_.begin(), edges_.end(), [](const Edge& s) { return s.in; }));
 }
 
 const sockaddr_in& Front::pick(std::uint64_t client, std::size_t again) const {
-  const bool all = in() * 2 < stalls_.size();
-  std::vector<const Stall*> open;
-  for (const Stall& s : stalls_) {
+  const bool all = in() * 2 < edges_.size();
+  std::vector<const Edge*> open;
+  for (const Edge& s : edges_) {
     if (all || s.in) open.push_back(&s);
   }
   return open[(client + again) % open.size()]->front;
--- a/src/lab/tier/platform.hpp
+++ b/src/lab/tier/platform.hpp
@@ -41,14 +41,14 @@
   void begin(Span every);
   void every(Span span) { every_ = span; }
   std::size_t in() const;
-  bool is_in(std::size_t which) const { return stalls_[which].in; }
-  std::size_t size() const { return stalls_.size(); }
-  const sockaddr_in& address(std::size_t which) const { return stalls_[which].front; }
+  bool is_in(std::size_t which) const { return edges_[which].in; }
+  std::size_t size() const { return edges_.size(); }
+  const sockaddr_in& address(std::size_t which) const { return edges_[which].front; }
   // For a new connection; `again`: how many the client has had in this request, so that it meets others.
   const sockaddr_in& pick(std::uint64_t client, std::size_t again) const;
 
  private:
-  struct Stall {
+  struct Edge {
     std::string name;
     sockaddr_in front{}, readiness{};
     bool in = false;
@@ -58,7 +58,7 @@
   Lines& lines_;
   net::Later& later_;
   Span every_ = Span::ms(1000);
-  std::vector<Stall> stalls_;
+  std::vector<Edge> edges_;
 };
 
 }  // namespace chutevane::lab::tier
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -20,8 +20,8 @@
 };
 
 // A storage sidecar of the map.
-struct Cellar {
-  static constexpr const char* record = "Cellar";
+struct StorageNode {
+  static constexpr const char* record = "StorageNode";
   static constexpr std::uint8_t kind = 2;  // on the wire
   std::string node;
   std::string disk;
@@ -38,7 +38,7 @@
     v("leaving", leaving);
     v("lost", lost);
   }
-  bool operator==(const Cellar&) const = default;
+  bool operator==(const StorageNode&) const = default;
 };
 
 struct Retired {
@@ -80,7 +80,7 @@
   Bytes config;
   std::vector<Taken> taken;
   std::int64_t map = 0;
-  std::vector<Cellar> cellars;
+  std::vector<StorageNode> storage_nodes;
   std::vector<Retired> retired;
   template <class Visitor>
   void each(Visitor& v) {
@@ -92,7 +92,7 @@
     v("config", config);
     v("taken", taken);
     v("map", map);
-    v("cellars", cellars);
+    v("storage_nodes", storage_nodes);
     v("retired", retired);
   }
   bool operator==(const Value&) const = default;
@@ -208,21 +208,21 @@
 };
 
 // Who this disk is, and whom it knew.
-struct ClerkRecord {
-  static constexpr const char* record = "Clerk_record";
+struct ControllerRecord {
+  static constexpr const char* record = "Controller_record";
   static constexpr std::uint8_t kind = 13;  // on the wire
   std::string disk;
   bool first = false;
   Value known;
   Value initial;
-  std::vector<std::string> clerks;
+  std::vector<std::string> controllers;
   template <class Visitor>
   void each(Visitor& v) {
     v("disk", disk);
     v("first", first);
     v("known", known);
     v("initial", initial);
-    v("clerks", clerks);
+    v("controllers", controllers);
   }
 };
 
@@ -282,7 +282,7 @@
   Value initial;
   std::int64_t list_term = 0;
   std::int64_t list_number = 0;
-  std::vector<std::string> clerks;
+  std::vector<std::string> controllers;
   std::vector<HeldDuty> duties;
   std::vector<Member> members;
   template <class Visitor>
@@ -302,7 +302,7 @@
     v("initial", initial);
     v("list_term", list_term);
     v("list_number", list_number);
-    v("clerks", clerks);
+    v("controllers", controllers);
     v("duties", duties);
     v("members", members);
   }
@@ -413,14 +413,14 @@
   static constexpr std::uint8_t kind = 23;  // on the wire
   std::int64_t fresh_ms = 0;
   std::int64_t number = 0;
-  std::int64_t stalls = 0;
-  std::vector<std::string> clerks;
+  std::int64_t edges = 0;
+  std::vector<std::string> controllers;
   template <class Visitor>
   void each(Visitor& v) {
     v("fresh_ms", fresh_ms);
     v("number", number);
-    v("stalls", stalls);
-    v("clerks", clerks);
+    v("edges", edges);
+    v("controllers", controllers);
   }
 };
 
@@ -615,8 +615,8 @@
 };
 
 // Who this disk is.
-struct CellarRecord {
-  static constexpr const char* record = "Cellar_record";
+struct StorageNodeRecord {
+  static constexpr const char* record = "Storage_node_record";
   static constexpr std::uint8_t kind = 36;  // on the wire
   std::string disk;
   bool held = false;
--- a/src/market/session.cpp
+++ b/src/market/session.cpp
@@ -49,7 +49,7 @@
 // The control sidecars that hash nearest to this one, of those that are known; seeds while none are. One that
 // is silent, or has lost its majority, is passed over for the next.
 void Sessions::choose() {
-  std::vector<std::string> known = clerks_.empty() ? seeds_ : clerks_;
+  std::vector<std::string> known = controllers_.empty() ? seeds_ : controllers_;
   if (standing() == 0) {  // what was known may be gone: the settings' seeds too
     for (const std::string& seed : seeds_)
       if (std::find(known.begin(), known.end(), seed) == known.end()) known.push_back(seed);
@@ -125,8 +125,8 @@
     Beat beat;
     if (!decode(record, beat)) return;
     if (Span::ms(static_cast<double>(beat.fresh_ms)) < silent_most) way->second.heard = later_.now();
-    if (!beat.clerks.empty()) clerks_ = beat.clerks;
-    if (beat.stalls > 0) stalls_ = static_cast<std::size_t>(beat.stalls);
+    if (!beat.controllers.empty()) controllers_ = beat.controllers;
+    if (beat.edges > 0) edges_ = static_cast<std::size_t>(beat.edges);
   } else if (kind == Push::kind) {
     Push push;
     if (!decode(record, push)) return;
--- a/src/market/session.hpp
+++ b/src/market/session.hpp
@@ -37,7 +37,7 @@
   }
   std::size_t standing() const;
   // Sidecars of the traffic that are members, as control last told; 1 at least.
-  std::size_t stalls() const { return stalls_; }
+  std::size_t edges() const { return edges_; }
 
  private:
   struct Way {
@@ -56,8 +56,8 @@
   const std::uint16_t port_;  // of control's plane, on all machines
   Member self_;
   bool ending_ = false;
-  std::size_t stalls_ = 1;
-  std::vector<std::string> seeds_, clerks_;
+  std::size_t edges_ = 1;
+  std::vector<std::string> seeds_, controllers_;
   std::map<std::string, Way> ways_;
   std::vector<std::unique_ptr<Link>> leaving_;  // destroyed by a later tick
   std::optional<Value> value_;
--- a/src/cellar/placement.hpp
+++ b/src/storage/placement.hpp
@@ -11,19 +11,20 @@
 
 #include "market/messages.hpp"
 
-namespace chutevane::cellar {
+namespace chutevane::storage {
 
 // As many as bear the losses with a majority left; fewer where there are no more.
 inline std::size_t group_size(std::size_t losses) { return 2 * losses + 1; }
 inline std::size_t quorum(std::size_t group) { return group / 2 + 1; }
 
-// Places in `cellars`, the nearest first. Those that leave get nothing new.
-inline std::vector<std::size_t> group_of(std::string_view program, const std::vector<market::Cellar>& cellars,
+// Places in `storage nodes`, the nearest first. Those that leave get nothing new.
+inline std::vector<std::size_t> group_of(std::string_view program,
+                                         const std::vector<market::StorageNode>& storage_nodes,
                                          std::size_t losses) {
   std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
-  for (std::size_t i = 0; i < cellars.size(); ++i) {
-    if (cellars[i].leaving) continue;
-    const std::string& node = cellars[i].node;
+  for (std::size_t i = 0; i < storage_nodes.size(); ++i) {
+    if (storage_nodes[i].leaving) continue;
+    const std::string& node = storage_nodes[i].node;
     ranked.emplace_back(
         XXH3_64bits_withSeed(program.data(), program.size(), XXH3_64bits(node.data(), node.size())), i);
   }
@@ -31,12 +32,13 @@
   // One of each zone before a second of any: a zone that goes takes no more of a group than it must.
   std::vector<std::size_t> out;
   const auto used = [&](const std::string& zone) {
-    return std::count_if(out.begin(), out.end(), [&](std::size_t i) { return cellars[i].zone == zone; });
+    return std::count_if(out.begin(), out.end(),
+                         [&](std::size_t i) { return storage_nodes[i].zone == zone; });
   };
   for (std::ptrdiff_t round = 0; out.size() < std::min(group_size(losses), ranked.size()); ++round) {
     for (const auto& [rank, i] : ranked) {
       if (out.size() == group_size(losses)) break;
-      if (std::find(out.begin(), out.end(), i) == out.end() && used(cellars[i].zone) <= round)
+      if (std::find(out.begin(), out.end(), i) == out.end() && used(storage_nodes[i].zone) <= round)
         out.push_back(i);
     }
   }
@@ -54,4 +56,4 @@
   full,     // no room
 };
 
-}  // namespace chutevane::cellar
+}  // namespace chutevane::storage
--- a/src/cellar/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -1,4 +1,4 @@
-#include "cellar/storage_plane.hpp"
+#include "storage/storage_plane.hpp"
 
 #include <cstdio>
 #include <cstdlib>
@@ -7,7 +7,7 @@
 
 #include "market/log.hpp"
 
-namespace chutevane::cellar {
+namespace chutevane::storage {
 namespace {
 
 using market::Account;
@@ -46,7 +46,7 @@
       settings_(settings),
       later_(scheduler),
       disk_(std::move(disk)),
-      record_slots_(*disk_, "cellar"),
+      record_slots_(*disk_, "storage"),
       store_(*disk_, room_of(settings)),
       desk_(scheduler) {}
 
@@ -58,7 +58,7 @@
 absl::Status StoragePlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
-    if (!market::decode(got->state, record_)) return absl::DataLossError("cellar: record not read");
+    if (!market::decode(got->state, record_)) return absl::DataLossError("storage: record not read");
   } else {
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
     record_.disk = new_disk_id();
@@ -68,7 +68,7 @@
   listen();
   market::Member self;
   self.node = settings_.node;
-  self.plane = "cellar";
+  self.plane = "storage";
   self.disk = record_.disk;
   self.address = net::text_of(settings_.internal_address(market::storage_plane_port));
   self.zone = settings_.zone;
@@ -154,15 +154,15 @@
   out.map = map_;
   out.last = true;
   const auto mine = [&](const std::string& program) {
-    for (const std::size_t i : group_of(program, cellars_, settings_.machine_losses)) {
-      if (cellars_[i].node == ask.node) return true;
+    for (const std::size_t i : group_of(program, storage_nodes_, settings_.machine_losses)) {
+      if (storage_nodes_[i].node == ask.node) return true;
     }
     return false;
   };
   std::size_t bytes = 0;
-  const bool named = std::any_of(cellars_.begin(), cellars_.end(), [&](const market::Cellar& c) {
-    return c.node == settings_.node && c.disk == record_.disk;
-  });
+  const bool named = std::any_of(
+      storage_nodes_.begin(), storage_nodes_.end(),
+      [&](const market::StorageNode& c) { return c.node == settings_.node && c.disk == record_.disk; });
   if (map_ < ask.map) {
     out.verdict = static_cast<std::int64_t>(Verdict::behind);
   } else if (!named) {  // a disk that no map names yet is no source: what its place held is not here
@@ -206,31 +206,33 @@
 
 void StoragePlane::value_came(const market::Value& value) {
   if (value.map <= map_) return;
-  const std::vector<market::Cellar> before = std::move(cellars_);
+  const std::vector<market::StorageNode> before = std::move(storage_nodes_);
   const std::int64_t map_before = map_;
-  cellars_ = value.cellars;
+  storage_nodes_ = value.storage_nodes;
   map_ = value.map;
-  const auto in = [](const std::vector<market::Cellar>& all, const market::Cellar& c) {
-    return std::any_of(all.begin(), all.end(), [&](const market::Cellar& o) {
+  const auto in = [](const std::vector<market::StorageNode>& all, const market::StorageNode& c) {
+    return std::any_of(all.begin(), all.end(), [&](const market::StorageNode& o) {
       return o.node == c.node && o.disk == c.disk && o.leaving == c.leaving;
     });
   };
   // Who was here for the map before, and lost nobody by this one, has what is its own already.
   // One that a map in between may have given up has missed what was kept since.
-  const auto me = [&](const market::Cellar& c) { return c.node == settings_.node && c.disk == record_.disk; };
+  const auto me = [&](const market::StorageNode& c) {
+    return c.node == settings_.node && c.disk == record_.disk;
+  };
   const bool was_in = std::any_of(before.begin(), before.end(), me);
   const bool went_on = map_before > 0 && ready_ && whole_ && was_in && map_ == map_before + 1;
-  const bool lost_some = std::any_of(before.begin(), before.end(), [&](const market::Cellar& c) {
-    return !c.leaving && !in(cellars_, c) &&
-           std::none_of(cellars_.begin(), cellars_.end(),
-                        [&](const market::Cellar& o) { return o.node == c.node && !o.leaving; });
+  const bool lost_some = std::any_of(before.begin(), before.end(), [&](const market::StorageNode& c) {
+    return !c.leaving && !in(storage_nodes_, c) &&
+           std::none_of(storage_nodes_.begin(), storage_nodes_.end(),
+                        [&](const market::StorageNode& o) { return o.node == c.node && !o.leaving; });
   });
   if (went_on && !lost_some) {
     sessions_->tell_whole(map_);
     return;
   }
-  const auto mine = std::find_if(cellars_.begin(), cellars_.end(), me);
-  if (mine == cellars_.end()) {  // nothing is its own by this map
+  const auto mine = std::find_if(storage_nodes_.begin(), storage_nodes_.end(), me);
+  if (mine == storage_nodes_.end()) {  // nothing is its own by this map
     ready_ = whole_ = false;
     taking_.clear();
     ++turn_;
@@ -240,25 +242,25 @@
   // up now, is a loss already: so many fewer of the others may be left out. One that is new here is none.
   const bool came_back = map_before > 0 && !went_on && !lost_some;
   // Nor is another's lost disk known here to be made up for: what it answers may be less than it held.
-  const bool lost_beside = std::any_of(cellars_.begin(), cellars_.end(), [&](const market::Cellar& c) {
-    return c.lost && c.node != settings_.node;
-  });
+  const bool lost_beside =
+      std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
+                  [&](const market::StorageNode& c) { return c.lost && c.node != settings_.node; });
   const bool lost_already = lost_some || came_back || lost_beside || (mine->lost && !record_.held);
   may_miss_ =
       settings_.machine_losses - std::min<std::size_t>(settings_.machine_losses, lost_already ? 1 : 0);
   take_over(before);
 }
 
-void StoragePlane::take_over(const std::vector<market::Cellar>& before) {
+void StoragePlane::take_over(const std::vector<market::StorageNode>& before) {
   ready_ = whole_ = false;
   takeover_since_ = later_.now();
   ++turn_;
   taking_.clear();
-  for (const std::vector<market::Cellar>* all : {&std::as_const(cellars_), &before}) {
-    for (const market::Cellar& c : *all) {
+  for (const std::vector<market::StorageNode>* all : {&std::as_const(storage_nodes_), &before}) {
+    for (const market::StorageNode& c : *all) {
       // One that the map has given up is lost; one that leaves still answers, and stands in the map.
-      const bool there = std::any_of(cellars_.begin(), cellars_.end(),
-                                     [&](const market::Cellar& o) { return o.node == c.node; });
+      const bool there = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
+                                     [&](const market::StorageNode& o) { return o.node == c.node; });
       if (c.node == settings_.node || !there || taking_.contains(c.node)) continue;
       Taking& t = taking_[c.node];
       t.address = c.address;
@@ -372,4 +374,4 @@
   later_.after(Span::ms(200), [this] { finished_ = true; });
 }
 
-}  // namespace chutevane::cellar
+}  // namespace chutevane::storage
--- a/src/cellar/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "cellar/placement.hpp"
-#include "cellar/store.hpp"
 #include "market/link.hpp"
 #include "market/process.hpp"
 #include "market/session.hpp"
 #include "market/settings.hpp"
+#include "storage/placement.hpp"
+#include "storage/store.hpp"
 
-namespace chutevane::cellar {
+namespace chutevane::storage {
 
 class StoragePlane final : public market::Plane {
  public:
@@ -42,7 +42,7 @@
   [[noreturn]] void die(const absl::Status& why);
   void listen();
   void value_came(const market::Value& value);
-  void take_over(const std::vector<market::Cellar>& before);
+  void take_over(const std::vector<market::StorageNode>& before);
   void ask(const std::string& node);
   void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<market::Pulled> got);
   void look_ready();
@@ -59,12 +59,12 @@
   net::Later later_;
   std::unique_ptr<market::Disk> disk_;
   market::Slots record_slots_;
-  market::CellarRecord record_;
+  market::StorageNodeRecord record_;
   Store store_;
   market::Desk desk_;
   std::unique_ptr<market::Sessions> sessions_;
   std::map<std::string, std::unique_ptr<market::Link>> links_;  // by address
-  std::vector<market::Cellar> cellars_;
+  std::vector<market::StorageNode> storage_nodes_;
   std::int64_t map_ = 0;
   bool ready_ = false, whole_ = false, leaving_ = false, finished_ = false;
   // How many of the others may be left out of the take-over under way: none, where a copy was lost already.
@@ -76,4 +76,4 @@
   bool sync_due_ = false;
 };
 
-}  // namespace chutevane::cellar
+}  // namespace chutevane::storage
--- a/src/cellar/store.cpp
+++ b/src/storage/store.cpp
@@ -1,9 +1,9 @@
-#include "cellar/store.hpp"
+#include "storage/store.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-namespace chutevane::cellar {
+namespace chutevane::storage {
 namespace {
 
 using market::Account;
@@ -239,4 +239,4 @@
   }
 }
 
-}  // namespace chutevane::cellar
+}  // namespace chutevane::storage
--- a/src/cellar/store.hpp
+++ b/src/storage/store.hpp
@@ -19,7 +19,7 @@
 #include "market/disk.hpp"
 #include "market/messages.hpp"
 
-namespace chutevane::cellar {
+namespace chutevane::storage {
 
 class Store {
  public:
@@ -90,4 +90,4 @@
   TimePoint swept_;
 };
 
-}  // namespace chutevane::cellar
+}  // namespace chutevane::storage
--- a/tests/crier/caller_test.cpp
+++ b/tests/ctl/caller_test.cpp
@@ -1,11 +1,11 @@
-#include "crier/caller.hpp"
+#include "ctl/caller.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 #include "played.hpp"
 
 using namespace chutevane;
-using namespace chutevane::crier;
+using namespace chutevane::ctl;
 
 TEST_GROUP(caller) {
   PlayedClock clock;
--- a/tests/crier/difference_test.cpp
+++ b/tests/ctl/difference_test.cpp
@@ -1,8 +1,8 @@
-#include "crier/difference.hpp"
+#include "ctl/difference.hpp"
 
 #include <CppUTest/TestHarness.h>
 
-using namespace chutevane::crier;
+using namespace chutevane::ctl;
 
 namespace {
 std::vector<Change> of(const std::string& before, const std::string& after) {
--- a/tests/crier/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -1,4 +1,4 @@
-#include "crier/folder.hpp"
+#include "ctl/folder.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <sys/stat.h>
@@ -6,12 +6,12 @@
 
 #include <fstream>
 
-#include "cellar/store.hpp"
-#include "clerk/register.hpp"
+#include "control/register.hpp"
 #include "played.hpp"
+#include "storage/store.hpp"
 
 using namespace chutevane;
-using namespace chutevane::crier;
+using namespace chutevane::ctl;
 
 namespace {
 
@@ -49,9 +49,9 @@
     return *std::move(out);
   }
   std::string text(const std::string& name) { return *disk.read(name); }
-  void write_clerk() {
-    market::Slots slots(disk, "clerk");
-    market::ClerkRecord record;
+  void write_controller() {
+    market::Slots slots(disk, "control");
+    market::ControllerRecord record;
     record.disk = "d1";
     record.first = true;
     record.known.number = 7;
@@ -60,10 +60,10 @@
     CHECK(slots.append(market::encoded(record)).ok());
   }
   void write_acceptor() {
-    clerk::AcceptorState state(disk, "10.0.0.1:1", "d1", true);
+    control::AcceptorState state(disk, "10.0.0.1:1", "d1", true);
     CHECK(state.open().ok());
     market::Prepare prepare;
-    prepare.initial = clerk::first_value({{"10.0.0.1:1", ""}});
+    prepare.initial = control::first_value({{"10.0.0.1:1", ""}});
     prepare.epoch = 1;
     prepare.ballot = {3, 0xabc};
     CHECK(state.prepare(prepare).ok());
@@ -76,7 +76,7 @@
     CHECK(state.accept(accept).ok());
   }
   void write_store() {
-    cellar::Store store(disk, 1U << 20U);
+    storage::Store store(disk, 1U << 20U);
     CHECK(store.open(TimePoint::at_ms(0)).ok());
     store.reserve("p", "x", 100, TimePoint::at_ms(0));
     store.settle("p", "x", 60, TimePoint::at_ms(0));
@@ -98,19 +98,19 @@
 TEST(folder, an_empty_one_holds_nothing) {
   const Holdings got = look();
   CHECK(got.has_acceptor == Presence::none);
-  CHECK(got.has_clerk == Presence::none);
-  CHECK(got.has_cellar == Presence::none);
+  CHECK(got.has_controller == Presence::none);
+  CHECK(got.has_storage_node == Presence::none);
   LONGS_EQUAL(0, got.turns.size());
   LONGS_EQUAL(0, got.torn.size());
 }
 
-TEST(folder, records_of_a_clerk) {
-  write_clerk();
+TEST(folder, records_of_a_controller) {
+  write_controller();
   write_acceptor();
   const Holdings got = look();
-  CHECK(got.has_clerk == Presence::whole);
-  STRCMP_EQUAL("d1", got.clerk.disk.c_str());
-  LONGS_EQUAL(8, got.clerk.known.number);  // with what its log adds
+  CHECK(got.has_controller == Presence::whole);
+  STRCMP_EQUAL("d1", got.controller.disk.c_str());
+  LONGS_EQUAL(8, got.controller.known.number);  // with what its log adds
   CHECK(got.has_acceptor == Presence::whole);
   LONGS_EQUAL(1, got.acceptor.epoch);
   LONGS_EQUAL(3, got.acceptor.promised.round);
@@ -133,14 +133,14 @@
 }
 
 TEST(folder, a_log_torn_at_any_byte_is_told_and_left) {
-  write_clerk();
-  const std::string log = "clerk.log0", whole = text(log);
+  write_controller();
+  const std::string log = "control.log0", whole = text(log);
   for (std::size_t size = 1; size < whole.size(); ++size) {
     CHECK(disk.cut(log, 0).ok());
     CHECK(disk.append(log, whole.substr(0, size)).ok());
     const Holdings got = look();
-    CHECK(got.has_clerk == Presence::whole);
-    LONGS_EQUAL(7, got.clerk.known.number);
+    CHECK(got.has_controller == Presence::whole);
+    LONGS_EQUAL(7, got.controller.known.number);
     LONGS_EQUAL(1, got.torn.size());
     STRCMP_EQUAL(log.c_str(), got.torn[0].file.c_str());
     LONGS_EQUAL(0, got.torn[0].at);
@@ -168,19 +168,19 @@
 }
 
 TEST(folder, a_slot_whose_writing_was_cut_short_leaves_the_older_one) {
-  write_clerk();
-  CHECK(disk.append("clerk.slot1", "torn").ok());
+  write_controller();
+  CHECK(disk.append("control.slot1", "torn").ok());
   const Holdings got = look();
-  CHECK(got.has_clerk == Presence::whole);
-  LONGS_EQUAL(8, got.clerk.known.number);
+  CHECK(got.has_controller == Presence::whole);
+  LONGS_EQUAL(8, got.controller.known.number);
   LONGS_EQUAL(1, got.torn.size());
-  STRCMP_EQUAL("clerk.slot1", got.torn[0].file.c_str());
+  STRCMP_EQUAL("control.slot1", got.torn[0].file.c_str());
 }
 
 TEST(folder, a_record_that_was_there_and_is_not_is_lost) {
   CHECK(disk.append("acceptor.slot0", "spoilt").ok());
   CHECK(look().has_acceptor == Presence::lost);
-  CHECK(look().has_clerk == Presence::none);
+  CHECK(look().has_controller == Presence::none);
 }
 
 TEST(folder, strange_files_are_named) {
@@ -190,25 +190,25 @@
   STRCMP_EQUAL("core.123", got.unknown[0].c_str());
 }
 
-// Such a file stood in for segment 7 and kept the cellar from starting where that one was gone.
+// Such a file stood in for segment 7 and kept the storage node from starting where that one was gone.
 TEST(folder, a_strange_name_is_no_segment) {
   write_store();
   for (const std::string name :
        {"turns.7.old", "turns.7x", "turns.", "turns.x", "turns.007", "turns.99999999999999999999"}) {
-    CHECK(!cellar::Store::segment_of(name).has_value());
+    CHECK(!storage::Store::segment_of(name).has_value());
     CHECK(disk.append(name, "x").ok());
   }
-  cellar::Store store(disk, 1U << 20U);
+  storage::Store store(disk, 1U << 20U);
   CHECK(store.open(TimePoint::at_ms(0)).ok());
   LONGS_EQUAL(2, store.turns());
   LONGS_EQUAL(6, look().unknown.size());
 }
 
 TEST(folder, disk_show_and_turns_on_a_real_folder_write_nothing) {
-  char name[] = "/tmp/crier-folder-XXXXXX";
+  char name[] = "/tmp/ctl-folder-XXXXXX";
   const std::string path = ::mkdtemp(name);
   {
-    write_clerk();
+    write_controller();
     write_store();
     for (const std::string& file : disk.names())
       std::ofstream(path + "/" + file, std::ios::binary) << text(file);
--- a/tests/crier/main.cpp
+++ b/tests/ctl/main.cpp
@@ -8,10 +8,10 @@
 
 #include "played.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 Scratch::Scratch(const std::string& text) {
-  std::string name = "/tmp/crier-test-XXXXXX";
+  std::string name = "/tmp/ctl-test-XXXXXX";
   folder_ = ::mkdtemp(name.data());
   path_ = folder_ + "/file";
   std::ofstream(path_, std::ios::binary) << text;
@@ -22,7 +22,7 @@
   ::rmdir(folder_.c_str());
 }
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
 
 // avro-c loses three small objects of its own where a class is made of a schema with links, once in a
 // process's life. Only what comes from that place is let pass, which takes whole stacks: the library has no
--- a/tests/crier/orders_test.cpp
+++ b/tests/ctl/orders_test.cpp
@@ -1,11 +1,11 @@
-#include "crier/orders.hpp"
+#include "ctl/orders.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 #include <sstream>
 
 using namespace chutevane;
-using namespace chutevane::crier;
+using namespace chutevane::ctl;
 
 namespace {
 std::string wrong(const std::vector<std::string>& arguments, const std::string& control = "a:1") {
--- a/tests/crier/played.hpp
+++ b/tests/ctl/played.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "crier/caller.hpp"
-#include "crier/run.hpp"
+#include "ctl/caller.hpp"
+#include "ctl/run.hpp"
 
-namespace chutevane::crier {
+namespace chutevane::ctl {
 
 class PlayedClock final : public Clock {
  public:
@@ -72,7 +72,7 @@
     out.str("");
     err.str("");
     Surroundings around{out, err, transport, clock, control, "0"};
-    return crier::run(arguments, around);
+    return ctl::run(arguments, around);
   }
 };
 
@@ -91,4 +91,4 @@
     R"({"version":3,"routes":[{"host":"One.example","pathPrefix":"/a/","routeType":"streaming",)"
     R"("timeoutMs":6000,"service":"s"}],"services":[{"name":"s"}]})";
 
-}  // namespace chutevane::crier
+}  // namespace chutevane::ctl
--- a/tests/crier/run_test.cpp
+++ b/tests/ctl/run_test.cpp
@@ -1,4 +1,4 @@
-#include "crier/run.hpp"
+#include "ctl/run.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -10,7 +10,7 @@
 #include "played.hpp"
 
 using namespace chutevane;
-using namespace chutevane::crier;
+using namespace chutevane::ctl;
 
 namespace {
 bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
@@ -18,8 +18,8 @@
 constexpr const char* base_field = "X-Chutevane-Base-Version";
 constexpr const char* status_text =
     R"({"node":"core-1","freshMs":12,"number":9,"epoch":2,"configVersion":7,"map":3,)"
-    R"("acceptors":[{"address":"10.0.0.1:7380","disk":"d"}],"cellars":[{"node":"s-1","zone":"z","leaving":true}],)"
-    R"("duties":[{"name":"list","term":4}],"members":[{"node":"s-1","plane":"cellar","zone":"z","number":8,"whole":3}],)"
+    R"("acceptors":[{"address":"10.0.0.1:7380","disk":"d"}],"storageNodes":[{"node":"s-1","zone":"z","leaving":true}],)"
+    R"("duties":[{"name":"list","term":4}],"members":[{"node":"s-1","plane":"storage","zone":"z","number":8,"whole":3}],)"
     R"("endpoints":5})";
 }  // namespace
 
@@ -30,7 +30,7 @@
 
 TEST(run, wrong_use_is_2_and_one_line) {
   LONGS_EQUAL(2, played.run({"nonsense"}));
-  STRCMP_EQUAL("chutevane-crier: 'nonsense': no such command; --help lists them\n", played.err.str().c_str());
+  STRCMP_EQUAL("chutevanectl: 'nonsense': no such command; --help lists them\n", played.err.str().c_str());
   STRCMP_EQUAL("", played.out.str().c_str());
   LONGS_EQUAL(2, played.run({"status"}, ""));
   LONGS_EQUAL(0, played.run({"--help"}, ""));
@@ -56,7 +56,7 @@
 TEST(run, status_for_people_and_programs) {
   played.transport.answers(a, 200, status_text);
   LONGS_EQUAL(0, played.run({"status"}));
-  for (const std::string part : {"core-1", "12 ms", "10.0.0.1:7380  d", "s-1     z     yes", "list       4"})
+  for (const std::string part : {"core-1", "12 ms", "10.0.0.1:7380  d", "s-1      z     yes", "list       4"})
     CHECK_TRUE_TEXT(has(played.out.str(), part), played.out.str().c_str());
   played.transport.answers(a, 200, status_text);
   LONGS_EQUAL(0, played.run({"status", "--json"}));
@@ -101,7 +101,7 @@
       R"({"version":1,"routes":[{"host":"h","pathPrefix":"x","routeType":"y","timeoutMs":0,"service":"s"}],"services":[]})");
   LONGS_EQUAL(1, played.run({"config", "check", file.path()}, ""));
   LONGS_EQUAL(4, lines(played.err.str()));
-  CHECK(has(played.err.str(), "chutevane-crier: " + file.path() + ": routes[0].timeoutMs: is 0\n"));
+  CHECK(has(played.err.str(), "chutevanectl: " + file.path() + ": routes[0].timeoutMs: is 0\n"));
   LONGS_EQUAL(1, played.run({"config", "check", file.path(), "--json"}, ""));
   LONGS_EQUAL(4, json::parse(played.out.str()).find("findings")->items.size());
   LONGS_EQUAL(0, played.transport.asked.size());
@@ -113,7 +113,7 @@
   CHECK(has(played.out.str(),
             "version 3, 1 routes, 1 services, hash " + market::hash_text(market::hash_of(configuration_3))));
   LONGS_EQUAL(2, played.run({"config", "check", "/nowhere/x"}, ""));
-  STRCMP_EQUAL("chutevane-crier: /nowhere/x: cannot be opened\n", played.err.str().c_str());
+  STRCMP_EQUAL("chutevanectl: /nowhere/x: cannot be opened\n", played.err.str().c_str());
   LONGS_EQUAL(2, played.run({"config", "check", "/"}, ""));
 }
 
@@ -157,13 +157,13 @@
   const std::vector<std::string> put = {"config", "put", file.path(), "--base", "2", "--json"};
   played.transport.answers(a, 412, R"({"cause":"version 5 is current"})");
   LONGS_EQUAL(1, played.run(put));
-  STRCMP_EQUAL("chutevane-crier: a:1: 412: version 5 is current\n", played.err.str().c_str());
+  STRCMP_EQUAL("chutevanectl: a:1: 412: version 5 is current\n", played.err.str().c_str());
   STRCMP_EQUAL("412", json::parse(played.out.str()).find("status")->text.c_str());
   played.transport.answers(
       a, 400,
       R"({"cause":"x","findings":[{"place":"routes[0]","what":"bad"},{"place":"version","what":"low"}]})");
   LONGS_EQUAL(1, played.run(put));
-  STRCMP_EQUAL("chutevane-crier: a:1: 400: routes[0]: bad\nchutevane-crier: a:1: 400: version: low\n",
+  STRCMP_EQUAL("chutevanectl: a:1: 400: routes[0]: bad\nchutevanectl: a:1: 400: version: low\n",
                played.err.str().c_str());
   LONGS_EQUAL(3, played.run(put));  // silence
   CHECK(has(played.err.str(), "put the same file again with --base 2"));
@@ -285,7 +285,7 @@
 TEST(run, an_output_that_takes_nothing_is_told) {
   std::ostream closed(nullptr);
   Surroundings around{closed, played.err, played.transport, played.clock, "", "0"};
-  LONGS_EQUAL(2, crier::run({"completion", "bash"}, around));
+  LONGS_EQUAL(2, ctl::run({"completion", "bash"}, around));
   CHECK(has(played.err.str(), "standard output"));
 }
 
--- a/tests/crier/wire_test.cpp
+++ b/tests/ctl/wire_test.cpp
@@ -1,5 +1,5 @@
 // The transport over loopback: a peer that is scripted byte by byte, and a true control sidecar.
-#include "crier/wire.hpp"
+#include "ctl/wire.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <arpa/inet.h>
@@ -11,13 +11,13 @@
 #include <atomic>
 #include <thread>
 
-#include "clerk/control_plane.hpp"
-#include "crier/run.hpp"
+#include "control/control_plane.hpp"
+#include "ctl/run.hpp"
 #include "market/log.hpp"
 #include "played.hpp"
 
 using namespace chutevane;
-using namespace chutevane::crier;
+using namespace chutevane::ctl;
 
 namespace {
 
@@ -87,7 +87,7 @@
 
 TEST_GROUP(wire) {
   Wire wire;
-  absl::StatusOr<crier::Answer> ask(Peer & peer, const Ask& what = {"GET", "/x"}, Span silence = second) {
+  absl::StatusOr<ctl::Answer> ask(Peer & peer, const Ask& what = {"GET", "/x"}, Span silence = second) {
     auto out = wire.exchange(peer.listening.address(), what, silence, Span::ms(5000));
     peer.join();
     return out;
@@ -164,7 +164,7 @@
   STRCMP_EQUAL("core-1.example", host.c_str());
 }
 
-// A lone clerk, a majority of itself, driven in a thread of its own.
+// A lone controller, a majority of itself, driven in a thread of its own.
 TEST(wire, against_a_control_sidecar) {
   Listening control, inner;
   market::ProcessSettings settings;
@@ -186,7 +186,7 @@
   std::atomic<bool> opened = false, over = false;
   std::thread sidecar([&] {
     net::Scheduler scheduler;
-    clerk::ControlPlane plane(scheduler, settings, std::make_unique<market::MemoryDisk>());
+    control::ControlPlane plane(scheduler, settings, std::make_unique<market::MemoryDisk>());
     opened = plane.open().ok();
     while (opened && !over) scheduler.turn();
   });
@@ -196,7 +196,7 @@
     out.str("");
     err.str("");
     Surroundings around{out, err, wire, clock, address, "0"};
-    return crier::run(arguments, around);
+    return ctl::run(arguments, around);
   };
   const auto has = [&](const std::string& part) { return out.str().find(part) != std::string::npos; };
   const Scratch first(configuration_3);
--- a/tests/market/avro_test.cpp
+++ b/tests/market/avro_test.cpp
@@ -19,13 +19,14 @@
 namespace {
 
 using Messages =
-    std::tuple<market::Acceptor, market::Cellar, market::Retired, market::Taken, market::Value,
+    std::tuple<market::Acceptor, market::StorageNode, market::Retired, market::Taken, market::Value,
                market::Ballot, market::Prepare, market::Promise, market::Accept, market::Accepted,
-               market::Chosen, market::AcceptorRecord, market::ClerkRecord, market::Member, market::HeldDuty,
-               market::Gossip, market::Vote, market::Voted, market::Listed, market::EndpointList,
-               market::Hello, market::Push, market::Beat, market::Reserve, market::Reserved, market::Settle,
-               market::Turn, market::Keep, market::Kept, market::Find, market::Found, market::Reservation,
-               market::Account, market::Pull, market::Pulled, market::CellarRecord>;
+               market::Chosen, market::AcceptorRecord, market::ControllerRecord, market::Member,
+               market::HeldDuty, market::Gossip, market::Vote, market::Voted, market::Listed,
+               market::EndpointList, market::Hello, market::Push, market::Beat, market::Reserve,
+               market::Reserved, market::Settle, market::Turn, market::Keep, market::Kept, market::Find,
+               market::Found, market::Reservation, market::Account, market::Pull, market::Pulled,
+               market::StorageNodeRecord>;
 
 template <class F>
 void each_message(F f) {
--- a/tests/market/duty_test.cpp
+++ b/tests/market/duty_test.cpp
@@ -1,6 +1,6 @@
 // A duty among control sidecars, in played time: won by a majority, once in each term, and filled again when
 // it falls vacant.
-#include "clerk/duty.hpp"
+#include "control/duty.hpp"
 
 #include <map>
 #include <memory>
@@ -13,10 +13,10 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::clerk::Duty;
-using chutevane::clerk::duty_term;
-using chutevane::clerk::duty_vacant_after;
-using chutevane::clerk::told_term;
+using chutevane::control::Duty;
+using chutevane::control::duty_term;
+using chutevane::control::duty_vacant_after;
+using chutevane::control::told_term;
 using chutevane::played::Clockwork;
 using chutevane::played::Luck;
 
--- a/tests/market/ledger_test.cpp
+++ b/tests/market/ledger_test.cpp
@@ -1,6 +1,6 @@
 // What a sidecar of the traffic asks of storage, where none of it answers: one answer to each, in time, and
 // never one that promises what nobody has kept.
-#include "stall/ledger.hpp"
+#include "edge/ledger.hpp"
 
 #include <string>
 #include <vector>
@@ -10,17 +10,17 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::market::Cellar;
+using chutevane::edge::Ledger;
+using chutevane::market::StorageNode;
 using chutevane::market::Turn;
 using chutevane::played::Clockwork;
-using chutevane::stall::Ledger;
 
 namespace {
 
-std::vector<Cellar> cellars(int n, int leaving = 0) {
-  std::vector<Cellar> out;
+std::vector<StorageNode> storage_nodes(int n, int leaving = 0) {
+  std::vector<StorageNode> out;
   for (int i = 0; i < n; ++i) {
-    Cellar& c = out.emplace_back();
+    StorageNode& c = out.emplace_back();
     c.node = numbered("n", i);
     c.address = numbered("10.0.0.", i + 1);
     c.address += ":7381";
@@ -39,13 +39,13 @@
 
 TEST(LedgerAlone, UsableWithMoreThanTheLosses) {
   CHECK_FALSE(ledger.usable());
-  ledger.map_came(1, cellars(1));
+  ledger.map_came(1, storage_nodes(1));
   CHECK_FALSE(ledger.usable());
-  ledger.map_came(2, cellars(3, 2));
+  ledger.map_came(2, storage_nodes(3, 2));
   CHECK_FALSE(ledger.usable());
-  ledger.map_came(3, cellars(3, 1));
+  ledger.map_came(3, storage_nodes(3, 1));
   CHECK_TRUE(ledger.usable());
-  ledger.map_came(2, cellars(1));  // an older map is no news
+  ledger.map_came(2, storage_nodes(1));  // an older map is no news
   CHECK_TRUE(ledger.usable());
 }
 
@@ -63,7 +63,7 @@
 
 TEST(LedgerAlone, OneAnswerAndNoPromise) {
   for (const int n : {0, 1, 2, 3, 5}) {
-    ledger.map_came(n + 1, cellars(n));
+    ledger.map_came(n + 1, storage_nodes(n));
     Told reserved, kept, found;
     const TimePoint until = in(800);
     ledger.reserve("p", "a", 10, 100, until,
@@ -97,7 +97,7 @@
 
 // Connections that do not come up are asked for again with pauses, not in a ring.
 TEST(LedgerAlone, ConnectsWithPauses) {
-  ledger.map_came(1, cellars(3));
+  ledger.map_came(1, storage_nodes(3));
   clock.play(Span::ms(10000));
   CHECK_TRUE(clock.system.connects() >= 6 && clock.system.connects() < 1000);
 }
@@ -111,7 +111,7 @@
 TEST(LedgerFindInTime, AnswersByItsTime) {
   for (const int n : {0, 1, 3, 5}) {
     for (const double most : {100.0, 800.0}) {
-      ledger.map_came(ledger.usable() ? 100 + n : n + 1, cellars(n));
+      ledger.map_came(ledger.usable() ? 100 + n : n + 1, storage_nodes(n));
       const TimePoint until = clock.system.now() + Span::ms(most);
       Told found;
       ledger.find("b", "p", until, [&](const Ledger::Chain&) { found(false, clock.system.now()); });
--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -1,7 +1,7 @@
 // The register of control state, with its acceptors on disks in memory and its messages lost, late, repeated
 // and out of order, by seeds. Guards: one value for each number, reads that never go back, one winner of two
 // changes on the same version, and nothing in force that was answered as refused.
-#include "clerk/register.hpp"
+#include "control/register.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -14,15 +14,15 @@
 #include "played_system.hpp"
 #include "unit.hpp"
 
-namespace clerk = chutevane::clerk;
+namespace control = chutevane::control;
 namespace market = chutevane::market;
 namespace played = chutevane::played;
 using chutevane::Span;
 using chutevane::TimePoint;
-using clerk::AcceptorState;
-using clerk::first_value;
-using clerk::Register;
-using clerk::Verdict;
+using control::AcceptorState;
+using control::first_value;
+using control::Register;
+using control::Verdict;
 using market::Accept;
 using market::Accepted;
 using market::Acceptor;
@@ -118,7 +118,7 @@
 };
 
 // One proposer's ways: exactly one answer to each message, as a held connection gives it.
-class PlayedVoters final : public clerk::Voters {
+class PlayedVoters final : public control::Voters {
  public:
   explicit PlayedVoters(Field& field) : field_(field) {}
   void prepare(const std::string& address, const Prepare& ask,
--- a/tests/market/request_test.cpp
+++ b/tests/market/request_test.cpp
@@ -1,5 +1,5 @@
 // A client's request as it is read, and as it goes on; events of a stream cut at every byte.
-#include "stall/request.hpp"
+#include "edge/request.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -11,13 +11,13 @@
 
 namespace http = chutevane::http;
 using chutevane::Span;
-using chutevane::stall::Event;
-using chutevane::stall::head_for;
-using chutevane::stall::of_one_connection;
-using chutevane::stall::read_event;
-using chutevane::stall::read_request;
-using chutevane::stall::Request;
-using chutevane::stall::whole_event;
+using chutevane::edge::Event;
+using chutevane::edge::head_for;
+using chutevane::edge::of_one_connection;
+using chutevane::edge::read_event;
+using chutevane::edge::read_request;
+using chutevane::edge::Request;
+using chutevane::edge::whole_event;
 
 namespace {
 
--- a/tests/market/roster_test.cpp
+++ b/tests/market/roster_test.cpp
@@ -1,6 +1,6 @@
 // Who should vote, and who should keep turns: replaced after their time and not sooner, retired only when all
 // that stay are whole.
-#include "clerk/roster.hpp"
+#include "control/roster.hpp"
 
 #include <algorithm>
 #include <set>
@@ -12,29 +12,29 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::clerk::acceptor_lost_after;
-using chutevane::clerk::cellar_lost_after;
-using chutevane::clerk::copies_for;
-using chutevane::clerk::LiveClerk;
-using chutevane::clerk::retire;
-using chutevane::clerk::RetireVerdict;
-using chutevane::clerk::Roster;
+using chutevane::control::acceptor_lost_after;
+using chutevane::control::copies_for;
+using chutevane::control::LiveController;
+using chutevane::control::retire;
+using chutevane::control::RetireVerdict;
+using chutevane::control::Roster;
+using chutevane::control::storage_node_lost_after;
 using chutevane::market::Acceptor;
-using chutevane::market::Cellar;
 using chutevane::market::Member;
+using chutevane::market::StorageNode;
 using chutevane::market::Value;
 
 namespace {
 
 constexpr Span look_every = Span::ms(250);
 
-LiveClerk clerk(int n, const std::string& disk = "") {
+LiveController controller(int n, const std::string& disk = "") {
   return {numbered("c", n), disk.empty() ? numbered("d", n) : disk, true, true};
 }
 
-std::vector<LiveClerk> clerks(std::initializer_list<int> numbers) {
-  std::vector<LiveClerk> out;
-  for (const int n : numbers) out.push_back(clerk(n));
+std::vector<LiveController> controllers(std::initializer_list<int> numbers) {
+  std::vector<LiveController> out;
+  for (const int n : numbers) out.push_back(controller(n));
   return out;
 }
 
@@ -55,7 +55,7 @@
   std::optional<std::vector<Acceptor>> next;
   Span after;
 };
-Watched watch(Roster& roster, const Value& value, const std::vector<LiveClerk>& live, TimePoint& now,
+Watched watch(Roster& roster, const Value& value, const std::vector<LiveController>& live, TimePoint& now,
               Span most) {
   const TimePoint start = now;
   while (now - start <= most) {
@@ -79,15 +79,16 @@
 }
 
 TEST(RosterAcceptors, NothingChangesWhileAllAreThere) {
-  const auto got = watch(roster, with_acceptors({1, 2, 3}), clerks({1, 2, 3, 4, 5}), now, Span::ms(60000));
+  const auto got =
+      watch(roster, with_acceptors({1, 2, 3}), controllers({1, 2, 3, 4, 5}), now, Span::ms(60000));
   CHECK_FALSE(got.next.has_value());
 }
 
 // Not sooner than its time: a process that is started again comes back with its disk.
 TEST(RosterAcceptors, LostOneIsReplacedAfterItsTime) {
   const Value value = with_acceptors({1, 2, 3});
-  CHECK_FALSE(roster.acceptors(value, clerks({1, 2, 3, 4}), now).has_value());
-  const Watched got = watch(roster, value, clerks({1, 2, 4}), now, Span::ms(20000));
+  CHECK_FALSE(roster.acceptors(value, controllers({1, 2, 3, 4}), now).has_value());
+  const Watched got = watch(roster, value, controllers({1, 2, 4}), now, Span::ms(20000));
   CHECK_TRUE(got.next.has_value());
   CHECK_TRUE(got.after > acceptor_lost_after);
   CHECK_TRUE(got.after <= acceptor_lost_after + look_every);
@@ -99,27 +100,27 @@
   const Value value = with_acceptors({1, 2, 3});
   for (int round = 0; round < 10; ++round) {
     CHECK_FALSE(
-        watch(roster, value, clerks({1, 2, 4}), now, acceptor_lost_after - look_every).next.has_value());
-    CHECK_FALSE(roster.acceptors(value, clerks({1, 2, 3, 4}), now).has_value());
+        watch(roster, value, controllers({1, 2, 4}), now, acceptor_lost_after - look_every).next.has_value());
+    CHECK_FALSE(roster.acceptors(value, controllers({1, 2, 3, 4}), now).has_value());
   }
 }
 
 TEST(RosterAcceptors, WithoutAnotherTheLostOneStays) {
   CHECK_FALSE(
-      watch(roster, with_acceptors({1, 2, 3}), clerks({1, 2}), now, Span::ms(30000)).next.has_value());
+      watch(roster, with_acceptors({1, 2, 3}), controllers({1, 2}), now, Span::ms(30000)).next.has_value());
 }
 
 TEST(RosterAcceptors, OneThatLeavesTakesNoPlace) {
-  std::vector<LiveClerk> live = clerks({1, 2, 4});
+  std::vector<LiveController> live = controllers({1, 2, 4});
   live[2].ready = false;
   CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
 }
 
 // Its disk is gone for good, and with it what it promised: there is nothing to wait for.
 TEST(RosterAcceptors, SameAddressWithAnotherDiskAtOnce) {
-  std::vector<LiveClerk> live = clerks({1, 2});
+  std::vector<LiveController> live = controllers({1, 2});
   live.push_back({"c3", "new", false, true});
-  live.push_back(clerk(4));
+  live.push_back(controller(4));
   const auto next = roster.acceptors(with_acceptors({1, 2, 3}), live, now);
   CHECK_TRUE(next.has_value());
   CHECK_TRUE(has(*next, "c3", "new"));
@@ -129,20 +130,20 @@
 // Who begins to keep the roster does not hold against anybody what it has not seen.
 TEST(RosterAcceptors, WatchedAnew) {
   const Value value = with_acceptors({1, 2, 3});
-  CHECK_FALSE(roster.acceptors(value, clerks({1, 2, 3, 4}), now).has_value());
+  CHECK_FALSE(roster.acceptors(value, controllers({1, 2, 3, 4}), now).has_value());
   now = now + Span::ms(60000);
   roster.restart();
-  const Watched got = watch(roster, value, clerks({1, 2, 4}), now, Span::ms(20000));
+  const Watched got = watch(roster, value, controllers({1, 2, 4}), now, Span::ms(20000));
   CHECK_TRUE(got.next.has_value() && got.after > acceptor_lost_after);
 }
 
 TEST(RosterAcceptors, SmallSetGrowsToBearTheLosses) {
   Roster of_two(2);
-  const auto next = of_two.acceptors(with_acceptors({1, 2, 3}), clerks({1, 2, 3, 4, 5, 6}), now);
+  const auto next = of_two.acceptors(with_acceptors({1, 2, 3}), controllers({1, 2, 3, 4, 5, 6}), now);
   CHECK_TRUE(next.has_value());
   CHECK_EQUAL(static_cast<std::size_t>(5), next->size());
   // One more alone bears no more: the set stays.
-  CHECK_FALSE(of_two.acceptors(with_acceptors({1, 2, 3}), clerks({1, 2, 3, 4}), now).has_value());
+  CHECK_FALSE(of_two.acceptors(with_acceptors({1, 2, 3}), controllers({1, 2, 3, 4}), now).has_value());
 }
 
 // The first set is known by its addresses alone; the next names each disk that is there.
@@ -150,13 +151,13 @@
   Value value;
   value.epoch = 1;
   value.acceptors = {{"c1", ""}, {"c2", ""}, {"c3", ""}};
-  const std::vector<LiveClerk> all = clerks({1, 2, 3, 4});
+  const std::vector<LiveController> all = controllers({1, 2, 3, 4});
   CHECK_FALSE(watch(roster, value, all, now, Span::ms(10000)).next.has_value());
-  const Watched got = watch(roster, value, clerks({1, 2, 4}), now, Span::ms(10000));
+  const Watched got = watch(roster, value, controllers({1, 2, 4}), now, Span::ms(10000));
   CHECK_TRUE(got.next.has_value());
   for (const Acceptor& a : *got.next) CHECK_FALSE(a.disk.empty());
   // One at a known address, whose disk is not of the first start, is another disk.
-  std::vector<LiveClerk> wiped = clerks({1, 2});
+  std::vector<LiveController> wiped = controllers({1, 2});
   wiped.push_back({"c3", "new", false, true});
   const auto next = roster.acceptors(value, wiped, now);
   CHECK_TRUE(next.has_value() && has(*next, "c3", "new") && has(*next, "c1", "d1") && has(*next, "c2", "d2"));
@@ -177,7 +178,7 @@
       const std::size_t one = luck.below(6);
       if (luck.chance(0.06)) up[one] = !up[one];
       if (luck.chance(0.01)) ++disks[one];
-      std::vector<LiveClerk> live;
+      std::vector<LiveController> live;
       for (std::size_t i = 0; i < 6; ++i) {
         if (!up[i]) continue;
         seen[i] = now;
@@ -206,15 +207,15 @@
 
 namespace {
 
-Cellar cellar(int n) {
+StorageNode storage_node(int n) {
   const std::string s = std::to_string(n);
   return {"n" + s, "d" + s, "a" + s, "z", false};
 }
 
-Value with_cellars(std::initializer_list<int> numbers, std::int64_t map = 7) {
+Value with_storage_nodes(std::initializer_list<int> numbers, std::int64_t map = 7) {
   Value out;
   out.map = map;
-  for (const int n : numbers) out.cellars.push_back(cellar(n));
+  for (const int n : numbers) out.storage_nodes.push_back(storage_node(n));
   return out;
 }
 
@@ -222,7 +223,7 @@
   const std::string s = std::to_string(n);
   Member out;
   out.node = "n" + s;
-  out.plane = "cellar";
+  out.plane = "storage";
   out.disk = "d" + s;
   out.address = "a" + s;
   out.zone = "z";
@@ -237,19 +238,19 @@
 }
 
 bool lists(const Value& value, const std::string& node) {
-  return std::any_of(value.cellars.begin(), value.cellars.end(),
-                     [&](const Cellar& c) { return c.node == node; });
+  return std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
+                     [&](const StorageNode& c) { return c.node == node; });
 }
 
 }  // namespace
 
-TEST_GROUP(RosterCellars) {
+TEST_GROUP(RosterStorageNodes) {
   Roster roster{1};
   TimePoint now = TimePoint::at_ms(1e6);
   std::optional<Value> watched(const Value& value, const std::vector<Member>& live, Span most, Span* took) {
     const TimePoint start = now;
     while (now - start <= most) {
-      if (auto next = roster.cellars(value, live, now)) {
+      if (auto next = roster.storage_nodes(value, live, now)) {
         *took = now - start;
         return next;
       }
@@ -260,50 +261,52 @@
   Span after;
 };
 
-TEST(RosterCellars, NothingChangesWhileAllAreThere) {
-  CHECK_FALSE(watched(with_cellars({1, 2, 3}), members({1, 2, 3}, 7), Span::ms(30000), &after).has_value());
+TEST(RosterStorageNodes, NothingChangesWhileAllAreThere) {
+  CHECK_FALSE(
+      watched(with_storage_nodes({1, 2, 3}), members({1, 2, 3}, 7), Span::ms(30000), &after).has_value());
 }
 
-TEST(RosterCellars, ANewOneJoinsAtOnce) {
+TEST(RosterStorageNodes, ANewOneJoinsAtOnce) {
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   Member other = member(9, 0);
-  other.plane = "stall";  // of another plane
+  other.plane = "edge";  // of another plane
   live.push_back(other);
-  const auto next = roster.cellars(with_cellars({1, 2, 3}), live, now);
-  CHECK_TRUE(next.has_value() && next->map == 8 && next->cellars.size() == 4);
-  CHECK_TRUE(next->cellars.back() == cellar(4));
+  const auto next = roster.storage_nodes(with_storage_nodes({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value() && next->map == 8 && next->storage_nodes.size() == 4);
+  CHECK_TRUE(next->storage_nodes.back() == storage_node(4));
 }
 
 // The same node with an empty disk: the map tells, so that it takes over anew what is its own.
-TEST(RosterCellars, AWipedOneIsNamedAtOnceWithItsNewDisk) {
+TEST(RosterStorageNodes, AWipedOneIsNamedAtOnceWithItsNewDisk) {
   std::vector<Member> live = members({1, 2, 3}, 7);
   live[1].disk = "new";
-  const auto next = roster.cellars(with_cellars({1, 2, 3}), live, now);
-  CHECK_TRUE(next.has_value() && next->map == 8 && next->cellars.size() == 3);
-  CHECK_TRUE(next->cellars[1].disk == "new" && next->cellars[1].node == "n2");
+  const auto next = roster.storage_nodes(with_storage_nodes({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value() && next->map == 8 && next->storage_nodes.size() == 3);
+  CHECK_TRUE(next->storage_nodes[1].disk == "new" && next->storage_nodes[1].node == "n2");
 }
 
-TEST(RosterCellars, GoneAfterItsTimeAndNotSooner) {
-  const Value value = with_cellars({1, 2, 3, 4});
-  CHECK_FALSE(roster.cellars(value, members({1, 2, 3, 4}, 7), now).has_value());
+TEST(RosterStorageNodes, GoneAfterItsTimeAndNotSooner) {
+  const Value value = with_storage_nodes({1, 2, 3, 4});
+  CHECK_FALSE(roster.storage_nodes(value, members({1, 2, 3, 4}, 7), now).has_value());
   const auto next = watched(value, members({1, 2, 4}, 7), Span::ms(30000), &after);
   CHECK_TRUE(next.has_value());
-  CHECK_TRUE(after > cellar_lost_after && after <= cellar_lost_after + look_every);
-  CHECK_TRUE(!lists(*next, "n3") && next->cellars.size() == 3 && next->map == 8);
+  CHECK_TRUE(after > storage_node_lost_after && after <= storage_node_lost_after + look_every);
+  CHECK_TRUE(!lists(*next, "n3") && next->storage_nodes.size() == 3 && next->map == 8);
 }
 
 // The copies lie there: fewer than bear the losses are not left in the map.
-TEST(RosterCellars, TheLastCopiesStayInTheMap) {
-  CHECK_FALSE(watched(with_cellars({1, 2, 3}), members({1, 2}, 7), Span::ms(30000), &after).has_value());
-  CHECK_FALSE(watched(with_cellars({1, 2, 3}), {}, Span::ms(30000), &after).has_value());
+TEST(RosterStorageNodes, TheLastCopiesStayInTheMap) {
+  CHECK_FALSE(
+      watched(with_storage_nodes({1, 2, 3}), members({1, 2}, 7), Span::ms(30000), &after).has_value());
+  CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), {}, Span::ms(30000), &after).has_value());
 }
 
 // Emptied only when each that stays has what lay there, by this map and on this disk.
-TEST(RosterCellars, RetiredOnlyWhenAllThatStayAreWhole) {
-  Value value = with_cellars({1, 2, 3, 4});
+TEST(RosterStorageNodes, RetiredOnlyWhenAllThatStayAreWhole) {
+  Value value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken);
   CHECK_EQUAL(8, static_cast<int>(value.map));
-  CHECK_TRUE(value.cellars[3].leaving && !value.retired[0].completed);
+  CHECK_TRUE(value.storage_nodes[3].leaving && !value.retired[0].completed);
   for (int behind = 1; behind <= 3; ++behind) {  // one is not whole by the newest map
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live[static_cast<std::size_t>(behind - 1)].whole = 7;
@@ -313,51 +316,52 @@
     Roster fresh(1);
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live.erase(live.begin() + gone - 1);
-    CHECK_FALSE(fresh.cellars(value, live, now).has_value());
+    CHECK_FALSE(fresh.storage_nodes(value, live, now).has_value());
   }
   for (int wiped = 1; wiped <= 3; ++wiped) {  // one has another disk: the map is told of it first
     Roster fresh(1);
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live[static_cast<std::size_t>(wiped - 1)].disk = "new";
-    const auto next = fresh.cellars(value, live, now);
+    const auto next = fresh.storage_nodes(value, live, now);
     CHECK_TRUE(next.has_value() && lists(*next, "n4") && !next->retired[0].completed && next->map == 9);
-    CHECK_FALSE(fresh.cellars(*next, live, now).has_value());  // it was whole by the map before
+    CHECK_FALSE(fresh.storage_nodes(*next, live, now).has_value());  // it was whole by the map before
   }
-  const auto next = roster.cellars(value, members({1, 2, 3, 4}, 8), now);
+  const auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 8), now);
   CHECK_TRUE(next.has_value() && !lists(*next, "n4"));
   CHECK_TRUE(next->retired[0].completed && next->map == 9);
   // Its machine is not taken in again.
-  CHECK_FALSE(roster.cellars(*next, members({1, 2, 3, 4}, 9), now).has_value());
+  CHECK_FALSE(roster.storage_nodes(*next, members({1, 2, 3, 4}, 9), now).has_value());
 }
 
 // The one that leaves need not be whole, nor be there.
-TEST(RosterCellars, TheLeavingOneItselfIsNotWaitedFor) {
-  Value value = with_cellars({1, 2, 3, 4});
+TEST(RosterStorageNodes, TheLeavingOneItselfIsNotWaitedFor) {
+  Value value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken);
-  const auto next = roster.cellars(value, members({1, 2, 3}, 8), now);
+  const auto next = roster.storage_nodes(value, members({1, 2, 3}, 8), now);
   CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired[0].completed);
 }
 
-TEST(RosterCellars, TwoLeaveOneAfterTheOther) {
-  Value value = with_cellars({1, 2, 3, 4, 5});
+TEST(RosterStorageNodes, TwoLeaveOneAfterTheOther) {
+  Value value = with_storage_nodes({1, 2, 3, 4, 5});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken &&
              retire(value, "n5", 1) == RetireVerdict::taken);
-  const auto next = roster.cellars(value, members({1, 2, 3, 4, 5}, 9), now);
-  CHECK_TRUE(next.has_value() && next->cellars.size() == 4 && next->map == 10);
-  CHECK_FALSE(roster.cellars(*next, members({1, 2, 3, 4, 5}, 9), now).has_value());
-  const auto then = roster.cellars(*next, members({1, 2, 3, 5}, 10), now);
-  CHECK_TRUE(then.has_value() && then->cellars.size() == 3);
+  const auto next = roster.storage_nodes(value, members({1, 2, 3, 4, 5}, 9), now);
+  CHECK_TRUE(next.has_value() && next->storage_nodes.size() == 4 && next->map == 10);
+  CHECK_FALSE(roster.storage_nodes(*next, members({1, 2, 3, 4, 5}, 9), now).has_value());
+  const auto then = roster.storage_nodes(*next, members({1, 2, 3, 5}, 10), now);
+  CHECK_TRUE(then.has_value() && then->storage_nodes.size() == 3);
   CHECK_TRUE(then->retired[0].completed && then->retired[1].completed);
 }
 
-TEST(RosterCellars, TooFewAreRefused) {
+TEST(RosterStorageNodes, TooFewAreRefused) {
   for (const std::size_t losses : {0U, 1U, 2U}) {
     Value value;
-    for (int n = 0; n < static_cast<int>(copies_for(losses)); ++n) value.cellars.push_back(cellar(n));
+    for (int n = 0; n < static_cast<int>(copies_for(losses)); ++n)
+      value.storage_nodes.push_back(storage_node(n));
     const Value before = value;
     CHECK_TRUE(retire(value, "n0", losses) == RetireVerdict::too_few);
     CHECK_TRUE(value == before);
-    value.cellars.push_back(cellar(90));
+    value.storage_nodes.push_back(storage_node(90));
     CHECK_TRUE(retire(value, "n0", losses) == RetireVerdict::taken);
     // The one that leaves does not count for the next.
     const Value left = value;
@@ -366,8 +370,8 @@
   }
 }
 
-TEST(RosterCellars, UnknownAndRepeatedOrders) {
-  Value value = with_cellars({1, 2, 3, 4});
+TEST(RosterStorageNodes, UnknownAndRepeatedOrders) {
+  Value value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n8", 1) == RetireVerdict::unknown);
   CHECK_TRUE(retire(value, "n1", 1) == RetireVerdict::taken);
   const Value before = value;
@@ -381,17 +385,18 @@
 // nothing new, and it comes to its end.
 TEST(RosterRetiringAndLost, TheOrderStands) {
   Roster roster(1);
-  Value value = with_cellars({1, 2, 3, 4});
+  Value value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken);
   std::vector<Member> three = members({1, 2, 3}, 0);  // not whole yet: it is not emptied
   for (int i = 0; i < 40; ++i) {
-    if (auto next = roster.cellars(value, three, now)) value = *next;
+    if (auto next = roster.storage_nodes(value, three, now)) value = *next;
     now = now + look_every;
   }
-  if (auto next = roster.cellars(value, members({1, 2, 3, 4}, 0), now)) value = *next;
-  for (const Cellar& c : value.cellars) CHECK_WHERE(c.node != "n4" || c.leaving, "it gets turns again");
+  if (auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 0), now)) value = *next;
+  for (const StorageNode& c : value.storage_nodes)
+    CHECK_WHERE(c.node != "n4" || c.leaving, "it gets turns again");
   for (int i = 0; i < 40 && !value.retired[0].completed; ++i) {
-    if (auto next = roster.cellars(value, members({1, 2, 3, 4}, value.map), now)) value = *next;
+    if (auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, value.map), now)) value = *next;
     now = now + look_every;
   }
   CHECK_WHERE(value.retired[0].completed, "the order never ends");
@@ -401,14 +406,14 @@
 
 // With one more than is needed a silent one is not waited for; with just enough it has its longer time.
 TEST(RosterSpare, ASilentOneGoesSoonerWhereOneIsToSpare) {
-  using chutevane::clerk::cellar_spared_after;
+  using chutevane::control::storage_node_spared_after;
   for (const bool spare : {true, false}) {
     Roster roster(1);
-    const Value value = spare ? with_cellars({1, 2, 3, 4, 5}) : with_cellars({1, 2, 3, 4});
+    const Value value = spare ? with_storage_nodes({1, 2, 3, 4, 5}) : with_storage_nodes({1, 2, 3, 4});
     const auto live = spare ? members({2, 3, 4, 5}, 7) : members({2, 3, 4}, 7);
-    const Span after = spare ? cellar_spared_after : cellar_lost_after;
+    const Span after = spare ? storage_node_spared_after : storage_node_lost_after;
     Span waited;
-    while (!roster.cellars(value, live, now + waited)) {
+    while (!roster.storage_nodes(value, live, now + waited)) {
       waited = waited + Span::ms(50);
       CHECK_TRUE(waited < Span::ms(10000));
     }
@@ -421,17 +426,17 @@
   Roster roster(1);
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   live[0].disk = "another";
-  const auto next = roster.cellars(with_cellars({1, 2, 3}), live, now);
+  const auto next = roster.storage_nodes(with_storage_nodes({1, 2, 3}), live, now);
   CHECK_TRUE(next.has_value());
-  for (const Cellar& c : next->cellars) CHECK_WHERE(c.lost == (c.node == "n1"), c.node);
+  for (const StorageNode& c : next->storage_nodes) CHECK_WHERE(c.lost == (c.node == "n1"), c.node);
   live[0].address = "moved";
-  const auto then = roster.cellars(*next, live, now);
+  const auto then = roster.storage_nodes(*next, live, now);
   CHECK_TRUE(then.has_value());
-  for (const Cellar& c : then->cellars) CHECK_WHERE(c.lost == (c.node == "n1"), c.node);
+  for (const StorageNode& c : then->storage_nodes) CHECK_WHERE(c.lost == (c.node == "n1"), c.node);
 }
 
-// A clerk with a new disk gets its own place back, and never another's beside it: one address would vote as
-// two.
+// A controller with a new disk gets its own place back, and never another's beside it: one address would vote
+// as two.
 TEST(RosterSpare, NoAddressHasTwoPlaces) {
   for (int order = 0; order < 2; ++order) {
     Roster roster(1);
@@ -439,10 +444,11 @@
     value.epoch = 2;
     for (const char* n : {"1", "2", "3"})
       value.acceptors.push_back({std::string("a") + n, std::string("d") + n});
-    std::vector<chutevane::clerk::LiveClerk> live{{"a2", "other", false, true}, {"a3", "d3", false, true}};
+    std::vector<chutevane::control::LiveController> live{{"a2", "other", false, true},
+                                                         {"a3", "d3", false, true}};
     if (order == 1) std::swap(live[0], live[1]);
     // Both others are gone for longer than their time, and none is free; then one comes back with a new disk.
-    const std::vector<chutevane::clerk::LiveClerk> alone{{"a3", "d3", false, true}};
+    const std::vector<chutevane::control::LiveController> alone{{"a3", "d3", false, true}};
     for (int i = 0; i < 50; ++i, now = now + Span::ms(100))
       CHECK_FALSE(roster.acceptors(value, alone, now).has_value());
     for (int i = 0; i < 100; ++i) {
--- a/tests/market/cellar_test.cpp
+++ b/tests/market/storage_test.cpp
@@ -6,23 +6,23 @@
 #include <string>
 #include <vector>
 
-#include "cellar/placement.hpp"
-#include "cellar/store.hpp"
 #include "played_system.hpp"
+#include "storage/placement.hpp"
+#include "storage/store.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::cellar::group_of;
-using chutevane::cellar::group_size;
-using chutevane::cellar::quorum;
-using chutevane::cellar::Store;
 using chutevane::market::Account;
-using chutevane::market::Cellar;
 using chutevane::market::MemoryDisk;
 using chutevane::market::Reservation;
+using chutevane::market::StorageNode;
 using chutevane::market::Turn;
 using chutevane::played::Luck;
+using chutevane::storage::group_of;
+using chutevane::storage::group_size;
+using chutevane::storage::quorum;
+using chutevane::storage::Store;
 
 namespace {
 
@@ -72,14 +72,14 @@
 
 }  // namespace
 
-TEST_GROUP(CellarAccounts) {
+TEST_GROUP(StorageAccounts) {
   MemoryDisk disk;
   Store store{disk, room};
   TimePoint now = TimePoint::at_ms(1e6);
   void setup() override { CHECK_TRUE(store.open(now).ok()); }
 };
 
-TEST(CellarAccounts, OthersAreCountedAndNotItsOwn) {
+TEST(StorageAccounts, OthersAreCountedAndNotItsOwn) {
   CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
   CHECK_EQUAL(100, total(store.reserve("p", "b", 50, now)));
   CHECK_EQUAL(0, total(store.reserve("q", "c", 7, now)));
@@ -88,7 +88,7 @@
 }
 
 // The same order again, after an answer that was lost: it counts once.
-TEST(CellarAccounts, RepeatsChangeNothing) {
+TEST(StorageAccounts, RepeatsChangeNothing) {
   for (int n = 0; n < 3; ++n) CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
   CHECK_EQUAL(100, total(store.reserve("p", "b", 10, now)));
   CHECK_EQUAL(10, total(store.reserve("p", "a", 100, now)));
@@ -98,7 +98,7 @@
 }
 
 // A reservation that comes behind its settlement, on a slower way, does not set aside anew.
-TEST(CellarAccounts, ASettledOneIsNotRaisedAgain) {
+TEST(StorageAccounts, ASettledOneIsNotRaisedAgain) {
   store.reserve("p", "a", 100, now);
   store.settle("p", "a", 0, now);
   CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
@@ -112,7 +112,7 @@
 
 // Whatever order reservations, settlements and other sidecars' accounts come in, and however often: the same
 // account, also after it is read again.
-TEST(CellarAccounts, OrderOfArrivalDoesNotMatter) {
+TEST(StorageAccounts, OrderOfArrivalDoesNotMatter) {
   struct Word {
     int kind;
     std::string attempt;
@@ -153,7 +153,7 @@
 }
 
 // An account is dropped long after its last entry, and not before.
-TEST(CellarAccounts, KeptLongAfterItsLastEntry) {
+TEST(StorageAccounts, KeptLongAfterItsLastEntry) {
   store.reserve("p", "a", 100, now);
   for (int s = 0; s <= 170; s += 5) store.sweep(now + Span::ms(s * 1000.0));
   CHECK_EQUAL(100, static_cast<int>(tokens(store, "p", "a")));
@@ -164,7 +164,7 @@
   CHECK_EQUAL(static_cast<std::size_t>(0), store.accounts());
 }
 
-TEST_GROUP(CellarTurns) {
+TEST_GROUP(StorageTurns) {
   MemoryDisk disk;
   Store store{disk, room};
   TimePoint now = TimePoint::at_ms(1e6);
@@ -177,7 +177,7 @@
   std::size_t files() { return disk.names().size(); }
 };
 
-TEST(CellarTurns, KeptOnceHoweverOften) {
+TEST(StorageTurns, KeptOnceHoweverOften) {
   CHECK_TRUE(store.keep(turn("a1", ""), now));
   const std::size_t bytes = store.bytes();
   for (int n = 0; n < 3; ++n) CHECK_TRUE(store.keep(turn("a1", ""), now));
@@ -189,7 +189,7 @@
   CHECK_TRUE(store.find("none") == nullptr);
 }
 
-TEST(CellarTurns, ChainTheNewestFirst) {
+TEST(StorageTurns, ChainTheNewestFirst) {
   store.keep(turn("a1", ""), now);
   store.keep(turn("a2", "a1"), now);
   store.keep(turn("a3", "a2"), now);
@@ -203,7 +203,7 @@
 }
 
 // An answer has its size: the newest part, and never nothing.
-TEST(CellarTurns, ChainInParts) {
+TEST(StorageTurns, ChainInParts) {
   store.keep(turn("a1", "", 60000, 1000), now);
   store.keep(turn("a2", "a1", 60000, 1000), now);
   store.keep(turn("a3", "a2", 60000, 1000), now);
@@ -213,7 +213,7 @@
 }
 
 // Names that go round in a ring end nowhere, and are answered all the same.
-TEST(CellarTurns, RingOfNames) {
+TEST(StorageTurns, RingOfNames) {
   store.keep(turn("a1", "a2"), now);
   store.keep(turn("a2", "a1"), now);
   CHECK_TRUE(store.chain("a1", 1U << 30U, now).size() < 20000);
@@ -221,7 +221,7 @@
   CHECK_TRUE(store.chain("b1", 1U << 30U, now).size() < 20000);
 }
 
-TEST(CellarTurns, RefusedWhenFullAndNothingIsBegun) {
+TEST(StorageTurns, RefusedWhenFullAndNothingIsBegun) {
   MemoryDisk d;
   Store small(d, 2000);
   CHECK_TRUE(small.open(now).ok());
@@ -236,7 +236,7 @@
 }
 
 // A turn is there for its whole time, and with it all that it goes on from, which is in use as long.
-TEST(CellarTurns, KeptForItsTimeWithItsChain) {
+TEST(StorageTurns, KeptForItsTimeWithItsChain) {
   store.keep(turn("a1", "", 10000), now);
   store.keep(turn("b1", "", 10000), now);
   const TimePoint later = now + Span::ms(9000);
@@ -253,7 +253,7 @@
 }
 
 // Read again it has its time anew: never less than it had.
-TEST(CellarTurns, TimeAfterALossIsNoShorter) {
+TEST(StorageTurns, TimeAfterALossIsNoShorter) {
   store.keep(turn("a1", "", 10000), now);
   CHECK_TRUE(store.commit(now).ok());
   disk.power_cycle(1);
@@ -267,7 +267,7 @@
 }
 
 // Segments whose turns are past are removed; what is still in use of an old one is written again first.
-TEST(CellarTurns, SegmentsAreRemoved) {
+TEST(StorageTurns, SegmentsAreRemoved) {
   std::size_t most_files = 0;
   store.keep(turn("keep", "", 1e9), now);
   store.reserve("p", "attempt", 77, now);
@@ -289,7 +289,7 @@
 }
 
 // In the order of their names, from any place on, each once.
-TEST(CellarTurns, WalkedInParts) {
+TEST(StorageTurns, WalkedInParts) {
   for (int n = 0; n < 57; ++n) {
     store.keep(turn(numbered("t", 100 + n), ""), now);
     store.reserve(numbered("p", 100 + n), "a", 1, now);
@@ -379,11 +379,11 @@
 
 }  // namespace
 
-TEST_GROUP(CellarLosses) { TimePoint now = TimePoint::at_ms(1e6); };
+TEST_GROUP(StorageLosses) { TimePoint now = TimePoint::at_ms(1e6); };
 
 // Power is lost at each step in turn: what commit() said OK to is there. The store goes on and loses power
 // again.
-TEST(CellarLosses, LossOfPowerAtEveryStep) {
+TEST(StorageLosses, LossOfPowerAtEveryStep) {
   for (std::uint64_t seed = 0; seed < 6; ++seed) {
     std::size_t points = 0;
     {
@@ -430,7 +430,7 @@
 }
 
 // While old segments are written again and removed, power is lost at each step.
-TEST(CellarLosses, LossOfPowerWhileSegmentsAreRemoved) {
+TEST(StorageLosses, LossOfPowerWhileSegmentsAreRemoved) {
   const auto work = [&](Store& store, MemoryDisk& disk, std::size_t point, bool* lasting) {
     *lasting = false;
     CHECK_TRUE(store.open(now).ok());
@@ -471,7 +471,7 @@
 }
 
 // A spoilt record ends its segment; the other segments are read.
-TEST(CellarLosses, SpoiltSegment) {
+TEST(StorageLosses, SpoiltSegment) {
   MemoryDisk disk;
   {
     Store store(disk, room);
@@ -498,7 +498,7 @@
 
 // Removed names last only once their folder is synced: an old segment that is there again raises nothing that
 // was settled.
-TEST(CellarLosses, RemovedSegmentThatIsThereAgain) {
+TEST(StorageLosses, RemovedSegmentThatIsThereAgain) {
   MemoryDisk disk;
   Store store(disk, room);
   CHECK_TRUE(store.open(now).ok());
@@ -521,11 +521,12 @@
   CHECK_TRUE(tokens(again, "p", "a", &settled) == 8 && settled);
 }
 
-TEST_GROUP(CellarPlacement){static std::vector<Cellar> cellars(int n){std::vector<Cellar> out;
+TEST_GROUP(StoragePlacement){
+    static std::vector<StorageNode> storage_nodes(int n){std::vector<StorageNode> out;
 for (int i = 0; i < n; ++i) out.push_back({numbered("storage-", i), "d", "a", "z", false});
 return out;
 }
-static std::set<std::string> names(const std::string& program, const std::vector<Cellar>& all,
+static std::set<std::string> names(const std::string& program, const std::vector<StorageNode>& all,
                                    std::size_t losses) {
   std::set<std::string> out;
   for (const std::size_t i : group_of(program, all, losses)) out.insert(all[i].node);
@@ -534,7 +535,7 @@
 }
 ;
 
-TEST(CellarPlacement, SizesOfGroups) {
+TEST(StoragePlacement, SizesOfGroups) {
   CHECK_EQUAL(static_cast<std::size_t>(1), group_size(0));
   CHECK_EQUAL(static_cast<std::size_t>(3), group_size(1));
   CHECK_EQUAL(static_cast<std::size_t>(5), group_size(2));
@@ -543,7 +544,7 @@
     CHECK_TRUE(quorum(group) > losses);           // one of a majority is left
     CHECK_TRUE(group - losses >= quorum(group));  // and a majority without the lost
     for (int n = 0; n < 9; ++n) {
-      const std::vector<Cellar> all = cellars(n);
+      const std::vector<StorageNode> all = storage_nodes(n);
       const auto got = group_of("program", all, losses);
       CHECK_EQUAL(std::min(group, static_cast<std::size_t>(n)), got.size());
       CHECK_EQUAL(got.size(), std::set<std::size_t>(got.begin(), got.end()).size());
@@ -552,8 +553,8 @@
 }
 
 // A zone that goes takes no more of a group than it must.
-TEST(CellarPlacement, OneOfEachZoneFirst) {
-  std::vector<Cellar> all = cellars(9);
+TEST(StoragePlacement, OneOfEachZoneFirst) {
+  std::vector<StorageNode> all = storage_nodes(9);
   for (std::size_t i = 0; i < all.size(); ++i) all[i].zone = numbered("z", static_cast<int>(i % 3));
   for (int p = 0; p < 200; ++p) {
     std::map<std::string, int> zones;
@@ -564,13 +565,13 @@
     for (const auto& [zone, n] : zones) CHECK_WHERE(n <= 2, zone);  // five over three zones
   }
   // Where a zone has none left, the others fill up.
-  for (Cellar& c : all) c.leaving = c.zone == "z0";
+  for (StorageNode& c : all) c.leaving = c.zone == "z0";
   CHECK_EQUAL(3U, group_of("p", all, 1).size());
 }
 
 // Agreed by all, whatever order the map has.
-TEST(CellarPlacement, OrderOfTheMapDoesNotMatter) {
-  std::vector<Cellar> all = cellars(8);
+TEST(StoragePlacement, OrderOfTheMapDoesNotMatter) {
+  std::vector<StorageNode> all = storage_nodes(8);
   std::map<int, std::set<std::string>> before;
   for (int p = 0; p < 200; ++p) before[p] = names(numbered("p", p), all, 1);
   std::reverse(all.begin(), all.end());
@@ -578,9 +579,9 @@
 }
 
 // One member more takes its own part and moves nothing else; one fewer gives back only what was its own.
-TEST(CellarPlacement, AMemberMoreMovesOnlyItsPart) {
+TEST(StoragePlacement, AMemberMoreMovesOnlyItsPart) {
   for (int n = 3; n < 12; ++n) {
-    const std::vector<Cellar> fewer = cellars(n), more = cellars(n + 1);
+    const std::vector<StorageNode> fewer = storage_nodes(n), more = storage_nodes(n + 1);
     const std::string fresh = more.back().node;
     int moved = 0;
     constexpr int programs = 2000;
@@ -599,20 +600,20 @@
   }
 }
 
-TEST(CellarPlacement, EvenlySpread) {
-  const std::vector<Cellar> all = cellars(7);
+TEST(StoragePlacement, EvenlySpread) {
+  const std::vector<StorageNode> all = storage_nodes(7);
   std::map<std::string, int> held;
   for (int p = 0; p < 7000; ++p) {
     for (const std::string& node : names(numbered("p", p), all, 1)) ++held[node];
   }
-  for (const Cellar& c : all) CHECK_TRUE(held[c.node] > 2700 && held[c.node] < 3300);
+  for (const StorageNode& c : all) CHECK_TRUE(held[c.node] > 2700 && held[c.node] < 3300);
 }
 
 // Who leaves gets nothing new, and the others of a group stay.
-TEST(CellarPlacement, LeavingMembersGetNothing) {
-  std::vector<Cellar> all = cellars(6), left = all;
+TEST(StoragePlacement, LeavingMembersGetNothing) {
+  std::vector<StorageNode> all = storage_nodes(6), left = all;
   left[2].leaving = true;
-  std::vector<Cellar> without = all;
+  std::vector<StorageNode> without = all;
   without.erase(without.begin() + 2);
   for (int p = 0; p < 2000; ++p) {
     const std::string program = numbered("p", p);
@@ -623,15 +624,15 @@
       if (node != all[2].node) CHECK_TRUE(now_in.contains(node));
     }
   }
-  for (Cellar& c : left) c.leaving = true;
+  for (StorageNode& c : left) c.leaving = true;
   CHECK_TRUE(group_of("p", left, 1).empty());
 }
 
-TEST_GROUP(CellarKilledThenDark) { TimePoint now = TimePoint::at_ms(1e6); };
+TEST_GROUP(StorageKilledThenDark) { TimePoint now = TimePoint::at_ms(1e6); };
 
 // A process is killed between a write and its sync. The next one is asked to keep the same turn, says OK, and
 // then power is lost: the turn is there.
-TEST(CellarKilledThenDark, KeptAgainIsKept) {
+TEST(StorageKilledThenDark, KeptAgainIsKept) {
   for (std::size_t point = 0; point < 3; ++point) {
     for (std::uint64_t luck = 0; luck < 20; ++luck) {
       MemoryDisk disk;
--- a/tests/market/tier_test.cpp
+++ b/tests/market/tier_test.cpp
@@ -1,6 +1,6 @@
 // The decisions for one called tier, in played time: ceilings, spent and skipped attempts, shares, pass-over,
 // parts of prompts, and endpoints that fail.
-#include "stall/tier.hpp"
+#include "edge/tier.hpp"
 
 #include <cmath>
 #include <map>
@@ -8,16 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "stall/held_parts.hpp"
+#include "edge/held_parts.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::stall::Ended;
-using chutevane::stall::HeldParts;
-using chutevane::stall::Part;
-using chutevane::stall::Placing;
-using chutevane::stall::Tier;
+using chutevane::edge::Ended;
+using chutevane::edge::HeldParts;
+using chutevane::edge::Part;
+using chutevane::edge::Placing;
+using chutevane::edge::Tier;
 
 namespace {
 
--- a/tests/tier_fleet_test.cpp
+++ b/tests/tier_fleet_test.cpp
@@ -172,7 +172,7 @@
 
 std::uint64_t count(const FleetResult& r, Check check) { return r.counts[static_cast<std::size_t>(check)]; }
 
-// A cellar with its disk, a clerk with a change in flight, and a stall, one after the other.
+// A storage node with its disk, a controller with a change in flight, and an edge, one after the other.
 TEST(TierFleet, LosesNothingThroughFaults) {
   QuietFolder folder;
   FleetSpec spec;
