--- /dev/null
+++ b/tests/edge/client_test.cpp
@@ -0,0 +1,161 @@
+// Connections of clients: one answer to each request in its order, none that belongs to another, and no end
+// that takes a request or part of an answer with it.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "harness.hpp"
+
+namespace chutevane::edge::harness {
+namespace {
+
+constexpr Span aftermath = Span::ms(60);  // for what must not come
+
+RequestOptions once() { return request_of(Kind::non_idempotent); }
+
+TEST(Clients, PipelinedRequestsAreAnsweredInTheirOrder) {
+  Scene scene(3);
+  // The first is answered last.
+  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    if (request.attempt_id == "a0") {
+      scene.loop.later.after(Span::ms(50),
+                             [&connection] { connection.send(good_answer(Kind::non_idempotent, "a0")); });
+    } else {
+      connection.send(good_answer(Kind::non_idempotent, request.attempt_id));
+    }
+  };
+  const auto client = scene.client();
+  client->send(request_text("a0", once()));
+  for (std::size_t i = 1; i < 5; ++i) client->send(request_text(numbered("a", i), once()));
+  ASSERT_TRUE(scene.answered(*client, 5));
+  for (std::size_t i = 0; i < 5; ++i) {
+    const std::string id = numbered("a", i);
+    EXPECT_EQ(client->answers[i].body, good_body(Kind::non_idempotent, id));
+    EXPECT_EQ(client->answers[i].field("X-Chutevane-Attempt-Id"), id);
+    EXPECT_EQ(scene.script.executions(id), 1U);
+  }
+  EXPECT_EQ(client->unasked, "");
+}
+
+TEST(Clients, PipelinedBodiesAreNoRequests) {
+  Scene scene(1);
+  scene.answer_well(Kind::non_idempotent);
+  RequestOptions options = once();
+  options.body = request_text("smuggled", once());
+  const std::string chunked =
+      "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Chutevane-Attempt-Id: b\r\n"
+      "Transfer-Encoding: chunked\r\n\r\n" +
+      chunk(request_text("smuggled", once())) + "0\r\nX-Sum: 1\r\n\r\n";
+  const auto client = scene.client();
+  client->send(request_text("a", options));
+  client->send(chunked);
+  client->send(request_text("c", once()));
+  ASSERT_TRUE(scene.answered(*client, 3));
+  ASSERT_EQ(scene.script.received.size(), 3U);
+  EXPECT_EQ(scene.script.received[0].body, options.body);
+  EXPECT_EQ(scene.script.received[1].body, options.body);
+  EXPECT_EQ(scene.script.executions("smuggled"), 0U);
+}
+
+// A client that leaves takes its call with it: that call is not sent again, and its answer goes to nobody.
+TEST(Clients, ClientThatLeavesMidway) {
+  for (const Kind kind : all_kinds) {
+    for (const bool with_reset : {false, true}) {
+      SCOPED_TRACE(name_of(kind) + (with_reset ? " reset" : " closed"));
+      Scene scene(2, {.timeout_ms = 4000, .max_attempts = 2});
+      ASSERT_TRUE(scene.prepare(kind));
+      std::size_t number = 0;
+      scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+        if (request.attempt_id != "left") return connection.send(good_answer(kind, request.attempt_id));
+        number = connection.number();
+        if (streams(kind)) connection.send(stream_head("left") + chunk(event_text(1, "one")));
+      };
+      const auto client = scene.client();
+      client->send(request_text("left", request_of(kind)));
+      ASSERT_TRUE(
+          scene.loop.until([&] { return number > 0 && (!streams(kind) || !client->partial_body.empty()); }));
+      if (with_reset) {
+        client->reset();
+      } else {
+        client->close();
+      }
+      EXPECT_TRUE(scene.loop.until([&] { return scene.script.ended.contains(number); }));
+      for (std::size_t i = 0; i < 4; ++i) {
+        const std::string id = numbered("then", i);
+        EXPECT_EQ(scene.ask(id, request_of(kind)).body, good_body(kind, id));
+      }
+      EXPECT_EQ(scene.script.heads["left"], 1U);
+    }
+  }
+}
+
+// ---- answers of the edge's own
+
+TEST(Clients, ContinueIsSaidOnceAndIsNotTheAnswer) {
+  Scene scene(1);
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  for (const char* id : {"a", "b"}) {
+    client->answers.clear();
+    client->interim = 0;
+    client->send("POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Chutevane-Attempt-Id: " + std::string(id) +
+                 "\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
+    ASSERT_TRUE(scene.loop.until([&] { return client->interim == 1; }));
+    client->send_more("bo");
+    client->send_more("dy");
+    ASSERT_TRUE(scene.answered(*client));
+    EXPECT_EQ(client->answers[0].body, good_body(Kind::non_idempotent, id));
+    EXPECT_EQ(client->interim, 1U);
+    EXPECT_EQ(scene.script.received.back().body, "body");
+  }
+}
+
+// ---- limits in time
+
+constexpr int idle_ms = 500;
+
+// Clients take up a connection that has rested for up to four fifths of the limit.
+TEST(Limits, RestedConnectionIsTakenUpAgain) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  for (std::size_t i = 0; i < 4; ++i) {
+    client->send(request_text(numbered("a", i), once()));
+    ASSERT_TRUE(scene.answered(*client, i + 1));
+    scene.loop.run_for(Span::ms(idle_ms * 0.8));
+    ASSERT_FALSE(client->ended);
+  }
+  EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
+  EXPECT_FALSE(client->ended_midway);
+}
+
+// The time for a head runs from its first byte and no byte prolongs it.
+TEST(Limits, HeadComesWithinItsTime) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = 5000});
+  const auto client = scene.client();
+  client->send("POST /once/x HTTP/1.1\r\n");
+  const TimePoint began = scene.loop.later.now();
+  for (int i = 0; i < 20 && client->answers.empty(); ++i) {
+    client->send_more("X-A: 1\r\n");
+    scene.loop.run_for(Span::ms(50));
+  }
+  ASSERT_TRUE(scene.answered(*client));
+  EXPECT_EQ(client->answers[0].status, 408);
+  const Span took = scene.loop.later.now() - began;
+  EXPECT_GE(took, Span::ms(295));
+  EXPECT_LT(took, Span::ms(600));
+  EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
+}
+
+// One that says nothing at all is closed without an answer.
+TEST(Limits, SilentConnectionIsClosedWithoutAnAnswer) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
+  const auto client = scene.client();
+  const TimePoint began = scene.loop.later.now();
+  ASSERT_TRUE(scene.loop.until([&] { return client->ended; }));
+  EXPECT_GE(scene.loop.later.now() - began, Span::ms(idle_ms - 10));
+  EXPECT_TRUE(client->answers.empty() && client->unasked.empty());
+}
+
+}  // namespace
+}  // namespace chutevane::edge::harness
