--- a/src/edge/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -136,8 +136,10 @@
 
 void EndpointConnection::done() {
   AnswerSink* const told = std::exchange(sink_, nullptr);
-  // More behind a whole answer belongs to no request: nothing else is sent here.
-  if (!keep_ || !channel_.in().empty() || endpoint_->draining || endpoint_->gone || idle_most_ <= Span()) {
+  // More behind a whole answer belongs to no request, and the rest of a request that was answered early would
+  // stand before the next one: nothing else is sent here.
+  if (!keep_ || !channel_.in().empty() || channel_.unsent() > 0 || endpoint_->draining || endpoint_->gone ||
+      idle_most_ <= Span()) {
     drop();
   } else {
     endpoint_->idle.push_back(this);
--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/reuse_test.cpp
@@ -51,6 +51,45 @@
   EXPECT_EQ(connection_of("a"), connection_of("b"));
 }
 
+// The rest of a request whose answer came early must not stand before the next one.
+TEST_F(Reuse, EarlyAnswerEndsTheConnection) {
+  scene.script.on_head = [](ScriptedConnection& connection, const std::string& id) {
+    if (id != "early") return;
+    connection.stop_reading();
+    connection.send(good_answer(Kind::non_idempotent, id));
+  };
+  scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
+    if (request.attempt_id != "early") connection.send(good_answer(Kind::non_idempotent, request.attempt_id));
+  };
+  RequestOptions options = request_of(Kind::non_idempotent);
+  options.body.assign(large_body, 'b');
+  const Answer early = scene.ask("early", options);
+  EXPECT_EQ(early.status, 200);
+  EXPECT_EQ(early.body, good_body(Kind::non_idempotent, "early"));
+  EXPECT_EQ(scene.script.executions("early"), 0U);
+  const Answer next = once("next");
+  expect_own(next, "next");
+  EXPECT_EQ(connection_of("next"), 2U);
+  ScriptedConnection* const first = scene.script.connection(1);
+  if (first != nullptr) first->resume_reading();
+  expect_ended(1);
+  EXPECT_EQ(scene.script.executions("early"), 0U);  // it never came whole
+}
+
+// A rejection before the request is written whole: proven not run, and it never comes whole there.
+TEST_F(Reuse, EarlyRejectionIsProof) {
+  scene.script.on_head = [](ScriptedConnection& connection, const std::string& id) {
+    connection.stop_reading();
+    connection.send(rejection(503, id));
+  };
+  RequestOptions options = request_of(Kind::non_idempotent);
+  options.body.assign(large_body, 'b');
+  EXPECT_EQ(scene.ask("early", options).status, 503);
+  if (ScriptedConnection* const first = scene.script.connection(1)) first->resume_reading();
+  expect_ended(1);
+  EXPECT_EQ(scene.script.executions("early"), 0U);
+}
+
 TEST_F(Reuse, SurplusAnswerBehindTheWholeOneEndsTheConnection) {
   answer_with("a", good_answer(Kind::non_idempotent, "a") + good_answer(Kind::non_idempotent, "a"));
   expect_own(once("a"), "a");
