--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -55,6 +55,11 @@
   waker_.set(stirred);
 }
 
+// What the peer said before it ended the connection under our writing: perhaps why.
+void Channel::read_rest() {
+  while (open() && socket_.read(in_, read_most) == Socket::Result::some) sink_.channel_came(*this);
+}
+
 // False: the connection is gone. What can go out at once does so from here: no wake-up is needed for it.
 bool Channel::push_out() {
   if (out_.empty()) return true;
@@ -84,6 +89,7 @@
   while (open()) {
     const bool had = !out_.empty();
     if (!push_out()) {
+      read_rest();
       gone();
       co_return;
     }
--- a/src/net/channel.hpp
+++ b/src/net/channel.hpp
@@ -58,6 +58,7 @@
   static constexpr Waker::Bits stirred = Waker::own, ended = Waker::own << 1U;
   Task run(bool connecting);
   bool push_out();
+  void read_rest();
   void end(bool with_reset);
   void gone();
 
--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/reuse_test.cpp
@@ -90,6 +90,21 @@
   EXPECT_EQ(scene.script.executions("early"), 0U);
 }
 
+// It answers and closes while the request is still being written: what it said counts, not the failed write.
+TEST_F(Reuse, RejectionBeforeTheResetOfAWriteIsRead) {
+  scene.script.on_head = [](ScriptedConnection& connection, const std::string& id) {
+    connection.send(rejection(503, id));
+    connection.close();  // with most of the request unread: a reset
+  };
+  RequestOptions options = request_of(Kind::non_idempotent);
+  options.body.assign(large_body, 'b');
+  for (std::size_t i = 0; i < 5; ++i) {
+    const std::string id = numbered("early", i);
+    EXPECT_EQ(scene.ask(id, options).status, 503);
+    EXPECT_EQ(scene.script.executions(id), 0U);
+  }
+}
+
 TEST_F(Reuse, SurplusAnswerBehindTheWholeOneEndsTheConnection) {
   answer_with("a", good_answer(Kind::non_idempotent, "a") + good_answer(Kind::non_idempotent, "a"));
   expect_own(once("a"), "a");
