--- a/src/edge/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -30,7 +30,8 @@
   request_.append(body);
   attempt_id_ = attempt_id;
   written_ = head_seen_ = skipping_ = false;
-  keep_ = true;
+  // Answers to requests without an id cannot be told apart: nothing follows one.
+  keep_ = !attempt_id_.empty();
   passes_ = 0;
   parser_.reset();
   if (channel_.up()) write_out();
@@ -41,6 +42,7 @@
 void EndpointConnection::write_out() {
   if (endpoint_->draining || endpoint_->gone) return fail(Failure::unsent);
   written_ = true;
+  ++requests_;
   channel_.write(request_);
   request_.clear();
   request_.shrink_to_fit();
@@ -60,6 +62,18 @@
   look();
 }
 
+// The head names another request: of one before this one, that was not due any more.
+bool EndpointConnection::is_anothers() const {
+  const auto id = parser_.find("X-Chutevane-Attempt-Id");
+  return id && *id != attempt_id_;
+}
+
+// Endpoints carry the id back. A head without it, where another request went before this one, may be the
+// surplus of that one's answer: it neither answers this one nor proves that it did not run.
+bool EndpointConnection::proves_nothing() const {
+  return requests_ > 1 && !attempt_id_.empty() && !parser_.find("X-Chutevane-Attempt-Id");
+}
+
 void EndpointConnection::look() {
   while (!closed_) {
     if (!head_seen_) {
@@ -73,11 +87,11 @@
         parser_.reset();
         continue;
       }
+      if (proves_nothing()) return fail(Failure::broken);
       head_seen_ = true;
       note_keep_alive();
-      const auto id = parser_.find("X-Chutevane-Attempt-Id");
-      skipping_ = !attempt_id_.empty() && id && *id != attempt_id_;
-      if (skipping_) {  // of a request before this one: it was not due any more
+      skipping_ = is_anothers();
+      if (skipping_) {
         keep_ = false;
         if (++passes_ > passes_most) return fail(Failure::broken);
       } else if (!parser_.length() && !parser_.keep_alive() && parser_.has_body() &&
--- a/src/edge/endpoints.hpp
+++ b/src/edge/endpoints.hpp
@@ -57,6 +57,8 @@
   void channel_gone(net::Channel&) override;
   void write_out();
   void look();
+  bool is_anothers() const;
+  bool proves_nothing() const;
   void done();
   void fail(Failure how);
   void drop();  // closes and retires, tells nobody
@@ -68,6 +70,7 @@
   http::Parser parser_;
   AnswerSink* sink_ = nullptr;
   std::string request_, attempt_id_;
+  std::size_t requests_ = 0;  // that were written on this connection, the one in hand too
   bool written_ = false, head_seen_ = false, skipping_ = false, keep_ = true, closed_ = false;
   std::size_t passes_ = 0;  // answers to requests of before, in the place of this one's
   Span idle_most_;
--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/reuse_test.cpp
@@ -153,6 +153,37 @@
   expect_ended(1);
 }
 
+// An answer that does not say whose it is proves nothing on a connection that has carried another request.
+TEST_F(Reuse, AnswerWithoutIdIsNobodysOnAReusedConnection) {
+  for (const std::string& nameless :
+       {rejection(503, ""), rejection(421, ""), rejection(429, ""), answer(421, "", ""),
+        answer(200, "", "of another"), answer(404, "", "of another"), answer(500, "", "of another")}) {
+    SCOPED_TRACE(nameless);
+    Scene two(2, {.timeout_ms = 4000, .max_attempts = 2});
+    two.answer_well(Kind::non_idempotent);
+    // Both endpoints have a connection that has carried a request.
+    const auto both_met = [&] {
+      const auto& received = two.script.received;
+      return std::any_of(received.begin(), received.end(),
+                         [&](const ReceivedRequest& r) { return r.endpoint != received.front().endpoint; });
+    };
+    for (std::size_t i = 0; !both_met() && i < 50; ++i) {
+      const auto one = two.client(), other = two.client();
+      one->send(request_text(numbered("a", i), request_of(Kind::non_idempotent)));
+      other->send(request_text(numbered("b", i), request_of(Kind::non_idempotent)));
+      ASSERT_TRUE(two.answered(*one) && two.answered(*other));
+    }
+    two.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest&) {
+      connection.send(nameless);
+    };
+    const Answer got = two.ask("victim", request_of(Kind::non_idempotent));
+    EXPECT_EQ(got.status, 502);
+    EXPECT_EQ(got.field("X-Chutevane-Server-Seal"), "");
+    two.loop.run_for(aftermath);
+    EXPECT_EQ(two.script.heads["victim"], 1U);
+  }
+}
+
 // On a fresh one there is nobody else whose it could be: an endpoint that is full need not read the id.
 TEST_F(Reuse, RejectionWithoutIdCountsOnAFreshConnection) {
   answer_with("a", rejection(503, ""));
@@ -160,6 +191,25 @@
   EXPECT_EQ(scene.script.heads["a"], 1U);
 }
 
+// Requests without an id cannot be told apart by their answers: none follows another on a connection, and
+// none takes an answer that names somebody else.
+TEST_F(Reuse, RequestsWithoutIdShareNoConnection) {
+  scene.answer_well(Kind::non_idempotent);
+  EXPECT_EQ(once("").body, good_body(Kind::non_idempotent, ""));
+  EXPECT_EQ(once("").body, good_body(Kind::non_idempotent, ""));
+  EXPECT_EQ(scene.script.accepted, 2U);
+  answer_with("", answer(200, "somebody", "of somebody"));
+  EXPECT_EQ(scene
+                .ask("",
+                     [] {
+                       RequestOptions options = request_of(Kind::non_idempotent);
+                       options.time_remaining_ms = 300;
+                       return options;
+                     }())
+                .status,
+            504);
+}
+
 TEST_F(Reuse, AnswerAfterTheDeadlineGoesToNobody) {
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (request.attempt_id != "late") connection.send(good_answer(Kind::non_idempotent, request.attempt_id));
