--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -141,7 +141,7 @@
       break;
     }
   }
-  streaming_ = route_->type == market::RouteType::streaming;
+  streaming_ = route_->type == market::RouteType::streaming && request_.method != "HEAD";
   if (route_->affinity) {
     placing_.affinity = true;
     placing_.parts = request_.parts;
@@ -256,8 +256,12 @@
   timer_ = plane_.later_.after(ceiling, guarded([this] { attempt_due(); }));
   std::optional<int> priority;
   if (route_->affinity) priority = std::clamp(route_->priority * 2, 0, 9);
-  connection_ = plane_.endpoints_.send(
-      to, *this, head_for(request_, endpoint_, ceiling, priority, body_.size()), body_, request_.attempt_id);
+  OutgoingRequest outgoing;
+  outgoing.head = head_for(request_, endpoint_, ceiling, priority, body_.size());
+  outgoing.body = body_;
+  outgoing.attempt_id = request_.attempt_id;
+  outgoing.bodiless_answer = request_.method == "HEAD";
+  connection_ = plane_.endpoints_.send(to, *this, std::move(outgoing));
 }
 
 void Client::attempt_over(Ended how) {
@@ -286,6 +290,7 @@
 
 void Client::answer_head(const http::Parser& response) {
   status_ = response.status();
+  stated_length_ = response.length().value_or(0);
   for (std::size_t i = 0; i < response.fields(); ++i) {
     const http::Field f = response.field(i);
     if (!of_one_connection(f.name, "")) answer_fields_.emplace_back(f.name, f.value);
@@ -390,11 +395,20 @@
   if (!keep_) out.field("Connection", "close");
 }
 
+// Ends the answer. `length`: of the body that a GET would get, where it asked by HEAD.
+void Client::write_body(int status, std::string_view body, std::size_t length) {
+  http::Writer out(channel_.out());
+  const bool no_content = status == 204 || status == 304;
+  if (!no_content && request_.method != "HEAD") return out.body(body);
+  if (status != 204 && length > 0) out.field("Content-Length", std::to_string(length));
+  out.no_body();
+}
+
 void Client::deliver() {
   ++plane_.counters_.answered;
   if (status_ >= 400 && turned_away_) unreserve();
   write_head(status_, answer_fields_);
-  http::Writer(channel_.out()).body(answer_);
+  write_body(status_, answer_, stated_length_);
   end_exchange();
 }
 
@@ -404,7 +418,7 @@
   if (!request_.attempt_id.empty()) fields.emplace_back("X-Chutevane-Attempt-Id", request_.attempt_id);
   if (come_back) fields.emplace_back("Retry-After", plane_.come_back());
   write_head(status, fields);
-  http::Writer(channel_.out()).body(cause);
+  write_body(status, cause, cause.size());
   end_exchange();
 }
 
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -60,6 +60,7 @@
 
   void answer_plain(int status, std::string_view cause, bool come_back = false);
   void write_head(int status, const std::vector<std::pair<std::string, std::string>>& fields);
+  void write_body(int status, std::string_view body, std::size_t length);
   void unreserve();
   Span left() const;
 
@@ -95,6 +96,7 @@
   bool attempt_open_ = false, turned_away_ = false, bad_answer_ = false, streaming_ = false,
        head_out_ = false;
   int status_ = 0;
+  std::size_t stated_length_ = 0;  // bytes of the answer's body, as its head says
   std::vector<std::pair<std::string, std::string>> answer_fields_;
   std::string answer_;  // its body, or the part of a stream that is no whole event yet
   std::string output_;  // of a turn
--- a/src/edge/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -23,17 +23,17 @@
       parser_(http::Side::response, answer_limits),
       idle_most_(idle_unstated) {}
 
-void EndpointConnection::begin(AnswerSink& sink, std::string head, std::string_view body,
-                               std::string_view attempt_id) {
+void EndpointConnection::begin(AnswerSink& sink, OutgoingRequest request) {
   sink_ = &sink;
-  request_ = std::move(head);
-  request_.append(body);
-  attempt_id_ = attempt_id;
+  request_ = std::move(request.head);
+  request_.append(request.body);
+  attempt_id_ = std::move(request.attempt_id);
+  bodiless_answer_ = request.bodiless_answer;
   written_ = head_seen_ = skipping_ = false;
   // Answers to requests without an id cannot be told apart: nothing follows one.
   keep_ = !attempt_id_.empty();
   passes_ = 0;
-  parser_.reset();
+  parser_.reset(bodiless_answer_);
   if (channel_.up()) write_out();
 }
 
@@ -84,7 +84,7 @@
       if (parser_.status() < 200) {
         if (progress != http::Progress::complete) return fail(Failure::broken);
         channel_.in().consume(parser_.size());
-        parser_.reset();
+        parser_.reset(bodiless_answer_);
         continue;
       }
       if (proves_nothing()) return fail(Failure::broken);
@@ -108,7 +108,7 @@
       if (progress == http::Progress::complete) {
         if (skipping_) {
           head_seen_ = false;
-          parser_.reset();
+          parser_.reset(bodiless_answer_);
           continue;
         }
         return done();
@@ -129,7 +129,7 @@
     if (progress == http::Progress::complete) {
       if (!skipping_) return done();
       head_seen_ = false;
-      parser_.reset();
+      parser_.reset(bodiless_answer_);
       continue;
     }
     if (taken == 0) return;
@@ -223,8 +223,8 @@
   return out;
 }
 
-EndpointConnection* Endpoints::send(const std::shared_ptr<Endpoint>& to, AnswerSink& sink, std::string head,
-                                    std::string_view body, std::string_view attempt_id) {
+EndpointConnection* Endpoints::send(const std::shared_ptr<Endpoint>& to, AnswerSink& sink,
+                                    OutgoingRequest request) {
   while (!to->idle.empty()) {
     EndpointConnection& c = *to->idle.back();
     to->idle.pop_back();
@@ -234,7 +234,7 @@
       c.drop();
       continue;
     }
-    c.begin(sink, std::move(head), body, attempt_id);
+    c.begin(sink, std::move(request));
     return c.sink_ == &sink ? &c : nullptr;
   }
   if (to->draining || to->gone || crew_.size() >= connections_most_) {
@@ -244,7 +244,7 @@
   ++to->connections;
   ++opened_;
   EndpointConnection& c = crew_.add(std::make_unique<EndpointConnection>(*this, to));
-  c.begin(sink, std::move(head), body, attempt_id);
+  c.begin(sink, std::move(request));
   c.due_ = later_.after(connect_most, [&c] {
     if (!c.written_ && c.sink_ != nullptr) c.fail(Failure::unsent);
   });
--- a/src/edge/endpoints.hpp
+++ b/src/edge/endpoints.hpp
@@ -34,6 +34,14 @@
   ~AnswerSink() = default;
 };
 
+// A request as it goes to an endpoint.
+struct OutgoingRequest {
+  std::string head;              // as it is written, with its empty line
+  std::string_view body;         // read before send() returns
+  std::string attempt_id;        // empty: it has none
+  bool bodiless_answer = false;  // it asks by HEAD: the length of its answer is not that of bytes behind it
+};
+
 struct Endpoint {
   std::string id, service, zone;
   sockaddr_in address{};
@@ -51,7 +59,7 @@
 
  private:
   friend class Endpoints;
-  void begin(AnswerSink& sink, std::string head, std::string_view body, std::string_view attempt_id);
+  void begin(AnswerSink& sink, OutgoingRequest request);
   void channel_up(net::Channel&) override;
   void channel_came(net::Channel&) override;
   void channel_gone(net::Channel&) override;
@@ -71,6 +79,7 @@
   AnswerSink* sink_ = nullptr;
   std::string request_, attempt_id_;
   std::size_t requests_ = 0;  // that were written on this connection, the one in hand too
+  bool bodiless_answer_ = false;
   bool written_ = false, head_seen_ = false, skipping_ = false, keep_ = true, closed_ = false;
   std::size_t passes_ = 0;  // answers to requests of before, in the place of this one's
   Span idle_most_;
@@ -90,8 +99,7 @@
   std::size_t size() const { return endpoints_.size(); }
 
   // The sink hears of it, perhaps before this returns: then nothing is returned.
-  EndpointConnection* send(const std::shared_ptr<Endpoint>& to, AnswerSink& sink, std::string head,
-                           std::string_view body, std::string_view attempt_id);
+  EndpointConnection* send(const std::shared_ptr<Endpoint>& to, AnswerSink& sink, OutgoingRequest request);
   // Closes the connection: nothing more is told of it.
   void give_up(EndpointConnection& connection);
   std::size_t opened() const { return opened_; }
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -91,6 +91,22 @@
 
 // ---- answers of the edge's own
 
+TEST(Clients, OwnAnswerToHeadHasNoBody) {
+  Scene scene(1);
+  scene.answer_well(Kind::non_idempotent);
+  RequestOptions nowhere;
+  nowhere.path = "/nowhere/";
+  nowhere.method = "HEAD";
+  const auto client = scene.client();
+  client->send(request_text("a", nowhere), true);
+  client->send(request_text("b", once()));
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[0].status, 404);
+  EXPECT_EQ(client->answers[0].body, "");
+  EXPECT_EQ(client->answers[1].body, good_body(Kind::non_idempotent, "b"));
+  EXPECT_EQ(client->unasked, "");
+}
+
 TEST(Clients, ContinueIsSaidOnceAndIsNotTheAnswer) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/reuse_test.cpp
@@ -299,6 +299,24 @@
   }
 };
 
+// The length of an answer to HEAD is not that of bytes behind it.
+TEST_F(Bodiless, AnswerToHeadHasNoBody) {
+  answer_with("a", head_of(200, "a", "Content-Length: 5\r\n"));
+  const Answer got = asked("HEAD", "a");
+  EXPECT_EQ(got.status, 200);
+  EXPECT_EQ(got.body, "");
+  EXPECT_EQ(got.field("Content-Length"), "5");
+  expect_own(once("b"), "b");
+  EXPECT_EQ(connection_of("a"), connection_of("b"));
+}
+
+TEST_F(Bodiless, BodyBehindAnAnswerToHeadIsNobodys) {
+  answer_with("a", head_of(200, "a", "Content-Length: 5\r\n") + "hello");
+  EXPECT_EQ(asked("HEAD", "a").status, 200);
+  expect_own(once("b"), "b");
+  EXPECT_NE(connection_of("a"), connection_of("b"));
+}
+
 TEST_F(Bodiless, BodyBehind204And304IsNobodys) {
   for (const int status : {204, 304}) {
     SCOPED_TRACE(status);
