--- a/src/edge/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -62,6 +62,15 @@
   look();
 }
 
+// 100 Continue and 103 Early Hints; the answer is still to come. False: it is no interim answer to this
+// request. Nobody has asked to switch protocols: what follows a 101 is no HTTP.
+bool EndpointConnection::take_interim(http::Progress progress) {
+  if (progress != http::Progress::complete || parser_.status() == 101) return false;
+  channel_.in().consume(parser_.size());
+  parser_.reset(bodiless_answer_);
+  return true;
+}
+
 // The head names another request: of one before this one, that was not due any more.
 bool EndpointConnection::is_anothers() const {
   const auto id = parser_.find("X-Chutevane-Attempt-Id");
@@ -82,9 +91,7 @@
       if (progress == http::Progress::failed) return fail(Failure::broken);
       if (!parser_.head_done()) return;
       if (parser_.status() < 200) {
-        if (progress != http::Progress::complete) return fail(Failure::broken);
-        channel_.in().consume(parser_.size());
-        parser_.reset(bodiless_answer_);
+        if (!take_interim(progress)) return fail(Failure::broken);
         continue;
       }
       if (proves_nothing()) return fail(Failure::broken);
--- a/src/edge/endpoints.hpp
+++ b/src/edge/endpoints.hpp
@@ -65,6 +65,7 @@
   void channel_gone(net::Channel&) override;
   void write_out();
   void look();
+  bool take_interim(http::Progress progress);
   bool is_anothers() const;
   bool proves_nothing() const;
   void done();
--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/reuse_test.cpp
@@ -238,6 +238,14 @@
   EXPECT_NE(connection_of("a"), connection_of("c"));
 }
 
+// Nobody has asked to speak another protocol: what follows is no HTTP.
+TEST_F(Reuse, SwitchingProtocolsIsNoAnswer) {
+  answer_with(
+      "a", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + good_answer(Kind::non_idempotent, "a"));
+  EXPECT_EQ(once("a").status, 502);
+  expect_ended(1);
+}
+
 TEST_F(Reuse, BrokenChunkEndsTheConnection) {
   const std::string head =
       "HTTP/1.1 200 OK\r\nX-Chutevane-Attempt-Id: a\r\nX-Chutevane-Server-Seal: s\r\n"
