--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -323,10 +323,11 @@
     return;
   }
   if (how == Failure::unsent) --attempts_;
+  const bool may_run = how == Failure::broken && !turned_away_;  // a rejection's head is proof enough
   placing_.avoid.push_back(endpoint_);
   // Not from inside the call that has just failed.
   plane_.later_.cancel(timer_);
-  timer_ = plane_.later_.after(Span(), guarded([this, run = how == Failure::broken] { after_failure(run); }));
+  timer_ = plane_.later_.after(Span(), guarded([this, may_run] { after_failure(may_run); }));
 }
 
 void Client::after_failure(bool ran) {
@@ -371,7 +372,8 @@
     placing_.avoid.push_back(endpoint_);
     return attempt();
   }
-  const bool promises = status_ == 503 || status_ == 429 || status_ == 408;
+  const bool promises =
+      status_ == 503 || status_ == 429 || status_ == 408 || (status_ == 402 && request_.budget.has_value());
   if (promises && !route_->repeatable()) return give_up(true);
   deliver();
 }
--- a/tests/edge/strike_test.cpp
+++ b/tests/edge/strike_test.cpp
@@ -285,11 +285,28 @@
   }
 }
 
+// The head of a rejection is its proof, whatever becomes of its body.
+TEST_P(KindTest, RejectionThatBreaksInItsBodyIsProof) {
+  const Kind kind = GetParam();
+  Scene scene(2, {.timeout_ms = 4000, .max_attempts = 2});
+  ASSERT_TRUE(scene.prepare(kind));
+  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    if (scene.script.heads["a"] > 1) return connection.send(good_answer(kind, request.attempt_id));
+    const std::string whole = rejection(503, request.attempt_id);
+    connection.send(whole.substr(0, whole.size() - 2));
+    connection.close();
+  };
+  const Answer got = scene.ask("a", request_of(kind));
+  EXPECT_EQ(got.status, 200);
+  EXPECT_EQ(got.body, good_body(kind, "a"));
+}
+
 // A status that promises, without the endpoint's proof, is not passed on as a promise.
 TEST_P(KindTest, StatusWithoutProofIsNoPromise) {
   const Kind kind = GetParam();
   if (kind == Kind::idempotent) return;  // may run again: nothing rests on the promise
-  for (const int status : {503, 429, 408}) {
+  for (const int status : {503, 429, 408, 402}) {
+    if (status == 402 && kind != Kind::turn) continue;  // promises something of a budget alone
     SCOPED_TRACE(status);
     Scene scene(2, {.timeout_ms = 4000, .max_attempts = 2});
     ASSERT_TRUE(scene.prepare(kind));
