--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -427,6 +427,8 @@
 void Client::end_exchange() {
   plane_.later_.cancel(timer_);
   alive_.reset();
+  // What is answered before a request is read whole says nothing of the one before.
+  request_ = {};
   stage_ = Stage::reading;
   channel_.flush();
   if (!keep_) {
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -91,6 +91,32 @@
 
 // ---- answers of the edge's own
 
+// A request that is not read whole has no id yet: the id of the one before is not its.
+TEST(Clients, MalformedRequestIsNotAnsweredAsTheOneBefore) {
+  Scene scene(1);
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.answered(*client));
+  client->send("POST /once/x HTTP/1.1\r\nHost h.example\r\n\r\n");
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[1].status, 400);
+  EXPECT_EQ(client->answers[1].field("X-Chutevane-Attempt-Id"), "");
+  EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
+}
+
+TEST(Clients, RequestThatComesTooSlowlyIsNotAnsweredAsTheOneBefore) {
+  Scene scene(1, {}, {.header_ms = 200, .idle_ms = 5000});
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.answered(*client));
+  client->send("POST /once/x HTTP/1.1\r\n");
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[1].status, 408);
+  EXPECT_EQ(client->answers[1].field("X-Chutevane-Attempt-Id"), "");
+}
+
 TEST(Clients, OwnAnswerToHeadHasNoBody) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
