--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -20,6 +20,7 @@
 constexpr Span start_look = Span::ms(20);   // between looks whether it does
 constexpr Span storage_most =
     Span::ms(1500);  // for storage that takes over: longer is told, with when to come back
+constexpr Span unread_look = Span::ms(1);     // what has arrived is read by then
 constexpr Span unlimited = Span::ms(600000);  // where neither client nor route states a time
 
 }  // namespace
@@ -50,21 +51,49 @@
 
 // ---- the request
 
+Span Client::idle_limit() const {
+  return plane_.configuration_ ? plane_.configuration_->limits.idle : market::ClientLimits{}.idle;
+}
+
 void Client::set_request_timer() {
   const market::ClientLimits limits =
       plane_.configuration_ ? plane_.configuration_->limits : market::ClientLimits{};
   const bool begun = parser_.begun() || channel_.in_size() > 0;
-  plane_.later_.cancel(timer_);
   reading_timer_for_head_ = begun && !parser_.head_done();
+  if (!begun) return set_rest_timer(limits.idle);
+  plane_.later_.cancel(timer_);
   timer_ = plane_.later_.after(reading_timer_for_head_ ? limits.header : limits.idle, [this] {
-    if (stage_ != Stage::reading) return;
-    if (!parser_.begun()) return close();
-    stage_ = Stage::preparing;
-    keep_ = false;
-    answer_plain(408, "the request did not come whole in time");
+    if (!channel_.unread()) return request_late();
+    // It has arrived, and was not read yet: this process stood still, not the client.
+    timer_ = plane_.later_.after(unread_look, [this] { request_late(); });
   });
 }
 
+void Client::request_late() {
+  if (stage_ != Stage::reading) return;
+  if (!parser_.begun()) return close();
+  stage_ = Stage::preparing;
+  keep_ = false;
+  answer_plain(408, "the request did not come whole in time");
+}
+
+// How long the client may rest between two requests. While an answer is going out to it, it does not rest.
+void Client::set_rest_timer(Span most) {
+  plane_.later_.cancel(timer_);
+  timer_ = plane_.later_.after(most, [this, most, unsent = channel_.unsent()] { rest_over(most, unsent); });
+}
+
+void Client::rest_over(Span most, std::size_t unsent_before) {
+  if (channel_.unsent() > 0 && channel_.unsent() < unsent_before) return set_rest_timer(most);
+  if (!channel_.unread()) return close();
+  // A request has arrived, and was not read yet: this process stood still, not the client.
+  timer_ = plane_.later_.after(unread_look, [this] { request_late(); });
+}
+
+void Client::channel_drained(net::Channel&) {
+  if (stage_ == Stage::reading && !parser_.begun() && channel_.in_size() == 0) set_rest_timer(idle_limit());
+}
+
 void Client::channel_came(net::Channel&) {
   if (stage_ == Stage::reading) {
     look();
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -32,6 +32,7 @@
   enum class Stage : std::uint8_t { reading, preparing, asking, relaying, keeping, over };
 
   void channel_came(net::Channel&) override;
+  void channel_drained(net::Channel&) override;
   void channel_gone(net::Channel&) override;
   void answer_head(const http::Parser& response) override;
   void answer_piece(std::string_view piece) override;
@@ -43,6 +44,10 @@
   void route();
   TimePoint storage_until() const;
   void set_request_timer();
+  void request_late();
+  void set_rest_timer(Span most);
+  void rest_over(Span most, std::size_t unsent_before);
+  Span idle_limit() const;
   // A turn: its chain, then its budget.
   void prepare();
   void reserve();
--- a/src/net/channel.hpp
+++ b/src/net/channel.hpp
@@ -47,6 +47,8 @@
   bool open() const { return socket_.open(); }
   bool up() const { return up_ && open(); }
   bool quiet() const { return in_.empty() && socket_.quiet(); }
+  // Bytes, or the peer's end, have arrived that the sink has not been told of yet.
+  bool unread() const { return open() && !socket_.quiet(); }
   // Reads no more until told so: the peer is held up.
   void hold(bool held);
   void end_when_written();  // ends once all is out
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -171,6 +171,53 @@
   EXPECT_FALSE(client->ended_midway);
 }
 
+// The rest begins when the answer has gone out, not when its first bytes did.
+TEST(Limits, RestBeginsWhenTheAnswerHasGoneOut) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
+  const std::string large(16U << 20U, 'x');
+  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    connection.send(answer(200, request.attempt_id, large));
+  };
+  const auto client = scene.client();
+  client->make_room(large.size() * 2);
+  client->stop_reading();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.loop.until([&] { return scene.script.executions("a") == 1; }));
+  scene.loop.run_for(Span::ms(idle_ms * 0.7));
+  client->resume_reading();
+  ASSERT_TRUE(scene.answered(*client));
+  EXPECT_EQ(client->answers[0].body.size(), large.size());
+  scene.loop.run_for(Span::ms(idle_ms * 0.8));
+  EXPECT_FALSE(client->ended);
+}
+
+// A process that was frozen over the limit finds the request that came meanwhile before it ends what rests.
+TEST(Limits, RequestThatCameDuringAFreezeIsRead) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.answered(*client));
+  client->send(request_text("b", once()));
+  scene.loop.freeze(Span::ms(idle_ms * 1.2));
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[1].body, good_body(Kind::non_idempotent, "b"));
+}
+
+// The same for the rest of a head.
+TEST(Limits, HeadThatCameDuringAFreezeIsRead) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  const std::string whole = request_text("a", once());
+  client->send(whole.substr(0, 20));
+  scene.loop.run_for(Span::ms(50));
+  client->send_more(whole.substr(20));
+  scene.loop.freeze(Span::ms(400));
+  ASSERT_TRUE(scene.answered(*client));
+  EXPECT_EQ(client->answers[0].status, 200);
+}
+
 // The time for a head runs from its first byte and no byte prolongs it.
 TEST(Limits, HeadComesWithinItsTime) {
   Scene scene(1, {}, {.header_ms = 300, .idle_ms = 5000});
