--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -21,6 +21,7 @@
 constexpr Span storage_most =
     Span::ms(1500);  // for storage that takes over: longer is told, with when to come back
 constexpr Span unread_look = Span::ms(1);     // what has arrived is read by then
+constexpr Span ending_most = Span::ms(1000);  // for the client's end, once its last answer has gone out
 constexpr Span unlimited = Span::ms(600000);  // where neither client nor route states a time
 
 }  // namespace
@@ -77,7 +78,8 @@
   answer_plain(408, "the request did not come whole in time");
 }
 
-// How long the client may rest between two requests. While an answer is going out to it, it does not rest.
+// How long the client may rest, between two requests or before it ends the connection. While an answer is
+// going out to it, it does not rest.
 void Client::set_rest_timer(Span most) {
   plane_.later_.cancel(timer_);
   timer_ = plane_.later_.after(most, [this, most, unsent = channel_.unsent()] { rest_over(most, unsent); });
@@ -85,18 +87,21 @@
 
 void Client::rest_over(Span most, std::size_t unsent_before) {
   if (channel_.unsent() > 0 && channel_.unsent() < unsent_before) return set_rest_timer(most);
-  if (!channel_.unread()) return close();
+  if (stage_ != Stage::reading || !channel_.unread()) return close();
   // A request has arrived, and was not read yet: this process stood still, not the client.
   timer_ = plane_.later_.after(unread_look, [this] { request_late(); });
 }
 
 void Client::channel_drained(net::Channel&) {
+  if (stage_ == Stage::ending) set_rest_timer(ending_most);
   if (stage_ == Stage::reading && !parser_.begun() && channel_.in_size() == 0) set_rest_timer(idle_limit());
 }
 
 void Client::channel_came(net::Channel&) {
   if (stage_ == Stage::reading) {
     look();
+  } else if (stage_ == Stage::ending) {
+    channel_.in().consume(channel_.in_size());  // it is not answered any more
   } else if (channel_.in_size() > pipelined_most) {
     channel_.hold(true);
   }
@@ -461,8 +466,9 @@
   stage_ = Stage::reading;
   channel_.flush();
   if (!keep_) {
-    stage_ = Stage::over;
-    channel_.end_when_written();
+    stage_ = Stage::ending;
+    channel_.end_writing_when_written();
+    set_rest_timer(channel_.unsent() > 0 ? idle_limit() : ending_most);
     return;
   }
   set_request_timer();
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -23,13 +23,22 @@
   Client(DataPlane& plane, std::size_t head_most, std::size_t body_most);
   ~Client();
   void adopt(int fd) { channel_.adopt(fd); }
-  bool idle() const { return stage_ == Stage::reading && channel_.in_size() == 0; }
+  // Nothing of a request has come, and nothing of an answer has still to go out.
+  bool idle() const { return stage_ == Stage::reading && channel_.unsent() == 0 && channel_.quiet(); }
   void close();
   std::size_t crew_place = 0;
 
  private:
   friend class DataPlane;
-  enum class Stage : std::uint8_t { reading, preparing, asking, relaying, keeping, over };
+  enum class Stage : std::uint8_t {
+    reading,
+    preparing,
+    asking,
+    relaying,
+    keeping,
+    ending,  // the last answer is on its way; then the client's end is awaited
+    over
+  };
 
   void channel_came(net::Channel&) override;
   void channel_drained(net::Channel&) override;
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -2,6 +2,8 @@
 
 #include <unistd.h>
 
+#include <utility>
+
 namespace chutevane::net {
 namespace {
 
@@ -55,6 +57,11 @@
   waker_.set(stirred);
 }
 
+void Channel::end_writing_when_written() {
+  last_written_ = true;
+  hold(false);
+}
+
 // What the peer said before it ended the connection under our writing: perhaps why.
 void Channel::read_rest() {
   while (open() && socket_.read(in_, read_most) == Socket::Result::some) sink_.channel_came(*this);
@@ -101,6 +108,7 @@
       gone();
       co_return;
     }
+    if (out_.empty() && std::exchange(last_written_, false)) socket_.end_writing();
     if (!held_) {
       const Socket::Result result = socket_.read(in_, read_most);
       if (result == Socket::Result::some) {
--- a/src/net/channel.hpp
+++ b/src/net/channel.hpp
@@ -52,6 +52,10 @@
   // Reads no more until told so: the peer is held up.
   void hold(bool held);
   void end_when_written();  // ends once all is out
+  // Ends the writing side once all is out, and reads on until the peer has ended too: closing with bytes
+  // unread, or before they come, would be a reset that takes back what the peer has not received yet
+  // (RFC 9112, 9.6). The owner discards what comes and bounds the time.
+  void end_writing_when_written();
   void close() { end(false); }
   void reset() { end(true); }
   std::optional<sockaddr_in> peer() const { return socket_.peer(); }
@@ -68,7 +72,7 @@
   Socket socket_;
   Sink& sink_;
   Buffer in_, out_;
-  bool up_ = false, held_ = false, last_ = false;
+  bool up_ = false, held_ = false, last_ = false, last_written_ = false;
   Task task_;
 };
 
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -9,7 +9,8 @@
 namespace chutevane::edge::harness {
 namespace {
 
-constexpr Span aftermath = Span::ms(60);  // for what must not come
+constexpr Span aftermath = Span::ms(60);               // for what must not come
+constexpr Span leaving_closes_after = Span::ms(2700);  // a little more than the edge serves on after SIGTERM
 
 RequestOptions once() { return request_of(Kind::non_idempotent); }
 
@@ -152,6 +153,74 @@
   }
 }
 
+// What was sent ahead, and is not read any more, must not turn the end of the connection into a reset that
+// takes the answer with it.
+TEST(Clients, LastAnswerComesWholeThoughMoreWasSent) {
+  Scene scene(1);
+  const std::string large(6U << 20U, 'x');
+  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    connection.send(answer(200, request.attempt_id, large));
+  };
+  const auto client = scene.client();
+  RequestOptions last = once();
+  last.extra_fields = "Connection: close\r\n";
+  client->stop_reading();
+  client->send(request_text("a", last));
+  // Ahead of the answer: the edge stops reading these at some point.
+  RequestOptions ahead = once();
+  ahead.body.assign(1U << 20U, 'b');
+  client->send_more(request_text("b", ahead));
+  ASSERT_TRUE(scene.loop.until([&] { return scene.script.executions("a") == 1; }));
+  scene.loop.run_for(aftermath);
+  client->send_more(request_text("c", once()));
+  scene.loop.run_for(aftermath);
+  client->resume_reading();
+  ASSERT_TRUE(scene.loop.until([&] { return client->ended || client->answers.size() == 1; }));
+  ASSERT_EQ(client->answers.size(), 1U);
+  EXPECT_EQ(client->answers[0].body.size(), large.size());
+  EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
+  EXPECT_EQ(scene.script.executions("b"), 0U);
+}
+
+// ---- leaving
+
+// The edge leaves: what has been sent to it is answered, and what it has answered goes out whole.
+TEST(Leaving, AnswerThatIsStillGoingOutIsNotCut) {
+  Scene scene(1);
+  const std::string large(16U << 20U, 'x');
+  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    connection.send(answer(200, request.attempt_id, large));
+  };
+  const auto client = scene.client();
+  client->stop_reading();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.loop.until([&] { return scene.script.executions("a") == 1; }));
+  scene.loop.run_for(aftermath);
+  scene.edge->leave();
+  scene.loop.run_for(leaving_closes_after);
+  EXPECT_FALSE(scene.edge->finished());
+  client->resume_reading();
+  ASSERT_TRUE(scene.answered(*client));
+  EXPECT_EQ(client->answers[0].body.size(), large.size());
+  EXPECT_TRUE(scene.loop.until([&] { return scene.edge->finished(); }));
+}
+
+TEST(Leaving, RequestThatHasArrivedIsNotReset) {
+  Scene scene(1);
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.answered(*client));
+  scene.edge->leave();
+  scene.loop.run_for(leaving_closes_after - Span::ms(150));
+  client->send(request_text("b", once()));
+  scene.loop.freeze(Span::ms(200));  // past the moment when idle connections are ended
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[1].body, good_body(Kind::non_idempotent, "b"));
+  EXPECT_FALSE(client->answers[1].keep_alive);
+  EXPECT_TRUE(scene.loop.until([&] { return scene.edge->finished(); }));
+}
+
 // ---- limits in time
 
 constexpr int idle_ms = 500;
