--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -72,6 +72,7 @@
       roster_duty_("roster", seed_of(settings.node + "roster", scheduler.now())),
       platform_(scheduler, later_, settings.platform, settings.platform_rate),
       holder_(seed_of(settings.node + "holder", scheduler.now())),
+      contact_(static_cast<std::int64_t>(holder_)),
       roster_(settings.machine_losses) {}
 
 void ControlPlane::die(const absl::Status& why) {
@@ -202,7 +203,7 @@
       std::make_unique<market::Link>(scheduler_, later_, *to, seed_of(address_ + address, later_.now()));
   peer.link->on_up([this, address] {
     const auto at = peers_.find(address);  // it may have been parted with
-    if (at != peers_.end()) at->second.link->tell(full_word());
+    if (at != peers_.end()) at->second.link->tell(addressed(full_word(), at->second));
   });
 }
 
@@ -216,6 +217,7 @@
     const TimePoint since = std::max(it->second.heard, it->second.known_since);
     if (!votes && now - since > peer_forgotten && peers_.size() > 1) {
       parted_.push_back(std::move(it->second.link));
+      contact_.forget(it->first);
       it = peers_.erase(it);
     } else {
       ++it;
@@ -234,6 +236,8 @@
 }
 
 Gossip ControlPlane::word_of_mine() {
+  // The acceptor may have entered an epoch that nobody has told this controller's register of.
+  register_.learn_epoch(acceptor_->initial());
   Gossip out;
   out.node = settings_.node;
   out.address = address_;
@@ -248,6 +252,8 @@
   out.first = record_.first;
   out.list_term = list_.term();
   out.list_number = list_.number();
+  out.life = contact_.life();
+  out.stamp = (later_.now() - TimePoint()).as_us();
   for (const Duty* duty : {&list_duty_, &roster_duty_}) {
     if (duty->mine() && !leaving_) out.duties.push_back({duty->name(), duty->term()});
   }
@@ -282,10 +288,19 @@
       peer.link->restart();  // nothing has come over either way: it may be gone without a word
       continue;
     }
-    peer.link->tell(word);
+    peer.link->tell(addressed(word, peer));
   }
 }
 
+// With the stamp of the peer's that it echoes.
+Gossip ControlPlane::addressed(Gossip word, const Peer& peer) const {
+  if (peer.last) {
+    word.echo_life = peer.last->life;
+    word.echo_stamp = peer.last->stamp;
+  }
+  return word;
+}
+
 void ControlPlane::on_gossip(const Gossip& word) {
   if (word.address == address_) return;
   know(word.address);
@@ -299,6 +314,8 @@
     last.members = std::move(peer.last->members);
   }
   peer.last = std::move(last);
+  contact_.received({{word.address, word.disk}, word.first, word.epoch, word.accepted}, word.echo_life,
+                    TimePoint() + Span::us(word.echo_stamp));
   for (const std::string& one : word.controllers) know(one);
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
     const auto held = std::find_if(word.duties.begin(), word.duties.end(),
@@ -312,17 +329,24 @@
   catch_up();
 }
 
-bool ControlPlane::majority_heard(Span within) const {
-  const market::Value& initial = register_.initial();
-  std::size_t heard = 0;
-  for (const market::Acceptor& a : initial.acceptors) {
-    const auto peer = peers_.find(a.address);
-    heard += a.address == address_ ||
-                     (peer != peers_.end() && peer->second.last && later_.now() - peer->second.heard < within)
-                 ? 1
-                 : 0;
-  }
-  return !initial.acceptors.empty() && heard >= majority(initial);
+AcceptorReport ControlPlane::own_report() const {
+  const std::int64_t epoch = register_.initial().epoch;
+  const bool entered = acceptor_->voting() && acceptor_->epoch() == epoch;
+  return {{address_, record_.disk}, record_.first, epoch, entered ? acceptor_->accepted_number() : 0};
+}
+
+// Whether messages went to a quorum of the acceptors and back, the first of them sent no longer ago.
+bool ControlPlane::quorum_reached(Span within) const {
+  const TimePoint now = later_.now();
+  const auto at = contact_.reached(register_.initial().acceptors, own_report(), now);
+  return at && now - *at < within;
+}
+
+void ControlPlane::confirm_contact() {
+  if (!register_.known()) return;
+  const auto at = contact_.confirmed(register_.initial().acceptors, own_report(), register_.known()->number,
+                                     later_.now());
+  if (at) fresh_at_ = std::max(fresh_at_, *at);
 }
 
 Span ControlPlane::fresh_age() const {
@@ -330,57 +354,70 @@
   return later_.now() - fresh_at_;
 }
 
-// Asks the acceptors where anything tells of news that have not come by themselves.
-void ControlPlane::catch_up() {
+// Whether anything tells of a value or an epoch newer than what is known here.
+bool ControlPlane::behind() const {
   const TimePoint now = later_.now();
   const std::int64_t known = register_.known() ? register_.known()->number : -1;
-  bool behind = known < 0;
-  for (const auto& [address, peer] : peers_) {
-    if (!peer.last || now - peer.heard > peer_heard) continue;
-    behind = behind || peer.last->known > known || peer.last->accepted > known ||
-             peer.last->epoch > register_.initial().epoch;
+  if (known < 0) return true;
+  if (acceptor_->voting() && acceptor_->accepted_number() > known) return true;
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& one) {
+    const Peer& peer = one.second;
+    if (!peer.last || now - peer.heard > peer_heard) return false;
+    return peer.last->known > known || peer.last->accepted > known ||
+           peer.last->epoch > register_.initial().epoch;
+  });
+}
+
+// Asks the acceptors of a later epoch that a peer has told of: its first value is had from one of them. The
+// set alone is told by gossip. False: nobody has told of one.
+bool ControlPlane::learn_later_epoch() {
+  const TimePoint now = later_.now();
+  const auto later = std::find_if(peers_.begin(), peers_.end(), [&](const auto& one) {
+    const Peer& peer = one.second;
+    return peer.last && peer.last->epoch > register_.initial().epoch && now - peer.heard < peer_heard;
+  });
+  if (later == peers_.end()) return false;
+  catching_up_ = true;
+  market::Prepare ask;
+  ask.look_only = true;  // of epoch 0, which all have left: the answer names the newest
+  const std::vector<market::Acceptor> acceptors = later->second.last->initial.acceptors;
+  for (const market::Acceptor& a : acceptors) {
+    prepare(a.address, ask, [this](absl::StatusOr<market::Promise> got) {
+      if (got.ok() && got->initial.epoch > register_.initial().epoch) register_.learn_epoch(got->initial);
+    });
   }
-  behind = behind || (acceptor_->voting() && acceptor_->accepted_number() > known);
-  if (!behind) {
+  later_.after(Span::ms(60), [this] {
+    catching_up_ = false;
+    catch_up();
+  });
+  return true;
+}
+
+// Asks the acceptors where anything tells of news that have not come by themselves.
+void ControlPlane::catch_up() {
+  confirm_contact();
+  const TimePoint now = later_.now();
+  if (!behind()) {
     behind_since_.reset();
-    if (majority_heard(peer_heard)) fresh_at_ = now;
     return;
   }
   if (!behind_since_) {
     behind_since_ = now;
     later_.after(behind_most + Span::ms(1), [this] { catch_up(); });  // sooner than the loop's next step
   }
-  if (catching_up_ || (known >= 0 && now - *behind_since_ < behind_most)) return;
-  // The set alone is told by word: an epoch's first value is had from one of its acceptors.
-  for (const auto& [address, peer] : peers_) {
-    if (peer.last && peer.last->epoch > register_.initial().epoch && now - peer.heard < peer_heard) {
-      catching_up_ = true;
-      market::Prepare ask;
-      ask.look_only = true;  // of epoch 0, which all have left: the answer names the newest
-      for (const market::Acceptor& a : peer.last->initial.acceptors) {
-        prepare(a.address, ask, [this](absl::StatusOr<market::Promise> got) {
-          if (got.ok() && got->initial.epoch > register_.initial().epoch) register_.learn_epoch(got->initial);
-        });
-      }
-      later_.after(Span::ms(60), [this] {
-        catching_up_ = false;
-        catch_up();
-      });
-      return;
-    }
-  }
-  if (register_.initial().epoch == 0) return;
+  if (catching_up_ || (register_.known() && now - *behind_since_ < behind_most)) return;
+  if (learn_later_epoch() || register_.initial().epoch == 0) return;
   catching_up_ = true;
-  register_.read(Span::ms(1500), [this](absl::StatusOr<market::Value> got) {
+  // What it finds was chosen at some time after its beginning.
+  register_.read(Span::ms(1500), [this, now](absl::StatusOr<market::Value> got) {
     catching_up_ = false;
-    if (got.ok()) fresh_at_ = later_.now();
+    if (got.ok()) fresh_at_ = std::max(fresh_at_, now);
   });
 }
 
 // ---- what is chosen
 
 void ControlPlane::chosen(const market::Value&) {
-  fresh_at_ = later_.now();
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
   }
@@ -410,6 +447,7 @@
   Session& session = sessions_[guest.id()];
   session.member = hello.member;
   session.heard = later_.now();
+  session.stamp = hello.stamp;
   session.first = hello.first;
   session.pushed = std::max(session.pushed, hello.member.number);
   // What was sent since this word was written stays sent.
@@ -422,6 +460,7 @@
     session.pushed = hello.member.number;
     market::Beat word;
     word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+    word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
     guest.tell(word);
   }
@@ -470,6 +509,7 @@
       silent.push_back(id);
       continue;
     }
+    word.echo_stamp = session.stamp;
     guest->tell(word);
     push(id, session);
   }
@@ -568,7 +608,7 @@
   if (leaving_) return;
   const TimePoint now = later_.now();
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine() && !majority_heard(duty_vacant_after)) duty->give_up(now);
+    if (duty->mine() && !quorum_reached(duty_vacant_after)) duty->give_up(now);
     stand(*duty);
   }
   if (roster_duty_.mine()) {
@@ -606,7 +646,7 @@
 }
 
 void ControlPlane::keep_roster() {
-  if (changing_roster_ || !register_.known() || !majority_heard(peer_heard)) return;
+  if (changing_roster_ || !register_.known() || !quorum_reached(duty_vacant_after)) return;
   const TimePoint now = later_.now();
   const market::Value& value = *register_.known();
   std::vector<LiveController> live{{address_, record_.disk, record_.first, !leaving_}};
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -11,6 +11,7 @@
 
 #include "control/duty.hpp"
 #include "control/platform.hpp"
+#include "control/quorum_contact.hpp"
 #include "control/register.hpp"
 #include "control/roster.hpp"
 #include "market/configuration.hpp"
@@ -42,6 +43,7 @@
   struct Session {
     market::Member member;
     TimePoint heard;
+    std::int64_t stamp = 0;  // of the newest Hello: returned with each beat
     std::int64_t list_term = 0, list_number = 0;
     std::int64_t pushed = 0;  // of the values, the newest that was sent down
     bool first = false;       // changes go down it at once; down others with the next beat, if still needed
@@ -63,7 +65,12 @@
   market::Link* link(const std::string& address);  // none: that is no address
   void forget_lost();
   void catch_up();
-  bool majority_heard(Span within) const;
+  void confirm_contact();
+  bool quorum_reached(Span within) const;
+  AcceptorReport own_report() const;
+  market::Gossip addressed(market::Gossip word, const Peer& peer) const;
+  bool behind() const;
+  bool learn_later_epoch();
   Span fresh_age() const;
   std::vector<std::string> controller_addresses() const;
 
@@ -110,7 +117,9 @@
   // The newest value as it is pushed: written once for all sessions.
   std::string push_record_;
   std::int64_t push_number_ = -1;
-  TimePoint fresh_at_, full_since_, told_since_;
+  // No value chosen before it is newer than the known one.
+  TimePoint fresh_at_;
+  TimePoint full_since_, told_since_;
   std::vector<std::string> told_controllers_;
   std::uint64_t full_stamp_ = 0;
   bool catching_up_ = false, leaving_ = false, finished_ = false;
@@ -118,6 +127,7 @@
   Duty list_duty_, roster_duty_;
   Platform platform_;
   const std::uint64_t holder_;  // of duties: this process, told from all others
+  QuorumContact contact_;
   market::EndpointBook list_;
   bool changing_roster_ = false;
   bool had_roster_ = false;
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -282,6 +282,10 @@
   Value initial;
   std::int64_t list_term = 0;
   std::int64_t list_number = 0;
+  std::int64_t life = 0;        // of the sender's process
+  std::int64_t stamp = 0;       // the sender's steady clock at sending, in microseconds
+  std::int64_t echo_life = 0;   // of the receiver's process, as the sender heard last
+  std::int64_t echo_stamp = 0;  // the newest stamp that the sender has received from the receiver
   std::vector<std::string> controllers;
   std::vector<HeldDuty> duties;
   std::vector<Member> members;
@@ -302,6 +306,10 @@
     v("initial", initial);
     v("list_term", list_term);
     v("list_number", list_number);
+    v("life", life);
+    v("stamp", stamp);
+    v("echo_life", echo_life);
+    v("echo_stamp", echo_stamp);
     v("controllers", controllers);
     v("duties", duties);
     v("members", members);
@@ -386,6 +394,7 @@
   std::int64_t list_number = 0;
   bool first = false;
   bool ending = false;
+  std::int64_t stamp = 0;  // the sender's steady clock at sending, in microseconds
   template <class Visitor>
   void each(Visitor& v) {
     v("member", member);
@@ -393,6 +402,7 @@
     v("list_number", list_number);
     v("first", first);
     v("ending", ending);
+    v("stamp", stamp);
   }
 };
 
@@ -411,13 +421,15 @@
 struct Beat {
   static constexpr const char* record = "Beat";
   static constexpr std::uint8_t kind = 23;  // on the wire
-  std::int64_t fresh_ms = 0;
+  std::int64_t fresh_ms = 0;                // age of the sender's knowledge of the register
+  std::int64_t echo_stamp = 0;              // of the newest Hello received down this session
   std::int64_t number = 0;
   std::int64_t edges = 0;
   std::vector<std::string> controllers;
   template <class Visitor>
   void each(Visitor& v) {
     v("fresh_ms", fresh_ms);
+    v("echo_stamp", echo_stamp);
     v("number", number);
     v("edges", edges);
     v("controllers", controllers);
--- a/src/market/session.cpp
+++ b/src/market/session.cpp
@@ -11,8 +11,12 @@
 namespace {
 
 constexpr Span beat_every = Span::ms(300);    // a session that is not heard of for four of these is over
-constexpr Span silent_most = Span::ms(1000);  // without a beat of a control sidecar that has its majority
-constexpr std::size_t ways_most = 3;          // sessions: one may be lost, and one be cut off unseen
+constexpr Span silent_most = Span::ms(1000);  // without a beat
+// Age of what a controller is known to know. An echo is up to a beat and a Hello old, the echoes that it
+// rests on at the controller as much again: 1.1 s and the ways between them; half of it is kept for late
+// turns.
+constexpr Span knowledge_most = Span::ms(1700);
+constexpr std::size_t ways_most = 3;  // sessions: one may be lost, and one be cut off unseen
 
 std::uint64_t mixed(const std::string& a, const std::string& b) {
   return XXH3_64bits_withSeed(a.data(), a.size(), XXH3_64bits(b.data(), b.size()));
@@ -42,10 +46,19 @@
 
 std::size_t Sessions::standing() const {
   return static_cast<std::size_t>(std::count_if(ways_.begin(), ways_.end(), [&](const auto& one) {
-    return one.second.link->up() && later_.now() - one.second.heard < silent_most;
+    return one.second.link->up() && usable(one.second);
   }));
 }
 
+bool Sessions::usable(const Way& way) const {
+  const TimePoint now = later_.now();
+  return now - way.heard < silent_most && now - way.confirmed < knowledge_most;
+}
+
+bool Sessions::may_become_usable(const Way& way) const {
+  return usable(way) || later_.now() - way.since < silent_most;
+}
+
 // The control sidecars that hash nearest to this one, of those that are known; seeds while none are. One that
 // is silent, or has lost its majority, is passed over for the next.
 void Sessions::choose() {
@@ -67,7 +80,7 @@
       const auto to = net::parse_address(address);
       if (!to) continue;
       Way& way = ways_[address];
-      way.heard = now;  // it has its chance
+      way.since = now;
       way.link = std::make_unique<Link>(scheduler_, later_, *to, mixed(address, self_.node));
       way.link->on_up([this, address] {
         // One that was parted with may come up all the same before it is destroyed.
@@ -77,14 +90,14 @@
       way.link->on_word(
           [this, address](std::uint8_t kind, std::string_view record) { word(address, kind, record); });
       ++good;
-    } else if (now - found->second.heard < silent_most) {
+    } else if (may_become_usable(found->second)) {
       if (first_.empty() && found->second.link->up()) first_ = address;
       ++good;
     }
   }
   for (auto it = ways_.begin(); it != ways_.end();) {
     const bool wanted = std::find(known.begin(), known.end(), it->first) != known.end();
-    if (wanted || now - it->second.heard < silent_most) {
+    if (wanted || may_become_usable(it->second)) {
       ++it;
     } else {
       leaving_.push_back(std::move(it->second.link));
@@ -115,6 +128,7 @@
   hello.list_number = list_.number();
   hello.first = first_ == net::text_of(way.link->to());
   hello.ending = ending_;
+  hello.stamp = (later_.now() - TimePoint()).as_us();
   way.link->tell(hello);
 }
 
@@ -124,7 +138,10 @@
   if (kind == Beat::kind) {
     Beat beat;
     if (!decode(record, beat)) return;
-    if (Span::ms(static_cast<double>(beat.fresh_ms)) < silent_most) way->second.heard = later_.now();
+    way->second.heard = later_.now();
+    const TimePoint confirmed =
+        TimePoint() + Span::us(beat.echo_stamp) - Span::ms(static_cast<double>(beat.fresh_ms));
+    way->second.confirmed = std::max(way->second.confirmed, confirmed);
     if (!beat.controllers.empty()) controllers_ = beat.controllers;
     if (beat.edges > 0) edges_ = static_cast<std::size_t>(beat.edges);
   } else if (kind == Push::kind) {
--- a/src/market/session.hpp
+++ b/src/market/session.hpp
@@ -42,13 +42,19 @@
  private:
   struct Way {
     std::unique_ptr<Link> link;
-    TimePoint heard;  // a beat of a control sidecar that has its majority
-    TimePoint up_since;
+    TimePoint since;  // when it was begun: it is given some time to answer
+    TimePoint heard;  // when a beat came last
+    // Nothing that was chosen before it is newer than what this controller has sent: the stamp of a Hello
+    // that it has echoed, less the age of its own knowledge. Its clock does not matter, nor how long a
+    // message was under way.
+    TimePoint confirmed;
   };
   void tick();
   void tell_all();
   void tell(Way& way);
   void choose();
+  bool usable(const Way& way) const;
+  bool may_become_usable(const Way& way) const;
   void word(const std::string& address, std::uint8_t kind, std::string_view record);
 
   net::Scheduler& scheduler_;
--- /dev/null
+++ b/tests/market/quorum_contact_test.cpp
@@ -0,0 +1,190 @@
+// Proof of recent contact with a quorum: never claimed for a time before which something newer was chosen,
+// however messages are delayed, lost or overtaken, and whatever is cut off, frozen, restarted or wiped.
+#include "control/quorum_contact.hpp"
+
+#include <algorithm>
+#include <deque>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "played_system.hpp"
+#include "unit.hpp"
+
+using chutevane::Span;
+using chutevane::TimePoint;
+using chutevane::control::AcceptorReport;
+using chutevane::control::QuorumContact;
+using chutevane::market::Acceptor;
+using chutevane::played::Luck;
+
+namespace {
+
+constexpr std::int64_t life = 77;
+
+std::vector<Acceptor> set_of(int count) {
+  std::vector<Acceptor> out;
+  for (int i = 0; i < count; ++i) out.push_back({numbered("a", i), numbered("d", i)});
+  return out;
+}
+
+AcceptorReport report(int n, std::int64_t accepted, std::int64_t epoch = 2) {
+  return {{numbered("a", n), numbered("d", n)}, false, epoch, accepted};
+}
+
+TimePoint at(double ms) { return TimePoint::at_ms(ms); }
+
+}  // namespace
+
+TEST_GROUP(quorum_contact) {
+  const std::vector<Acceptor> acceptors = set_of(3);
+  QuorumContact contact{life};
+};
+
+TEST(quorum_contact, nothing_is_confirmed_without_echoes) {
+  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  CHECK(!contact.reached(acceptors, report(0, 5), at(1000)));
+}
+
+TEST(quorum_contact, time_of_the_echoed_stamp_counts_and_not_that_of_arrival) {
+  contact.received(report(1, 5), life, at(400));
+  CHECK(*contact.confirmed(acceptors, report(0, 5), 5, at(20400)) == at(400));
+  CHECK(*contact.reached(acceptors, report(0, 5), at(20400)) == at(400));
+}
+
+TEST(quorum_contact, messages_without_an_echo_prove_nothing) {
+  contact.received(report(1, 5), 0, TimePoint());
+  contact.received(report(2, 5), 0, TimePoint());
+  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+}
+
+TEST(quorum_contact, echo_of_an_earlier_life_proves_nothing) {
+  contact.received(report(1, 5), life + 1, at(900));
+  CHECK(!contact.reached(acceptors, report(0, 5), at(1000)));
+}
+
+TEST(quorum_contact, an_acceptor_that_has_accepted_more_does_not_agree) {
+  contact.received(report(1, 6), life, at(900));
+  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  CHECK(*contact.reached(acceptors, report(0, 5), at(1000)) == at(900));
+  CHECK(*contact.confirmed(acceptors, report(0, 6), 6, at(1000)) == at(900));
+}
+
+TEST(quorum_contact, another_epoch_does_not_agree) {
+  contact.received(report(1, 5, 3), life, at(900));
+  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+}
+
+TEST(quorum_contact, a_replaced_disk_is_no_acceptor) {
+  AcceptorReport wiped = report(1, 0);
+  wiped.acceptor.disk = "new";
+  contact.received(wiped, life, at(900));
+  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  AcceptorReport own = report(0, 0);
+  own.acceptor.disk = "new";
+  contact.received(report(1, 5), life, at(900));
+  CHECK(!contact.confirmed(acceptors, own, 5, at(1000)));
+}
+
+TEST(quorum_contact, the_first_set_means_disks_that_were_new_with_the_system) {
+  std::vector<Acceptor> first = acceptors;
+  for (Acceptor& a : first) a.disk.clear();
+  AcceptorReport own = report(0, 5), old = report(1, 5), later = report(1, 5);
+  own.disk_of_first = old.disk_of_first = true;
+  contact.received(later, life, at(900));
+  CHECK(!contact.confirmed(first, own, 5, at(1000)));
+  contact.received(old, life, at(950));
+  CHECK(*contact.confirmed(first, own, 5, at(1000)) == at(950));
+}
+
+TEST(quorum_contact, an_overtaken_message_changes_nothing) {
+  contact.received(report(1, 7), life, at(900));
+  contact.received(report(1, 5), life, at(300));
+  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+}
+
+TEST(quorum_contact, a_quorum_of_five_is_as_old_as_its_third) {
+  const std::vector<Acceptor> five = set_of(5);
+  contact.received(report(1, 5), life, at(900));
+  CHECK(!contact.confirmed(five, report(0, 5), 5, at(1000)));
+  contact.received(report(2, 5), life, at(700));
+  contact.received(report(3, 5), life, at(800));
+  CHECK(*contact.confirmed(five, report(0, 5), 5, at(1000)) == at(800));
+}
+
+// A register reduced to numbers: each change is accepted by some, and chosen once a majority has it. Whoever
+// watches gets messages late, in order on each way or lost with their connection, is cut off both ways or one
+// way, and learns values late. Whatever it claims is checked against what was chosen.
+TEST(quorum_contact, never_claims_what_a_quorum_has_replaced) {
+  constexpr int runs = 3000, steps = 400;
+  std::size_t claims = 0;
+  for (int run = 0; run < runs; ++run) {
+    Luck luck(static_cast<std::uint64_t>(run) + 1);
+    const int count = luck.chance(0.5) ? 3 : 5;
+    const std::vector<Acceptor> set = set_of(count);
+    QuorumContact watcher(life);
+    struct Message {
+      TimePoint arrives;
+      TimePoint stamp;
+      std::int64_t accepted;
+    };
+    struct Way {
+      std::deque<Message> out, in;
+      TimePoint newest_stamp;
+      bool blocked_out = false, blocked_in = false;
+    };
+    std::vector<std::int64_t> accepted(static_cast<std::size_t>(count), 1);
+    std::vector<Way> ways(static_cast<std::size_t>(count));
+    std::vector<std::pair<TimePoint, std::int64_t>> chosen{{TimePoint(), 1}};
+    std::int64_t known = 1, newest = 1;
+    TimePoint now = at(1000);
+    for (int step = 0; step < steps; ++step) {
+      now = now + Span::ms(1 + 30 * luck.unit());
+      const auto peer = 1 + luck.below(static_cast<std::size_t>(count) - 1);
+      Way& way = ways[peer];
+      switch (luck.below(8)) {
+        case 0:  // another acceptor accepts the value under way
+          if (newest > chosen.back().second) {
+            accepted[luck.below(static_cast<std::size_t>(count))] = newest;
+            const auto have = std::count(accepted.begin(), accepted.end(), newest);
+            if (have > count / 2) chosen.emplace_back(now, newest);
+          } else {
+            ++newest;
+          }
+          break;
+        case 1: way.out.push_back({now + Span::ms(200 * luck.unit()), now, 0}); break;
+        case 2:
+          way.in.push_back({now + Span::ms(200 * luck.unit()), way.newest_stamp, accepted[peer]});
+          break;
+        case 3: (luck.chance(0.5) ? way.blocked_out : way.blocked_in) = luck.chance(0.4); break;
+        case 4:
+          if (luck.chance(0.2)) (luck.chance(0.5) ? way.out : way.in).clear();  // lost with the connection
+          break;
+        case 5:
+          if (luck.chance(0.3)) known = std::max(known, chosen.back().second);
+          break;
+        default: break;
+      }
+      for (std::size_t p = 1; p < ways.size(); ++p) {
+        Way& each = ways[p];
+        while (!each.blocked_out && !each.out.empty() && each.out.front().arrives <= now) {
+          each.newest_stamp = each.out.front().stamp;
+          each.out.pop_front();
+        }
+        while (!each.blocked_in && !each.in.empty() && each.in.front().arrives <= now) {
+          const Message got = each.in.front();
+          each.in.pop_front();
+          if (got.stamp > TimePoint())
+            watcher.received(report(static_cast<int>(p), got.accepted), life, got.stamp);
+        }
+      }
+      const auto since = watcher.confirmed(set, report(0, accepted[0]), known, now);
+      if (!since) continue;
+      ++claims;
+      for (const auto& [when, number] : chosen)
+        CHECK_WHERE(when >= *since || number <= known,
+                    "run " + std::to_string(run) + ", step " + std::to_string(step));
+    }
+  }
+  CHECK(claims > 100000);  // it is no proof that claims nothing
+}
