--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -608,7 +608,8 @@
   if (leaving_) return;
   const TimePoint now = later_.now();
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine() && !quorum_reached(duty_vacant_after)) duty->give_up(now);
+    const bool just_won = now - duty->won_at() < duty_vacant_after;  // its ballots stand for the echoes
+    if (duty->mine() && !just_won && !quorum_reached(duty_vacant_after)) duty->give_up(now);
     stand(*duty);
   }
   if (roster_duty_.mine()) {
--- a/src/control/duty.cpp
+++ b/src/control/duty.cpp
@@ -62,7 +62,7 @@
   if (term <= term_) return;
   mine_ = true;
   term_ = term;
-  heard_ = now;
+  heard_ = won_at_ = now;
 }
 
 void Duty::lost(TimePoint now) {
--- a/src/control/duty.hpp
+++ b/src/control/duty.hpp
@@ -29,6 +29,8 @@
   const std::string& name() const { return name_; }
   bool mine() const { return mine_; }
   std::int64_t term() const { return term_; }
+  // Of the term that this one holds: a majority had answered its ballot by then.
+  TimePoint won_at() const { return won_at_; }
 
   // A peer has told what duties it has: this one, of that term, or not this one.
   void heard(const std::string& node, bool holds, std::int64_t term, TimePoint now);
@@ -52,7 +54,7 @@
   std::string holder_;
   bool mine_ = false, standing_ = false;
   std::int64_t term_ = 0, voted_ = 0;
-  TimePoint heard_, wait_until_;
+  TimePoint heard_, wait_until_, won_at_;
   std::uint64_t luck_;
 };
 
