--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -4,9 +4,6 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <cstdio>
-#include <cstdlib>
-#include <fstream>
 
 #include "market/log.hpp"
 
@@ -42,16 +39,6 @@
   return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-std::string new_disk_id() {
-  std::ifstream random("/dev/urandom", std::ios::binary);
-  std::uint64_t bits[2] = {};
-  random.read(reinterpret_cast<char*>(bits), sizeof bits);
-  char text[33];
-  std::snprintf(text, sizeof text, "%016llx%016llx", static_cast<unsigned long long>(bits[0]),
-                static_cast<unsigned long long>(bits[1]));
-  return text;
-}
-
 }  // namespace
 
 ControlPlane::ControlPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
@@ -59,7 +46,7 @@
     : scheduler_(scheduler),
       settings_(settings),
       later_(scheduler),
-      disk_(std::move(disk)),
+      disk_(std::make_unique<market::FailStopDisk>(std::move(disk))),
       record_slots_(*disk_, "control"),
       address_(net::text_of(settings.internal_address(market::control_plane_port))),
       register_(later_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
@@ -75,9 +62,10 @@
       contact_(static_cast<std::int64_t>(holder_)),
       roster_(settings.machine_losses) {}
 
-void ControlPlane::die(const absl::Status& why) {
+void ControlPlane::fail(const absl::Status& why) {
+  if (!failure_.ok()) return;
+  failure_ = why;
   market::log_event(market::Level::error, "disk.failed", why.ToString());
-  std::exit(3);
 }
 
 absl::Status ControlPlane::open() {
@@ -87,7 +75,7 @@
   } else {
     // A first write that was torn told nobody anything: this disk is as good as new.
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
-    record_.disk = new_disk_id();
+    record_.disk = disk_->new_id();
     record_.first = settings_.initial_start;
     if (record_.first) {
       std::vector<market::Acceptor> seeds;
@@ -103,7 +91,7 @@
   if (absl::Status s = acceptor_->open(); absl::IsDataLoss(s)) {
     // What it promised cannot be read: it is another disk from here on, and votes for nothing of before.
     market::log_warning("acceptor.lost", s.ToString());
-    record_.disk = new_disk_id();
+    record_.disk = disk_->new_id();
     record_.first = false;
     if (absl::Status w = record_slots_.write(market::encoded(record_)); !w.ok()) return w;
     acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
@@ -128,12 +116,12 @@
 void ControlPlane::listen() {
   desk_.on<market::Prepare>([this](market::Desk::Guest& guest, std::uint64_t number, market::Prepare& ask) {
     const auto got = acceptor_->prepare(ask);
-    if (!got.ok()) die(got.status());
+    if (!got.ok()) return fail(got.status());
     if (number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Accept>([this](market::Desk::Guest& guest, std::uint64_t number, market::Accept& ask) {
     const auto got = acceptor_->accept(ask);
-    if (!got.ok()) die(got.status());
+    if (!got.ok()) return fail(got.status());
     if (number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Chosen>([this](market::Desk::Guest&, std::uint64_t, market::Chosen& word) {
@@ -165,7 +153,7 @@
                            std::function<void(absl::StatusOr<market::Promise>)> answered) {
   if (address == address_) {
     auto got = acceptor_->prepare(ask);
-    if (!got.ok()) die(got.status());
+    if (!got.ok()) fail(got.status());
     return answered(std::move(got));
   }
   if (market::Link* const to = link(address))
@@ -177,7 +165,7 @@
                           std::function<void(absl::StatusOr<market::Accepted>)> answered) {
   if (address == address_) {
     auto got = acceptor_->accept(ask);
-    if (!got.ok()) die(got.status());
+    if (!got.ok()) fail(got.status());
     return answered(std::move(got));
   }
   if (market::Link* const to = link(address))
@@ -433,7 +421,7 @@
 void ControlPlane::store_known() {
   record_.initial = register_.initial();
   record_.controllers = controller_addresses();
-  if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) die(s);
+  if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) fail(s);
 }
 
 // ---- sessions
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -32,6 +32,7 @@
   // The last word to the others, then the end.
   void leave() override;
   bool finished() const override { return finished_; }
+  absl::Status failure() const override { return failure_; }
   void reread(const market::ProcessSettings& settings) override;
 
  private:
@@ -53,7 +54,7 @@
                std::function<void(absl::StatusOr<market::Promise>)> answered) override;
   void accept(const std::string& address, const market::Accept& ask,
               std::function<void(absl::StatusOr<market::Accepted>)> answered) override;
-  [[noreturn]] void die(const absl::Status& why);
+  void fail(const absl::Status& why);
 
   void listen();
   void tick();
@@ -138,6 +139,7 @@
     std::function<void()> answer;
   };
   std::deque<Waiting> waiting_;
+  absl::Status failure_;  // of its disk
 };
 
 }  // namespace chutevane::control
--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -7,7 +7,9 @@
 #include <xxhash.h>
 
 #include <cerrno>
+#include <cstdio>
 #include <cstring>
+#include <fstream>
 
 namespace chutevane::market {
 namespace {
@@ -23,6 +25,38 @@
 
 }  // namespace
 
+std::string Disk::new_id() {
+  std::ifstream random("/dev/urandom", std::ios::binary);
+  std::uint64_t bits[2] = {};
+  random.read(reinterpret_cast<char*>(bits), sizeof bits);
+  char text[33];
+  std::snprintf(text, sizeof text, "%016llx%016llx", static_cast<unsigned long long>(bits[0]),
+                static_cast<unsigned long long>(bits[1]));
+  return text;
+}
+
+template <class Step>
+absl::Status FailStopDisk::guarded(Step step) {
+  if (failure_.ok()) failure_ = step();
+  return failure_;
+}
+
+absl::Status FailStopDisk::append(const std::string& name, std::string_view bytes) {
+  return guarded([&] { return disk_->append(name, bytes); });
+}
+
+absl::Status FailStopDisk::cut(const std::string& name, std::size_t size) {
+  return guarded([&] { return disk_->cut(name, size); });
+}
+
+absl::Status FailStopDisk::sync(const std::string& name) {
+  return guarded([&] { return disk_->sync(name); });
+}
+
+absl::Status FailStopDisk::remove(const std::string& name) {
+  return guarded([&] { return disk_->remove(name); });
+}
+
 FolderDisk::~FolderDisk() {
   for (const auto& [name, fd] : files_) ::close(fd);
 }
--- a/src/market/log.cpp
+++ b/src/market/log.cpp
@@ -17,6 +17,7 @@
 std::int64_t second = 0;
 int lines = 0, dropped = 0;
 bool is_open = false;
+LogSink the_sink;
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -60,7 +61,10 @@
   return out.result();
 }
 
+void set_log_sink(LogSink sink) { the_sink = std::move(sink); }
+
 void log_event(Level level, std::string_view event, std::string_view detail) {
+  if (the_sink) return the_sink(level, event, detail);
   if (!is_open) return;
   const std::int64_t now = unix_ms();
   if (now / 1000 != second) {
--- a/src/market/log.hpp
+++ b/src/market/log.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <cstdint>
+#include <functional>
 #include <string>
 #include <string_view>
 
@@ -19,6 +20,9 @@
 inline void log_warning(std::string_view event, std::string_view detail) {
   log_event(Level::warning, event, detail);
 }
+// Where lines go instead of standard output, in simulations; none: to standard output.
+using LogSink = std::function<void(Level level, std::string_view event, std::string_view detail)>;
+void set_log_sink(LogSink sink);
 // One line in JSON, as it is written: for tests and readers of logs.
 std::string log_line_of(std::string_view level, std::string_view node, std::string_view role,
                         std::string_view event, std::string_view detail, std::int64_t unix_ms);
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -1,8 +1,5 @@
 #include "storage/storage_plane.hpp"
 
-#include <cstdio>
-#include <cstdlib>
-#include <fstream>
 #include <utility>
 
 #include "market/log.hpp"
@@ -22,16 +19,6 @@
 constexpr std::size_t chain_bytes = 4U << 20U;  // of one answer to an edge
 constexpr double store_part = 0.5;              // of the memory: the rest is for what comes and goes
 
-std::string new_disk_id() {
-  std::ifstream random("/dev/urandom", std::ios::binary);
-  std::uint64_t bits[2] = {};
-  random.read(reinterpret_cast<char*>(bits), sizeof bits);
-  char text[33];
-  std::snprintf(text, sizeof text, "%016llx%016llx", static_cast<unsigned long long>(bits[0]),
-                static_cast<unsigned long long>(bits[1]));
-  return text;
-}
-
 std::size_t room_of(const market::ProcessSettings& s) {
   double mb = s.memory_mb > 0 ? s.memory_mb * store_part : 1e6;
   if (s.disk_mb > 0) mb = std::min(mb, s.disk_mb * store_part);
@@ -45,14 +32,15 @@
     : scheduler_(scheduler),
       settings_(settings),
       later_(scheduler),
-      disk_(std::move(disk)),
+      disk_(std::make_unique<market::FailStopDisk>(std::move(disk))),
       record_slots_(*disk_, "storage"),
       store_(*disk_, room_of(settings)),
       desk_(scheduler) {}
 
-void StoragePlane::die(const absl::Status& why) {
+void StoragePlane::fail(const absl::Status& why) {
+  if (!failure_.ok()) return;
+  failure_ = why;
   market::log_event(market::Level::error, "disk.failed", why.ToString());
-  std::exit(3);
 }
 
 absl::Status StoragePlane::open() {
@@ -61,7 +49,7 @@
     if (!market::decode(got->state, record_)) return absl::DataLossError("storage: record not read");
   } else {
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
-    record_.disk = new_disk_id();
+    record_.disk = disk_->new_id();
     if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) return s;
   }
   if (absl::Status s = store_.open(later_.now()); !s.ok()) return s;
@@ -97,7 +85,7 @@
 
 void StoragePlane::sync() {
   sync_due_ = false;
-  if (absl::Status s = store_.commit(later_.now()); !s.ok()) die(s);
+  if (absl::Status s = store_.commit(later_.now()); !s.ok()) return fail(s);
   std::vector<std::function<void()>> told;
   told.swap(synced_);
   for (const auto& one : told) one();
@@ -352,7 +340,7 @@
     whole_ = true;
     if (!record_.held) {
       record_.held = true;
-      if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) die(s);
+      if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) return fail(s);
     }
     sessions_->tell_whole(map_);
     market::log_info("storage.whole", "map " + std::to_string(map_) + ", turns " +
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -25,6 +25,7 @@
   absl::Status open() override;
   void leave() override;
   bool finished() const override { return finished_; }
+  absl::Status failure() const override { return failure_; }
   void reread(const market::ProcessSettings& settings) override { sessions_->reread(settings); }
 
  private:
@@ -39,7 +40,7 @@
     std::uint64_t turn = 0;
   };
 
-  [[noreturn]] void die(const absl::Status& why);
+  void fail(const absl::Status& why);
   void listen();
   void value_came(const market::Value& value);
   void take_over(const std::vector<market::StorageNode>& before);
@@ -74,6 +75,7 @@
   std::uint64_t turn_ = 0;
   std::vector<std::function<void()>> synced_;
   bool sync_due_ = false;
+  absl::Status failure_;
 };
 
 }  // namespace chutevane::storage
