--- /dev/null
+++ b/src/simulation/callers.hpp
@@ -0,0 +1,60 @@
+// Clients of the operators' API: each call on a connection of its own.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "http/parser.hpp"
+#include "net/channel.hpp"
+#include "net/crew.hpp"
+#include "net/later.hpp"
+#include "world/network.hpp"
+
+namespace chutevane::simulation {
+
+struct HttpResult {
+  int status = 0;
+  std::string body;
+  std::int64_t version = 0;  // of X-Chutevane-Base-Version, where it is there
+};
+
+class Callers {
+ public:
+  // `result`: none, where the connection was lost or `most` was over before an answer came.
+  using Done = std::function<void(std::optional<HttpResult> result)>;
+
+  explicit Callers(world::Process& process);
+  net::Later& later() { return later_; }
+  void call(const sockaddr_in& to, std::string request, Span most, Done done);
+  static std::string post(std::string_view target, std::string_view body, std::int64_t base_version);
+  static std::string get(std::string_view target);
+
+ private:
+  class Call final : net::Channel::Sink {
+   public:
+    Call(Callers& callers, std::string request, Done done);
+    std::size_t crew_place = 0;
+
+   private:
+    friend class Callers;
+    void channel_up(net::Channel&) override { channel_.write(request_); }
+    void channel_came(net::Channel&) override;
+    void channel_gone(net::Channel&) override { end(std::nullopt); }
+    void end(std::optional<HttpResult> result);
+    Callers& callers_;
+    net::Channel channel_;
+    http::Parser parser_{http::Side::response, {.head = 16 * 1024, .body = 16U << 20U, .fields = 100}};
+    const std::string request_;
+    Done done_;
+    net::Later::Ticket due_;
+  };
+  net::Scheduler scheduler_;
+  net::Later later_;
+  net::Crew<Call> crew_;
+  std::map<std::uint64_t, Call*> calls_;
+};
+
+}  // namespace chutevane::simulation
--- /dev/null
+++ b/src/simulation/edge_plane.cpp
@@ -0,0 +1,45 @@
+#include "simulation/edge_plane.hpp"
+
+#include <xxhash.h>
+
+namespace chutevane::simulation {
+namespace {
+
+constexpr std::size_t cache_bytes = 2000;     // a few turns: most are asked of storage
+constexpr Span leaves_after = Span::ms(500);  // SIGTERM to the end of the process
+
+std::uint64_t seed_of(const market::ProcessSettings& settings, TimePoint now) {
+  return XXH3_64bits_withSeed(settings.node.data(), settings.node.size(),
+                              static_cast<std::uint64_t>(now.as_ms() * 1000));
+}
+
+}  // namespace
+
+EdgePlane::EdgePlane(net::Scheduler& scheduler, const market::ProcessSettings& settings, Told told)
+    : scheduler_(scheduler),
+      settings_(settings),
+      later_(scheduler),
+      ledger_(scheduler, later_, settings.zone, settings.machine_losses, cache_bytes,
+              seed_of(settings, scheduler.now())),
+      told_(std::move(told)) {}
+
+absl::Status EdgePlane::open() {
+  market::Member self;
+  self.node = settings_.node;
+  self.plane = "edge";
+  self.address = settings_.ip + ":80";
+  self.zone = settings_.zone;
+  self.counted = settings_.loss_counted;
+  sessions_ = std::make_unique<market::Sessions>(scheduler_, later_, settings_, self);
+  sessions_->on_value([this](const market::Value& value) {
+    ledger_.map_came(value.map, value.storage_nodes);
+    told_(value);
+  });
+  return absl::OkStatus();
+}
+
+void EdgePlane::leave() {
+  later_.after(leaves_after, [this] { finished_ = true; });
+}
+
+}  // namespace chutevane::simulation
--- /dev/null
+++ b/src/simulation/main.cpp
@@ -0,0 +1,113 @@
+// chutevane-simulation: plays the serving tier under seeds and looks for broken promises.
+#include <cstdio>
+#include <cxxopts.hpp>
+#include <stdexcept>
+
+#include "simulation/search.hpp"
+
+namespace {
+
+using namespace chutevane::simulation;
+namespace world = chutevane::world;
+
+void print_tally(const std::string& scenario, const Tally& tally) {
+  std::printf(
+      "%s: %llu seeds, %zu broken; orders %llu, acknowledged %llu, refused %llu, reads %llu, pushes %llu, "
+      "turns found %llu\n",
+      scenario.c_str(), static_cast<unsigned long long>(tally.seeds), tally.found.size(),
+      static_cast<unsigned long long>(tally.orders), static_cast<unsigned long long>(tally.acknowledged),
+      static_cast<unsigned long long>(tally.refused), static_cast<unsigned long long>(tally.reads),
+      static_cast<unsigned long long>(tally.pushes), static_cast<unsigned long long>(tally.turns_found));
+  std::printf("faults:");
+  for (std::size_t i = 0; i < fault_kinds; ++i) {
+    if (tally.faults[i] > 0)
+      std::printf(" %s %llu;", name_of(static_cast<FaultKind>(i)),
+                  static_cast<unsigned long long>(tally.faults[i]));
+  }
+  std::printf("\n");
+  for (const std::string& crash : tally.crashes) std::printf("CRASH %s\n", crash.c_str());
+  for (const FoundSeed& found : tally.found)
+    std::printf("seed %llu: %s:%s\n", static_cast<unsigned long long>(found.seed), found.rule.c_str(),
+                found.text.c_str());
+}
+
+int search_seeds(const std::string& scenario, const std::string& seeds, std::size_t jobs, bool first) {
+  const std::size_t dots = seeds.find("..");
+  if (dots == std::string::npos) throw std::invalid_argument("--seeds A..B");
+  const Tally tally =
+      search(scenario, std::stoull(seeds.substr(0, dots)), std::stoull(seeds.substr(dots + 2)), jobs, first);
+  print_tally(scenario, tally);
+  return tally.found.empty() && tally.crashes.empty() ? 0 : 1;
+}
+
+bool told_by_story(std::string_view line) {
+  for (const char* what :
+       {"connect ", "accept ", "arrive ", "close ", "listen ", "cut c=", "refused c=", "lost-connect"}) {
+    if (line.find(what) != std::string_view::npos && line.find("order ") == std::string_view::npos)
+      return false;
+  }
+  return true;
+}
+
+int run_seed(const std::string& scenario, std::uint64_t seed, const std::string& trace_of, bool shrink) {
+  Plan plan = make_plan(scenario, seed);
+  world::Trace off;
+  chutevane::simulation::Outcome outcome = run(plan, seed, off);
+  if (shrink && outcome.broken()) plan = shrunk(plan, seed, outcome.violations.front().rule);
+  std::printf("scenario %s, seed %llu: %zu control, %zu storage, %zu edges, %zu losses borne\n",
+              scenario.c_str(), static_cast<unsigned long long>(seed), plan.shape.controls,
+              plan.shape.storages, plan.shape.edges, plan.shape.losses);
+  for (const Fault& fault : plan.faults) std::printf("  %s\n", describe(fault).c_str());
+  const bool whole = trace_of == "all";
+  std::string start;
+  world::Trace trace([&](std::string_view line) {
+    if (whole || told_by_story(line)) std::printf("%.*s\n", static_cast<int>(line.size()), line.data());
+  });
+  outcome = run(plan, seed, trace_of.empty() ? off : trace);
+  for (const Violation& v : outcome.violations)
+    std::printf("BROKEN at %.3f: %s: %s\n", v.at.as_ms() / 1000, v.rule.c_str(), v.text.c_str());
+  std::printf(
+      "%zu orders, %zu acknowledged, %zu refused, %zu reads, %zu pushes, %zu turns found, %llu events\n",
+      outcome.orders, outcome.acknowledged, outcome.refused, outcome.reads, outcome.pushes,
+      outcome.turns_found, static_cast<unsigned long long>(outcome.events));
+  return outcome.broken() ? 1 : 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  cxxopts::Options options("chutevane-simulation", "search or run: plays the serving tier under seeds");
+  options.add_options()("command", "search, run or list", cxxopts::value<std::string>())(
+      "scenario", "its name", cxxopts::value<std::string>()->default_value("everything"))(
+      "seeds", "of a search: A..B", cxxopts::value<std::string>()->default_value("1..100"))(
+      "seed", "of a run", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "jobs", "processes side by side", cxxopts::value<std::size_t>()->default_value("1"))(
+      "first", "a search ends each of its jobs at its first find")("trace", "print a run's story")(
+      "all", "with --trace: each connection and segment too")(
+      "shrink", "drop faults while the run stays broken")("help", "this");
+  options.parse_positional({"command"});
+  try {
+    const auto given = options.parse(argc, argv);
+    if (given.count("help") > 0 || given.count("command") == 0)
+      return std::printf("%s", options.help().c_str()) < 0 ? 1 : 0;
+    const std::string command = given["command"].as<std::string>(),
+                      scenario = given["scenario"].as<std::string>();
+    if (command == "list") {
+      for (const std::string& name : scenarios()) std::printf("%s\n", name.c_str());
+      return 0;
+    }
+    if (command == "search")
+      return search_seeds(scenario, given["seeds"].as<std::string>(), given["jobs"].as<std::size_t>(),
+                          given.count("first") > 0);
+    if (command == "run")
+      return run_seed(scenario, given["seed"].as<std::uint64_t>(),
+                      given.count("trace") == 0 ? ""
+                      : given.count("all") > 0  ? "all"
+                                                : "story",
+                      given.count("shrink") > 0);
+    throw std::invalid_argument("no command " + command);
+  } catch (const std::exception& e) {
+    std::fprintf(stderr, "chutevane-simulation: %s\n", e.what());
+    return 2;
+  }
+}
--- /dev/null
+++ b/src/simulation/plan.cpp
@@ -0,0 +1,272 @@
+#include "simulation/plan.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <cstdio>
+#include <stdexcept>
+
+namespace chutevane::simulation {
+namespace {
+
+constexpr Span first_fault = Span::ms(2500);
+constexpr Span long_cut = Span::ms(20000);
+
+class Draw {
+ public:
+  explicit Draw(std::uint64_t seed) : chance_(seed * 0x9e3779b97f4a7c15ULL + 0x51a7) {}
+  double unit() { return chance_.unit(); }
+  bool with(double probability) { return unit() < probability; }
+  std::uint64_t luck() { return (std::uint64_t{chance_.next()} << 32U) | chance_.next(); }
+  std::size_t below(std::size_t n) { return chance_.next() % n; }
+  Span between(double least_ms, double most_ms) { return Span::ms(least_ms + (most_ms - least_ms) * unit()); }
+  // Of any order of magnitude between the two.
+  Span skewed(double least_ms, double most_ms) {
+    double v = least_ms;
+    const double steps = unit();
+    v *= std::pow(most_ms / least_ms, steps);
+    return Span::ms(v);
+  }
+  template <class T>
+  T one_of(std::initializer_list<T> all) {
+    return *(all.begin() + below(all.size()));
+  }
+
+ private:
+  Pcg chance_;
+};
+
+Fault drawn_fault(Draw& draw, FaultKind kind, Role role, const Shape& shape) {
+  Fault out;
+  out.kind = kind;
+  out.role = role;
+  const std::size_t machines = role == Role::control   ? shape.controls
+                               : role == Role::storage ? shape.storages
+                                                       : shape.edges;
+  out.place = draw.below(machines);
+  if (role == Role::control)
+    out.target = draw.one_of({Target::by_place, Target::by_place, Target::duty_holder, Target::acknowledger});
+  out.reach = draw.one_of({Reach::everything, Reach::everything, Reach::control_only, Reach::data_only});
+  out.direction = draw.one_of({Direction::both, Direction::both, Direction::to_it, Direction::from_it});
+  out.told = draw.with(0.3);
+  out.luck = draw.luck();
+  out.lasts = draw.skewed(100, 8000);
+  return out;
+}
+
+Shape drawn_shape(Draw& draw) {
+  Shape out;
+  if (draw.with(0.15)) {
+    out.controls = out.storages = 5;
+    out.losses = 2;
+  } else {
+    out.controls = draw.with(0.25) ? 4 : 3;
+    out.storages = draw.with(0.4) ? 4 : 3;
+  }
+  out.edges = 2 + draw.below(2);
+  return out;
+}
+
+world::Chances drawn_chances(Draw& draw) {
+  world::Chances out;
+  out.delay_least = Span::us(30);
+  out.delay_mean = draw.skewed(0.08, 4);
+  out.split = draw.with(0.5) ? 0.05 : 0.0;
+  out.resent = draw.with(0.3) ? 0.003 : 0.0;
+  out.late_turn = draw.with(0.3) ? 0.002 : 0.0;
+  return out;
+}
+
+Plan plain(Draw& draw) {
+  Plan out;
+  out.shape = drawn_shape(draw);
+  out.chances = drawn_chances(draw);
+  out.operators.operators = 2 + draw.below(3);
+  out.operators.same_number = draw.with(0.5) ? 0.9 : 0.4;
+  out.operators.pause_most = draw.skewed(100, 2500);
+  out.operators.lost_answer = draw.one_of({0.0, 0.05, 0.3});
+  out.operators.sent_twice = draw.one_of({0.0, 0.05, 0.3});
+  out.operators.favourite = draw.one_of({0.0, 0.3, 0.7});
+  return out;
+}
+
+// Losses that count, one behind the other: the next comes once the machine before has caught up, at times to
+// the millisecond.
+void counted_losses(Draw& draw, Plan& plan, std::initializer_list<FaultKind> kinds, Span lasts_most) {
+  Span at = first_fault + draw.between(0, 3000);
+  while (at < plan.active) {
+    const Role role = draw.with(0.6) ? Role::control : Role::storage;
+    Fault fault = drawn_fault(draw, draw.one_of(kinds), role, plan.shape);
+    fault.at = at;
+    fault.lasts = std::min(fault.lasts, lasts_most);
+    plan.faults.push_back(fault);
+    const Span after = draw.with(0.4) ? Span::ms(static_cast<double>(draw.below(4))) : draw.skewed(1, 4000);
+    at = at + fault.lasts + catch_up + after;
+  }
+}
+
+void uncounted(Draw& draw, Plan& plan, std::size_t times) {
+  for (std::size_t i = 0; i < times; ++i) {
+    const bool at_edge = draw.with(0.5);
+    const FaultKind kind =
+        at_edge ? draw.one_of({FaultKind::kill, FaultKind::freeze, FaultKind::cut_off, FaultKind::reset,
+                               FaultKind::half_lost, FaultKind::slow_links, FaultKind::new_seeds})
+                : draw.one_of({FaultKind::reset, FaultKind::half_lost, FaultKind::lost_answers,
+                               FaultKind::slow_links, FaultKind::new_seeds});
+    Fault fault = drawn_fault(draw, kind, at_edge ? Role::edge : Role::control, plan.shape);
+    fault.at = first_fault + (plan.active - first_fault) * draw.unit();
+    fault.lasts = draw.skewed(50, 5000);
+    plan.faults.push_back(fault);
+  }
+}
+
+void all_at_once(Draw& draw, Plan& plan, double probability) {
+  if (!draw.with(probability)) return;
+  Fault fault;
+  fault.kind = draw.with(0.5) ? FaultKind::kill_all : FaultKind::power_all;
+  fault.at = first_fault + (plan.active - first_fault) * draw.unit();
+  fault.lasts = draw.skewed(50, 3000);
+  fault.luck = draw.luck();
+  plan.faults.push_back(fault);
+}
+
+// 1. A control machine is cut off, or frozen, for some twenty seconds, in any of the ways.
+Plan cut_off_control(Draw& draw) {
+  Plan out = plain(draw);
+  out.shape.storages = std::max(out.shape.storages, 2 * out.shape.losses + 1);
+  out.active = Span::ms(28000);
+  out.operators.favourite = draw.one_of({0.3, 0.6});
+  Fault fault =
+      drawn_fault(draw, draw.with(0.85) ? FaultKind::cut_off : FaultKind::freeze, Role::control, out.shape);
+  fault.at = first_fault + draw.between(0, 2500);
+  fault.lasts = long_cut + draw.between(-500, 500);
+  out.faults.push_back(fault);
+  uncounted(draw, out, draw.below(3));
+  return out;
+}
+
+// 2. Operators that pick the same numbers on the same version, lose answers, and whose proposers die.
+Plan two_operators(Draw& draw) {
+  Plan out = plain(draw);
+  out.active = Span::ms(20000);
+  out.operators.operators = 2 + draw.below(3);
+  out.operators.same_number = 0.95;
+  out.operators.pause_least = Span::ms(1);
+  out.operators.pause_most = draw.skewed(20, 400);
+  out.operators.lost_answer = draw.one_of({0.1, 0.4});
+  out.operators.sent_twice = draw.one_of({0.1, 0.4});
+  counted_losses(draw, out, {FaultKind::kill, FaultKind::freeze, FaultKind::power_loss, FaultKind::cut_off},
+                 Span::ms(3000));
+  for (Fault& fault : out.faults) {
+    fault.role = Role::control;
+    fault.place %= out.shape.controls;
+    fault.target = Target::acknowledger;
+    fault.lasts = std::min(fault.lasts, draw.skewed(20, 3000));
+  }
+  uncounted(draw, out, 2 + draw.below(4));
+  all_at_once(draw, out, 0.5);
+  return out;
+}
+
+// 3. Losses right behind each other: wiped, replaced and powerless machines in every gap of a repair.
+Plan second_loss(Draw& draw) {
+  Plan out = plain(draw);
+  out.active = Span::ms(34000);
+  counted_losses(
+      draw, out,
+      {FaultKind::wipe, FaultKind::wipe, FaultKind::replace, FaultKind::power_loss, FaultKind::terminate},
+      Span::ms(2500));
+  if (draw.with(0.3)) uncounted(draw, out, 2);
+  all_at_once(draw, out, 0.3);
+  return out;
+}
+
+// 4. Hundreds of changes, while members restart, freeze, are cut off, and are new.
+Plan many_changes(Draw& draw) {
+  Plan out = plain(draw);
+  out.active = Span::ms(24000);
+  out.operators.operators = 3;
+  out.operators.pause_least = Span::ms(60);
+  out.operators.pause_most = Span::ms(240);
+  out.operators.filler = draw.one_of<std::size_t>({0, 2000, 20000});
+  counted_losses(draw, out,
+                 {FaultKind::kill, FaultKind::freeze, FaultKind::cut_off, FaultKind::terminate,
+                  FaultKind::wipe, FaultKind::replace, FaultKind::power_loss},
+                 Span::ms(5000));
+  uncounted(draw, out, draw.below(4));
+  all_at_once(draw, out, 0.3);
+  return out;
+}
+
+Plan everything(Draw& draw) {
+  Plan out = plain(draw);
+  out.active = draw.between(20000, 32000);
+  for (std::size_t slot = 0; slot < out.shape.losses; ++slot)
+    counted_losses(draw, out,
+                   {FaultKind::cut_off, FaultKind::cut_off, FaultKind::freeze, FaultKind::kill,
+                    FaultKind::power_loss, FaultKind::wipe, FaultKind::replace, FaultKind::terminate,
+                    FaultKind::disk_slow, FaultKind::disk_full, FaultKind::disk_failing},
+                   Span::ms(8000));
+  uncounted(draw, out, draw.below(8));
+  all_at_once(draw, out, 0.4);
+  all_at_once(draw, out, 0.2);
+  return out;
+}
+
+struct Scenario {
+  const char* name;
+  Plan (*make)(Draw&);
+};
+constexpr Scenario all_scenarios[] = {{"cut-off-control", cut_off_control},
+                                      {"two-operators", two_operators},
+                                      {"second-loss", second_loss},
+                                      {"many-changes", many_changes},
+                                      {"everything", everything}};
+
+}  // namespace
+
+const char* name_of(FaultKind kind) {
+  static constexpr const char* names[fault_kinds] = {
+      "cut off",      "frozen",     "killed",    "power lost",   "wiped",         "replaced",
+      "SIGTERM",      "slow disk",  "full disk", "failing disk", "reset",         "half lost",
+      "lost answers", "slow links", "new seeds", "all killed",   "all power lost"};
+  return names[static_cast<std::size_t>(kind)];
+}
+
+std::string describe(const Fault& fault) {
+  static constexpr const char* reaches[] = {"everything", "control", "data"};
+  static constexpr const char* directions[] = {"both ways", "towards it", "from it"};
+  static constexpr const char* targets[] = {"", " that holds a duty", " that acknowledged last"};
+  char head[64];
+  std::snprintf(head, sizeof head, "at %.3f s for %.3f s: ", fault.at.as_ms() / 1000,
+                fault.lasts.as_ms() / 1000);
+  std::string out = head + std::string(name_of(fault.kind));
+  if (fault.kind == FaultKind::kill_all || fault.kind == FaultKind::power_all) return out;
+  out += std::string(", ") + name_of(fault.role) + " machine";
+  out += targets[static_cast<std::size_t>(fault.target)];
+  if (fault.target == Target::by_place) out.append(" ").append(std::to_string(fault.place));
+  if (fault.kind == FaultKind::cut_off) {
+    out += std::string(", from ") + reaches[static_cast<std::size_t>(fault.reach)] + ", " +
+           directions[static_cast<std::size_t>(fault.direction)] + (fault.told ? ", reset" : ", silent");
+  }
+  return out;
+}
+
+std::vector<std::string> scenarios() {
+  std::vector<std::string> out;
+  for (const Scenario& s : all_scenarios) out.emplace_back(s.name);
+  return out;
+}
+
+Plan make_plan(const std::string& scenario, std::uint64_t seed) {
+  Draw draw(seed);
+  for (const Scenario& s : all_scenarios) {
+    if (scenario != s.name) continue;
+    Plan out = s.make(draw);
+    std::stable_sort(out.faults.begin(), out.faults.end(),
+                     [](const Fault& a, const Fault& b) { return a.at < b.at; });
+    return out;
+  }
+  throw std::invalid_argument("no scenario " + scenario);
+}
+
+}  // namespace chutevane::simulation
--- /dev/null
+++ b/src/simulation/run.cpp
@@ -0,0 +1,174 @@
+#include "simulation/run.hpp"
+
+#include <algorithm>
+
+#include "market/log.hpp"
+#include "simulation/faults.hpp"
+
+namespace chutevane::simulation {
+namespace {
+
+constexpr Span operators_begin = Span::ms(600);
+constexpr Span sample_every = Span::ms(200);
+constexpr std::uint64_t events_most = 30'000'000;  // beyond: something goes round and round
+
+// Lines of the planes' logs, in the run's trace under the machine's name; what they tell of duties.
+class LogToTrace {
+ public:
+  LogToTrace(world::World& world, Faults& faults) {
+    market::set_log_sink([&world, &faults](market::Level, std::string_view event, std::string_view detail) {
+      const Machine* const machine = machine_at_work();
+      if (machine == nullptr) return;
+      if (event == "duty.won") faults.duty_won(*machine);
+      world.trace().line(world.now(), "log %s: %.*s %.*s", machine->name().c_str(),
+                         static_cast<int>(event.size()), event.data(), static_cast<int>(detail.size()),
+                         detail.data());
+    });
+  }
+  ~LogToTrace() { market::set_log_sink(nullptr); }
+  LogToTrace(const LogToTrace&) = delete;
+  LogToTrace& operator=(const LogToTrace&) = delete;
+};
+
+class Run {
+ public:
+  Run(const Plan& plan, std::uint64_t seed, world::Trace& trace)
+      : plan_(plan),
+        chance_(seed + 0x6a09e667),
+        world_(seed, plan.chances, trace),
+        deployment_(world_, plan.shape, seed + 1),
+        checker_(deployment_, trace),
+        callers_(deployment_.clients()),
+        faults_(deployment_),
+        programs_(deployment_, checker_, plan.programs, seed + 2),
+        log_(world_, faults_) {
+    deployment_.on_value = [this](Machine& m, const market::Value& value) {
+      world_.trace().line(world_.now(), "%s has version %lld, number %lld", m.name().c_str(),
+                          static_cast<long long>(value.config_version), static_cast<long long>(value.number));
+      checker_.pushed(m, value);
+    };
+    deployment_.on_end = [this](Machine& m) {
+      world_.trace().line(world_.now(), "%s ended by itself: %s", m.name().c_str(), m.last_failure.c_str());
+      if (!faults_.disk_troubled(m))
+        checker_.broken("ended", m.name() + " ended by itself: " + m.last_failure);
+    };
+  }
+
+  Outcome play() {
+    deployment_.start_all();
+    add_operators();
+    for (const Fault& fault : plan_.faults) world_.after(fault.at, [this, &fault] { faults_.apply(fault); });
+    sample();
+    play_for(plan_.active);
+    for (const auto& one : operators_) one->end();
+    programs_.end();
+    faults_.end();
+    play_for(plan_.quiet);
+    read_back();
+    play_for(Span::ms(1500));
+    if (answered_at_end_ < deployment_.of(Role::control).size())
+      checker_.broken("no-read", "not all control machines answer a read at the end");
+    checker_.finish();
+    return outcome();
+  }
+
+ private:
+  void add_operators() {
+    const OperatorLoad& load = plan_.operators;
+    for (std::size_t i = 0; i < load.operators; ++i) {
+      operators_.push_back(std::make_unique<Operator>(deployment_, callers_, checker_, load,
+                                                      faults_.favourite(),
+                                                      "operator-" + std::to_string(i + 1), drawn()));
+      operators_.back()->on_acknowledged = [this](const sockaddr_in& by) { faults_.acknowledged_by(by); };
+      world_.after(operators_begin, [at = operators_.back().get()] { at->begin(); });
+    }
+    for (std::size_t i = 0; i < load.readers; ++i) {
+      readers_.push_back(
+          std::make_unique<Reader>(deployment_, callers_, checker_, load, faults_.favourite(), drawn()));
+      world_.after(operators_begin, [at = readers_.back().get()] { at->begin(); });
+    }
+    world_.after(operators_begin, [this] { programs_.begin(); });
+  }
+
+  void sample() {
+    checker_.sample();
+    world_.after(sample_every, [this] { sample(); });
+  }
+
+  void play_for(Span span) {
+    const TimePoint end = world_.now() + span;
+    while (world_.now() < end && world_.events() < events_most) world_.turn();
+    if (world_.events() >= events_most) checker_.broken("endless", "the run does not come to its end");
+  }
+
+  void read_back() {
+    for (const sockaddr_in& from : deployment_.control_addresses()) {
+      callers_.call(from, Callers::get("/v1/Configuration.Retrieve"), Span::ms(1000),
+                    [this, from, reading = checker_.read_begun()](std::optional<HttpResult> result) {
+                      if (!result || (result->status != 200 && result->status != 404)) return;
+                      ++answered_at_end_;
+                      checker_.read_answered(reading, result->version, result->body, net::text_of(from));
+                    });
+    }
+    world_.poke_all();
+  }
+
+  Outcome outcome() const {
+    Outcome out;
+    out.violations = checker_.violations();
+    out.orders = checker_.orders();
+    out.acknowledged = checker_.acknowledged();
+    out.refused = checker_.refused();
+    out.reads = checker_.reads();
+    out.pushes = checker_.pushes();
+    out.turns_found = programs_.turns_found();
+    out.faults = faults_.applied();
+    out.events = world_.events();
+    return out;
+  }
+
+  std::uint64_t drawn() { return (std::uint64_t{chance_.next()} << 32U) | chance_.next(); }
+
+  const Plan& plan_;
+  Pcg chance_;
+  world::World world_;
+  Deployment deployment_;
+  Checker checker_;
+  Callers callers_;
+  Faults faults_;
+  Programs programs_;
+  LogToTrace log_;
+  std::vector<std::unique_ptr<Operator>> operators_;
+  std::vector<std::unique_ptr<Reader>> readers_;
+  std::size_t answered_at_end_ = 0;
+};
+
+bool breaks(const Plan& plan, std::uint64_t seed, const std::string& rule) {
+  world::Trace off;
+  const Outcome got = run(plan, seed, off);
+  return std::any_of(got.violations.begin(), got.violations.end(),
+                     [&](const Violation& v) { return v.rule == rule; });
+}
+
+}  // namespace
+
+Outcome run(const Plan& plan, std::uint64_t seed, world::Trace& trace) {
+  return Run(plan, seed, trace).play();
+}
+
+Plan shrunk(const Plan& plan, std::uint64_t seed, const std::string& rule) {
+  Plan least = plan;
+  for (bool dropped = true; dropped;) {
+    dropped = false;
+    for (std::size_t i = least.faults.size(); i-- > 0;) {
+      Plan without = least;
+      without.faults.erase(without.faults.begin() + static_cast<std::ptrdiff_t>(i));
+      if (!breaks(without, seed, rule)) continue;
+      least = std::move(without);
+      dropped = true;
+    }
+  }
+  return least;
+}
+
+}  // namespace chutevane::simulation
