--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -168,7 +168,13 @@
 absl::Status MemoryDisk::sync(const std::string& name) {
   if (!step()) return absl::UnavailableError("no power");
   File& file = files_[name];
-  file.synced = file.now;
+  for (const Write& w : file.since) {
+    if (w.is_cut) {
+      file.synced.resize(w.size, '\0');
+    } else {
+      file.synced.append(w.bytes);
+    }
+  }
   file.lasts = true;
   file.since.clear();
   return absl::OkStatus();
--- a/src/simulation/callers.hpp
+++ b/src/simulation/callers.hpp
@@ -28,6 +28,7 @@
 
   explicit Callers(world::Process& process);
   net::Later& later() { return later_; }
+  net::Scheduler& scheduler() { return scheduler_; }
   void call(const sockaddr_in& to, std::string request, Span most, Done done);
   static std::string post(std::string_view target, std::string_view body, std::int64_t base_version);
   static std::string get(std::string_view target);
--- a/src/simulation/checker.cpp
+++ b/src/simulation/checker.cpp
@@ -101,14 +101,20 @@
   if (value.config_version > 0) in_force(value.config_version, value.config.data, "a push to " + edge.name());
 }
 
+std::int64_t Checker::acknowledged_before(TimePoint then) const {
+  std::int64_t out = 0;
+  for (auto at = ack_times_.rbegin(); at != ack_times_.rend() && out == 0; ++at) {
+    if (at->second < then) out = at->first;
+  }
+  return out;
+}
+
 void Checker::sample() {
   const TimePoint now = const_cast<Deployment&>(deployment_).world().now();
-  std::int64_t due = 0;
-  for (const auto& [version, at] : ack_times_) {
-    if (now - at > config_apply) due = std::max(due, version);
-  }
+  const std::int64_t due = acknowledged_before(now - config_apply);
   for (const Machine* edge : deployment_.of(Role::edge)) {
     if (!deployment_.in_touch(*edge)) continue;
+    ++bound_;
     const InForce& at = edges_[edge->name()];
     const std::int64_t version = at.life == edge->lives() ? at.version : 0;
     if (version < due)
--- a/src/simulation/checker.hpp
+++ b/src/simulation/checker.hpp
@@ -46,6 +46,13 @@
   void read_answered(const Reading& reading, std::int64_t version, const std::string& body,
                      const std::string& from);
 
+  // A configuration is in force, as somebody else has seen.
+  void seen(std::int64_t version, const std::string& body, const std::string& where) {
+    if (version > 0) in_force(version, body, where);
+  }
+  // The newest version that was acknowledged before then; 0: none was.
+  std::int64_t acknowledged_before(TimePoint then) const;
+
   // A value came into force at an edge.
   void pushed(const Machine& edge, const market::Value& value);
   // To be called now and then: what is bound by time.
@@ -61,6 +68,7 @@
   std::size_t refused() const { return refused_; }
   std::size_t pushes() const { return pushes_; }
   std::size_t reads() const { return reads_; }
+  std::size_t bound() const { return bound_; }  // samples of edges that were in touch
 
  private:
   struct InForce {  // at an edge, in the life of one process
@@ -78,7 +86,7 @@
   std::map<std::int64_t, TimePoint> ack_times_;  // by version
   std::map<std::string, InForce> edges_;
   std::int64_t newest_seen_ = 0;
-  std::size_t acknowledged_ = 0, refused_ = 0, pushes_ = 0, reads_ = 0;
+  std::size_t acknowledged_ = 0, refused_ = 0, pushes_ = 0, reads_ = 0, bound_ = 0;
   std::vector<Violation> violations_;
   std::set<std::string> told_;  // once each
 };
--- a/src/simulation/deployment.cpp
+++ b/src/simulation/deployment.cpp
@@ -98,6 +98,14 @@
   return out;
 }
 
+// Of the machines that are there some three, in any order.
+std::vector<sockaddr_in> Deployment::seeds_of_now() {
+  std::vector<sockaddr_in> out = control_addresses();
+  while (out.size() > seeds_most)
+    out.erase(out.begin() + static_cast<std::ptrdiff_t>(chance_.next() % out.size()));
+  return out;
+}
+
 Machine* Deployment::find(const std::string& name) const {
   for (Machine* m : all()) {
     if (m->name() == name) return m;
@@ -144,6 +152,7 @@
   if (removed_.contains(&machine) || (machine.running() && !leaving_.contains(&machine))) return;
   event(machine);
   leaving_.erase(&machine);
+  machine.reread(seeds_of_now());  // its settings file is of that moment
   machine.start();
 }
 
@@ -280,14 +289,17 @@
                      [&](const Machine* m) { return m->running() && !m->paused() && reaches_majority(*m); });
 }
 
+bool Deployment::slowed(const Machine& machine) const {
+  return std::any_of(slowed_.begin(), slowed_.end(), [&](const auto& pair) {
+    return pair.first == machine.number() || pair.second == machine.number();
+  });
+}
+
 bool Deployment::in_touch(const Machine& edge) const {
   if (!edge.running() || edge.paused() || troubled_.contains(&edge)) return false;
   const auto last = event_at_.find(&edge);
   if (last != event_at_.end() && world_.now() - last->second < contact_within) return false;
-  if (!core_stable()) return false;
-  for (const auto& [a, b] : slowed_) {
-    if (a == edge.number() || b == edge.number()) return false;
-  }
+  if (!core_stable() || slowed(edge)) return false;
   const std::vector<Machine*> core = of(Role::control);
   return std::all_of(core.begin(), core.end(), [&](const Machine* m) {
     return !m->running() || m->paused() || !reaches_majority(*m) || connected(edge, *m);
--- a/src/simulation/deployment.hpp
+++ b/src/simulation/deployment.hpp
@@ -69,6 +69,7 @@
   bool core_stable() const;
   // By the rules: what holds for machines in touch holds for this edge now.
   bool in_touch(const Machine& edge) const;
+  bool slowed(const Machine& machine) const;  // a link of it is
   // Since when no link, process or disk of any machine has had trouble; never: there is some now.
   TimePoint calm_since() const;
 
@@ -85,6 +86,7 @@
   bool reaches_majority(const Machine& control) const;
   bool blocked(std::size_t from, std::size_t to) const;
   void ended(Machine& machine);
+  std::vector<sockaddr_in> seeds_of_now();
   std::uint64_t drawn();
 
   world::World& world_;
--- a/src/simulation/edge_plane.cpp
+++ b/src/simulation/edge_plane.cpp
@@ -5,7 +5,7 @@
 namespace chutevane::simulation {
 namespace {
 
-constexpr std::size_t cache_bytes = 20000;       // some chains: what other edges kept is asked of storage
+constexpr std::size_t cache_bytes = 20000;    // some chains: what other edges kept is asked of storage
 constexpr Span leaves_after = Span::ms(500);  // SIGTERM to the end of the process
 
 std::uint64_t seed_of(const market::ProcessSettings& settings, TimePoint now) {
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,6 +1,7 @@
 // chutevane-simulation: plays the serving tier under seeds and looks for broken promises.
 #include <cstdio>
 #include <cxxopts.hpp>
+#include <sstream>
 #include <stdexcept>
 
 #include "simulation/search.hpp"
@@ -13,11 +14,12 @@
 void print_tally(const std::string& scenario, const Tally& tally) {
   std::printf(
       "%s: %llu seeds, %zu broken; orders %llu, acknowledged %llu, refused %llu, reads %llu, pushes %llu, "
-      "turns found %llu\n",
+      "turns found %llu, samples in touch %llu\n",
       scenario.c_str(), static_cast<unsigned long long>(tally.seeds), tally.found.size(),
       static_cast<unsigned long long>(tally.orders), static_cast<unsigned long long>(tally.acknowledged),
       static_cast<unsigned long long>(tally.refused), static_cast<unsigned long long>(tally.reads),
-      static_cast<unsigned long long>(tally.pushes), static_cast<unsigned long long>(tally.turns_found));
+      static_cast<unsigned long long>(tally.pushes), static_cast<unsigned long long>(tally.turns_found),
+      static_cast<unsigned long long>(tally.bound));
   std::printf("faults:");
   for (std::size_t i = 0; i < fault_kinds; ++i) {
     if (tally.faults[i] > 0)
@@ -31,18 +33,25 @@
                 found.text.c_str());
 }
 
-int search_seeds(const std::string& scenario, const std::string& seeds, std::size_t jobs, bool first) {
+std::set<std::string> split(const std::string& list) {
+  std::set<std::string> out;
+  std::stringstream in(list);
+  for (std::string one; std::getline(in, one, ',');) out.insert(one);
+  return out;
+}
+
+int search_seeds(const std::string& scenario, const std::string& seeds, const SearchOptions& options) {
   const std::size_t dots = seeds.find("..");
   if (dots == std::string::npos) throw std::invalid_argument("--seeds A..B");
   const Tally tally =
-      search(scenario, std::stoull(seeds.substr(0, dots)), std::stoull(seeds.substr(dots + 2)), jobs, first);
+      search(scenario, std::stoull(seeds.substr(0, dots)), std::stoull(seeds.substr(dots + 2)), options);
   print_tally(scenario, tally);
   return tally.found.empty() && tally.crashes.empty() ? 0 : 1;
 }
 
 bool told_by_story(std::string_view line) {
-  for (const char* what :
-       {"connect ", "accept ", "arrive ", "close ", "listen ", "cut c=", "refused c=", "lost-connect"}) {
+  for (const char* what : {"connect ", "accept ", "arrive ", "close ", "listen ",
+                           "cut c=", "refused c=", "lost-connect", "block from"}) {
     if (line.find(what) != std::string_view::npos && line.find("order ") == std::string_view::npos)
       return false;
   }
@@ -81,7 +90,9 @@
       "scenario", "its name", cxxopts::value<std::string>()->default_value("everything"))(
       "seeds", "of a search: A..B", cxxopts::value<std::string>()->default_value("1..100"))(
       "seed", "of a run", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "jobs", "processes side by side", cxxopts::value<std::size_t>()->default_value("1"))(
+      "ignore", "rules that a search passes over, by commas",
+      cxxopts::value<std::string>()->default_value(""))("jobs", "processes side by side",
+                                                        cxxopts::value<std::size_t>()->default_value("1"))(
       "first", "a search ends each of its jobs at its first find")("trace", "print a run's story")(
       "all", "with --trace: each connection and segment too")(
       "shrink", "drop faults while the run stays broken")("help", "this");
@@ -97,8 +108,9 @@
       return 0;
     }
     if (command == "search")
-      return search_seeds(scenario, given["seeds"].as<std::string>(), given["jobs"].as<std::size_t>(),
-                          given.count("first") > 0);
+      return search_seeds(scenario, given["seeds"].as<std::string>(),
+                          {given["jobs"].as<std::size_t>(), given.count("first") > 0,
+                           split(given["ignore"].as<std::string>())});
     if (command == "run")
       return run_seed(scenario, given["seed"].as<std::uint64_t>(),
                       given.count("trace") == 0 ? ""
--- /dev/null
+++ b/src/simulation/observers.cpp
@@ -0,0 +1,81 @@
+#include "simulation/observers.hpp"
+
+#include <algorithm>
+
+namespace chutevane::simulation {
+namespace {
+
+constexpr Span tell_every = Span::ms(300);
+constexpr Span silent_most = Span::ms(1000);     // then the connection is taken to be lost
+constexpr Span trusted_within = Span::ms(1000);  // edges hold to a beat that claims to be so fresh
+constexpr Span slack = Span::ms(600);            // for ways, late turns and lost segments
+
+}  // namespace
+
+void Observers::tick() {
+  for (const Machine* control : deployment_.of(Role::control)) {
+    if (!sessions_.contains(control->name())) open(*control);
+    Session& session = sessions_[control->name()];
+    if (session.link->up() && session.link->silent() > silent_most) session.link->restart();
+    tell(control->name());
+  }
+  callers_.later().after(tell_every, [this] { tick(); });
+}
+
+void Observers::open(const Machine& control) {
+  Session& session = sessions_[control.name()];
+  const std::string name = control.name();
+  session.link = std::make_unique<market::Link>(
+      callers_.scheduler(), callers_.later(), control.settings().internal_address(market::control_plane_port),
+      std::hash<std::string>()(name));
+  session.link->on_up([this, name] {
+    Session& at = sessions_[name];
+    at.number = at.version = at.owed = 0;
+    tell(name);
+  });
+  session.link->on_word(
+      [this, name](std::uint8_t kind, std::string_view record) { word(name, kind, record); });
+}
+
+void Observers::tell(const std::string& name) {
+  Session& session = sessions_[name];
+  market::Hello hello;
+  hello.member.node = "observer";
+  hello.member.plane = "observer";
+  hello.member.number = session.number;
+  hello.first = true;
+  session.link->tell(hello);
+}
+
+void Observers::word(const std::string& name, std::uint8_t kind, std::string_view record) {
+  Session& session = sessions_[name];
+  if (kind == market::Beat::kind) {
+    market::Beat got;
+    if (market::decode(record, got)) beat(name, got);
+  } else if (kind == market::Push::kind) {
+    market::Push push;
+    if (!market::decode(record, push)) return;
+    if (push.value.number < session.number || push.value.config_version < session.version)
+      checker_.broken("pushed-back", name + " pushes version " + std::to_string(push.value.config_version) +
+                                         " after " + std::to_string(session.version));
+    session.number = push.value.number;
+    session.version = push.value.config_version;
+    checker_.seen(session.version, push.value.config.data, "a push of " + name);
+  }
+}
+
+// What a beat promises is owed by the next one: the push that belongs to it comes behind it.
+void Observers::beat(const std::string& name, const market::Beat& beat) {
+  Session& session = sessions_[name];
+  if (session.version < session.owed)
+    checker_.broken("stale-but-fresh", name + " claims to be fresh and has version " +
+                                           std::to_string(session.version) + ", acknowledged was " +
+                                           std::to_string(session.owed));
+  session.owed = 0;
+  const Span age = Span::ms(static_cast<double>(beat.fresh_ms));
+  const Machine* const control = deployment_.find(name);
+  if (age >= trusted_within || control == nullptr || deployment_.slowed(*control)) return;
+  session.owed = checker_.acknowledged_before(callers_.later().now() - age - slack);
+}
+
+}  // namespace chutevane::simulation
--- a/src/simulation/plan.cpp
+++ b/src/simulation/plan.cpp
@@ -82,10 +82,11 @@
   out.chances = drawn_chances(draw);
   out.operators.operators = 2 + draw.below(3);
   out.operators.same_number = draw.with(0.5) ? 0.9 : 0.4;
-  out.operators.pause_most = draw.skewed(100, 2500);
+  out.operators.pause_most = draw.skewed(400, 3000);
   out.operators.lost_answer = draw.one_of({0.0, 0.05, 0.3});
   out.operators.sent_twice = draw.one_of({0.0, 0.05, 0.3});
   out.operators.favourite = draw.one_of({0.0, 0.3, 0.7});
+  out.programs.programs = 1;
   return out;
 }
 
@@ -151,7 +152,7 @@
   out.operators.operators = 2 + draw.below(3);
   out.operators.same_number = 0.95;
   out.operators.pause_least = Span::ms(1);
-  out.operators.pause_most = draw.skewed(20, 400);
+  out.operators.pause_most = draw.skewed(60, 1200);
   out.operators.lost_answer = draw.one_of({0.1, 0.4});
   out.operators.sent_twice = draw.one_of({0.1, 0.4});
   counted_losses(draw, out, {FaultKind::kill, FaultKind::freeze, FaultKind::power_loss, FaultKind::cut_off},
@@ -170,6 +171,7 @@
 // 3. Losses right behind each other: wiped, replaced and powerless machines in every gap of a repair.
 Plan second_loss(Draw& draw) {
   Plan out = plain(draw);
+  out.programs.programs = 2;
   out.active = Span::ms(34000);
   counted_losses(
       draw, out,
@@ -199,6 +201,7 @@
 
 Plan everything(Draw& draw) {
   Plan out = plain(draw);
+  out.programs.programs = 2;
   out.active = draw.between(20000, 32000);
   for (std::size_t slot = 0; slot < out.shape.losses; ++slot)
     counted_losses(draw, out,
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -4,6 +4,7 @@
 
 #include "market/log.hpp"
 #include "simulation/faults.hpp"
+#include "simulation/observers.hpp"
 
 namespace chutevane::simulation {
 namespace {
@@ -40,6 +41,7 @@
         checker_(deployment_, trace),
         callers_(deployment_.clients()),
         faults_(deployment_),
+        observers_(deployment_, callers_, checker_),
         programs_(deployment_, checker_, plan.programs, seed + 2),
         log_(world_, faults_) {
     deployment_.on_value = [this](Machine& m, const market::Value& value) {
@@ -87,7 +89,10 @@
           std::make_unique<Reader>(deployment_, callers_, checker_, load, faults_.favourite(), drawn()));
       world_.after(operators_begin, [at = readers_.back().get()] { at->begin(); });
     }
-    world_.after(operators_begin, [this] { programs_.begin(); });
+    world_.after(operators_begin, [this] {
+      programs_.begin();
+      observers_.begin();
+    });
   }
 
   void sample() {
@@ -121,6 +126,7 @@
     out.refused = checker_.refused();
     out.reads = checker_.reads();
     out.pushes = checker_.pushes();
+    out.bound = checker_.bound();
     out.turns_found = programs_.turns_found();
     out.faults = faults_.applied();
     out.events = world_.events();
@@ -136,6 +142,7 @@
   Checker checker_;
   Callers callers_;
   Faults faults_;
+  Observers observers_;
   Programs programs_;
   LogToTrace log_;
   std::vector<std::unique_ptr<Operator>> operators_;
--- a/src/simulation/run.hpp
+++ b/src/simulation/run.hpp
@@ -14,6 +14,7 @@
   std::vector<Violation> violations;
   // What came about, to see that a scenario brings about what it is for.
   std::size_t orders = 0, acknowledged = 0, refused = 0, reads = 0, pushes = 0, turns_found = 0;
+  std::size_t bound = 0;  // samples of edges that were in touch: what is bound by time was checked
   std::array<std::size_t, fault_kinds> faults{};
   std::uint64_t events = 0;
   std::uint64_t trace_hash = 0;  // only where it was traced
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -28,13 +28,14 @@
   tally.reads += outcome.reads;
   tally.pushes += outcome.pushes;
   tally.turns_found += outcome.turns_found;
+  tally.bound += outcome.bound;
   for (std::size_t i = 0; i < fault_kinds; ++i) tally.faults[i] += outcome.faults[i];
 }
 
 // One job's part of the seeds; what it finds goes into the pipe, a line each.
-void job(const std::string& scenario, std::uint64_t first, std::uint64_t last, std::size_t step, int pipe,
-         bool stop_at_first) {
-  for (std::uint64_t seed = first; seed <= last; seed += step) {
+void job(const std::string& scenario, std::uint64_t first, std::uint64_t last, int pipe,
+         const SearchOptions& options) {
+  for (std::uint64_t seed = first; seed <= last; seed += options.jobs) {
     tell(pipe, "at " + std::to_string(first) + " " + std::to_string(seed));
     world::Trace off;
     const Outcome outcome = run(make_plan(scenario, seed), seed, off);
@@ -42,13 +43,14 @@
     add(one, outcome);
     std::ostringstream line;
     line << "sum " << one.orders << ' ' << one.acknowledged << ' ' << one.refused << ' ' << one.reads << ' '
-         << one.pushes << ' ' << one.turns_found;
+         << one.pushes << ' ' << one.turns_found << ' ' << one.bound;
     for (const std::uint64_t n : one.faults) line << ' ' << n;
     tell(pipe, line.str());
-    if (!outcome.broken()) continue;
-    const Violation& v = outcome.violations.front();
-    tell(pipe, "found " + std::to_string(seed) + " " + v.rule + " " + v.text);
-    if (stop_at_first) return;
+    const auto v = std::find_if(outcome.violations.begin(), outcome.violations.end(),
+                                [&](const Violation& at) { return !options.ignored.contains(at.rule); });
+    if (v == outcome.violations.end()) continue;
+    tell(pipe, "found " + std::to_string(seed) + " " + v->rule + " " + v->text);
+    if (options.stop_at_first) return;
   }
 }
 
@@ -63,7 +65,7 @@
   } else if (what == "sum") {
     ++tally.seeds;
     for (std::uint64_t* sum : {&tally.orders, &tally.acknowledged, &tally.refused, &tally.reads,
-                               &tally.pushes, &tally.turns_found}) {
+                               &tally.pushes, &tally.turns_found, &tally.bound}) {
       std::uint64_t n = 0;
       in >> n;
       *sum += n;
@@ -95,18 +97,18 @@
 
 }  // namespace
 
-Tally search(const std::string& scenario, std::uint64_t first, std::uint64_t last, std::size_t jobs,
-             bool stop_at_first) {
+Tally search(const std::string& scenario, std::uint64_t first, std::uint64_t last,
+             const SearchOptions& options) {
   make_plan(scenario, first);  // a wrong name is told of here
   int ends[2];
   if (::pipe(ends) != 0) throw std::runtime_error("no pipe");
   std::map<pid_t, std::uint64_t> children;
-  for (std::size_t i = 0; i < jobs; ++i) {
+  for (std::size_t i = 0; i < options.jobs; ++i) {
     const pid_t child = ::fork();
     if (child < 0) throw std::runtime_error("no process");
     if (child == 0) {
       ::close(ends[0]);
-      job(scenario, first + i, last, jobs, ends[1], stop_at_first);
+      job(scenario, first + i, last, ends[1], options);
       std::_Exit(0);
     }
     children[child] = first + i;
