--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -228,6 +228,7 @@
 void ScriptedControl::bring_up_to_date(market::Desk::Guest& guest, const market::Hello& hello) {
   market::Beat beat;
   beat.fresh_ms = 0;
+  beat.echo_stamp = hello.stamp;
   beat.number = value_.number;
   beat.edges = 1;
   guest.tell(beat);
