--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/reuse_test.cpp
@@ -12,6 +12,7 @@
 
 constexpr std::size_t large_body = 8U << 20U;  // bytes: more than the sockets' buffers take
 constexpr Span aftermath = Span::ms(60);       // for what must not come
+constexpr Span ends_within = Span::ms(1000);   // of a connection that carries nothing more
 
 // One endpoint, so that the next request meets the connection of the one before, where that was kept.
 class Reuse : public ::testing::Test {
@@ -38,8 +39,9 @@
     EXPECT_EQ(got.field("X-Chutevane-Attempt-Id"), id);
     EXPECT_EQ(scene.script.executions(id), 1U);
   }
+  // At once: not only when it has rested for long.
   void expect_ended(std::size_t connection) {
-    EXPECT_TRUE(scene.loop.until([&] { return scene.script.ended.contains(connection); }));
+    EXPECT_TRUE(scene.loop.until([&] { return scene.script.ended.contains(connection); }, ends_within));
   }
   Scene scene{1};
 };
@@ -120,6 +122,26 @@
   EXPECT_NE(connection_of("a"), connection_of("b"));
 }
 
+// The edge has not been told of them yet when it takes the next request.
+TEST_F(Reuse, BytesThatNobodyHasReadEndAnIdleConnection) {
+  for (const std::string& bytes : {good_answer(Kind::non_idempotent, "a"), std::string("no answer")}) {
+    SCOPED_TRACE(bytes);
+    Scene fresh(1);
+    fresh.answer_well(Kind::non_idempotent);
+    const auto client = fresh.client();
+    client->send(request_text("a", request_of(Kind::non_idempotent)));
+    ASSERT_TRUE(fresh.answered(*client));
+    // Both lie in the edge's sockets before its next turn, the request first.
+    client->send(request_text("b", request_of(Kind::non_idempotent)));
+    fresh.script.connection(1)->send(bytes);
+    ASSERT_TRUE(fresh.answered(*client, 2));
+    EXPECT_EQ(client->answers[1].status, 200);
+    EXPECT_EQ(client->answers[1].body, good_body(Kind::non_idempotent, "b"));
+    ASSERT_EQ(fresh.script.received.size(), 2U);
+    EXPECT_NE(fresh.script.received[0].connection, fresh.script.received[1].connection);
+  }
+}
+
 // Behind the request of another, in the place of its answer.
 TEST_F(Reuse, SurplusAnswerInTheNextOnesPlaceIsSkipped) {
   for (const std::string& surplus :
@@ -371,7 +393,7 @@
   expect_own(once("b"), "b");
   EXPECT_EQ(connection_of("a"), connection_of("b"));
   const TimePoint began = scene.loop.later.now();
-  expect_ended(1);
+  EXPECT_TRUE(scene.loop.until([&] { return scene.script.ended.contains(1); }));
   EXPECT_LT(scene.loop.later.now() - began, Span::ms(1000));
 }
 
