--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -79,14 +79,17 @@
 }
 
 // How long the client may rest, between two requests or before it ends the connection. While an answer is
-// going out to it, it does not rest.
-void Client::set_rest_timer(Span most) {
+// going out to it, it does not rest. `rested`: how much of it is over.
+void Client::set_rest_timer(Span most, Span rested) {
   plane_.later_.cancel(timer_);
-  timer_ = plane_.later_.after(most, [this, most, unsent = channel_.unsent()] { rest_over(most, unsent); });
+  timer_ = plane_.later_.after(most - rested,
+                               [this, most, unsent = channel_.unsent()] { rest_over(most, unsent); });
 }
 
 void Client::rest_over(Span most, std::size_t unsent_before) {
   if (channel_.unsent() > 0 && channel_.unsent() < unsent_before) return set_rest_timer(most);
+  // Clients go by the limit that is in force: it may have grown meanwhile.
+  if (stage_ == Stage::reading && idle_limit() > most) return set_rest_timer(idle_limit(), most);
   if (stage_ != Stage::reading || !channel_.unread()) return close();
   // A request has arrived, and was not read yet: this process stood still, not the client.
   timer_ = plane_.later_.after(unread_look, [this] { request_late(); });
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -54,7 +54,7 @@
   TimePoint storage_until() const;
   void set_request_timer();
   void request_late();
-  void set_rest_timer(Span most);
+  void set_rest_timer(Span most, Span rested = Span());
   void rest_over(Span most, std::size_t unsent_before);
   Span idle_limit() const;
   // A turn: its chain, then its budget.
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -260,6 +260,25 @@
   EXPECT_FALSE(client->ended);
 }
 
+// Clients go by the limit that is in force: one that grows while they rest holds for that rest too.
+TEST(Limits, LimitThatGrowsHoldsForARestThatHasBegun) {
+  const LimitOptions longer{.header_ms = 300, .idle_ms = idle_ms * 4};
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.answered(*client));
+  const TimePoint rested_since = scene.loop.later.now();
+  scene.loop.run_for(Span::ms(idle_ms / 2));
+  scene.configure({}, longer);
+  ASSERT_TRUE(scene.in_force());
+  scene.loop.run_for(rested_since + Span::ms(longer.idle_ms * 0.8) - scene.loop.later.now());
+  ASSERT_FALSE(client->ended);
+  client->send(request_text("b", once()));
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[1].body, good_body(Kind::non_idempotent, "b"));
+}
+
 // A process that was frozen over the limit finds the request that came meanwhile before it ends what rests.
 TEST(Limits, RequestThatCameDuringAFreezeIsRead) {
   Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -408,12 +408,11 @@
   storage = std::make_unique<ScriptedStorage>(loop, storage_address);
   front = free_address(loop.scheduler);
 
-  market::StorageNode storage_node;
   storage_node.node = "storage-1";
   storage_node.disk = "disk-1";
   storage_node.address = net::text_of(storage_address);
   storage_node.zone = "z";
-  control->configure(configuration_text(route, limits), {storage_node});
+  configure(route, limits);
   control->list(listed);
 
   market::ProcessSettings settings;
@@ -434,6 +433,10 @@
 
 Scene::~Scene() = default;
 
+void Scene::configure(const RouteOptions& route, const LimitOptions& limits) {
+  control->configure(configuration_text(route, limits), {storage_node});
+}
+
 void Scene::list_endpoints() { control->list(listed); }
 
 bool Scene::in_force() {
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -252,6 +252,8 @@
  public:
   explicit Scene(std::size_t endpoints, const RouteOptions& route = {}, const LimitOptions& limits = {});
   ~Scene();
+  // Another configuration of the same routes is in force from now on.
+  void configure(const RouteOptions& route, const LimitOptions& limits);
   // Tells the edge of these endpoints, as they are now.
   void list_endpoints();
   // The edge has the newest configuration and list.
@@ -271,6 +273,7 @@
   std::vector<market::Listed> listed;
   std::unique_ptr<ScriptedControl> control;
   std::unique_ptr<ScriptedStorage> storage;
+  market::StorageNode storage_node;
   sockaddr_in front{};
   std::unique_ptr<DataPlane> edge;
 };
