--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -98,6 +98,7 @@
   } else if (!s.ok()) {
     return s;
   }
+  acceptor_->on_entered([this](const market::Value& initial) { register_.learn_epoch(initial); });
   register_.learn_epoch(record_.initial);
   register_.learn_epoch(acceptor_->initial());
   register_.on_chosen([this](const market::Value& value) { chosen(value); });
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -102,6 +102,7 @@
       return s;
     }
   }
+  if (entered && told_) told_(state_.initial);
   out.promised = state_.promised;
   out.accepted = state_.accepted;
   out.value = state_.value;
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -8,6 +8,7 @@
 // docs/register.md weighs this against the other ways.
 #pragma once
 
+#include <algorithm>
 #include <functional>
 #include <optional>
 
@@ -28,6 +29,9 @@
 Value opened(const Value& sealed);
 inline bool sealed(const Value& value) { return !value.next.empty(); }
 std::size_t majority(const Value& initial);
+inline bool names(const std::vector<Acceptor>& set, const std::string& address) {
+  return std::any_of(set.begin(), set.end(), [&](const Acceptor& a) { return a.address == address; });
+}
 
 // What an acceptor answers.
 enum class Verdict : std::int64_t {
@@ -43,6 +47,9 @@
   AcceptorState(market::Disk& disk, std::string address, std::string disk_id, bool first);
   // Reads its disk. An error: this process cannot vote.
   absl::Status open();
+  // Called with the first value of each epoch that it enters, once that is on disk. A new member of the set
+  // may be the only one left that knows of the epoch: who proposes from its sidecar has to hear of it.
+  void on_entered(std::function<void(const Value& initial)> told) { told_ = std::move(told); }
 
   // Errors are the disk's: nothing may be answered then.
   absl::StatusOr<market::Promise> prepare(const market::Prepare& ask);
@@ -61,6 +68,7 @@
   const std::string address_, disk_id_;
   const bool first_;  // its disk was new when the whole system was: it is the one that the first set names
   market::AcceptorRecord state_;
+  std::function<void(const Value&)> told_;
 };
 
 // The way to the acceptors, by address. Answers may come at once, later or never.
@@ -93,6 +101,10 @@
   void on_chosen(std::function<void(const Value&)> told) { told_ = std::move(told); }
   void learn_chosen(const Value& value, const Value& initial);
   const std::optional<Value>& known() const { return known_; }
+  // Whether the machine at that address may go with its disk: a majority of a set without it has the value.
+  bool released(const std::string& address) const {
+    return known_ && known_->epoch == initial_.epoch && !names(known_->acceptors, address);
+  }
 
   void change(Change change, Span most, Done done);
   // The chosen value as of now.
