--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -22,6 +22,9 @@
 constexpr Span full_every = Span::ms(2000);       // of the words that say all
 constexpr Span answer_most = Span::ms(350);       // of an acceptor: two ways and a sync take some ms
 constexpr Span vote_most = Span::ms(300);
+constexpr Span leave_least = Span::ms(400);   // between SIGTERM and the end: calls under way
+constexpr Span leave_again = Span::ms(50);    // then it looks so often whether its place is another's
+constexpr Span grace_spare = Span::ms(600);   // before the platform ends it by force
 constexpr std::size_t body_most = 8U << 20U;  // bytes of a configuration
 
 std::uint64_t seed_of(const std::string& text, TimePoint now) {
@@ -690,7 +693,27 @@
   roster_duty_.give_up(later_.now());
   gossip();
   // Operators' orders that are under way come to their end.
-  later_.after(Span::ms(400), [this] { finished_ = true; });
+  const TimePoint latest = later_.now() + settings_.grace - grace_spare;
+  later_.after(leave_least, [this, latest] { go_when_released(latest); });
+}
+
+// Its disk may go with it, and the machine that replaces it may have been there for long: the next loss would
+// then leave no majority. So it votes until its place is another's.
+bool ControlPlane::may_go() const {
+  const std::vector<market::Acceptor>& set = register_.initial().acceptors;
+  if (!names(set, address_)) return register_.released(address_) || set.empty();
+  return std::none_of(peers_.begin(), peers_.end(), [&](const auto& one) {
+    const auto& [address, peer] = one;
+    return peer.last && !peer.last->leaving && later_.now() - peer.heard < peer_heard && !names(set, address);
+  });
+}
+
+void ControlPlane::go_when_released(TimePoint latest) {
+  if (may_go() || later_.now() >= latest) {
+    finished_ = true;
+    return;
+  }
+  later_.after(leave_again, [this, latest] { go_when_released(latest); });
 }
 
 void ControlPlane::reread(const market::ProcessSettings& settings) {
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -72,6 +72,9 @@
   market::Gossip addressed(market::Gossip word, const Peer& peer) const;
   bool behind() const;
   bool learn_later_epoch();
+  // Whether nothing that still counts goes with this machine, or nobody is there to take it over.
+  bool may_go() const;
+  void go_when_released(TimePoint latest);
   Span fresh_age() const;
   std::vector<std::string> controller_addresses() const;
 
--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -49,9 +49,14 @@
                           [&](const Acceptor& a) { return a.address == c.address; });
     });
   };
+  // One that leaves may take its disk with it: its place is another's before it goes, not after.
+  const auto leaves = [&](const Acceptor& a) {
+    return std::any_of(live.begin(), live.end(), [&](const LiveController& c) { return is(a, c) && !c.ready; });
+  };
   for (Acceptor& a : next) {
     const bool gone = lost("acceptor " + a.address + " " + a.disk, here(a), acceptor_lost_after, now);
-    if (gone && !here(a) && other() != free.end()) take(a, static_cast<std::size_t>(other() - free.begin()));
+    const bool replace = leaves(a) || (gone && !here(a));
+    if (replace && other() != free.end()) take(a, static_cast<std::size_t>(other() - free.begin()));
   }
   while (next.size() < copies_for(losses_) && other() != free.end()) {
     const auto which = static_cast<std::size_t>(other() - free.begin());
--- a/tests/market/roster_test.cpp
+++ b/tests/market/roster_test.cpp
@@ -116,6 +116,22 @@
   CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
 }
 
+// Its successor may have been there for long: once it is gone the next loss comes at any moment.
+TEST(RosterAcceptors, OneThatLeavesIsReplacedBeforeItGoes) {
+  std::vector<LiveController> live = controllers({1, 2, 3, 4});
+  live[2].ready = false;
+  const auto next = roster.acceptors(with_acceptors({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value());
+  CHECK_TRUE(next->size() == 3 && has(*next, "c4", "d4") && !has(*next, "c3", "d3"));
+  // Nobody is there in its stead: it votes on.
+  live.pop_back();
+  CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
+  // Nor one that leaves as well.
+  live = controllers({1, 2, 3, 4});
+  live[2].ready = live[3].ready = false;
+  CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
+}
+
 // Its disk is gone for good, and with it what it promised: there is nothing to wait for.
 TEST(RosterAcceptors, SameAddressWithAnotherDiskAtOnce) {
   std::vector<LiveController> live = controllers({1, 2});
