--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -78,69 +78,111 @@
   return next;
 }
 
+namespace {
+
+bool stays(const StorageNode& c) { return !c.leaving; }
+
+std::size_t staying_without(const Value& value, const std::string& node) {
+  return static_cast<std::size_t>(
+      std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(),
+                    [&](const StorageNode& c) { return stays(c) && c.node != node; }));
+}
+
+const Member* storage_member(const std::vector<Member>& live, const std::string& node) {
+  const auto found = std::find_if(live.begin(), live.end(),
+                                  [&](const Member& m) { return m.plane == "storage" && m.node == node; });
+  return found == live.end() ? nullptr : &*found;
+}
+
+const market::Retired* order_to_empty(const Value& value, const std::string& node) {
+  const auto found = std::find_if(value.retired.begin(), value.retired.end(),
+                                  [&](const market::Retired& r) { return r.node == node; });
+  return found == value.retired.end() ? nullptr : &*found;
+}
+
+// One that the map does not name comes in. An order to empty it stands, also where it was gone in between.
+bool join(Value& value, const Member& m) {
+  const market::Retired* const order = order_to_empty(value, m.node);
+  if (m.leaving || (order != nullptr && order->completed)) return false;
+  value.storage_nodes.push_back({m.node, m.disk, m.address, m.zone, order != nullptr, false});
+  return true;
+}
+
+// One that the map names has another disk or address by now.
+bool rename(StorageNode& c, const Member& m) {
+  if (c.disk == m.disk && c.address == m.address) return false;
+  // Its copies went with the disk of before: whoever takes over has to know of that loss.
+  const bool lost = c.lost || c.disk != m.disk;
+  c = {m.node, m.disk, m.address, m.zone, c.leaving, lost};
+  return true;
+}
+
+// One that got SIGTERM may take its disk with it: the others take over while it is there, as for an order to empty
+// it. One that was only started again is back in its place.
+bool follow_its_end(Value& value, StorageNode& c, const Member& m, std::size_t losses) {
+  const bool ordered = order_to_empty(value, c.node) != nullptr;
+  const bool leaving = ordered || (m.leaving && staying_without(value, c.node) >= copies_for(losses));
+  if (leaving == c.leaving) return false;
+  c.leaving = leaving;
+  return true;
+}
+
+// Whether all that stay have what the leaving ones hold, by this map and on the disks that it names.
+bool taken_over(const Value& value, const std::vector<Member>& live) {
+  return std::all_of(value.storage_nodes.begin(), value.storage_nodes.end(), [&](const StorageNode& c) {
+    const Member* const m = storage_member(live, c.node);
+    return !stays(c) || (m != nullptr && m->disk == c.disk && m->whole >= value.map);
+  });
+}
+
+// The first that leaves is given up, and an order to empty it is completed.
+bool give_up_emptied(Value& value) {
+  const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
+                                  [](const StorageNode& c) { return !stays(c); });
+  if (found == value.storage_nodes.end()) return false;
+  for (market::Retired& r : value.retired) r.completed = r.completed || r.node == found->node;
+  value.storage_nodes.erase(found);
+  return true;
+}
+
+}  // namespace
+
+bool Roster::drop_silent(Value& value, const std::vector<Member>& live, TimePoint now) {
+  bool changed = false;
+  for (std::size_t i = 0; i < value.storage_nodes.size();) {
+    const StorageNode& c = value.storage_nodes[i];
+    const std::size_t staying = staying_without(value, c.node);
+    // With one to spare it is not waited for: groups that it stands in have one answer less meanwhile.
+    const Span after = staying > copies_for(losses_) ? storage_node_spared_after : storage_node_lost_after;
+    const bool present = storage_member(live, c.node) != nullptr;
+    const bool gone = lost("storage_node " + c.node + " " + c.disk, present, after, now);
+    if (gone && staying >= copies_for(losses_)) {
+      value.storage_nodes.erase(value.storage_nodes.begin() + static_cast<std::ptrdiff_t>(i));
+      changed = true;
+    } else {
+      ++i;
+    }
+  }
+  return changed;
+}
+
 std::optional<Value> Roster::storage_nodes(const Value& chosen, const std::vector<Member>& live,
                                            TimePoint now) {
   Value next = chosen;
   bool changed = false;
-  const auto retired = [&](const std::string& node) {
-    return std::any_of(next.retired.begin(), next.retired.end(),
-                       [&](const market::Retired& r) { return r.node == node && r.completed; });
-  };
   for (const Member& m : live) {
-    if (m.plane != "storage" || retired(m.node)) continue;
+    if (m.plane != "storage") continue;
     const auto same = std::find_if(next.storage_nodes.begin(), next.storage_nodes.end(),
                                    [&](const StorageNode& c) { return c.node == m.node; });
     if (same == next.storage_nodes.end()) {
-      // An order to empty it stands, also where it was gone in between.
-      const bool ordered = std::any_of(next.retired.begin(), next.retired.end(),
-                                       [&](const market::Retired& r) { return r.node == m.node; });
-      next.storage_nodes.push_back({m.node, m.disk, m.address, m.zone, ordered, false});
-      changed = true;
-    } else if (same->disk != m.disk || same->address != m.address) {
-      // Its copies went with the disk of before: whoever takes over has to know of that loss.
-      *same = {m.node, m.disk, m.address, m.zone, same->leaving, same->lost || same->disk != m.disk};
-      changed = true;
-    }
-  }
-  const auto present = [&](const StorageNode& c) {
-    return std::any_of(live.begin(), live.end(),
-                       [&](const Member& m) { return m.plane == "storage" && m.node == c.node; });
-  };
-  for (std::size_t i = 0; i < next.storage_nodes.size();) {
-    const StorageNode& c = next.storage_nodes[i];
-    const auto staying =
-        std::count_if(next.storage_nodes.begin(), next.storage_nodes.end(),
-                      [&](const StorageNode& other) { return !other.leaving && other.node != c.node; });
-    // With one to spare it is not waited for: groups that it stands in have one answer less meanwhile.
-    const bool spare = static_cast<std::size_t>(staying) > copies_for(losses_);
-    const bool gone = lost("storage_node " + c.node + " " + c.disk, present(c),
-                           spare ? storage_node_spared_after : storage_node_lost_after, now);
-    if (gone && static_cast<std::size_t>(staying) >= copies_for(losses_)) {
-      next.storage_nodes.erase(next.storage_nodes.begin() + static_cast<std::ptrdiff_t>(i));
-      changed = true;
+      changed |= join(next, m);
     } else {
-      ++i;
+      changed |= rename(*same, m);
+      changed |= follow_its_end(next, *same, m, losses_);
     }
   }
-  // Emptied: all that stay have what lay there.
-  for (std::size_t i = 0; i < next.storage_nodes.size();) {
-    const StorageNode c = next.storage_nodes[i];
-    const bool safe =
-        c.leaving && !changed &&
-        std::all_of(next.storage_nodes.begin(), next.storage_nodes.end(), [&](const StorageNode& other) {
-          return other.leaving || std::any_of(live.begin(), live.end(), [&](const Member& m) {
-                   return m.node == other.node && m.disk == other.disk && m.whole >= chosen.map;
-                 });
-        });
-    if (!safe) {
-      ++i;
-      continue;
-    }
-    next.storage_nodes.erase(next.storage_nodes.begin() + static_cast<std::ptrdiff_t>(i));
-    for (market::Retired& r : next.retired) r.completed = r.completed || r.node == c.node;
-    changed = true;
-    break;
-  }
+  changed |= drop_silent(next, live, now);
+  if (!changed) changed = taken_over(next, live) && give_up_emptied(next);
   if (!changed) return std::nullopt;
   ++next.map;
   return next;
@@ -153,9 +195,7 @@
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                                   [&](const StorageNode& c) { return c.node == node; });
   if (found == value.storage_nodes.end()) return RetireVerdict::unknown;
-  const auto staying = std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(),
-                                     [](const StorageNode& c) { return !c.leaving; });
-  if (static_cast<std::size_t>(staying - 1) < copies_for(losses)) return RetireVerdict::too_few;
+  if (staying_without(value, node) < copies_for(losses)) return RetireVerdict::too_few;
   found->leaving = true;
   value.retired.push_back({node, false});
   ++value.map;
--- a/src/control/roster.hpp
+++ b/src/control/roster.hpp
@@ -38,6 +38,8 @@
                                              const std::vector<market::Member>& live, TimePoint now);
 
  private:
+  // Members that have not been heard of for their time, while enough are left.
+  bool drop_silent(market::Value& value, const std::vector<market::Member>& live, TimePoint now);
   bool lost(const std::string& key, bool seen, Span after, TimePoint now);
   const std::size_t losses_;
   std::map<std::string, TimePoint> last_seen_;
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -238,6 +238,7 @@
   std::int64_t number = 0;
   std::int64_t whole = 0;
   bool counted = false;
+  bool leaving = false;
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
@@ -248,6 +249,7 @@
     v("number", number);
     v("whole", whole);
     v("counted", counted);
+    v("leaving", leaving);
   }
 };
 
--- a/src/market/session.hpp
+++ b/src/market/session.hpp
@@ -28,6 +28,11 @@
     self_.whole = map;
     tell_all();
   }
+  // It is about to go: what it holds is to be taken over. It is a member still.
+  void tell_leaving() {
+    self_.leaving = true;
+    tell_all();
+  }
   // The settings name other seeds now.
   void reread(const ProcessSettings& settings);
   // The last word: the sidecar leaves.
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -17,6 +17,9 @@
 constexpr std::size_t pull_names = 2000;        // of one answer
 constexpr std::size_t pull_accounts = 500;      // of one answer
 constexpr std::size_t chain_bytes = 4U << 20U;  // of one answer to an edge
+constexpr Span leave_again = Span::ms(50);      // between looks whether the map still names a leaving one
+constexpr Span last_words = Span::ms(200);      // for what is still to be sent
+constexpr Span grace_spare = Span::ms(600);     // before the platform ends it by force
 constexpr double store_part = 0.5;              // of the memory: the rest is for what comes and goes
 
 std::size_t room_of(const market::ProcessSettings& s) {
@@ -355,11 +358,30 @@
   later_.after(Span::ms(1000), [this] { sweep(); });
 }
 
+// Its disk may go with it, and it may hold one of the last copies: the others take over while it is there.
 void StoragePlane::leave() {
   if (leaving_) return;
   leaving_ = true;
+  sessions_->tell_leaving();
+  go_when_released(later_.now() + settings_.grace - grace_spare);
+}
+
+bool StoragePlane::may_go() const {
+  const bool listed = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
+                                  [&](const market::StorageNode& c) { return c.node == settings_.node; });
+  const auto others = std::count_if(
+      storage_nodes_.begin(), storage_nodes_.end(),
+      [&](const market::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
+  return !listed || static_cast<std::size_t>(others) < group_size(settings_.machine_losses);
+}
+
+void StoragePlane::go_when_released(TimePoint latest) {
+  if (!may_go() && later_.now() < latest) {
+    later_.after(leave_again, [this, latest] { go_when_released(latest); });
+    return;
+  }
   sessions_->end();
-  later_.after(Span::ms(200), [this] { finished_ = true; });
+  later_.after(last_words, [this] { finished_ = true; });
 }
 
 }  // namespace chutevane::storage
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -54,6 +54,9 @@
   void answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask);
   market::Link& link(const std::string& address);
   void sweep();
+  // Whether the others have taken over what is here, or are too few to.
+  bool may_go() const;
+  void go_when_released(TimePoint latest);
 
   net::Scheduler& scheduler_;
   market::ProcessSettings settings_;
--- a/tests/market/roster_test.cpp
+++ b/tests/market/roster_test.cpp
@@ -357,6 +357,47 @@
   CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired[0].completed);
 }
 
+// A machine that got SIGTERM may hold one of the last copies: it is emptied first, where enough stay.
+TEST(RosterStorageNodes, OneThatGotSigtermIsEmptiedFirst) {
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  live[3].leaving = true;
+  const auto marked = roster.storage_nodes(with_storage_nodes({1, 2, 3, 4}), live, now);
+  CHECK_TRUE(marked.has_value() && marked->map == 8 && marked->storage_nodes.size() == 4);
+  CHECK_TRUE(marked->storage_nodes[3].leaving && marked->retired.empty());
+  CHECK_FALSE(watched(*marked, live, Span::ms(10000), &after).has_value());  // nobody has taken over yet
+  for (int behind = 0; behind < 3; ++behind) {
+    for (Member& m : live) m.whole = 8;
+    live[static_cast<std::size_t>(behind)].whole = 7;
+    CHECK_FALSE(roster.storage_nodes(*marked, live, now).has_value());
+  }
+  for (Member& m : live) m.whole = 8;
+  const auto given_up = roster.storage_nodes(*marked, live, now);
+  CHECK_TRUE(given_up.has_value() && !lists(*given_up, "n4") && given_up->retired.empty());
+  // While its process comes to its end it is not taken in again; its next one is.
+  for (Member& m : live) m.whole = 9;
+  CHECK_FALSE(roster.storage_nodes(*given_up, live, now).has_value());
+  live[3].leaving = false;
+  const auto back = roster.storage_nodes(*given_up, live, now);
+  CHECK_TRUE(back.has_value() && lists(*back, "n4") && !back->storage_nodes.back().leaving);
+}
+
+// With just enough it keeps its place: it is lost while it is away, and comes back with its disk.
+TEST(RosterStorageNodes, SigtermWithoutAnotherChangesNothing) {
+  std::vector<Member> live = members({1, 2, 3}, 7);
+  live[2].leaving = true;
+  CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), live, Span::ms(10000), &after).has_value());
+}
+
+// It ended before it was emptied, and is started again: it has its place. An order to empty it would stand.
+TEST(RosterStorageNodes, StartedAgainItHasItsPlace) {
+  Value value = with_storage_nodes({1, 2, 3, 4});
+  value.storage_nodes[3].leaving = true;
+  const auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 6), now);
+  CHECK_TRUE(next.has_value() && !next->storage_nodes[3].leaving && next->map == 8);
+  value.retired.push_back({"n4", false});
+  CHECK_FALSE(roster.storage_nodes(value, members({1, 2, 3, 4}, 6), now).has_value());
+}
+
 TEST(RosterStorageNodes, TwoLeaveOneAfterTheOther) {
   Value value = with_storage_nodes({1, 2, 3, 4, 5});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken &&
