--- a/src/edge/ledger.cpp
+++ b/src/edge/ledger.cpp
@@ -46,6 +46,7 @@
   TimePoint until;
   std::function<void(bool)> done;
   std::uint64_t turn_number = 0;
+  std::int64_t map = 0;  // of `group`: answers under two maps do not add up
   std::vector<std::size_t> group;
   std::size_t asked = 0, yes = 0, needed = 0;
   net::Later::Ticket hedge;
@@ -196,6 +197,10 @@
 }
 
 // The nearest of the group first: as many as bear the losses. The rest of it only where one does not answer.
+//
+// All that count have it under one map. One that has it under an older map may be lost, and the disk that
+// takes its place may have asked the others before they had the turn: it would lie at fewer than were
+// counted.
 void Ledger::ask_keep(const std::shared_ptr<Keeping>& keeping) {
   if (keeping->over) return;
   if (later_.now() >= keeping->until) {
@@ -203,6 +208,7 @@
     return keeping->done(false);
   }
   ++keeping->turn_number;
+  keeping->map = map_;
   keeping->again_due = false;
   keeping->group = group(keeping->turn.program);
   std::stable_partition(keeping->group.begin(), keeping->group.end(),
@@ -222,6 +228,7 @@
           .tell(market::Settle{keeping->turn.program, keeping->turn.id, keeping->used});
   }
   const auto hedge = [this, keeping] {
+    if (!keeping->over && keeping->map != map_) return ask_keep(keeping);
     while (!keeping->over && keeping->asked < keeping->group.size())
       keep_at(keeping, keeping->group[keeping->asked++]);
   };
@@ -235,6 +242,7 @@
       .call<market::Kept>(market::Keep{map_, keeping->turn, keeping->used}, most,
                           [this, keeping, turn](absl::StatusOr<market::Kept> got) {
                             if (keeping->over || keeping->turn_number != turn) return;
+                            if (keeping->map != map_) return ask_keep(keeping);
                             if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes) {
                               if (++keeping->yes < keeping->needed) return;
                               keeping->over = true;
@@ -321,7 +329,9 @@
 }
 
 void Ledger::seek_at(const std::shared_ptr<Seeking>& seeking, std::size_t which) {
-  if (seeking->over || which != seeking->asked || which >= seeking->order.size()) return;
+  if (seeking->over || which != seeking->asked) return;
+  if (seeking->map != map_) return seek(seeking);  // its places are those of another map
+  if (which >= seeking->order.size()) return;
   ++seeking->asked;
   // It is told by its time, also where nobody answers.
   const Span most = std::clamp(seeking->until - later_.now(), Span::ms(1), ask_most);
