--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -138,8 +138,8 @@
   desk_.listen(settings_.internal_address(market::storage_plane_port));
 }
 
-// What the asker holds by the map. Only once this one has it too: from then on nothing is added here under an
-// older one.
+// What the asker holds by the map. Only while this one has the same: from then on nothing is added here under an older
+// one; and by a later one the asker may hold less, while edges still ask it under its own.
 void StoragePlane::answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask) {
   market::Pulled out;
   out.map = map_;
@@ -154,8 +154,8 @@
   const bool named = std::any_of(
       storage_nodes_.begin(), storage_nodes_.end(),
       [&](const market::StorageNode& c) { return c.node == settings_.node && c.disk == record_.disk; });
-  if (map_ < ask.map) {
-    out.verdict = static_cast<std::int64_t>(Verdict::behind);
+  if (map_ != ask.map) {
+    out.verdict = static_cast<std::int64_t>(check(ask.map));
   } else if (!named) {  // a disk that no map names yet is no source: what its place held is not here
     out.verdict = static_cast<std::int64_t>(Verdict::unready);
   } else if (!ask.wanted.empty()) {
