--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -16,6 +16,7 @@
 constexpr std::size_t pull_bytes = 256 * 1024;  // of one answer: others have their turn between
 constexpr std::size_t pull_names = 2000;        // of one answer
 constexpr std::size_t pull_accounts = 500;      // of one answer
+constexpr Span chain_most = Span::ms(60);       // for another's answer with what a chain lacks here
 constexpr std::size_t chain_bytes = 4U << 20U;  // of one answer to an edge
 constexpr Span leave_again = Span::ms(50);      // between looks whether the map still names a leaving one
 constexpr Span last_words = Span::ms(200);      // for what is still to be sent
@@ -119,8 +120,10 @@
     out.verdict = static_cast<std::int64_t>(verdict);
     if (verdict != Verdict::yes) return guest.answer(number, out);
     if (ask.used >= 0) store_.settle(ask.turn.program, ask.turn.id, ask.used, later_.now());
-    when_synced([this, id = guest.id(), number, out] {
-      if (Guest* const there = desk_.find(id)) there->answer(number, out);
+    with_chain(ask.turn, [this, id = guest.id(), number, out] {
+      when_synced([this, id, number, out] {
+        if (Guest* const there = desk_.find(id)) there->answer(number, out);
+      });
     });
   });
   desk_.on<market::Find>([this](Guest& guest, std::uint64_t number, market::Find& ask) {
@@ -138,8 +141,51 @@
   desk_.listen(settings_.internal_address(market::storage_plane_port));
 }
 
-// What the asker holds by the map. Only while this one has the same: from then on nothing is added here under an older
-// one; and by a later one the asker may hold less, while edges still ask it under its own.
+// ---- chains
+
+struct StoragePlane::ChainFetch {
+  market::Turn turn;
+  std::function<void()> then;
+  std::vector<std::string> sources;  // addresses that were not asked yet for what is missing now
+  std::string missing;
+};
+
+void StoragePlane::with_chain(const Turn& turn, std::function<void()> then) {
+  if (store_.first_missing(turn.id).empty()) return then();
+  auto fetch = std::make_shared<ChainFetch>();
+  fetch->turn = turn;
+  fetch->then = std::move(then);
+  fetch_chain(fetch);
+}
+
+void StoragePlane::fetch_chain(const std::shared_ptr<ChainFetch>& fetch) {
+  const std::string missing = store_.first_missing(fetch->turn.id);
+  if (missing != fetch->missing) {
+    fetch->missing = missing;
+    fetch->sources.clear();
+    for (const market::StorageNode& c : storage_nodes_) {
+      if (c.node != settings_.node) fetch->sources.push_back(c.address);
+    }
+  }
+  if (missing.empty() || fetch->sources.empty()) {
+    store_.keep(fetch->turn, later_.now());  // what has come lasts as long as the turn
+    return fetch->then();
+  }
+  const std::string from = fetch->sources.back();
+  fetch->sources.pop_back();
+  link(from).call<market::Found>(market::Find{map_, missing}, chain_most,
+                                 [this, fetch](auto got) { fetched(fetch, std::move(got)); });
+}
+
+void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<market::Found> got) {
+  if (got.ok()) {
+    for (const Turn& t : got->turns) store_.keep(t, later_.now());
+  }
+  fetch_chain(fetch);
+}
+
+// What the asker holds by the map. Only while this one has the same: from then on nothing is added here under
+// an older one; and by a later one the asker may hold less, while edges still ask it under its own.
 void StoragePlane::answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask) {
   market::Pulled out;
   out.map = map_;
@@ -165,8 +211,9 @@
       if (t != nullptr) out.turns.push_back(*t);
     }
   } else if (ask.turns) {
+    const std::set<std::string> beyond = store_.chains_of_others(mine);
     store_.each_turn(ask.after, [&](const Turn& t) {
-      if (!mine(t.program)) return true;
+      if (!mine(t.program) && !beyond.contains(t.id)) return true;
       out.ids.push_back(t.id);
       bytes += t.input.data.size() + t.output.data.size();
       return out.last = out.ids.size() < pull_names && bytes < pull_bytes;
@@ -369,9 +416,9 @@
 bool StoragePlane::may_go() const {
   const bool listed = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
                                   [&](const market::StorageNode& c) { return c.node == settings_.node; });
-  const auto others = std::count_if(
-      storage_nodes_.begin(), storage_nodes_.end(),
-      [&](const market::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
+  const auto others =
+      std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
+                    [&](const market::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
   return !listed || static_cast<std::size_t>(others) < group_size(settings_.machine_losses);
 }
 
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -48,6 +48,12 @@
   void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<market::Pulled> got);
   void look_ready();
   Verdict check(std::int64_t map) const;
+  // Once the whole chain of the turn is here, or none of the others has what is missing: a turn is kept with
+  // all that it goes on from, so that these have its time here too.
+  struct ChainFetch;
+  void with_chain(const market::Turn& turn, std::function<void()> then);
+  void fetch_chain(const std::shared_ptr<ChainFetch>& fetch);
+  void fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<market::Found> got);
   // Once what was written before is on disk.
   void when_synced(std::function<void()> then);
   void sync();
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -187,6 +187,29 @@
   return out;
 }
 
+std::string Store::first_missing(const std::string& id) const {
+  std::string at = id;
+  for (std::size_t steps = 0; !at.empty() && steps < chain_most; ++steps) {
+    const auto found = turns_.find(at);
+    if (found == turns_.end()) return at;
+    at = found->second.turn.previous;
+  }
+  return "";
+}
+
+std::set<std::string> Store::chains_of_others(
+    const std::function<bool(const std::string& program)>& wanted) const {
+  std::set<std::string> out;
+  for (const auto& [id, kept] : turns_) {
+    auto at = turns_.find(kept.turn.previous);
+    if (at == turns_.end() || at->second.turn.program == kept.turn.program) continue;
+    if (!wanted(kept.turn.program)) continue;
+    for (; at != turns_.end() && out.insert(at->first).second; at = turns_.find(at->second.turn.previous)) {
+    }
+  }
+  return out;
+}
+
 void Store::each_turn(const std::string& after, const std::function<bool(const Turn&)>& take) const {
   for (auto at = turns_.upper_bound(after); at != turns_.end() && take(at->second.turn); ++at) {
   }
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -9,6 +9,7 @@
 #include <functional>
 #include <map>
 #include <optional>
+#include <set>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -45,6 +46,10 @@
   const market::Turn* find(const std::string& id) const;
   // The turn and what it goes on from, as far as it is here, the newest first; all are used again.
   std::vector<const market::Turn*> chain(const std::string& id, std::size_t bytes_most, TimePoint now);
+  // The nearest turn that the chain of `id` names and that is not here; empty: the chain is here whole.
+  std::string first_missing(const std::string& id) const;
+  // Turns that a chain of another program goes on from: they last as long as that chain, wherever it is.
+  std::set<std::string> chains_of_others(const std::function<bool(const std::string& program)>& wanted) const;
   std::size_t turns() const { return turns_.size(); }
   std::size_t accounts() const { return accounts_.size(); }
   std::size_t bytes() const { return bytes_; }
--- a/tests/market/storage_test.cpp
+++ b/tests/market/storage_test.cpp
@@ -252,6 +252,35 @@
   CHECK_TRUE(store.find("a1") == nullptr && store.find("a2") == nullptr);
 }
 
+// Which turn a chain lacks here: whoever is asked to keep the newest has to have it too, so that it lasts as
+// long.
+TEST(StorageTurns, WhatAChainLacks) {
+  store.keep(turn("a1", ""), now);
+  store.keep(turn("a3", "a2"), now);
+  CHECK_TRUE(store.first_missing("a1").empty());
+  CHECK_TRUE(store.first_missing("a3") == "a2");
+  CHECK_TRUE(store.first_missing("none") == "none");
+  store.keep(turn("a2", "a1"), now);
+  CHECK_TRUE(store.first_missing("a3").empty());
+  store.keep(turn("r1", "r2"), now);
+  store.keep(turn("r2", "r1"), now);
+  CHECK_TRUE(store.first_missing("r1").empty());  // a ring ends
+}
+
+// A program that goes on from another's turns needs them where its own are.
+TEST(StorageTurns, ChainsThatCrossPrograms) {
+  store.keep(turn("a1", ""), now);
+  store.keep(turn("a2", "a1"), now);
+  store.keep(turn("b1", "a2"), now);
+  store.keep(turn("b2", "b1"), now);
+  store.keep(turn("c1", ""), now);
+  const auto of = [&](const std::string& program) {
+    return store.chains_of_others([&](const std::string& p) { return p == program; });
+  };
+  CHECK_TRUE(of("p-b") == (std::set<std::string>{"a1", "a2"}));
+  CHECK_TRUE(of("p-a").empty() && of("p-c").empty());
+}
+
 // Read again it has its time anew: never less than it had.
 TEST(StorageTurns, TimeAfterALossIsNoShorter) {
   store.keep(turn("a1", "", 10000), now);
