--- a/src/simulation/deployment.hpp
+++ b/src/simulation/deployment.hpp
@@ -52,6 +52,8 @@
   // The machine is gone for good; another of its role comes at a new address, and is down.
   Machine& replace(Machine& machine);
   void remove(Machine& machine);
+  // One more of the role; it is down.
+  Machine& enlarge(Role role) { return add(role); }
   void disk_trouble(Machine& machine, DiskTrouble trouble);
   void slow_disk(Machine& machine, Span sync_takes);
   void new_seeds(Machine& machine, std::vector<sockaddr_in> seeds);
--- a/src/simulation/faults.cpp
+++ b/src/simulation/faults.cpp
@@ -80,6 +80,8 @@
     }
     case FaultKind::slow_links: return slow_links(fault, machine);
     case FaultKind::new_seeds: return new_seeds(fault, machine);
+    case FaultKind::planned_replace:
+    case FaultKind::retire: return on_planned(fault, machine);
     case FaultKind::kill_all:
     case FaultKind::power_all: return;
   }
--- a/src/simulation/faults.hpp
+++ b/src/simulation/faults.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <array>
+#include <functional>
 #include <set>
 #include <vector>
 
@@ -23,6 +24,8 @@
   const Favourite& favourite() const { return favourite_; }
   // Whether its disk is, or was lately, in trouble.
   bool disk_troubled(const Machine& machine) const { return disk_troubled_.contains(&machine); }
+  // Who does what is planned.
+  std::function<void(const Fault&, Machine&)> on_planned;
   const std::array<std::size_t, fault_kinds>& applied() const { return applied_; }
 
  private:
--- a/src/simulation/plan.cpp
+++ b/src/simulation/plan.cpp
@@ -199,6 +199,51 @@
   return out;
 }
 
+// 3. Machines that leave in good order, and a loss to the millisecond behind that; machines that stood still
+// for less than they are waited for, and a loss as soon as they have caught up. Turns last shorter than their
+// lines.
+Plan planned_work(Draw& draw) {
+  Plan out = plain(draw);
+  out.shape.losses = 1;
+  out.shape.controls = 3 + draw.below(2);
+  out.shape.storages = 4 + draw.below(2);
+  out.active = Span::ms(34000);
+  if (draw.with(0.5)) {
+    out.programs.keep = Span::ms(3000);
+    out.programs.budget = 4000;
+  }
+  const Span planned = catch_up + Span::ms(9000);  // at most, until the loss behind it
+  Span at = first_fault + draw.between(0, 2000);
+  while (at < out.active) {
+    const double kind = draw.unit();
+    const Role role = draw.with(0.7) ? Role::storage : Role::control;
+    Fault fault = drawn_fault(draw, FaultKind::planned_replace, role, out.shape);
+    fault.target = Target::by_place;
+    fault.lasts = draw.skewed(100, 2500);
+    if (kind < 0.35 && role == Role::storage && out.shape.storages > 4) fault.kind = FaultKind::retire;
+    if (kind > 0.75) fault.kind = FaultKind::freeze;
+    fault.at = at;
+    out.faults.push_back(fault);
+    if (fault.kind == FaultKind::freeze) {
+      at = at + fault.lasts + catch_up;
+      fault.kind = FaultKind::wipe;
+      fault.place += 1 + draw.below(2);
+      fault.at = at;
+      out.faults.push_back(fault);
+    } else {
+      at = at + planned;
+    }
+    at = at + fault.lasts + catch_up + Span::ms(static_cast<double>(draw.below(4)));
+  }
+  for (std::size_t i = draw.below(6); i > 0; --i) {  // edges, whose memory of turns goes with them
+    Fault fault = drawn_fault(draw, FaultKind::kill, Role::edge, out.shape);
+    fault.at = first_fault + (out.active - first_fault) * draw.unit();
+    fault.lasts = draw.skewed(50, 2000);
+    out.faults.push_back(fault);
+  }
+  return out;
+}
+
 Plan everything(Draw& draw) {
   Plan out = plain(draw);
   out.programs.programs = 2;
@@ -219,19 +264,18 @@
   const char* name;
   Plan (*make)(Draw&);
 };
-constexpr Scenario all_scenarios[] = {{"cut-off-control", cut_off_control},
-                                      {"two-operators", two_operators},
-                                      {"second-loss", second_loss},
-                                      {"many-changes", many_changes},
-                                      {"everything", everything}};
+constexpr Scenario all_scenarios[] = {{"cut-off-control", cut_off_control}, {"two-operators", two_operators},
+                                      {"second-loss", second_loss},         {"planned-work", planned_work},
+                                      {"many-changes", many_changes},       {"everything", everything}};
 
 }  // namespace
 
 const char* name_of(FaultKind kind) {
   static constexpr const char* names[fault_kinds] = {
-      "cut off",      "frozen",     "killed",    "power lost",   "wiped",         "replaced",
-      "SIGTERM",      "slow disk",  "full disk", "failing disk", "reset",         "half lost",
-      "lost answers", "slow links", "new seeds", "all killed",   "all power lost"};
+      "cut off",       "frozen",     "killed",    "power lost",          "wiped",   "replaced",
+      "SIGTERM",       "slow disk",  "full disk", "failing disk",        "reset",   "half lost",
+      "lost answers",  "slow links", "new seeds", "planned replacement", "emptied", "all killed",
+      "all power lost"};
   return names[static_cast<std::size_t>(kind)];
 }
 
--- a/src/simulation/plan.hpp
+++ b/src/simulation/plan.hpp
@@ -26,9 +26,11 @@
   half_lost,     // its connections, the other ends are not told
   lost_answers,  // of a control machine to callers
   slow_links,
-  new_seeds,  // its settings name other seeds
-  kill_all,   // processes of control and storage, at once
-  power_all,  // machines of control and storage, at once
+  new_seeds,        // its settings name other seeds
+  planned_replace,  // another first, then SIGTERM; once it is gone, another of its role is wiped
+  retire,           // an order to empty a storage machine; once it is emptied it goes, and another is wiped
+  kill_all,         // processes of control and storage, at once
+  power_all,        // machines of control and storage, at once
 };
 constexpr std::size_t fault_kinds = static_cast<std::size_t>(FaultKind::power_all) + 1;
 const char* name_of(FaultKind kind);
--- a/src/simulation/programs.cpp
+++ b/src/simulation/programs.cpp
@@ -8,7 +8,6 @@
 
 constexpr Span ask_within = Span::ms(1200);      // of the ledger, for one answer
 constexpr Span attempt_within = Span::ms(6000);  // then its edge is taken to be gone
-constexpr std::int64_t keep_ms = 120000;         // beyond a run's end
 
 }  // namespace
 
@@ -33,6 +32,7 @@
     for (std::size_t j = 0; j < load_.lines; ++j) {
       auto line = std::make_shared<Line>();
       line->program = of;
+      lines_.push_back(line);
       next(line);
     }
   }
@@ -62,6 +62,8 @@
   EdgePlane& plane = *edge.edge();
   plane.later().at(deployment_.world().now(), [this, line, at = &edge, number = line->attempt] {
     if (line->attempt != number) return;
+    // A line that could not go on for long has nothing to go on from.
+    if (deployment_.world().now() + ask_within > line->last_kept + load_.keep) line->last.clear();
     if (line->last.empty()) {
       reserve(line, *at);
     } else {
@@ -97,6 +99,32 @@
   }
 }
 
+void Programs::look_again() {
+  std::vector<Machine*> edges;
+  for (Machine* m : deployment_.of(Role::edge)) {
+    if (m->edge() != nullptr) edges.push_back(m);
+  }
+  for (const auto& line : lines_) {
+    const bool over = deployment_.world().now() + ask_within > line->last_kept + load_.keep;
+    if (edges.empty() || line->last.empty() || over) continue;
+    Machine& edge = *edges[chance_.next() % edges.size()];
+    line->found_again = false;
+    EdgePlane& plane = *edge.edge();
+    plane.ledger().find(line->last, line->program->id, plane.later().now() + ask_within,
+                        [this, line, at = &edge, wanted = line->last](const edge::Ledger::Chain& chain) {
+                          found(wanted, chain, at->name());
+                          line->found_again = chain.verdict == edge::Ledger::Sought::whole;
+                        });
+    edge.process().poke();
+  }
+}
+
+void Programs::finish() {
+  for (const auto& line : lines_) {
+    if (!line->found_again) checker_.broken("turn-gone", "at the end turn " + line->last + " is not found");
+  }
+}
+
 void Programs::reserve(const std::shared_ptr<Line>& line, Machine& edge) {
   EdgePlane& plane = *edge.edge();
   const std::uint64_t number = line->attempt;
@@ -124,7 +152,7 @@
   turn.program = program.id;
   turn.input.data = "in " + id;
   turn.output.data = std::string(static_cast<std::size_t>(used), 'o') + id;
-  turn.keep_ms = keep_ms;
+  turn.keep_ms = static_cast<std::int64_t>(load_.keep.as_ms());
   kept_[id] = {turn.previous, turn.output.data};  // it may be found whether it is told of or not
   edge.edge()->later().after(Span::ms(80) * chance_.unit(),
                              [this, line, at = &edge, turn, used] { keep(line, *at, turn, used); });
@@ -137,7 +165,10 @@
   plane.ledger().keep(turn, used, plane.later().now() + ask_within,
                       [this, line, number, id = turn.id](bool kept) {
                         if (line->attempt != number) return;
-                        if (kept) line->last = id;
+                        if (kept) {
+                          line->last = id;
+                          line->last_kept = deployment_.world().now();
+                        }
                         next(line);
                       });
 }
--- a/src/simulation/programs.hpp
+++ b/src/simulation/programs.hpp
@@ -17,6 +17,7 @@
   Span pause = Span::ms(300);
   std::int64_t most = 40;  // tokens of one turn
   std::int64_t budget = 240;
+  Span keep = Span::ms(120000);  // of a turn, with all that it goes on from
 };
 
 class Programs {
@@ -24,6 +25,9 @@
   Programs(Deployment& deployment, Checker& checker, const ProgramLoad& load, std::uint64_t seed);
   void begin();
   void end() { ending_ = true; }
+  // Long after the last fault: each line's newest turn is looked for once more, and has to be found.
+  void look_again();
+  void finish();
   std::size_t turns_kept() const { return kept_.size(); }
   std::size_t turns_found() const { return found_; }
 
@@ -35,8 +39,10 @@
   };
   struct Line {
     std::shared_ptr<Program> program;
-    std::string last;           // the newest turn that was kept
+    std::string last;  // the newest turn that was kept
+    TimePoint last_kept;
     std::uint64_t attempt = 0;  // what comes to an earlier one is late
+    bool found_again = true;
   };
   struct KeptTurn {
     std::string previous, output;
@@ -55,6 +61,7 @@
   Checker& checker_;
   const ProgramLoad load_;
   Pcg chance_;
+  std::vector<std::shared_ptr<Line>> lines_;
   std::map<std::string, KeptTurn> kept_;
   std::size_t found_ = 0, last_ = 0;
   bool ending_ = false;
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -5,6 +5,7 @@
 #include "market/log.hpp"
 #include "simulation/faults.hpp"
 #include "simulation/observers.hpp"
+#include "simulation/planned_work.hpp"
 
 namespace chutevane::simulation {
 namespace {
@@ -42,6 +43,7 @@
         callers_(deployment_.clients()),
         faults_(deployment_),
         observers_(deployment_, callers_, checker_),
+        planned_(deployment_, callers_),
         programs_(deployment_, checker_, plan.programs, seed + 2),
         log_(world_, faults_) {
     deployment_.on_value = [this](Machine& m, const market::Value& value) {
@@ -49,6 +51,7 @@
                           static_cast<long long>(value.config_version), static_cast<long long>(value.number));
       checker_.pushed(m, value);
     };
+    faults_.on_planned = [this](const Fault& fault, Machine& m) { planned_.apply(fault, m); };
     deployment_.on_end = [this](Machine& m) {
       world_.trace().line(world_.now(), "%s ended by itself: %s", m.name().c_str(), m.last_failure.c_str());
       if (!faults_.disk_troubled(m))
@@ -64,12 +67,15 @@
     play_for(plan_.active);
     for (const auto& one : operators_) one->end();
     programs_.end();
+    planned_.end();
     faults_.end();
     play_for(plan_.quiet);
     read_back();
+    programs_.look_again();
     play_for(Span::ms(1500));
     if (answered_at_end_ < deployment_.of(Role::control).size())
       checker_.broken("no-read", "not all control machines answer a read at the end");
+    programs_.finish();
     checker_.finish();
     return outcome();
   }
@@ -143,6 +149,7 @@
   Callers callers_;
   Faults faults_;
   Observers observers_;
+  PlannedWork planned_;
   Programs programs_;
   LogToTrace log_;
   std::vector<std::unique_ptr<Operator>> operators_;
