--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -58,7 +58,7 @@
 }
 
 FolderDisk::~FolderDisk() {
-  for (const auto& [name, fd] : files_) ::close(fd);
+  for (const auto& [name, file] : files_) ::close(file.descriptor);
 }
 
 std::vector<std::string> FolderDisk::names() {
@@ -74,11 +74,11 @@
 
 absl::StatusOr<int> FolderDisk::open(const std::string& name, bool make) {
   const auto found = files_.find(name);
-  if (found != files_.end()) return found->second;
+  if (found != files_.end()) return found->second.descriptor;
   const std::string path = folder_ + "/" + name;
   const int fd = ::open(path.c_str(), O_RDWR | O_CLOEXEC | (make ? O_CREAT : 0), 0644);
   if (fd < 0) return error(path);
-  files_[name] = fd;
+  files_[name].descriptor = fd;
   return fd;
 }
 
@@ -122,13 +122,25 @@
 absl::Status FolderDisk::sync(const std::string& name) {
   const absl::StatusOr<int> fd = open(name, true);
   if (!fd.ok()) return fd.status();
-  return ::fdatasync(*fd) == 0 ? absl::OkStatus() : error(name);
+  if (::fdatasync(*fd) != 0) return error(name);
+  return files_[name].name_lasts ? absl::OkStatus() : sync_folder();
+}
+
+// Covers the names of all files that are there by now.
+absl::Status FolderDisk::sync_folder() {
+  const int fd = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (fd < 0) return error(folder_);
+  const absl::Status synced = ::fsync(fd) == 0 ? absl::OkStatus() : error(folder_);
+  ::close(fd);
+  if (!synced.ok()) return synced;
+  for (auto& [name, file] : files_) file.name_lasts = true;
+  return absl::OkStatus();
 }
 
 absl::Status FolderDisk::remove(const std::string& name) {
   const auto found = files_.find(name);
   if (found != files_.end()) {
-    ::close(found->second);
+    ::close(found->second.descriptor);
     files_.erase(found);
   }
   const std::string path = folder_ + "/" + name;
--- a/src/market/disk.hpp
+++ b/src/market/disk.hpp
@@ -21,6 +21,7 @@
   // Behind its end; a file that is not there is made. Lasts with the next sync of that file.
   virtual absl::Status append(const std::string& name, std::string_view bytes) = 0;
   virtual absl::Status cut(const std::string& name, std::size_t size) = 0;
+  // What was written and cut before, and the file's own name, last from now on.
   virtual absl::Status sync(const std::string& name) = 0;
   virtual absl::Status remove(const std::string& name) = 0;
   // A name for a disk that no other disk has: 128 random bits, in hexadecimal digits.
@@ -59,9 +60,14 @@
   absl::Status remove(const std::string& name) override;
 
  private:
+  struct File {
+    int descriptor = -1;
+    bool name_lasts = false;  // the folder was synced since this process has opened or made it
+  };
   absl::StatusOr<int> open(const std::string& name, bool make);
+  absl::Status sync_folder();
   const std::string folder_;
-  std::map<std::string, int> files_;
+  std::map<std::string, File> files_;
 };
 
 // A disk by the deployment's page: after a loss of power each write since the last sync is there, missing or
