--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -6,6 +6,7 @@
 #include <unistd.h>
 #include <xxhash.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
@@ -120,7 +121,7 @@
 }
 
 absl::Status FolderDisk::sync(const std::string& name) {
-  const absl::StatusOr<int> fd = open(name, true);
+  const absl::StatusOr<int> fd = open(name, false);
   if (!fd.ok()) return fd.status();
   if (::fdatasync(*fd) != 0) return error(name);
   return files_[name].name_lasts ? absl::OkStatus() : sync_folder();
@@ -147,8 +148,6 @@
   return ::unlink(path.c_str()) == 0 || errno == ENOENT ? absl::OkStatus() : error(path);
 }
 
-bool MemoryDisk::step() { return steps_++ < fail_from_; }
-
 std::vector<std::string> MemoryDisk::names() {
   std::vector<std::string> out;
   for (const auto& [name, file] : files_) out.push_back(name);
@@ -162,71 +161,95 @@
 }
 
 absl::Status MemoryDisk::append(const std::string& name, std::string_view bytes) {
-  if (!step()) return absl::UnavailableError("no power");
+  const bool no_power = meets(DiskFault::no_power), full = meets(DiskFault::full);
+  ++steps_;
+  if (no_power) return absl::UnavailableError("no power");
+  if (full && !files_.contains(name)) return absl::ResourceExhaustedError(name);
+  const std::string_view written = full ? bytes.substr(0, bytes.size() / 2) : bytes;
   File& file = files_[name];
-  file.now.append(bytes);
-  file.since.push_back({false, 0, std::string(bytes)});
-  return absl::OkStatus();
+  file.now.append(written);
+  file.since.push_back({.is_cut = false, .size = 0, .bytes = std::string(written)});
+  return full ? absl::ResourceExhaustedError(name) : absl::OkStatus();
 }
 
 absl::Status MemoryDisk::cut(const std::string& name, std::size_t size) {
-  if (!step()) return absl::UnavailableError("no power");
+  const bool no_power = meets(DiskFault::no_power), full = meets(DiskFault::full);
+  ++steps_;
+  if (no_power) return absl::UnavailableError("no power");
+  if (full && !files_.contains(name)) return absl::ResourceExhaustedError(name);
   File& file = files_[name];
   file.now.resize(size, '\0');
-  file.since.push_back({true, size, ""});
+  file.since.push_back({.is_cut = true, .size = size, .bytes = {}});
   return absl::OkStatus();
 }
 
 absl::Status MemoryDisk::sync(const std::string& name) {
-  if (!step()) return absl::UnavailableError("no power");
-  File& file = files_[name];
-  for (const Write& w : file.since) {
-    if (w.is_cut) {
-      file.synced.resize(w.size, '\0');
-    } else {
-      file.synced.append(w.bytes);
-    }
+  const bool no_power = meets(DiskFault::no_power);
+  const bool loses = meets(DiskFault::sync_loses), unsure = meets(DiskFault::sync_unsure);
+  ++steps_;
+  if (no_power) return absl::UnavailableError("no power");
+  const auto found = files_.find(name);
+  if (found == files_.end()) return absl::NotFoundError(name);
+  File& file = found->second;
+  if (loses) {
+    for (Write& w : file.since) w.lost = true;
   }
+  if (loses || unsure) return absl::DataLossError(name);
+  file.synced = replayed(std::move(file.synced), file.since,
+                         [](const Write& w) { return w.lost ? Fate::missing : Fate::whole; });
   file.lasts = true;
   file.since.clear();
   return absl::OkStatus();
 }
 
 absl::Status MemoryDisk::remove(const std::string& name) {
-  if (!step()) return absl::UnavailableError("no power");
+  const bool no_power = meets(DiskFault::no_power);
+  ++steps_;
+  if (no_power) return absl::UnavailableError("no power");
   files_.erase(name);
   return absl::OkStatus();
 }
 
+std::string MemoryDisk::replayed(std::string content, const std::vector<Write>& writes,
+                                 const std::function<Fate(const Write&)>& fate_of) {
+  std::size_t end = content.size();
+  for (const Write& w : writes) {
+    const Fate fate = fate_of(w);
+    if (w.is_cut) {
+      if (fate != Fate::missing) content.resize(w.size, '\0');
+      end = w.size;
+      continue;
+    }
+    // Missing in the middle leaves zeros before what came later.
+    const std::size_t size = fate == Fate::missing ? 0
+                             : fate == Fate::torn  ? w.bytes.size() / 2
+                                                   : w.bytes.size();
+    const std::string part = w.bytes.substr(0, size);
+    if (!part.empty()) {
+      if (content.size() < end) content.resize(end, '\0');
+      content.replace(end, std::min(content.size() - end, part.size()), part);
+    }
+    end += w.bytes.size();
+  }
+  return content;
+}
+
 void MemoryDisk::power_cycle(std::uint64_t luck) {
-  fail_from_ = static_cast<std::size_t>(-1);
+  fail_from_ = works_from_ = never;
   const auto draw = [&] {
     luck = luck * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (luck >> 33U) % 3;
+    return static_cast<Fate>((luck >> 33U) % 3);
   };
   for (auto it = files_.begin(); it != files_.end();) {
     File& file = it->second;
-    if (!file.lasts && draw() == 0) {
+    if (!file.lasts && draw() == Fate::missing) {
       it = files_.erase(it);
       continue;
     }
-    std::string after = file.synced;
-    std::size_t end = after.size();
-    for (const Write& w : file.since) {
-      const auto fate = draw();
-      if (w.is_cut) {
-        if (fate != 0) after.resize(w.size, '\0');
-        end = w.size;
-        continue;
-      }
-      // Missing in the middle leaves zeros before what came later.
-      const std::string part = fate == 0 ? "" : fate == 1 ? w.bytes.substr(0, w.bytes.size() / 2) : w.bytes;
-      if (!part.empty()) {
-        if (after.size() < end) after.resize(end, '\0');
-        after.replace(end, std::min(after.size() - end, part.size()), part);
-      }
-      end += w.bytes.size();
-    }
+    const std::string after = replayed(std::move(file.synced), file.since, [&](const Write& w) {
+      const Fate fate = draw();
+      return w.lost ? Fate::missing : fate;
+    });
     file = {after, after, true, {}};
     ++it;
   }
@@ -281,7 +304,8 @@
   // What a process before left behind may be read from memory alone: it lasts before anything rests on it.
   if (found) {
     for (const char* kind : {"slot", "log"}) {
-      if (absl::Status s = disk_.sync(file(kind, current_)); !s.ok()) return s;
+      const absl::Status s = disk_.sync(file(kind, current_));
+      if (!s.ok() && !absl::IsNotFound(s)) return s;  // it may have no log
     }
   }
   if (!found) return spoilt ? absl::DataLossError(name_) : absl::NotFoundError(name_);
@@ -305,10 +329,13 @@
   std::memcpy(record.data(), &number, 8);
   record.append(state);
   const std::string slot = file("slot", next), log = file("log", next);
-  for (const auto& step : {disk_.cut(log, 0), disk_.sync(log), disk_.cut(slot, 0),
-                           disk_.append(slot, framed(record, 0)), disk_.sync(slot)}) {
-    if (!step.ok()) return step;
-  }
+  needs_write_ = true;
+  if (absl::Status s = disk_.cut(log, 0); !s.ok()) return s;
+  if (absl::Status s = disk_.sync(log); !s.ok()) return s;
+  if (absl::Status s = disk_.cut(slot, 0); !s.ok()) return s;
+  if (absl::Status s = disk_.append(slot, framed(record, 0)); !s.ok()) return s;
+  if (absl::Status s = disk_.sync(slot); !s.ok()) return s;
+  needs_write_ = false;
   current_ = next;
   number_ = number;
   log_size_ = 0;
@@ -316,10 +343,13 @@
 }
 
 absl::Status Slots::append(std::string_view change) {
+  if (needs_write_) return absl::FailedPreconditionError(name_ + ": a whole state has to be written first");
   const std::string log = file("log", current_);
   const std::string record = framed(change, number_);
+  needs_write_ = true;
   if (absl::Status s = disk_.append(log, record); !s.ok()) return s;
   if (absl::Status s = disk_.sync(log); !s.ok()) return s;
+  needs_write_ = false;
   log_size_ += record.size();
   return absl::OkStatus();
 }
--- a/src/market/disk.hpp
+++ b/src/market/disk.hpp
@@ -2,6 +2,8 @@
 // points between these steps. Two implement it: the machine's folder, and a disk in memory for tests.
 #pragma once
 
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
@@ -70,6 +72,15 @@
   std::map<std::string, File> files_;
 };
 
+// What goes wrong on a disk in memory.
+enum class DiskFault : std::uint8_t {
+  no_power,     // every step fails and does nothing
+  full,         // a write leaves half of its bytes and fails; files can be cut and synced, not made
+  sync_loses,   // a sync fails, and what it should have covered is never written: a later sync doesn't cover
+                // it
+  sync_unsure,  // a sync fails, and what it should have covered may be there or not; a later sync covers it
+};
+
 // A disk by the deployment's page: after a loss of power each write since the last sync is there, missing or
 // torn. A fault is set at a numbered step; the steps that were counted tell how many points there are.
 class MemoryDisk final : public Disk {
@@ -82,25 +93,40 @@
   absl::Status remove(const std::string& name) override;
 
   // From step `point` on (0: the first) every step fails and does nothing, as on a machine without power.
-  void fail_from(std::size_t point) { fail_from_ = point; }
+  void fail_from(std::size_t point) { fail(DiskFault::no_power, point, never); }
+  // The steps from `from` on and before `until` meet this fault; then the disk works again.
+  void fail(DiskFault fault, std::size_t from, std::size_t until) {
+    fault_ = fault;
+    fail_from_ = from;
+    works_from_ = until;
+  }
   std::size_t steps() const { return steps_; }
   // Power comes back: of what was not synced each write is there, missing or torn, as `luck` says.
   void power_cycle(std::uint64_t luck);
 
  private:
+  static constexpr auto never = static_cast<std::size_t>(-1);
   struct Write {
     bool is_cut = false;
     std::size_t size = 0;
     std::string bytes;
+    bool lost = false;  // a failed sync has dropped it: it never reaches the disk
   };
+  enum class Fate : std::uint8_t { missing, torn, whole };
   struct File {
     std::string synced, now;
     bool lasts = false;
     std::vector<Write> since;
   };
-  bool step();
+  bool meets(DiskFault fault) const {
+    return fault_ == fault && steps_ >= fail_from_ && steps_ < works_from_;
+  }
+  // What these writes make of a file's content, each by its fate.
+  static std::string replayed(std::string content, const std::vector<Write>& writes,
+                              const std::function<Fate(const Write&)>& fate_of);
   std::map<std::string, File> files_;
-  std::size_t steps_ = 0, fail_from_ = static_cast<std::size_t>(-1);
+  std::size_t steps_ = 0, fail_from_ = never, works_from_ = never;
+  DiskFault fault_ = DiskFault::no_power;
 };
 
 // Frames records in a file: size, checksum, bytes; a torn or spoilt one ends what is read.
@@ -113,6 +139,10 @@
 // A slot holds the whole state under a rising number and a checksum; the log beside it the changes since.
 // The older slot is the one written over, so that one whole state is always there. A log's records are bound
 // to their slot's number: what a lost cut leaves of an older log is not taken for this one's.
+//
+// After an order that failed, what it left on the disk is unknown: its state may be read at the next start,
+// or what was there before. Only a whole state may follow, into the slot that is not in use, again and again
+// until that succeeds: its number is above all that a failed order can have left.
 class Slots {
  public:
   // `name`: of the state, begins its files' names.
@@ -125,7 +155,10 @@
   absl::StatusOr<Opened> open();
   // Lasts once this returns OK. What it held before lasts otherwise, or this: never a mix.
   absl::Status write(std::string_view state);
+  // FailedPrecondition where a whole state has to be written first.
   absl::Status append(std::string_view change);
+  // An order has failed and no whole state has been written since.
+  bool needs_write() const { return needs_write_; }
   bool log_is_long() const { return log_size_ > log_most; }
 
  private:
@@ -136,6 +169,7 @@
   int current_ = 1;  // the first write goes to slot 0
   std::uint64_t number_ = 0;
   std::size_t log_size_ = 0;
+  bool needs_write_ = false;
 };
 
 }  // namespace chutevane::market
--- a/tests/market/disk_test.cpp
+++ b/tests/market/disk_test.cpp
@@ -2,6 +2,7 @@
 // lasting is there, or the state that was being written; never a mix.
 #include "market/disk.hpp"
 
+#include <algorithm>
 #include <functional>
 #include <string>
 #include <vector>
@@ -10,6 +11,7 @@
 #include "unit.hpp"
 
 using chutevane::market::Disk;
+using chutevane::market::DiskFault;
 using chutevane::market::framed;
 using chutevane::market::MemoryDisk;
 using chutevane::market::Slots;
@@ -370,3 +372,82 @@
     }
   }
 }
+
+TEST_GROUP(DiskSlotsFaults){
+    // What may be read after a loss of power now: what was reported, or anything that was tried since.
+    static void check_now(const MemoryDisk& disk, const Held& sure, const std::vector<Held>& tried,
+                          const std::string& where){
+        for (std::uint64_t luck = 0; luck < 6; ++luck){MemoryDisk dark = disk;
+dark.power_cycle(luck);
+Slots again(dark, "s");
+const auto got = again.open();
+if (!got.ok()) {
+  CHECK_WHERE(!sure.there, where + ": lost, though reported: " + got.status().ToString());
+  continue;
+}
+const bool known = held(*got) == sure || std::find(tried.begin(), tried.end(), held(*got)) != tried.end();
+CHECK_WHERE(known, where + ": " + held(*got).text() + "; reported " + sure.text());
+}
+}
+}
+;
+
+// The disk is full, or syncs fail, at each step in turn and for some steps. The process goes on: each order
+// that failed is given again, as a whole state, until the disk takes it.
+TEST(DiskSlotsFaults, GoesOnAfterAFaultAtEveryStep) {
+  const std::size_t points = steps_of_all();
+  for (const DiskFault fault : {DiskFault::full, DiskFault::sync_loses, DiskFault::sync_unsure}) {
+    for (std::size_t from = 0; from <= points; ++from) {
+      for (const std::size_t length : {1, 2, 4, 9}) {
+        const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
+                                  numbered(", steps ", length);
+        MemoryDisk disk;
+        Slots slots(disk, "s");
+        disk.fail(fault, from, from + length);
+        Held sure;
+        for (const Order& order : orders()) {
+          std::vector<Held> tried;
+          Order now = order;
+          for (int tries = 0;; ++tries) {
+            CHECK_WHERE(tries < 12, where + ": the disk works, and the order fails");
+            if (slots.needs_write() || !sure.there) now = {true, "whole after " + order.text};
+            tried.push_back(now.after(sure));
+            if (now.give(slots).ok()) break;
+            check_now(disk, sure, tried, where + ", failed " + order.text.substr(0, 5));
+          }
+          sure = tried.back();
+          check_now(disk, sure, {}, where + ", after " + order.text.substr(0, 5));
+        }
+      }
+    }
+  }
+}
+
+// What a failed order has left may be newer than what is in use: nothing may be appended behind that.
+TEST(DiskSlotsFaults, NothingIsAppendedAfterAFailedOrder) {
+  MemoryDisk disk;
+  Slots slots(disk, "s");
+  CHECK_TRUE(slots.write("first").ok());
+  disk.fail(DiskFault::sync_unsure, disk.steps() + 4, disk.steps() + 5);  // the last step of a write
+  CHECK_FALSE(slots.write("second").ok());
+  CHECK_TRUE(absl::IsFailedPrecondition(slots.append("change of the first")));
+  CHECK_TRUE(slots.write("third").ok());
+  CHECK_TRUE(slots.append("change of the third").ok());
+  Slots again(disk, "s");
+  const auto got = again.open();
+  CHECK_TRUE(got.ok() && got->state == "third");
+  CHECK_TRUE(got->changes == std::vector<std::string>{"change of the third"});
+}
+
+// A start changes nothing that needs room: it succeeds on a full disk.
+TEST(DiskSlotsFaults, OpensOnAFullDisk) {
+  MemoryDisk disk;
+  Slots slots(disk, "s");
+  CHECK_TRUE(slots.write("state").ok() && slots.append("change").ok());
+  disk.fail(DiskFault::full, disk.steps(), disk.steps() + 1000);
+  Slots again(disk, "s");
+  const auto got = again.open();
+  CHECK_TRUE(got.ok() && got->state == "state" && got->changes.size() == 1);
+  CHECK_FALSE(again.append("more").ok());
+  CHECK_TRUE(again.needs_write());
+}
