--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -46,7 +46,7 @@
     : scheduler_(scheduler),
       settings_(settings),
       later_(scheduler),
-      disk_(std::make_unique<market::FailStopDisk>(std::move(disk))),
+      disk_(std::move(disk)),
       record_slots_(*disk_, "control"),
       address_(net::text_of(settings.internal_address(market::control_plane_port))),
       register_(later_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
@@ -62,12 +62,6 @@
       contact_(static_cast<std::int64_t>(holder_)),
       roster_(settings.machine_losses) {}
 
-void ControlPlane::fail(const absl::Status& why) {
-  if (!failure_.ok()) return;
-  failure_ = why;
-  market::log_event(market::Level::error, "disk.failed", why.ToString());
-}
-
 absl::Status ControlPlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
@@ -116,13 +110,13 @@
 void ControlPlane::listen() {
   desk_.on<market::Prepare>([this](market::Desk::Guest& guest, std::uint64_t number, market::Prepare& ask) {
     const auto got = acceptor_->prepare(ask);
-    if (!got.ok()) return fail(got.status());
-    if (number != 0) guest.answer(number, *got);
+    note_disk(got.status());
+    if (got.ok() && number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Accept>([this](market::Desk::Guest& guest, std::uint64_t number, market::Accept& ask) {
     const auto got = acceptor_->accept(ask);
-    if (!got.ok()) return fail(got.status());
-    if (number != 0) guest.answer(number, *got);
+    note_disk(got.status());
+    if (got.ok() && number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Chosen>([this](market::Desk::Guest&, std::uint64_t, market::Chosen& word) {
     register_.learn_chosen(word.value, word.initial);
@@ -153,7 +147,7 @@
                            std::function<void(absl::StatusOr<market::Promise>)> answered) {
   if (address == address_) {
     auto got = acceptor_->prepare(ask);
-    if (!got.ok()) fail(got.status());
+    note_disk(got.status());
     return answered(std::move(got));
   }
   if (market::Link* const to = link(address))
@@ -165,7 +159,7 @@
                           std::function<void(absl::StatusOr<market::Accepted>)> answered) {
   if (address == address_) {
     auto got = acceptor_->accept(ask);
-    if (!got.ok()) fail(got.status());
+    note_disk(got.status());
     return answered(std::move(got));
   }
   if (market::Link* const to = link(address))
@@ -238,6 +232,7 @@
   out.accepted = acceptor_->voting() && acceptor_->epoch() == out.epoch ? acceptor_->accepted_number() : 0;
   out.voting = acceptor_->voting();
   out.first = record_.first;
+  out.disk_failing = acceptor_->disk_failing();
   out.list_term = list_.term();
   out.list_number = list_.number();
   out.life = contact_.life();
@@ -421,7 +416,19 @@
 void ControlPlane::store_known() {
   record_.initial = register_.initial();
   record_.controllers = controller_addresses();
-  if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) fail(s);
+  note_disk(record_slots_.write(market::encoded(record_)));
+}
+
+// A request that wrote nothing succeeds on a disk that fails, too.
+void ControlPlane::note_disk(const absl::Status& outcome) {
+  if (outcome.ok() && (acceptor_->disk_failing() || record_slots_.needs_write())) return;
+  disk_health_.note(outcome);
+}
+
+// A disk that has failed is tried again with each step of the loop, not only with the next request.
+void ControlPlane::try_disk_again() {
+  if (acceptor_->disk_failing()) note_disk(acceptor_->write_again());
+  if (record_slots_.needs_write()) store_known();
 }
 
 // ---- sessions
@@ -638,9 +645,11 @@
   if (changing_roster_ || !register_.known() || !quorum_reached(duty_vacant_after)) return;
   const TimePoint now = later_.now();
   const market::Value& value = *register_.known();
-  std::vector<LiveController> live{{address_, record_.disk, record_.first, !leaving_}};
+  // One whose disk fails can't vote: it is counted as gone, so that another takes its place.
+  std::vector<LiveController> live;
+  if (!acceptor_->disk_failing()) live.push_back({address_, record_.disk, record_.first, !leaving_});
   for (const auto& [address, peer] : peers_) {
-    if (peer.last && now - peer.heard < peer_heard)
+    if (peer.last && !peer.last->disk_failing && now - peer.heard < peer_heard)
       live.push_back({address, peer.last->disk, peer.last->first, !peer.last->leaving});
   }
   const auto next = roster_.acceptors(value, live, now);
@@ -674,6 +683,7 @@
 void ControlPlane::tick() {
   if (finished_) return;
   forget_lost();
+  try_disk_again();
   gossip();
   catch_up();
   beat();
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -15,6 +15,7 @@
 #include "control/register.hpp"
 #include "control/roster.hpp"
 #include "market/configuration.hpp"
+#include "market/disk_health.hpp"
 #include "market/http_port.hpp"
 #include "market/link.hpp"
 #include "market/process.hpp"
@@ -32,7 +33,6 @@
   // The last word to the others, then the end.
   void leave() override;
   bool finished() const override { return finished_; }
-  absl::Status failure() const override { return failure_; }
   void reread(const market::ProcessSettings& settings) override;
 
  private:
@@ -54,8 +54,6 @@
                std::function<void(absl::StatusOr<market::Promise>)> answered) override;
   void accept(const std::string& address, const market::Accept& ask,
               std::function<void(absl::StatusOr<market::Accepted>)> answered) override;
-  void fail(const absl::Status& why);
-
   void listen();
   void tick();
   void gossip();
@@ -78,6 +76,8 @@
   void chosen(const market::Value& value);
   void tell_chosen(const market::Value& value);
   void store_known();
+  void note_disk(const absl::Status& outcome);
+  void try_disk_again();
   void on_hello(market::Desk::Guest& guest, const market::Hello& hello);
   void push(std::uint64_t guest, Session& session);
   const std::string& pushed_value();
@@ -109,6 +109,7 @@
   market::ControllerRecord record_;
   const std::string address_;
   std::optional<AcceptorState> acceptor_;
+  market::DiskHealth disk_health_;
   Register register_;
   market::Desk desk_;
   market::HttpPort operator_port_;
@@ -139,7 +140,6 @@
     std::function<void()> answer;
   };
   std::deque<Waiting> waiting_;
-  absl::Status failure_;  // of its disk
 };
 
 }  // namespace chutevane::control
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -55,7 +55,8 @@
 
 absl::Status AcceptorState::store(bool whole) {
   const std::string record = market::encoded(state_);
-  return whole || slots_.log_is_long() ? slots_.write(record) : slots_.append(record);
+  const bool as_slot = whole || slots_.log_is_long() || slots_.needs_write();
+  return as_slot ? slots_.write(record) : slots_.append(record);
 }
 
 bool AcceptorState::named(const Value& initial) const {
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -38,6 +38,10 @@
 };
 
 // Keeps what it promised and accepted on disk before it says so.
+//
+// Where the disk fails, the request that met it is not answered, and the state in memory stays what was last
+// on disk: that is told to those who only look. Nothing is promised or accepted until a whole state has been
+// written again, with the next request or by write_again().
 class AcceptorState {
  public:
   AcceptorState(market::Disk& disk, std::string address, std::string disk_id, bool first);
@@ -48,6 +52,11 @@
   absl::StatusOr<market::Promise> prepare(const market::Prepare& ask);
   absl::StatusOr<market::Accepted> accept(const market::Accept& ask);
 
+  // The disk has refused a state and has taken none since.
+  bool disk_failing() const { return slots_.needs_write(); }
+  // Tries again, with the state as it is.
+  absl::Status write_again() { return store(true); }
+
   std::int64_t epoch() const { return state_.epoch; }
   bool voting() const { return state_.epoch > 0; }
   std::int64_t accepted_number() const { return state_.value.number; }
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -238,6 +238,7 @@
   std::int64_t number = 0;
   std::int64_t whole = 0;
   bool counted = false;
+  bool disk_failing = false;
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
@@ -248,6 +249,7 @@
     v("number", number);
     v("whole", whole);
     v("counted", counted);
+    v("disk_failing", disk_failing);
   }
 };
 
@@ -279,6 +281,7 @@
   std::int64_t accepted = 0;
   bool voting = false;
   bool first = false;
+  bool disk_failing = false;
   Value initial;
   std::int64_t list_term = 0;
   std::int64_t list_number = 0;
@@ -303,6 +306,7 @@
     v("accepted", accepted);
     v("voting", voting);
     v("first", first);
+    v("disk_failing", disk_failing);
     v("initial", initial);
     v("list_term", list_term);
     v("list_number", list_number);
--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -729,6 +729,81 @@
   }
 }
 
+// The disk is full, or syncs fail, at each step in turn and for some steps. It goes on in memory: what it
+// told, before and between and after, stands whenever power is lost.
+TEST(RegisterAcceptor, WhatItSaidStandsThroughFaultsAtEveryStep) {
+  for (const market::DiskFault fault :
+       {market::DiskFault::full, market::DiskFault::sync_loses, market::DiskFault::sync_unsure}) {
+    for (std::size_t from = 0; from < 30; ++from) {
+      for (const std::size_t length : {1, 3, 8}) {
+        const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
+                                  numbered(", steps ", length);
+        market::MemoryDisk disk;
+        AcceptorState a(disk, "m0", "d0", true);
+        CHECK_TRUE(a.open().ok());
+        disk.fail(fault, from, from + length);
+        Ballot promised, accepted;
+        std::size_t refused = 0;
+        // After a loss of power it has promised and accepted no less than was told.
+        const auto check = [&] {
+          for (std::uint64_t luck = 0; luck < 6; ++luck) {
+            market::MemoryDisk dark = disk;
+            dark.power_cycle(luck);
+            AcceptorState again(dark, "m0", "d0", true);
+            if (promised == Ballot{} && !again.open().ok()) continue;
+            if (promised != Ballot{}) CHECK_WHERE(again.open().ok(), where);
+            const auto got = again.prepare(prepare(initial, 0, 0, true));
+            CHECK_WHERE(got.ok(), where);
+            if (promised == Ballot{}) continue;
+            CHECK_WHERE(!(got->promised < promised) && !(got->accepted < accepted), where);
+            if (got->accepted != Ballot{})
+              CHECK_WHERE(got->value.config.data == numbered("v", got->accepted.round), where);
+          }
+        };
+        for (std::int64_t round = 1; round < 14; ++round) {
+          const auto got = a.prepare(prepare(initial, round));
+          if (got.ok()) promised = {round, 1};
+          refused += got.ok() ? 0 : 1;
+          check();
+          const auto voted = a.accept(accept(initial, round, numbered("v", round)));
+          // A first promise that the disk refused has not opened the epoch: that is told, and is no vote.
+          const bool yes = voted.ok() && verdict(voted->verdict) == Verdict::yes;
+          if (yes) promised = accepted = {round, 1};
+          refused += voted.ok() ? 0 : 1;
+          check();
+          // Who only looks is told what is on disk, also meanwhile.
+          const auto look = a.prepare(prepare(initial, 0, 0, true));
+          if (look.ok() && verdict(look->verdict) == Verdict::yes)
+            CHECK_WHERE(look->accepted == accepted && look->promised == promised, where);
+        }
+        if (from < 12 && length > 1) CHECK_WHERE(refused > 0, where);
+        CHECK_WHERE(promised == (Ballot{13, 1}) && accepted == (Ballot{13, 1}),
+                    where + ": the disk works again");
+        CHECK_FALSE(a.disk_failing());
+      }
+    }
+  }
+}
+
+// Without a request it takes up again what it has as soon as the disk does.
+TEST(RegisterAcceptor, WritesAgainOnceTheDiskWorks) {
+  market::MemoryDisk disk;
+  AcceptorState a(disk, "m0", "d0", true);
+  CHECK_TRUE(a.open().ok());
+  CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
+  CHECK_TRUE(a.accept(accept(initial, 1, "x")).ok());
+  disk.fail(market::DiskFault::full, disk.steps(), disk.steps() + 9);
+  CHECK_FALSE(a.prepare(prepare(initial, 2)).ok());
+  CHECK_TRUE(a.disk_failing());
+  while (!a.write_again().ok()) CHECK_TRUE(disk.steps() < 40);
+  CHECK_FALSE(a.disk_failing());
+  disk.power_cycle(1);
+  AcceptorState again(disk, "m0", "d0", true);
+  CHECK_TRUE(again.open().ok());
+  const auto got = again.prepare(prepare(initial, 0, 0, true));
+  CHECK_TRUE(got->promised == (Ballot{1, 1}) && got->value.config.data == "x");
+}
+
 TEST(RegisterAcceptor, EarlierBallotsAreTurnedAway) {
   market::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
