--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -82,7 +82,7 @@
                        [&](const market::Retired& r) { return r.node == node && r.completed; });
   };
   for (const Member& m : live) {
-    if (m.plane != "storage" || retired(m.node)) continue;
+    if (m.plane != "storage" || m.disk_failing || retired(m.node)) continue;
     const auto same = std::find_if(next.storage_nodes.begin(), next.storage_nodes.end(),
                                    [&](const StorageNode& c) { return c.node == m.node; });
     if (same == next.storage_nodes.end()) {
@@ -98,8 +98,10 @@
     }
   }
   const auto present = [&](const StorageNode& c) {
-    return std::any_of(live.begin(), live.end(),
-                       [&](const Member& m) { return m.plane == "storage" && m.node == c.node; });
+    // One whose disk fails keeps nothing: it is counted as gone.
+    return std::any_of(live.begin(), live.end(), [&](const Member& m) {
+      return m.plane == "storage" && m.node == c.node && !m.disk_failing;
+    });
   };
   for (std::size_t i = 0; i < next.storage_nodes.size();) {
     const StorageNode& c = next.storage_nodes[i];
--- a/src/market/session.hpp
+++ b/src/market/session.hpp
@@ -28,6 +28,10 @@
     self_.whole = map;
     tell_all();
   }
+  void tell_disk_failing(bool failing) {
+    self_.disk_failing = failing;
+    tell_all();
+  }
   // The settings name other seeds now.
   void reread(const ProcessSettings& settings);
   // The last word: the sidecar leaves.
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -12,6 +12,7 @@
 
 constexpr Span pull_most = Span::ms(400);       // for one answer
 constexpr Span pull_again = Span::ms(25);       // where the other has not got the map yet
+constexpr Span disk_again = Span::ms(100);      // between tries of a disk that fails
 constexpr Span silent_most = Span::ms(500);     // an other that says nothing for so long counts as lost
 constexpr std::size_t pull_bytes = 256 * 1024;  // of one answer: others have their turn between
 constexpr std::size_t pull_names = 2000;        // of one answer
@@ -32,17 +33,11 @@
     : scheduler_(scheduler),
       settings_(settings),
       later_(scheduler),
-      disk_(std::make_unique<market::FailStopDisk>(std::move(disk))),
+      disk_(std::move(disk)),
       record_slots_(*disk_, "storage"),
       store_(*disk_, room_of(settings)),
       desk_(scheduler) {}
 
-void StoragePlane::fail(const absl::Status& why) {
-  if (!failure_.ok()) return;
-  failure_ = why;
-  market::log_event(market::Level::error, "disk.failed", why.ToString());
-}
-
 absl::Status StoragePlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
@@ -83,9 +78,16 @@
   later_.after(Span(), [this] { sync(); });
 }
 
+// What waits for a disk that fails is told once it works again; nothing else is taken up meanwhile.
 void StoragePlane::sync() {
+  const bool worked = disk_health_.works();
+  if (!disk_health_.note(store_.commit(later_.now()))) {
+    if (worked) sessions_->tell_disk_failing(true);
+    later_.after(disk_again, [this] { sync(); });
+    return;
+  }
+  if (!worked) sessions_->tell_disk_failing(false);
   sync_due_ = false;
-  if (absl::Status s = store_.commit(later_.now()); !s.ok()) return fail(s);
   std::vector<std::function<void()>> told;
   told.swap(synced_);
   for (const auto& one : told) one();
@@ -96,7 +98,7 @@
     market::Reserved out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && !ready_) verdict = Verdict::unready;
+    if (verdict == Verdict::yes && (!ready_ || store_.failing())) verdict = Verdict::unready;
     out.verdict = static_cast<std::int64_t>(verdict);
     if (verdict != Verdict::yes) return guest.answer(number, out);
     out.others = store_.reserve(ask.program, ask.attempt, ask.most, later_.now());
@@ -112,7 +114,8 @@
     market::Kept out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && !store_.keep(ask.turn, later_.now())) verdict = Verdict::full;
+    if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, later_.now())))
+      verdict = Verdict::full;
     out.verdict = static_cast<std::int64_t>(verdict);
     if (verdict != Verdict::yes) return guest.answer(number, out);
     if (ask.used >= 0) store_.settle(ask.turn.program, ask.turn.id, ask.used, later_.now());
@@ -138,6 +141,7 @@
 // What the asker holds by the map. Only once this one has it too: from then on nothing is added here under an
 // older one.
 void StoragePlane::answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask) {
+  if (store_.failing()) return;  // silent as a lost one is: the asker does without it where it may
   market::Pulled out;
   out.map = map_;
   out.last = true;
@@ -338,10 +342,7 @@
   }
   if (ready_ && !whole_ && pending_turns == 0 && turns >= needed) {
     whole_ = true;
-    if (!record_.held) {
-      record_.held = true;
-      if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) return fail(s);
-    }
+    note_held();
     sessions_->tell_whole(map_);
     market::log_info("storage.whole", "map " + std::to_string(map_) + ", turns " +
                                           std::to_string(store_.turns()) + " after ms " +
@@ -349,7 +350,17 @@
   }
 }
 
+// That this disk has held what is its own. Without it a later take-over leaves nobody out, which is only
+// stricter.
+void StoragePlane::note_held() {
+  if (record_.held) return;
+  market::StorageNodeRecord held = record_;
+  held.held = true;
+  if (record_slots_.write(market::encoded(held)).ok()) record_ = std::move(held);
+}
+
 void StoragePlane::sweep() {
+  if (whole_) note_held();
   store_.sweep(later_.now());
   if (store_.dirty()) when_synced([] {});
   later_.after(Span::ms(1000), [this] { sweep(); });
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "market/disk_health.hpp"
 #include "market/link.hpp"
 #include "market/process.hpp"
 #include "market/session.hpp"
@@ -25,7 +26,6 @@
   absl::Status open() override;
   void leave() override;
   bool finished() const override { return finished_; }
-  absl::Status failure() const override { return failure_; }
   void reread(const market::ProcessSettings& settings) override { sessions_->reread(settings); }
 
  private:
@@ -40,13 +40,13 @@
     std::uint64_t turn = 0;
   };
 
-  void fail(const absl::Status& why);
   void listen();
   void value_came(const market::Value& value);
   void take_over(const std::vector<market::StorageNode>& before);
   void ask(const std::string& node);
   void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<market::Pulled> got);
   void look_ready();
+  void note_held();
   Verdict check(std::int64_t map) const;
   // Once what was written before is on disk.
   void when_synced(std::function<void()> then);
@@ -62,6 +62,7 @@
   market::Slots record_slots_;
   market::StorageNodeRecord record_;
   Store store_;
+  market::DiskHealth disk_health_;
   market::Desk desk_;
   std::unique_ptr<market::Sessions> sessions_;
   std::map<std::string, std::unique_ptr<market::Link>> links_;  // by address
@@ -75,7 +76,6 @@
   std::uint64_t turn_ = 0;
   std::vector<std::function<void()>> synced_;
   bool sync_due_ = false;
-  absl::Status failure_;
 };
 
 }  // namespace chutevane::storage
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -156,8 +156,14 @@
 absl::Status Store::commit(TimePoint now) {
   if (pending_.empty()) return absl::OkStatus();
   const std::string name = segment_name(current_);
+  if (failing_) {
+    // What a failed try has left, torn or whole, would hide what is appended next or stand there twice.
+    if (absl::Status s = disk_.cut(name, current_size_); !s.ok()) return s;
+  }
+  failing_ = true;
   if (absl::Status s = disk_.append(name, pending_); !s.ok()) return s;
   if (absl::Status s = disk_.sync(name); !s.ok()) return s;
+  failing_ = false;
   current_size_ += pending_.size();
   pending_.clear();
   if (current_size_ > segment_most) {
@@ -210,7 +216,7 @@
     at = turns_.erase(at);
   }
   std::erase_if(accounts_, [&](const auto& one) { return one.second.until < now; });
-  drop_segments(now);
+  if (!failing_) drop_segments(now);
 }
 
 void Store::drop_segments(TimePoint now) {
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -39,7 +39,10 @@
   // False: there is no room.
   bool keep(const market::Turn& turn, TimePoint now);
   void merge(const market::Account& account, TimePoint now);
+  // An error: none of what was not committed before lasts for sure. All of it is kept for the next try, which
+  // first cuts the file back to what was committed.
   absl::Status commit(TimePoint now);
+  bool failing() const { return failing_; }  // the last commit was an error
   bool dirty() const { return !pending_.empty(); }
 
   const market::Turn* find(const std::string& id) const;
@@ -87,6 +90,7 @@
   std::uint64_t current_ = 1;
   std::size_t current_size_ = 0, bytes_ = 0;
   std::string pending_;
+  bool failing_ = false;
   TimePoint swept_;
 };
 
--- a/tests/market/roster_test.cpp
+++ b/tests/market/roster_test.cpp
@@ -295,6 +295,22 @@
 }
 
 // The copies lie there: fewer than bear the losses are not left in the map.
+// One whose disk takes nothing is there and keeps nothing: another takes its part, and it comes back with its
+// disk.
+TEST(RosterStorageNodes, OneWhoseDiskFailsCountsAsGone) {
+  const Value value = with_storage_nodes({1, 2, 3, 4});
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  CHECK_FALSE(roster.storage_nodes(value, live, now).has_value());
+  live[2].disk_failing = true;
+  const auto next = watched(value, live, Span::ms(30000), &after);
+  CHECK_TRUE(next.has_value() && !lists(*next, "n3"));
+  CHECK_TRUE(after > storage_node_lost_after && after <= storage_node_lost_after + look_every);
+  CHECK_FALSE(watched(*next, live, Span::ms(5000), &after).has_value());
+  live[2].disk_failing = false;
+  const auto again = roster.storage_nodes(*next, live, now);
+  CHECK_TRUE(again.has_value() && lists(*again, "n3"));
+}
+
 TEST(RosterStorageNodes, TheLastCopiesStayInTheMap) {
   CHECK_FALSE(
       watched(with_storage_nodes({1, 2, 3}), members({1, 2}, 7), Span::ms(30000), &after).has_value());
--- a/tests/market/storage_test.cpp
+++ b/tests/market/storage_test.cpp
@@ -14,6 +14,7 @@
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::market::Account;
+using chutevane::market::DiskFault;
 using chutevane::market::MemoryDisk;
 using chutevane::market::Reservation;
 using chutevane::market::StorageNode;
@@ -429,6 +430,63 @@
   }
 }
 
+// The disk is full, or syncs fail, at each step in turn and for some steps, and the store goes on: what
+// commit() has said OK to is there whenever power is lost, and all of it once the disk works again.
+TEST(StorageLosses, GoesOnAfterAFaultAtEveryStep) {
+  for (const DiskFault fault : {DiskFault::full, DiskFault::sync_loses, DiskFault::sync_unsure}) {
+    for (std::size_t from = 0; from < 24; ++from) {
+      for (const std::size_t length : {1, 2, 5}) {
+        const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
+                                  numbered(", steps ", length);
+        MemoryDisk disk;
+        Store store(disk, room);
+        CHECK_TRUE(store.open(now).ok());
+        disk.fail(fault, from, from + length);
+        Luck luck(from);
+        Ledgered work;
+        std::size_t failed = 0;
+        for (int part = 0; part < 12; ++part) {
+          work.run(store, now, luck, 3, part * 3);
+          failed += store.failing() ? 1 : 0;
+          for (std::uint64_t loss = 0; loss < 4; ++loss) {
+            MemoryDisk dark = disk;
+            dark.power_cycle(loss);
+            Store again(dark, room);
+            CHECK_WHERE(again.open(now).ok(), where);
+            work.check(again, where + numbered(", part ", part));
+          }
+        }
+        while (!store.commit(now).ok()) CHECK_WHERE(disk.steps() < from + length + 9, where);
+        work.sure = work.tried;
+        disk.power_cycle(from);
+        Store last(disk, room);
+        CHECK_WHERE(last.open(now).ok(), where);
+        work.check(last, where + ", at the end");
+        CHECK_WHERE(from > 15 || length < 5 || failed > 0, where + ": no fault was met");
+      }
+    }
+  }
+}
+
+// No segment is removed, and none of what is in use written again, while the disk takes nothing: what waits
+// does not grow with time alone.
+TEST(StorageLosses, NothingIsWrittenAgainWhileTheDiskFails) {
+  MemoryDisk disk;
+  Store store(disk, room);
+  CHECK_TRUE(store.open(now).ok());
+  store.keep(turn("a", "", 1e9), now);
+  store.reserve("p", "a", 7, now);
+  CHECK_TRUE(store.commit(now).ok());
+  for (int n = 0; n < 9; ++n) store.keep(turn(numbered("t", n), "", 1000, 500000), now);
+  CHECK_TRUE(store.commit(now).ok());  // over the size of a segment: the next goes to another
+  store.keep(turn("b", "", 1e9), now);
+  disk.fail(DiskFault::full, disk.steps(), disk.steps() + 1000);
+  CHECK_FALSE(store.commit(now).ok());
+  const std::size_t steps = disk.steps();
+  for (int n = 0; n < 20; ++n) store.sweep(now + Span::ms(151000 + 2000 * n));
+  CHECK_EQUAL(steps, disk.steps());
+}
+
 // While old segments are written again and removed, power is lost at each step.
 TEST(StorageLosses, LossOfPowerWhileSegmentsAreRemoved) {
   const auto work = [&](Store& store, MemoryDisk& disk, std::size_t point, bool* lasting) {
