--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -36,28 +36,6 @@
   return text;
 }
 
-template <class Step>
-absl::Status FailStopDisk::guarded(Step step) {
-  if (failure_.ok()) failure_ = step();
-  return failure_;
-}
-
-absl::Status FailStopDisk::append(const std::string& name, std::string_view bytes) {
-  return guarded([&] { return disk_->append(name, bytes); });
-}
-
-absl::Status FailStopDisk::cut(const std::string& name, std::size_t size) {
-  return guarded([&] { return disk_->cut(name, size); });
-}
-
-absl::Status FailStopDisk::sync(const std::string& name) {
-  return guarded([&] { return disk_->sync(name); });
-}
-
-absl::Status FailStopDisk::remove(const std::string& name) {
-  return guarded([&] { return disk_->remove(name); });
-}
-
 FolderDisk::~FolderDisk() {
   for (const auto& [name, file] : files_) ::close(file.descriptor);
 }
--- a/src/market/disk.hpp
+++ b/src/market/disk.hpp
@@ -30,26 +30,6 @@
   virtual std::string new_id();
 };
 
-// Another disk until a step of it fails; then every later step fails alike. What a write that failed has left
-// behind is unknown, so nothing may be written behind it and taken for lasting.
-class FailStopDisk final : public Disk {
- public:
-  explicit FailStopDisk(std::unique_ptr<Disk> disk) : disk_(std::move(disk)) {}
-  std::vector<std::string> names() override { return disk_->names(); }
-  absl::StatusOr<std::string> read(const std::string& name) override { return disk_->read(name); }
-  absl::Status append(const std::string& name, std::string_view bytes) override;
-  absl::Status cut(const std::string& name, std::size_t size) override;
-  absl::Status sync(const std::string& name) override;
-  absl::Status remove(const std::string& name) override;
-  std::string new_id() override { return disk_->new_id(); }
-
- private:
-  template <class Step>
-  absl::Status guarded(Step step);
-  std::unique_ptr<Disk> disk_;
-  absl::Status failure_;  // of the first step that failed
-};
-
 class FolderDisk final : public Disk {
  public:
   explicit FolderDisk(std::string folder) : folder_(std::move(folder)) {}
--- a/src/market/process.cpp
+++ b/src/market/process.cpp
@@ -110,11 +110,7 @@
       return 3;
     }
     Loop loop(scheduler, *plane, path, settings->node);
-    while (!plane->finished() && plane->failure().ok()) scheduler.turn();
-    if (absl::Status s = plane->failure(); !s.ok()) {
-      log_event(Level::error, "process.failed", s.ToString());
-      return 3;
-    }
+    while (!plane->finished()) scheduler.turn();
     log_info("process.ended", "");
     return 0;
   } catch (const std::exception& e) {
--- a/src/market/process.hpp
+++ b/src/market/process.hpp
@@ -18,8 +18,6 @@
   virtual absl::Status open() = 0;
   virtual void leave() = 0;  // SIGTERM: come to an end within the grace
   virtual bool finished() const = 0;
-  // Why it cannot go on, such as a disk that failed: its process ends at once, with exit status 3.
-  virtual absl::Status failure() const { return absl::OkStatus(); }
   virtual void reread(const ProcessSettings&) {}  // the settings file has changed
 };
 
--- a/src/simulation/machine.cpp
+++ b/src/simulation/machine.cpp
@@ -87,8 +87,8 @@
 bool Machine::turn() {
   const AtWork scope(*this);
   life_->scheduler.turn();
-  if (!life_->plane->finished() && life_->plane->failure().ok()) return true;
-  last_failure = life_->plane->failure().ToString();
+  if (!life_->plane->finished()) return true;
+  last_failure.clear();
   // Its objects go once this turn is over; nothing else of the world may see it run again before.
   world_.after(Span(), [this, life = lives_] {
     if (lives_ != life) return;
