--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -1,6 +1,7 @@
 #include "control/roster.hpp"
 
 #include <algorithm>
+#include <iterator>
 
 namespace chutevane::control {
 
@@ -174,8 +175,12 @@
   return changed;
 }
 
-std::optional<Value> Roster::storage_nodes(const Value& chosen, const std::vector<Member>& live,
+std::optional<Value> Roster::storage_nodes(const Value& chosen, const std::vector<Member>& members,
                                            TimePoint now) {
+  // One whose disk fails keeps nothing: it counts as gone.
+  std::vector<Member> live;
+  std::copy_if(members.begin(), members.end(), std::back_inserter(live),
+               [](const Member& m) { return !m.disk_failing; });
   Value next = chosen;
   bool changed = false;
   for (const Member& m : live) {
