--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "played_register.hpp"
 #include "played_system.hpp"
 #include "unit.hpp"
 
@@ -30,140 +31,15 @@
 using market::Prepare;
 using market::Promise;
 using market::Value;
-using played::Clockwork;
-using played::Luck;
+using played::Field;
+using played::Machine;
+using played::Proposer;
+using played::Weather;
 
 namespace {
 
 Verdict verdict(std::int64_t v) { return static_cast<Verdict>(v); }
 
-// A machine with a disk that may vote.
-struct Machine {
-  std::string address, disk_id;
-  bool first = true;
-  std::unique_ptr<market::MemoryDisk> disk = std::make_unique<market::MemoryDisk>();
-  std::unique_ptr<AcceptorState> acceptor;
-  bool up = false;
-
-  void start() {
-    acceptor = std::make_unique<AcceptorState>(*disk, address, disk_id, first);
-    const absl::Status s = acceptor->open();
-    if (absl::IsDataLoss(s)) {  // as the control plane does: it is another disk from here on
-      wipe();
-      return start();
-    }
-    up = s.ok();
-  }
-  void wipe() {
-    disk = std::make_unique<market::MemoryDisk>();
-    disk_id += "'";
-    first = false;
-  }
-  void lose_power(std::uint64_t luck) {
-    up = false;
-    acceptor.reset();
-    disk->power_cycle(luck);
-  }
-};
-
-struct Weather {
-  double lost = 0, repeated = 0, slow = 0;  // parts of the messages
-  Span most = Span::ms(20);                 // of a way
-};
-
-// The machines and the ways to them.
-struct Field {
-  explicit Field(std::size_t machines, std::uint64_t seed) : luck(seed), all(machines) {
-    for (std::size_t i = 0; i < machines; ++i) {
-      all[i].address = numbered("m", i);
-      all[i].disk_id = numbered("d", i);
-      all[i].start();
-    }
-  }
-  Machine* find(const std::string& address) {
-    for (Machine& m : all) {
-      if (m.address == address) return &m;
-    }
-    return nullptr;
-  }
-  Value first_set(std::size_t n) const {
-    std::vector<Acceptor> set;
-    for (std::size_t i = 0; i < n; ++i) set.push_back({all[i].address, ""});
-    return first_value(set);
-  }
-  Span way() { return luck.chance(weather.slow) ? Span::ms(900 * luck.unit()) : weather.most * luck.unit(); }
-  // A disk that fails ends its machine: nothing is answered.
-  template <class Ask>
-  auto ask(Machine& m, const Ask& what) {
-    if constexpr (std::is_same_v<Ask, Prepare>) {
-      auto got = m.acceptor->prepare(what);
-      if (!got.ok()) died(m);
-      return got;
-    } else {
-      auto got = m.acceptor->accept(what);
-      if (!got.ok()) died(m);
-      return got;
-    }
-  }
-  void died(Machine& m) {
-    m.up = false;
-    if (on_death) on_death(m);
-  }
-
-  Clockwork clock;
-  Luck luck;
-  Weather weather;
-  std::vector<Machine> all;
-  std::function<void(Machine&)> on_death;
-};
-
-// One proposer's ways: exactly one answer to each message, as a held connection gives it.
-class PlayedVoters final : public control::Voters {
- public:
-  explicit PlayedVoters(Field& field) : field_(field) {}
-  void prepare(const std::string& address, const Prepare& ask,
-               std::function<void(absl::StatusOr<Promise>)> answered) override {
-    send(address, ask, std::move(answered));
-  }
-  void accept(const std::string& address, const Accept& ask,
-              std::function<void(absl::StatusOr<Accepted>)> answered) override {
-    send(address, ask, std::move(answered));
-  }
-  bool cut_off = false;
-
- private:
-  template <class Ask, class Reply>
-  void send(const std::string& address, const Ask& ask, std::function<void(absl::StatusOr<Reply>)> answered) {
-    struct State {
-      bool told = false;
-    };
-    auto state = std::make_shared<State>();
-    auto once = [state, answered = std::move(answered)](absl::StatusOr<Reply> got) {
-      if (std::exchange(state->told, true)) return;
-      answered(std::move(got));
-    };
-    field_.clock.later.after(Span::ms(350), [once] { once(absl::DeadlineExceededError("no answer")); });
-    const int copies = field_.luck.chance(field_.weather.repeated) ? 2 : 1;
-    for (int copy = 0; copy < copies; ++copy) {
-      if (field_.luck.chance(field_.weather.lost)) continue;
-      field_.clock.later.after(field_.way(), [this, address, ask, once] {
-        Machine* const m = field_.find(address);
-        if (m == nullptr || !m->up || cut_off) return;
-        auto got = field_.ask(*m, ask);
-        if (!got.ok() || field_.luck.chance(field_.weather.lost)) return;
-        field_.clock.later.after(field_.way(), [once, got] { once(got); });
-      });
-    }
-  }
-  Field& field_;
-};
-
-struct Proposer {
-  Proposer(Field& field, std::uint64_t number) : voters(field), reg(field.clock.later, voters, number) {}
-  PlayedVoters voters;
-  Register reg;
-};
-
 // What must hold whatever happens, told of every chosen value and of every order's start and end.
 class Watcher {
  public:
