--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -20,7 +20,9 @@
 constexpr Span behind_most = Span::ms(150);       // news of a change comes within some ms, or is asked for
 constexpr Span list_every = Span::ms(600);        // a fifth of the time to drain; each reading has its price
 constexpr Span full_every = Span::ms(2000);       // of the words that say all
-constexpr Span answer_most = Span::ms(350);       // of an acceptor: two ways and a sync take some ms
+constexpr Span members_settled_after = Span::ms(3000);  // a full word of each peer, and a lost session anew
+constexpr Span acks_most = Span::ms(300);               // an operator waits so long for edges to acknowledge
+constexpr Span answer_most = Span::ms(350);             // of an acceptor: two ways and a sync take some ms
 constexpr Span vote_most = Span::ms(300);
 constexpr Span leave_least = Span::ms(400);   // between SIGTERM and the end: calls under way
 constexpr Span leave_again = Span::ms(50);    // then it looks so often whether its place is another's
@@ -54,9 +56,10 @@
       address_(net::text_of(settings.internal_address(market::control_plane_port))),
       register_(later_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
       desk_(scheduler),
+      operator_api_(register_, *this, settings.machine_losses),
       operator_port_(scheduler, body_most,
                      [this](const http::Parser& request, market::HttpPort::Reply reply) {
-                       operate(request, std::move(reply));
+                       operator_api_.serve(request, std::move(reply));
                      }),
       list_duty_("list", seed_of(settings.node + "list", scheduler.now())),
       roster_duty_("roster", seed_of(settings.node + "roster", scheduler.now())),
@@ -109,6 +112,7 @@
     know(market::inner_address(
         seed, static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port)));
   for (const std::string& one : record_.controllers) know(one);
+  in_contact_since_ = later_.now();
   listen();
   tick();
   read_list();
@@ -417,7 +421,7 @@
 }
 
 // The others hear of a change from who made it, not only by asking.
-void ControlPlane::tell_chosen(const market::Value& value) {
+void ControlPlane::announce(const market::Value& value) {
   for (auto& [address, peer] : peers_) peer.link->tell(market::Chosen{value, register_.initial()});
 }
 
@@ -476,7 +480,9 @@
 
 const std::string& ControlPlane::pushed_value() {
   if (push_number_ != register_.known()->number) {
-    push_record_ = market::encoded(market::Push{*register_.known()});
+    market::Push push{*register_.known()};
+    push.value.taken.clear();  // only who takes orders has a use for it
+    push_record_ = market::encoded(push);
     push_number_ = register_.known()->number;
   }
   return push_record_;
@@ -526,6 +532,33 @@
   }
 }
 
+void ControlPlane::when_acknowledged(std::int64_t number, std::function<void()> then) {
+  waiting_.push_back({number, later_.now() + acks_most, std::move(then)});
+  later_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
+  acknowledged();
+}
+
+bool ControlPlane::all_peers_heard() const {
+  return std::all_of(peers_.begin(), peers_.end(), [&](const auto& one) {
+    return one.second.last && later_.now() - one.second.heard < peer_heard;
+  });
+}
+
+// A member's session is told of by a peer's next full word; one that had to look for another control machine
+// has found it by then too.
+bool ControlPlane::members_complete() const {
+  return quorum_reached(peer_heard) && all_peers_heard() &&
+         later_.now() - in_contact_since_ >= members_settled_after;
+}
+
+ControlStatus ControlPlane::status() const {
+  ControlStatus out{settings_.node, fresh_age(), {}, list_.entries().size()};
+  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
+    if (duty->mine()) out.duties.push_back({duty->name(), duty->term()});
+  }
+  return out;
+}
+
 std::vector<Member> ControlPlane::members() const {
   std::map<std::string, Member> all;
   const auto take = [&](const Member& m) {
@@ -664,7 +697,7 @@
       [this, changed = next.has_value()](absl::StatusOr<market::Value> got) {
         changing_roster_ = false;
         if (!got.ok()) return;
-        tell_chosen(*got);
+        announce(*got);
         market::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
                          "number " + std::to_string(got->number) + ", epoch " + std::to_string(got->epoch) +
                              ", map " + std::to_string(got->map) + " of " +
@@ -678,6 +711,7 @@
 void ControlPlane::tick() {
   if (finished_) return;
   forget_lost();
+  if (!quorum_reached(peer_heard) || !all_peers_heard()) in_contact_since_ = later_.now();
   gossip();
   catch_up();
   beat();
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "control/duty.hpp"
+#include "control/operator_api.hpp"
 #include "control/platform.hpp"
 #include "control/quorum_contact.hpp"
 #include "control/register.hpp"
@@ -23,7 +24,7 @@
 
 namespace chutevane::control {
 
-class ControlPlane final : public market::Plane, Voters {
+class ControlPlane final : public market::Plane, Voters, OperatorApi::Host {
  public:
   ControlPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
                std::unique_ptr<market::Disk> disk);
@@ -75,11 +76,11 @@
   // Whether nothing that still counts goes with this machine, or nobody is there to take it over.
   bool may_go() const;
   void go_when_released(TimePoint latest);
+  bool all_peers_heard() const;
   Span fresh_age() const;
   std::vector<std::string> controller_addresses() const;
 
   void chosen(const market::Value& value);
-  void tell_chosen(const market::Value& value);
   void store_known();
   void on_hello(market::Desk::Guest& guest, const market::Hello& hello);
   void push(std::uint64_t guest, Session& session);
@@ -94,15 +95,13 @@
   void take_list(const market::EndpointList& told);
   void list_changed();
   void keep_roster();
-  std::vector<market::Member> members() const;
 
-  void operate(const http::Parser& request, market::HttpPort::Reply reply);
-  void replace(const http::Parser& request, market::HttpPort::Reply reply);
-  void retrieve(market::HttpPort::Reply reply);
-  void history(market::HttpPort::Reply reply);
-  void retire_start(const std::string& node, market::HttpPort::Reply reply);
-  void retire_state(const std::string& node, market::HttpPort::Reply reply);
-  void status(market::HttpPort::Reply reply);
+  // What the operators' API asks for.
+  void announce(const market::Value& value) override;
+  void when_acknowledged(std::int64_t number, std::function<void()> then) override;
+  std::vector<market::Member> members() const override;
+  bool members_complete() const override;
+  ControlStatus status() const override;
 
   net::Scheduler& scheduler_;
   market::ProcessSettings settings_;
@@ -114,6 +113,7 @@
   std::optional<AcceptorState> acceptor_;
   Register register_;
   market::Desk desk_;
+  OperatorApi operator_api_;
   market::HttpPort operator_port_;
   std::map<std::string, Peer> peers_;
   std::vector<std::unique_ptr<market::Link>> parted_;
@@ -124,6 +124,7 @@
   // No value chosen before it is newer than the known one.
   TimePoint fresh_at_;
   TimePoint full_since_, told_since_;
+  TimePoint in_contact_since_;  // with every control machine that it knows, without a break
   std::vector<std::string> told_controllers_;
   std::uint64_t full_stamp_ = 0;
   bool catching_up_ = false, leaving_ = false, finished_ = false;
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -1,18 +1,20 @@
-// The operator's API of a control sidecar, by api/operators.yaml.
+#include "control/operator_api.hpp"
+
 #include <algorithm>
 #include <charconv>
+#include <memory>
+#include <optional>
 
-#include "control/control_plane.hpp"
+#include "control/roster.hpp"
 #include "json/value.hpp"
+#include "market/configuration.hpp"
 #include "market/log.hpp"
 
 namespace chutevane::control {
 namespace {
 
-constexpr Span acks_most = Span::ms(300);     // an operator waits so long for sidecars to acknowledge
 constexpr Span change_most = Span::ms(3000);  // told as unclear well before `ackMs`
-constexpr std::size_t taken_most = 64;        // configurations whose repeats are known
-constexpr Span order_most = Span::ms(2500);
+constexpr Span order_most = Span::ms(2500);   // ... and so with all other calls
 
 market::HttpAnswer problem(int status, const std::string& cause) {
   json::Writer out;
@@ -36,78 +38,92 @@
   return {400, out.result(), {}};
 }
 
+// -1 where it is missing or no version: a finding then.
+std::int64_t base_version(const http::Parser& request, market::Findings& findings) {
+  constexpr std::string_view name = "X-Chutevane-Base-Version";
+  const auto text = request.find(name);
+  if (!text) {
+    findings.add(std::string(name), "missing");
+    return -1;
+  }
+  std::int64_t base = -1;
+  const char* const end = text->data() + text->size();
+  const auto got = std::from_chars(text->data(), end, base);
+  if (got.ec == std::errc() && got.ptr == end && base >= 0) return base;
+  findings.add(std::string(name), "not a version");
+  return -1;
+}
+
+bool is_retired(const market::Value& value, const std::string& node) {
+  return std::any_of(value.retired.begin(), value.retired.end(),
+                     [&](const market::Retired& r) { return r.node == node; });
+}
+
 }  // namespace
 
-void ControlPlane::operate(const http::Parser& request, market::HttpPort::Reply reply) {
+OperatorApi::OperatorApi(Register& control_register, Host& host, std::size_t machine_losses,
+                         std::size_t remembered)
+    : register_(control_register), host_(host), machine_losses_(machine_losses), remembered_(remembered) {}
+
+void OperatorApi::serve(const http::Parser& request, market::HttpPort::Reply reply) {
   const std::string_view target = request.target();
   const std::string_view path = target.substr(0, target.find('?'));
   const auto node_of = [&](std::string_view prefix) { return std::string(path.substr(prefix.size())); };
-  constexpr std::string_view start = "/v1/Retire.Initiate/", state = "/v1/Retire.Retrieve/";
+  constexpr std::string_view initiate = "/v1/Retire.Initiate/", state = "/v1/Retire.Retrieve/";
   const bool get = request.method() == "GET", post = request.method() == "POST";
   if (post && path == "/v1/Configuration.Replace") return replace(request, std::move(reply));
   if (get && path == "/v1/Configuration.Retrieve") return retrieve(std::move(reply));
   if (get && path == "/v1/Configuration.History") return history(std::move(reply));
-  if (post && path.starts_with(start)) return retire_start(node_of(start), std::move(reply));
-  if (get && path.starts_with(state)) return retire_state(node_of(state), std::move(reply));
+  if (post && path.starts_with(initiate)) return initiate_retire(node_of(initiate), std::move(reply));
+  if (get && path.starts_with(state)) return retrieve_retire(node_of(state), std::move(reply));
   if (get && path == "/v1/Status.Retrieve") return status(std::move(reply));
   reply(problem(404, "no such call"));
 }
 
-void ControlPlane::replace(const http::Parser& request, market::HttpPort::Reply reply) {
+void OperatorApi::replace(const http::Parser& request, market::HttpPort::Reply reply) {
   market::Findings findings;
-  std::int64_t base = -1;
-  const auto text = request.find("X-Chutevane-Base-Version");
-  if (text) {
-    const auto got = std::from_chars(text->data(), text->data() + text->size(), base);
-    if (got.ec != std::errc() || got.ptr != text->data() + text->size() || base < 0)
-      findings.add("X-Chutevane-Base-Version", "not a version");
-  } else {
-    findings.add("X-Chutevane-Base-Version", "missing");
-  }
-  const std::string body(request.body());
-  const auto read = market::read_configuration(body, findings);
+  ConfigurationOrder order;
+  order.base = base_version(request, findings);
+  order.body = request.body();
+  order.hash = static_cast<std::int64_t>(market::hash_of(order.body));
+  const auto read = market::read_configuration(order.body, findings);
+  if (read && findings.none() && read->version <= order.base)
+    findings.add("version", std::to_string(read->version) + " is not above its base");
   if (!findings.none() || !read) return reply(invalid(findings));
-  const std::int64_t version = read->version;
-  const auto hash = static_cast<std::int64_t>(market::hash_of(body));
-  const auto had = [version, hash](const market::Value& v) {
-    return std::any_of(v.taken.begin(), v.taken.end(),
-                       [&](const market::Taken& t) { return t.version == version && t.hash == hash; });
-  };
+  order.version = read->version;
+  const auto shared = std::make_shared<const ConfigurationOrder>(std::move(order));
   register_.change(
-      [=](const market::Value& current) -> std::optional<market::Value> {
-        if (had(current) || base != current.config_version || version <= current.config_version)
-          return std::nullopt;
-        market::Value out = current;
-        out.config_version = version;
-        out.config.data = body;
-        out.taken.push_back({version, hash});
-        if (out.taken.size() > taken_most) out.taken.erase(out.taken.begin());
-        return out;
+      [shared, remembered = remembered_](const market::Value& current) -> std::optional<market::Value> {
+        if (judge(current, *shared, remembered) != OrderVerdict::applicable) return std::nullopt;
+        return applied(current, *shared, remembered);
       },
       change_most,
-      [this, reply, had, base, version](absl::StatusOr<market::Value> got) {
+      [this, reply, shared](absl::StatusOr<market::Value> got) {
         if (!got.ok()) return reply(unclear());
-        if (!had(*got)) {
-          if (base != got->config_version)
+        switch (judge(*got, *shared, remembered_)) {
+          case OrderVerdict::taken: return acknowledge(*got, shared->version, reply);
+          case OrderVerdict::superseded:
             return reply(problem(412, "version " + std::to_string(got->config_version) + " is current"));
-          return reply(problem(400, "version: " + std::to_string(version) +
-                                        " is not above the current one, " +
-                                        std::to_string(got->config_version)));
+          case OrderVerdict::not_above_base: return reply(problem(400, "version: not above its base"));
+          case OrderVerdict::applicable:
+          case OrderVerdict::unclear: return reply(unclear());
         }
-        market::log_info("config.taken",
-                         "version " + std::to_string(version) + ", number " + std::to_string(got->number));
-        tell_chosen(*got);
-        json::Writer out;
-        out.open('{').key("version").number(static_cast<std::uint64_t>(version)).close('}');
-        waiting_.push_back({got->number, later_.now() + acks_most, [reply, text = out.result()] {
-                              reply({200, text, {}});
-                            }});
-        later_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
-        acknowledged();
       });
 }
 
-void ControlPlane::retrieve(market::HttpPort::Reply reply) {
+void OperatorApi::acknowledge(const market::Value& chosen, std::int64_t version,
+                              market::HttpPort::Reply reply) {
+  market::log_info("config.taken",
+                   "version " + std::to_string(version) + ", number " + std::to_string(chosen.number));
+  host_.announce(chosen);
+  json::Writer out;
+  out.open('{').key("version").number(static_cast<std::uint64_t>(version)).close('}');
+  host_.when_acknowledged(chosen.number, [reply = std::move(reply), text = out.result()] {
+    reply({200, text, {}});
+  });
+}
+
+void OperatorApi::retrieve(market::HttpPort::Reply reply) {
   register_.read(order_most, [reply](absl::StatusOr<market::Value> got) {
     if (!got.ok()) return reply(unclear());
     if (got->config_version == 0) return reply(problem(404, "no configuration was taken yet"));
@@ -116,7 +132,7 @@
 }
 
 // What was taken, the oldest first; hashes as texts, since a number in JSON may lose their last digits.
-void ControlPlane::history(market::HttpPort::Reply reply) {
+void OperatorApi::history(market::HttpPort::Reply reply) {
   register_.read(order_most, [reply](absl::StatusOr<market::Value> got) {
     if (!got.ok()) return reply(unclear());
     json::Writer out;
@@ -137,51 +153,58 @@
   });
 }
 
-void ControlPlane::retire_start(const std::string& node, market::HttpPort::Reply reply) {
-  auto verdict = std::make_shared<RetireVerdict>(RetireVerdict::unknown);
+// An order that was taken is in the value's list for good: the list is looked at before anything else.
+void OperatorApi::initiate_retire(const std::string& node, market::HttpPort::Reply reply) {
   register_.change(
-      [this, node, verdict](const market::Value& current) -> std::optional<market::Value> {
+      [this, node](const market::Value& current) -> std::optional<market::Value> {
         market::Value out = current;
-        *verdict = retire(out, node, settings_.machine_losses);
-        if (*verdict != RetireVerdict::taken) return std::nullopt;
+        if (retire(out, node, machine_losses_) != RetireVerdict::taken) return std::nullopt;
         return out;
       },
       order_most,
-      [this, reply, node, verdict](absl::StatusOr<market::Value> got) {
+      [this, reply, node](absl::StatusOr<market::Value> got) {
         if (!got.ok()) return reply(unclear());
-        const bool listed = std::any_of(got->retired.begin(), got->retired.end(),
-                                        [&](const market::Retired& r) { return r.node == node; });
-        if (*verdict == RetireVerdict::taken) tell_chosen(*got);
-        if (listed) return reply({200, "{\"state\":\"active\"}", {}});
-        if (*verdict == RetireVerdict::too_few) return reply(problem(409, "too few would be left"));
-        const auto all = members();
-        const bool there = std::any_of(all.begin(), all.end(), [&](const market::Member& m) {
-          return m.plane == "storage" && m.node == node;
-        });
-        reply(there ? unclear() : problem(404, "no storage machine of that name"));
+        if (is_retired(*got, node)) {
+          host_.announce(*got);
+          return reply({200, "{\"state\":\"active\"}", {}});
+        }
+        const RetireVerdict verdict = retire(*got, node, machine_losses_);
+        if (verdict == RetireVerdict::too_few) return reply(problem(409, "too few would be left"));
+        reply(no_such_storage_machine(node));
       });
 }
 
-void ControlPlane::retire_state(const std::string& node, market::HttpPort::Reply reply) {
-  register_.read(order_most, [reply, node](absl::StatusOr<market::Value> got) {
+void OperatorApi::retrieve_retire(const std::string& node, market::HttpPort::Reply reply) {
+  register_.read(order_most, [this, reply, node](absl::StatusOr<market::Value> got) {
     if (!got.ok()) return reply(unclear());
     for (const market::Retired& r : got->retired) {
       if (r.node != node) continue;
       return reply({200, r.completed ? "{\"state\":\"completed\"}" : "{\"state\":\"active\"}", {}});
     }
     const bool serves = std::any_of(got->storage_nodes.begin(), got->storage_nodes.end(),
-                                    [&](const market::StorageNode& c) { return c.node == node; });
-    reply(serves ? market::HttpAnswer{200, "{\"state\":\"active\"}", {}}
-                 : problem(404, "no storage machine of that name"));
+                                    [&](const market::StorageNode& n) { return n.node == node; });
+    if (serves) return reply({200, "{\"state\":\"active\"}", {}});
+    reply(no_such_storage_machine(node));
   });
 }
 
-void ControlPlane::status(market::HttpPort::Reply reply) {
+// Of one that the map does not name: it may be there and not be taken into the map yet.
+market::HttpAnswer OperatorApi::no_such_storage_machine(const std::string& node) const {
+  if (!host_.members_complete()) return unclear();
+  const std::vector<market::Member> all = host_.members();
+  const bool there = std::any_of(all.begin(), all.end(), [&](const market::Member& m) {
+    return m.plane == "storage" && m.node == node;
+  });
+  return there ? unclear() : problem(404, "no storage machine of that name");
+}
+
+void OperatorApi::status(market::HttpPort::Reply reply) {
+  const ControlStatus own = host_.status();
   json::Writer out;
   const auto count = [](std::int64_t n) { return static_cast<std::uint64_t>(std::max<std::int64_t>(n, 0)); };
   const std::optional<market::Value>& v = register_.known();
-  out.open('{').key("node").text(settings_.node);
-  out.key("freshMs").number(count(static_cast<std::int64_t>(fresh_age().as_ms())));
+  out.open('{').key("node").text(own.node);
+  out.key("freshMs").number(count(static_cast<std::int64_t>(own.fresh_age.as_ms())));
   out.key("number").number(v ? count(v->number) : 0).key("epoch").number(count(register_.initial().epoch));
   out.key("configVersion").number(v ? count(v->config_version) : 0).key("map").number(v ? count(v->map) : 0);
   out.key("acceptors").open('[');
@@ -194,12 +217,10 @@
           '}');
   }
   out.close(']').key("duties").open('[');
-  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine())
-      out.open('{').key("name").text(duty->name()).key("term").number(count(duty->term())).close('}');
-  }
+  for (const market::HeldDuty& duty : own.duties)
+    out.open('{').key("name").text(duty.name).key("term").number(count(duty.term)).close('}');
   out.close(']').key("members").open('[');
-  for (const market::Member& m : members())
+  for (const market::Member& m : host_.members())
     out.open('{')
         .key("node")
         .text(m.node)
@@ -212,7 +233,7 @@
         .key("whole")
         .number(count(m.whole))
         .close('}');
-  out.close(']').key("endpoints").number(list_.entries().size()).close('}');
+  out.close(']').key("endpoints").number(own.endpoints).close('}');
   reply({200, out.result(), {}});
 }
 
--- /dev/null
+++ b/src/control/operator_api.hpp
@@ -0,0 +1,70 @@
+// The operator's API of a control machine, by api/operators.yaml: configurations, retirements, status. It
+// reads and changes the register, and asks the control plane around it for the rest.
+//
+// What it refuses (4xx) was decided by a value that a majority has chosen, or by the call alone. Whatever
+// else it cannot tell is 503 with Retry-After: the call is sent again unchanged.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "control/configuration_order.hpp"
+#include "control/register.hpp"
+#include "http/parser.hpp"
+#include "market/http_port.hpp"
+#include "market/messages.hpp"
+
+namespace chutevane::control {
+
+// What a control machine knows of itself without asking anybody.
+struct ControlStatus {
+  std::string node;
+  Span fresh_age;                        // since its knowledge of the register was last confirmed
+  std::vector<market::HeldDuty> duties;  // its own
+  std::size_t endpoints = 0;             // in its list
+};
+
+class OperatorApi {
+ public:
+  // The control plane, as far as this API needs it.
+  class Host {
+   public:
+    // Tells the other control machines of a value that was chosen here.
+    virtual void announce(const market::Value& chosen) = 0;
+    // Calls back once the edges with a session here have that value, or after a bounded time.
+    virtual void when_acknowledged(std::int64_t number, std::function<void()> then) = 0;
+    // Edges and storage machines with a session at this or another control machine.
+    virtual std::vector<market::Member> members() const = 0;
+    // Whether members() holds all that are in touch: false after a start and while a peer is out of contact.
+    virtual bool members_complete() const = 0;
+    virtual ControlStatus status() const = 0;
+
+   protected:
+    ~Host() = default;
+  };
+
+  // `remembered`: taken configurations whose repeats are known, the same at all control machines.
+  OperatorApi(Register& control_register, Host& host, std::size_t machine_losses,
+              std::size_t remembered = remembered_configurations);
+  // Answers one call: at once or later, exactly once.
+  void serve(const http::Parser& request, market::HttpPort::Reply reply);
+
+ private:
+  void replace(const http::Parser& request, market::HttpPort::Reply reply);
+  void acknowledge(const market::Value& chosen, std::int64_t version, market::HttpPort::Reply reply);
+  void retrieve(market::HttpPort::Reply reply);
+  void history(market::HttpPort::Reply reply);
+  void initiate_retire(const std::string& node, market::HttpPort::Reply reply);
+  void retrieve_retire(const std::string& node, market::HttpPort::Reply reply);
+  market::HttpAnswer no_such_storage_machine(const std::string& node) const;
+  void status(market::HttpPort::Reply reply);
+
+  Register& register_;
+  Host& host_;
+  const std::size_t machine_losses_, remembered_;
+};
+
+}  // namespace chutevane::control
--- /dev/null
+++ b/tests/market/operator_api_test.cpp
@@ -0,0 +1,380 @@
+// The operators' API over a real register: what an order is answered, on its first try and when it is sent
+// again.
+#include "control/operator_api.hpp"
+
+#include <algorithm>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "market/configuration.hpp"
+#include "played_control.hpp"
+#include "unit.hpp"
+
+namespace control = chutevane::control;
+namespace market = chutevane::market;
+using chutevane::Span;
+using chutevane::control::ConfigurationOrder;
+using chutevane::control::judge;
+using chutevane::control::OrderVerdict;
+using chutevane::control::remembered_configurations;
+using chutevane::played::configuration;
+using chutevane::played::ControlProcess;
+using chutevane::played::Field;
+using market::Value;
+
+namespace {
+
+// Three acceptors and two control machines that reach them.
+struct Pair {
+  explicit Pair(std::size_t remembered = remembered_configurations)
+      : field(3, 5), a(field, 1, remembered), b(field, 2, remembered) {
+    a.reg.learn_epoch(field.first_set(3));
+    b.reg.learn_epoch(field.first_set(3));
+  }
+  int replace(ControlProcess& at, std::int64_t base, const std::string& sent) {
+    int status = 0;
+    at.replace(base, sent, [&](const market::HttpAnswer& answer) { status = answer.status; });
+    field.clock.play(Span::ms(4000), [&] { return status != 0; });
+    return status;
+  }
+  int call(ControlProcess& at, const std::string& method, const std::string& target) {
+    int status = 0;
+    at.call(method, target, "", "", [&](const market::HttpAnswer& answer) {
+      status = answer.status;
+      body = answer.body;
+    });
+    field.clock.play(Span::ms(4000), [&] { return status != 0; });
+    return status;
+  }
+  // Puts storage machines into the map.
+  void storage_nodes(std::size_t n) {
+    bool done = false;
+    a.reg.change(
+        [n](const Value& current) -> std::optional<Value> {
+          Value out = current;
+          ++out.map;
+          out.storage_nodes.clear();
+          for (std::size_t i = 0; i < n; ++i)
+            out.storage_nodes.push_back(
+                {numbered("s", static_cast<long long>(i)), "d", "", "z", false, false});
+          return out;
+        },
+        Span::ms(1000), [&](const absl::StatusOr<Value>& got) { done = got.ok(); });
+    field.clock.play(Span::ms(1000), [&] { return done; });
+    CHECK_TRUE(done);
+  }
+  // As the roster does it when all that stay are whole.
+  void complete(const std::string& node) {
+    bool done = false;
+    a.reg.change(
+        [node](const Value& current) -> std::optional<Value> {
+          Value out = current;
+          std::erase_if(out.storage_nodes, [&](const market::StorageNode& n) { return n.node == node; });
+          for (market::Retired& r : out.retired) r.completed = r.completed || r.node == node;
+          return out;
+        },
+        Span::ms(1000), [&](const absl::StatusOr<Value>& got) { done = got.ok(); });
+    field.clock.play(Span::ms(1000), [&] { return done; });
+  }
+
+  Field field;
+  ControlProcess a, b;
+  std::string body;
+};
+
+Value with_record(std::size_t taken, std::int64_t step = 1) {
+  Value out;
+  for (std::size_t i = 1; i <= taken; ++i) {
+    const auto version = static_cast<std::int64_t>(i) * step;
+    out.taken.push_back({version, version * 7});
+    out.config_version = version;
+  }
+  return out;
+}
+
+ConfigurationOrder order(std::int64_t base, std::int64_t version, std::int64_t hash) {
+  return {base, version, hash, ""};
+}
+
+}  // namespace
+
+TEST_GROUP(OrderJudged){};
+
+TEST(OrderJudged, OnItsBaseIsApplicable) {
+  CHECK_TRUE(judge(Value(), order(0, 3, 9)) == OrderVerdict::applicable);
+  CHECK_TRUE(judge(with_record(4), order(4, 5, 9)) == OrderVerdict::applicable);
+}
+
+TEST(OrderJudged, ARepeatHasTheSameBaseVersionAndBytes) {
+  const Value value = with_record(5, 2);  // 2, 4, 6, 8, 10
+  CHECK_TRUE(judge(value, order(0, 2, 14)) == OrderVerdict::taken);
+  CHECK_TRUE(judge(value, order(4, 6, 42)) == OrderVerdict::taken);
+  CHECK_TRUE(judge(value, order(8, 10, 70)) == OrderVerdict::taken);
+  CHECK_TRUE(judge(value, order(4, 6, 43)) == OrderVerdict::superseded);  // the same number, another body
+  CHECK_TRUE(judge(value, order(2, 6, 42)) == OrderVerdict::superseded);  // the same body, another base
+  CHECK_TRUE(judge(value, order(5, 6, 42)) == OrderVerdict::superseded);
+  CHECK_TRUE(judge(value, order(4, 7, 42)) == OrderVerdict::superseded);  // a number that was left out
+}
+
+TEST(OrderJudged, NotAboveItsBaseIsInvalidWhateverIsCurrent) {
+  CHECK_TRUE(judge(Value(), order(3, 3, 1)) == OrderVerdict::not_above_base);
+  CHECK_TRUE(judge(with_record(5), order(5, 4, 28)) == OrderVerdict::not_above_base);
+  CHECK_TRUE(judge(with_record(5), order(9, 8, 1)) == OrderVerdict::not_above_base);
+}
+
+TEST(OrderJudged, ABaseThatMayStillComeIsUnclear) {
+  CHECK_TRUE(judge(with_record(5), order(6, 7, 1)) == OrderVerdict::unclear);
+  CHECK_TRUE(judge(with_record(7), order(6, 8, 1)) == OrderVerdict::superseded);
+}
+
+// At each length of the record: what it reaches is known, what it does not reach is never refused.
+TEST(OrderJudged, WhatTheRecordDoesNotReachIsUnclear) {
+  for (std::size_t taken = 1; taken < 40; ++taken) {
+    Value value;
+    for (std::size_t i = 1; i <= taken; ++i) {
+      const auto version = static_cast<std::int64_t>(i);
+      value = control::applied(value, order(version - 1, version, version), 8);
+    }
+    CHECK_TRUE(value.taken.size() <= 8);
+    for (std::size_t i = 1; i <= taken; ++i) {
+      const auto version = static_cast<std::int64_t>(i);
+      const OrderVerdict again = judge(value, order(version - 1, version, version), 8);
+      const bool reached = taken < 8 || taken - i < 7;
+      const std::string where =
+          numbered("taken ", static_cast<long long>(taken)) + numbered(", version ", version);
+      CHECK_WHERE(again == (reached ? OrderVerdict::taken : OrderVerdict::unclear), where);
+      const OrderVerdict other = judge(value, order(version - 1, version, -version), 8);
+      CHECK_WHERE(other == (reached ? OrderVerdict::superseded : OrderVerdict::unclear), where);
+    }
+  }
+}
+
+// It is in each value that acceptors keep: 64 KiB at most.
+TEST(OrderJudged, AFullRecordIsSmall) {
+  Value value;
+  std::int64_t version = 0;
+  for (std::size_t i = 0; i < remembered_configurations + 100; ++i) {
+    const std::int64_t base = version;
+    version += 1 + static_cast<std::int64_t>(i % 3);
+    const std::string body = numbered("body ", version);
+    value = control::applied(value, order(base, version, static_cast<std::int64_t>(market::hash_of(body))));
+  }
+  CHECK_EQUAL(remembered_configurations, value.taken.size());
+  const std::size_t bytes = market::encoded(value).size();
+  CHECK_WHERE(bytes < 64 * 1024, numbered("bytes: ", static_cast<long long>(bytes)));
+}
+
+TEST_GROUP(OperatorOrders) { Pair pair; };
+
+// The record is longer than the 64 that it once was: an order whose answer was lost may be sent again
+// hundreds of changes later.
+TEST(OperatorOrders, ARepeatIsKnownHundredsOfChangesLater) {
+  for (std::int64_t version = 1; version <= 300; ++version)
+    LONGS_EQUAL(200, pair.replace(pair.a, version - 1, configuration(version, "r")));
+  for (const std::int64_t version : {1, 2, 100, 236, 299, 300})
+    LONGS_EQUAL(200, pair.replace(pair.b, version - 1, configuration(version, "r")));
+  LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(1, "other")));
+}
+
+TEST(OperatorOrders, ARepeatBeyondTheRecordIsUnclear) {
+  Pair small(16);
+  for (std::int64_t version = 1; version <= 40; ++version)
+    LONGS_EQUAL(200, small.replace(small.a, version - 1, configuration(version, "r")));
+  LONGS_EQUAL(503, small.replace(small.b, 0, configuration(1, "r")));
+  LONGS_EQUAL(503, small.replace(small.b, 23, configuration(24, "r")));
+  LONGS_EQUAL(200, small.replace(small.b, 25, configuration(26, "r")));
+}
+
+TEST(OperatorOrders, OfOneNumberOnOneBaseTheSecondLoses) {
+  LONGS_EQUAL(200, pair.replace(pair.a, 0, configuration(5, "first")));
+  LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "second")));
+  LONGS_EQUAL(412, pair.replace(pair.a, 0, configuration(5, "second")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "first")));
+}
+
+// Two operators that send the very same bytes on one base are not told apart from one who sends twice.
+TEST(OperatorOrders, EqualBytesAreARepeatOnTheirBaseOnly) {
+  LONGS_EQUAL(200, pair.replace(pair.a, 0, configuration(5, "r")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(9, "r")));
+  LONGS_EQUAL(200, pair.replace(pair.a, 5, configuration(9, "r")));
+  LONGS_EQUAL(412, pair.replace(pair.a, 0, configuration(9, "r")));
+}
+
+TEST(OperatorOrders, NotAboveItsBaseIsInvalid) {
+  LONGS_EQUAL(200, pair.replace(pair.a, 0, configuration(5, "r")));
+  LONGS_EQUAL(400, pair.replace(pair.a, 5, configuration(5, "other")));
+  LONGS_EQUAL(400, pair.replace(pair.a, 5, configuration(4, "other")));
+}
+
+// An order may overtake the one that it builds on.
+TEST(OperatorOrders, OneThatOvertookItsBaseIsTakenLater) {
+  LONGS_EQUAL(503, pair.replace(pair.a, 5, configuration(6, "second")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "first")));
+  LONGS_EQUAL(200, pair.replace(pair.a, 5, configuration(6, "second")));
+}
+
+// Eight orders at once, through two machines: one is taken on each base, and each caller hears of his own.
+TEST(OperatorOrders, EightAtOnceAreAnsweredEach) {
+  std::vector<int> status(8, 0);
+  for (std::size_t i = 0; i < 8; ++i) {
+    ControlProcess& at = i % 2 == 0 ? pair.a : pair.b;
+    at.replace(0, configuration(5, numbered("r", static_cast<long long>(i))),
+               [&status, i](const market::HttpAnswer& answer) { status[i] = answer.status; });
+  }
+  pair.field.clock.play(Span::ms(4000));
+  CHECK_EQUAL(1, std::count(status.begin(), status.end(), 200));
+  CHECK_EQUAL(7, std::count(status.begin(), status.end(), 412));
+  const auto winner = std::find(status.begin(), status.end(), 200) - status.begin();
+  LONGS_EQUAL(200, pair.call(pair.b, "GET", "/v1/Configuration.Retrieve"));
+  STRCMP_EQUAL(configuration(5, numbered("r", winner)).c_str(), pair.body.c_str());
+}
+
+TEST_GROUP(OrderHalfDone) {
+  Pair pair;
+  // The first try reaches a majority's promises and then `accepts` acceptors: its proposer ends.
+  void half_done(std::int64_t base, const std::string& body, std::size_t accepts) {
+    pair.a.voters.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
+    bool answered = false;
+    pair.a.replace(base, body, [&](const market::HttpAnswer&) { answered = true; });
+    pair.field.clock.play(Span::ms(1000));
+    CHECK_TRUE(pair.a.voters.ended && !answered);
+  }
+  void down(std::size_t i) { pair.field.all[i].up = false; }
+  std::size_t holding(std::int64_t version) {
+    return static_cast<std::size_t>(
+        std::count_if(pair.field.all.begin(), pair.field.all.end(), [&](chutevane::played::Machine& m) {
+          const market::Prepare look{1, {}, pair.field.first_set(3), true};
+          return m.acceptor->prepare(look)->value.config_version == version;
+        }));
+  }
+};
+
+// It lies at one acceptor that answers: whoever meets it there finishes it, and the repeat is acknowledged.
+TEST(OrderHalfDone, AReadFinishesIt) {
+  half_done(0, configuration(5, "r"), 1);
+  CHECK_EQUAL(static_cast<std::size_t>(1), holding(5));
+  down(2);
+  LONGS_EQUAL(200, pair.call(pair.b, "GET", "/v1/Configuration.Retrieve"));
+  STRCMP_EQUAL(configuration(5, "r").c_str(), pair.body.c_str());
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+  LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "other")));
+}
+
+// It lies at one acceptor that is away; another operator wins its base. Its repeat is refused, and when the
+// one acceptor is back it is not chosen after all.
+TEST(OrderHalfDone, RefusedIsNeverChosenLater) {
+  half_done(0, configuration(5, "r"), 1);
+  CHECK_EQUAL(static_cast<std::size_t>(1), holding(5));
+  down(0);
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(6, "other")));
+  LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "r")));
+  pair.field.all[0].up = true;
+  for (const std::size_t away : {1U, 2U}) {
+    for (chutevane::played::Machine& m : pair.field.all) m.up = true;
+    down(away);
+    LONGS_EQUAL(200, pair.call(pair.b, "GET", "/v1/Configuration.Retrieve"));
+    STRCMP_EQUAL(configuration(6, "other").c_str(), pair.body.c_str());
+    LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "r")));
+  }
+}
+
+// Half done at one that is away, and sent again: taken anew, once.
+TEST(OrderHalfDone, TheRepeatIsTakenInItsPlace) {
+  half_done(0, configuration(5, "r"), 1);
+  down(0);
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+  pair.field.all[0].up = true;
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(6, "next")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+  CHECK_EQUAL(static_cast<std::size_t>(2), pair.b.reg.known()->taken.size());
+}
+
+// Chosen, but its proposer ended before it said so.
+TEST(OrderHalfDone, ChosenAndNotAnswered) {
+  half_done(0, configuration(5, "r"), 2);
+  LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "other")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+}
+
+// No majority: unclear, and decided as soon as there is one.
+TEST(OrderHalfDone, WithoutAMajorityItIsNeitherTakenNorRefused) {
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+  down(0);
+  down(1);
+  LONGS_EQUAL(503, pair.replace(pair.b, 0, configuration(5, "other")));
+  LONGS_EQUAL(503, pair.replace(pair.b, 5, configuration(6, "r")));
+  LONGS_EQUAL(503, pair.replace(pair.b, 0, configuration(5, "r")));
+  pair.field.all[0].up = true;
+  LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "other")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(6, "r")));
+  LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
+}
+
+TEST_GROUP(RetireOrders) {
+  Pair pair;
+  int initiate(ControlProcess & at, const std::string& node) {
+    return pair.call(at, "POST", "/v1/Retire.Initiate/" + node);
+  }
+  int retrieve(ControlProcess & at, const std::string& node) {
+    return pair.call(at, "GET", "/v1/Retire.Retrieve/" + node);
+  }
+};
+
+// Once taken it is never refused: not when too few would be left for another, nor once the machine is gone.
+TEST(RetireOrders, ARepeatIsAcknowledgedAtEachStep) {
+  pair.storage_nodes(4);
+  LONGS_EQUAL(200, initiate(pair.a, "s1"));
+  LONGS_EQUAL(200, initiate(pair.b, "s1"));
+  LONGS_EQUAL(409, initiate(pair.b, "s2"));
+  LONGS_EQUAL(200, initiate(pair.a, "s1"));
+  pair.complete("s1");
+  LONGS_EQUAL(200, initiate(pair.b, "s1"));
+  LONGS_EQUAL(200, retrieve(pair.b, "s1"));
+  STRCMP_EQUAL("{\"state\":\"completed\"}", pair.body.c_str());
+}
+
+TEST(RetireOrders, TwoAtOnceWhereOneMayGo) {
+  pair.storage_nodes(4);
+  int first = 0, second = 0;
+  pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "",
+              [&](const market::HttpAnswer& answer) { first = answer.status; });
+  pair.b.call("POST", "/v1/Retire.Initiate/s2", "", "",
+              [&](const market::HttpAnswer& answer) { second = answer.status; });
+  pair.field.clock.play(Span::ms(4000));
+  CHECK_TRUE((first == 200 && second == 409) || (first == 409 && second == 200));
+}
+
+// A control machine that has just started knows no members: it does not say that there is no such machine.
+TEST(RetireOrders, NoSuchMachineIsSaidOnlyWhereAllAreKnown) {
+  pair.storage_nodes(4);
+  LONGS_EQUAL(404, initiate(pair.a, "s9"));
+  LONGS_EQUAL(404, retrieve(pair.a, "s9"));
+  pair.a.all_members_known = false;
+  LONGS_EQUAL(503, initiate(pair.a, "s9"));
+  LONGS_EQUAL(503, retrieve(pair.a, "s9"));
+  LONGS_EQUAL(200, retrieve(pair.a, "s1"));
+  pair.a.all_members_known = true;
+  market::Member newcomer;
+  newcomer.node = "s9";
+  newcomer.plane = "storage";
+  pair.a.known_members.push_back(newcomer);
+  LONGS_EQUAL(503, initiate(pair.a, "s9"));
+  LONGS_EQUAL(503, retrieve(pair.a, "s9"));
+}
+
+// The first try lies at one acceptor; the repeat decides, and what it decides stands.
+TEST(RetireOrders, HalfDoneAndSentAgain) {
+  pair.storage_nodes(4);
+  pair.a.voters.sends_left = 3 + 3 + 1;
+  pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const market::HttpAnswer&) {});
+  pair.field.clock.play(Span::ms(1000));
+  CHECK_TRUE(pair.a.voters.ended);
+  pair.field.all[0].up = false;
+  LONGS_EQUAL(200, initiate(pair.b, "s2"));
+  LONGS_EQUAL(409, initiate(pair.b, "s1"));
+  pair.field.all[0].up = true;
+  LONGS_EQUAL(409, initiate(pair.b, "s1"));
+  LONGS_EQUAL(200, initiate(pair.b, "s2"));
+}
--- /dev/null
+++ b/tests/market/orders_test.cpp
@@ -0,0 +1,354 @@
+// Two to four operators give orders to three control machines, by seeds: they pick the same numbers, send
+// again after a lost answer to any machine, also long after, and send an order before its base is current.
+// Control machines end at any message and start anew, acceptors lose power and a disk. A checker judges what
+// the operators saw; order_history.hpp.
+#include <algorithm>
+#include <cstdlib>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "order_history.hpp"
+#include "played_control.hpp"
+#include "unit.hpp"
+
+namespace control = chutevane::control;
+namespace market = chutevane::market;
+using chutevane::Span;
+using chutevane::TimePoint;
+using chutevane::control::remembered_configurations;
+using chutevane::played::configuration;
+using chutevane::played::ControlProcess;
+using chutevane::played::Field;
+using chutevane::played::Machine;
+using chutevane::played::OrderHistory;
+using chutevane::played::OrderKey;
+using chutevane::played::Weather;
+using market::Value;
+
+namespace {
+
+constexpr Span day = Span::ms(5000);
+constexpr Span silence_most = Span::ms(1000);  // an operator goes on to another machine then
+
+struct Plan {
+  Weather weather = {.lost = 0.05, .repeated = 0.1, .slow = 0.05};
+  std::size_t orders = 14;
+  std::size_t remembered = remembered_configurations;
+  bool ends = true, losses_of_power = true, wipe = false;
+};
+
+// What a search has come to: one that never meets a case proves nothing of it.
+struct Came {
+  std::size_t acknowledged = 0, refused = 0, unclear = 0, repeats = 0, ends = 0, wipes = 0;
+};
+
+class Day {
+ public:
+  Day(std::uint64_t seed, const Plan& plan) : plan_(plan), field_(5, seed), first_(field_.first_set(3)) {
+    field_.weather = plan.weather;
+    field_.on_death = [this](Machine& m) { back_later(m); };
+    for (std::size_t i = 0; i < 3; ++i) start_process(i);
+    operators_.resize(2 + field_.luck.below(3));
+  }
+
+  // What was wrong; empty: nothing.
+  std::string run() {
+    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { give_order(); });
+    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { read_back(luck_process()); });
+    for (int i = 0; i < 20; ++i) some_time([this] { trouble(); });
+    if (plan_.wipe) some_time([this] { wipe_one(); });
+    field_.clock.play(day + Span::ms(4000));
+    calm();
+    std::string fault = history_.fault();
+    return fault.empty() ? unfinished_ : fault;
+  }
+  Came came() const {
+    Came out = came_;
+    out.acknowledged = history_.acknowledged();
+    out.refused = history_.refused();
+    return out;
+  }
+
+ private:
+  struct Operator {
+    std::int64_t known = 0;               // newest version that it has heard of
+    std::vector<std::int64_t> under_way;  // versions of its own that were not answered yet
+  };
+  struct Sending {
+    OrderKey key;
+    Operator* by = nullptr;
+    int tries = 0;
+    bool over = false;  // a clear answer has come
+  };
+  using SendingPtr = std::shared_ptr<Sending>;
+
+  void some_time(std::function<void()> what) {
+    field_.clock.later.after(day * field_.luck.unit(), std::move(what));
+  }
+  TimePoint now() { return field_.clock.system.now(); }
+  bool lost() { return field_.luck.chance(field_.weather.lost * 2); }
+
+  // ---- control machines
+
+  void start_process(std::size_t i) {
+    if (processes_.size() <= i) processes_.resize(i + 1);
+    if (processes_[i]) ended_.push_back(std::move(processes_[i]));
+    processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.remembered);
+    processes_[i]->reg.learn_epoch(newest_set());
+  }
+  const Value& newest_set() const {
+    const Value* newest = &first_;
+    for (const auto& p : processes_) {
+      if (p && p->reg.initial().epoch > newest->epoch) newest = &p->reg.initial();
+    }
+    return *newest;
+  }
+  ControlProcess& luck_process() { return *processes_[field_.luck.below(processes_.size())]; }
+  // It ends at one of the messages that it sends next, or at once.
+  void end_process() {
+    const std::size_t i = field_.luck.below(processes_.size());
+    ControlProcess& p = *processes_[i];
+    if (p.voters.ended || p.voters.sends_left) return;
+    ++came_.ends;
+    p.voters.on_end = [this, i] {
+      field_.clock.later.after(Span::ms(50 + 400 * field_.luck.unit()), [this, i] { start_process(i); });
+    };
+    p.voters.sends_left = field_.luck.below(14);
+  }
+
+  // ---- acceptors
+
+  void back_later(Machine& m) {
+    field_.clock.later.after(Span::ms(100 + 700 * field_.luck.unit()), [this, &m] {
+      if (m.up) return;
+      m.lose_power(field_.luck.next());
+      m.start();
+    });
+  }
+  void trouble() {
+    const double kind = field_.luck.unit();
+    Machine& m = field_.all[field_.luck.below(field_.all.size())];
+    if (plan_.ends && kind < 0.4) return end_process();
+    if (plan_.losses_of_power && kind < 0.6 && m.up)
+      return m.disk->fail_from(m.disk->steps() + field_.luck.below(9));
+    if (plan_.losses_of_power && kind < 0.65) {  // all at once
+      for (Machine& one : field_.all) {
+        if (one.up) field_.died(one);
+      }
+    } else if (kind < 0.8) {
+      ControlProcess& p = luck_process();
+      p.voters.cut_off = true;
+      field_.clock.later.after(Span::ms(700 * field_.luck.unit()), [&p] { p.voters.cut_off = false; });
+    }
+  }
+  // One disk of the set, while all others are there: as much as is borne until another set is in force.
+  void wipe_one() {
+    for (const Machine& m : field_.all) {
+      if (!m.up) return;
+    }
+    ++came_.wipes;
+    Machine& m = field_.all[field_.luck.below(3)];
+    m.up = false;
+    m.acceptor.reset();
+    m.wipe();
+    field_.clock.later.after(Span::ms(50), [&m] { m.start(); });
+    for (const double ms : {200.0, 500.0, 900.0, 1500.0})
+      field_.clock.later.after(Span::ms(ms), [this] { change_set(luck_process()); });
+  }
+  void change_set(ControlProcess& p) {
+    std::vector<market::Acceptor> next;
+    for (const Machine& m : field_.all) {
+      if (m.up && next.size() < 3) next.push_back({m.address, m.disk_id});
+    }
+    p.reg.change(
+        [next](const Value& current) -> std::optional<Value> {
+          if (current.acceptors == next) return std::nullopt;
+          Value out = current;
+          out.next = next;
+          return out;
+        },
+        Span::ms(1500), [](const absl::StatusOr<Value>&) {});
+  }
+
+  // ---- operators
+
+  void give_order() {
+    Operator& by = operators_[field_.luck.below(operators_.size())];
+    auto sending = std::make_shared<Sending>();
+    sending->by = &by;
+    const double kind = field_.luck.unit();
+    std::int64_t base = by.known;
+    if (kind < 0.15 && !by.under_way.empty()) base = by.under_way.back();  // ahead of what it builds on
+    if (kind > 0.95) base = std::max<std::int64_t>(0, base - 1);           // behind
+    // Few numbers: two pick the same one at times, and at times with the same bytes.
+    const std::int64_t version = base + 1 + static_cast<std::int64_t>(field_.luck.below(2));
+    const std::string name = field_.luck.chance(0.15) ? "same" : numbered("o", ++names_);
+    sending->key = {base, version, configuration(version, name)};
+    by.under_way.push_back(version);
+    all_.push_back(sending);
+    send(sending);
+  }
+
+  void send(const SendingPtr& sending) {
+    if (sending->over) return;
+    ++sending->tries;
+    const TimePoint sent = now();
+    history_.sent(sending->key, sent);
+    auto heard = std::make_shared<bool>(false);
+    if (!lost()) field_.clock.later.after(field_.way(), [=, this] { arrive(sending, sent, heard); });
+    field_.clock.later.after(silence_most, [=, this] {
+      if (!std::exchange(*heard, true)) again(sending);
+    });
+  }
+  void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
+    ControlProcess& at = luck_process();
+    if (at.voters.ended) return;
+    at.replace(sending->key.base, sending->key.body, [=, this](const market::HttpAnswer& answer) {
+      history_.answered(sending->key, sent, now(), answer.status);
+      if (lost()) return;
+      field_.clock.later.after(field_.way(), [=, this, status = answer.status] {
+        if (!std::exchange(*heard, true)) hear(sending, status);
+      });
+    });
+  }
+  void hear(const SendingPtr& sending, int status) {
+    if (sending->over) return;
+    if (status == 503) {
+      ++came_.unclear;
+      return again(sending);
+    }
+    sending->over = true;
+    std::erase(sending->by->under_way, sending->key.version);
+    if (status == 200) sending->by->known = std::max(sending->by->known, sending->key.version);
+    if (sending->tries > 1 && status == 200) ++came_.repeats;
+    if (status == 412) read_back(luck_process(), sending->by);
+    // And once more, long after it was answered.
+    if (field_.luck.chance(0.3)) some_time([=, this] { once_more(sending); });
+  }
+  void again(const SendingPtr& sending) {
+    if (sending->tries > 12) return;
+    field_.clock.later.after(Span::ms(40.0 * sending->tries * field_.luck.unit()),
+                             [=, this] { send(sending); });
+  }
+  void once_more(const SendingPtr& sending) {
+    sending->over = false;
+    sending->tries = 12;
+    send(sending);
+  }
+
+  void read_back(ControlProcess& at, Operator* by = nullptr) {
+    if (at.voters.ended) return;
+    at.call("GET", "/v1/Configuration.Retrieve", "", "",
+            [this, by, sent = now()](const market::HttpAnswer& answer) {
+              if (answer.status != 200 && answer.status != 404) return;
+              std::int64_t version = 0;
+              for (const auto& [name, text] : answer.fields) {
+                if (name == "X-Chutevane-Base-Version") version = std::stoll(text);
+              }
+              history_.read(sent, now(), version, version == 0 ? "" : answer.body);
+              if (by != nullptr) by->known = std::max(by->known, version);
+              newest_read_ = std::max(newest_read_, version);
+            });
+  }
+
+  // ---- the end: all is well again, and every order is sent once more
+
+  void calm() {
+    field_.weather = {};
+    for (Machine& m : field_.all) {
+      m.disk->fail_from(static_cast<std::size_t>(-1));
+      if (m.up) continue;
+      m.lose_power(field_.luck.next());
+      m.start();
+    }
+    for (std::size_t i = 0; i < processes_.size(); ++i) start_process(i);
+    ControlProcess& last = *processes_.back();
+    for (const SendingPtr& sending : all_) {
+      int status = 0;
+      last.replace(sending->key.base, sending->key.body, [&](const market::HttpAnswer& answer) {
+        history_.answered(sending->key, now(), now(), answer.status);
+        status = answer.status;
+      });
+      field_.clock.play(Span::ms(4000), [&] { return status != 0; });
+      const bool record_is_whole = plan_.remembered == remembered_configurations;
+      const bool ahead = sending->key.base > newest_read_ && status == 503;
+      if (status == 0) unfinished_ = "an order was not answered once it was calm";
+      if (status == 503 && record_is_whole && !ahead) unfinished_ = "an order was unclear once it was calm";
+      read_and_wait(last);
+    }
+  }
+  void read_and_wait(ControlProcess& at) {
+    const std::int64_t before = newest_read_;
+    newest_read_ = -1;
+    read_back(at);
+    field_.clock.play(Span::ms(4000), [&] { return newest_read_ >= 0; });
+    if (newest_read_ < 0) unfinished_ = "a read was not answered once it was calm";
+    newest_read_ = std::max(newest_read_, before);
+  }
+
+  const Plan plan_;
+  Field field_;
+  const Value first_;
+  std::vector<std::unique_ptr<ControlProcess>> processes_, ended_;
+  std::uint64_t proposers_ = 100;
+  std::vector<Operator> operators_;
+  std::vector<SendingPtr> all_;
+  long long names_ = 0;
+  std::int64_t newest_read_ = 0;
+  OrderHistory history_;
+  Came came_;
+  std::string unfinished_;
+};
+
+// CHUTEVANE_TIMES_SEEDS: as many times the seeds, for a longer search by hand.
+std::uint64_t times() {
+  const char* const text = std::getenv("CHUTEVANE_TIMES_SEEDS");
+  return text == nullptr ? 1 : std::strtoull(text, nullptr, 10);
+}
+
+void search(std::uint64_t first, std::uint64_t seeds, const Plan& plan) {
+  Came all;
+  seeds *= times();
+  for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
+    Day one(seed, plan);
+    const std::string fault = one.run();
+    CHECK_WHERE(fault.empty(), numbered("seed ", static_cast<long long>(seed)) + ": " + fault);
+    const Came came = one.came();
+    all.acknowledged += came.acknowledged;
+    all.refused += came.refused;
+    all.unclear += came.unclear;
+    all.repeats += came.repeats;
+    all.ends += came.ends;
+    all.wipes += came.wipes;
+  }
+  const std::string came = std::to_string(all.acknowledged) + " acknowledged, " +
+                           std::to_string(all.refused) + " refused, " + std::to_string(all.unclear) +
+                           " unclear, " + std::to_string(all.repeats) + " repeats acknowledged, " +
+                           std::to_string(all.ends) + " ends, " + std::to_string(all.wipes) + " wipes";
+  if (times() > 1) UT_PRINT(came.c_str());
+  CHECK_WHERE(all.acknowledged > seeds * 2 && all.refused > seeds && all.repeats > seeds / 4, came);
+  if (plan.ends) CHECK_WHERE(all.ends > seeds, came);
+  if (plan.wipe) CHECK_WHERE(all.wipes > seeds / 3, came);
+}
+
+}  // namespace
+
+TEST_GROUP(OrdersOfOperators){};
+
+TEST(OrdersOfOperators, LostAnswersAndLostProposers) { search(1, 600, {.losses_of_power = false}); }
+
+TEST(OrdersOfOperators, LossesOfPower) { search(1000000, 400, {}); }
+
+TEST(OrdersOfOperators, ALostDisk) {
+  search(2000000, 400, {.weather = {.lost = 0.02, .repeated = 0.1}, .losses_of_power = false, .wipe = true});
+}
+
+TEST(OrdersOfOperators, HarshWays) {
+  search(3000000, 200, {.weather = {.lost = 0.2, .repeated = 0.2, .slow = 0.2}});
+}
+
+// The record reaches back four configurations: what it does not reach is unclear, and never refused.
+TEST(OrdersOfOperators, AShortRecord) {
+  search(4000000, 300, {.orders = 30, .remembered = 4, .losses_of_power = false});
+}
