--- a/src/market/http_port.cpp
+++ b/src/market/http_port.cpp
@@ -25,20 +25,30 @@
 }
 
 void HttpPort::Guest::look() {
-  if (asked_ || !channel_.open() || channel_.in().empty()) return;
+  if (looking_) return;  // an answer that is given at once comes back here: the loop below goes on
+  looking_ = true;
+  while (!asked_ && channel_.open() && !channel_.in().empty() && take_request()) {
+  }
+  looking_ = false;
+}
+
+// False: it has not come whole yet.
+bool HttpPort::Guest::take_request() {
   const http::Progress progress = parser_.feed(channel_.in().bytes());
-  if (progress == http::Progress::more) return;
+  if (progress == http::Progress::more) return false;
   asked_ = true;
+  ++asked_number_;
   if (progress == http::Progress::failed) {
     keep_ = false;
     answer({parser_.status_of_error(), std::string(parser_.error()), {}});
-    return;
+    return true;
   }
   keep_ = parser_.keep_alive();
-  port_.handler_(parser_, [port = &port_, id = id_](HttpAnswer reply) {
+  port_.handler_(parser_, [port = &port_, id = id_, number = asked_number_](HttpAnswer reply) {
     const auto found = port->guests_.find(id);
-    if (found != port->guests_.end()) found->second->answer(reply);
+    if (found != port->guests_.end() && found->second->asked_number_ == number) found->second->answer(reply);
   });
+  return true;
 }
 
 void HttpPort::Guest::answer(const HttpAnswer& reply) {
--- a/src/market/http_port.hpp
+++ b/src/market/http_port.hpp
@@ -3,6 +3,7 @@
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <utility>
@@ -22,12 +23,14 @@
 
 class HttpPort {
  public:
-  // May be called later, once; nothing happens where the caller has gone.
+  // The answer to one request: may be called later, once. Nothing happens where the caller has gone. Requests
+  // of one connection are handled one after the other.
   using Reply = std::function<void(HttpAnswer)>;
   using Handler = std::function<void(const http::Parser& request, Reply reply)>;
 
   HttpPort(net::Scheduler& scheduler, std::size_t body_most, Handler handler);
   void listen(const sockaddr_in& at) { listener_.listen(at); }
+  std::optional<sockaddr_in> address() const { return listener_.address(); }
 
  private:
   class Guest final : net::Channel::Sink {
@@ -38,6 +41,7 @@
    private:
     friend class HttpPort;
     void look();
+    bool take_request();
     void answer(const HttpAnswer& answer);
     void channel_came(net::Channel&) override { look(); }
     void channel_gone(net::Channel&) override;
@@ -45,7 +49,8 @@
     net::Channel channel_;
     http::Parser parser_;
     std::uint64_t id_;
-    bool asked_ = false, keep_ = true;
+    std::uint64_t asked_number_ = 0;  // of the request that is handled, or was last
+    bool asked_ = false, keep_ = true, looking_ = false;
   };
   net::Scheduler& scheduler_;
   const std::size_t body_most_;
