--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -246,8 +246,10 @@
   out.accepted = acceptor_->voting() && acceptor_->epoch() == out.epoch ? acceptor_->accepted_number() : 0;
   out.voting = acceptor_->voting();
   out.first = record_.first;
-  out.list_term = list_.term();
-  out.list_number = list_.number();
+  // Where those with a session here follow a later list than this one has, its holder has to hear of it.
+  const bool later_followed = followed_list_term_ > list_.term();
+  out.list_term = later_followed ? followed_list_term_ : list_.term();
+  out.list_number = later_followed ? 0 : list_.number();
   out.life = contact_.life();
   out.stamp = (later_.now() - TimePoint()).as_us();
   for (const Duty* duty : {&list_duty_, &roster_duty_}) {
@@ -318,6 +320,7 @@
                                    [&](const market::HeldDuty& d) { return d.name == duty->name(); });
     duty->heard(word.node, held != word.duties.end(), held != word.duties.end() ? held->term : 0, now);
   }
+  step_down_if_overtaken(word.list_term);
   if (list_duty_.mine()) {
     for (const market::EndpointList& change : list_.since(word.list_term, word.list_number))
       peer.link->tell(change);
@@ -451,7 +454,8 @@
     session.list_term = hello.list_term;
     session.list_number = hello.list_number;
   }
-  list_duty_.learn_term(duty_term(hello.list_term));
+  list_duty_.learn_told(hello.list_term, holder_);
+  followed_list_term_ = std::max(followed_list_term_, hello.list_term);
   if (fresh) {
     session.pushed = hello.member.number;
     market::Beat word;
@@ -662,9 +666,15 @@
 }
 
 void ControlPlane::take_list(const market::EndpointList& told) {
+  step_down_if_overtaken(told.term);
   if (list_.apply(told)) list_changed();
 }
 
+// A list that would be turned away by those who follow this one need not be read.
+void ControlPlane::step_down_if_overtaken(std::int64_t told) {
+  if (list_duty_.mine()) list_duty_.learn_told(told, holder_);
+}
+
 void ControlPlane::list_changed() {
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -93,6 +93,7 @@
   void ballot(Duty& duty, std::int64_t term);
   void read_list();
   void take_list(const market::EndpointList& told);
+  void step_down_if_overtaken(std::int64_t told);
   void list_changed();
   void keep_roster();
 
@@ -134,6 +135,7 @@
   const std::uint64_t holder_;  // of duties: this process, told from all others
   QuorumContact contact_;
   market::EndpointBook list_;
+  std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
   bool changing_roster_ = false;
   bool had_roster_ = false;
   Roster roster_;
--- a/src/control/duty.cpp
+++ b/src/control/duty.cpp
@@ -30,9 +30,11 @@
   }
 }
 
-void Duty::learn_term(std::int64_t term) {
-  if (term <= term_) return;
-  term_ = term;
+void Duty::learn_told(std::int64_t told, std::uint64_t holder) {
+  const std::int64_t term = duty_term(told);
+  const bool overtaken = mine_ && told > told_term(term_, holder);
+  if (!overtaken && term <= term_) return;
+  term_ = std::max(term_, term);
   mine_ = false;
   holder_.clear();
   heard_ = TimePoint();
--- a/src/control/duty.hpp
+++ b/src/control/duty.hpp
@@ -15,12 +15,15 @@
 constexpr Span duty_vacant_after =
     Span::ms(900);  // without a word of its holder: three and a half of its words
 
-// Who was started anew votes again, so two may win one term. What a holder tells in numbers of its own goes
-// under this, which no two share.
+// Terms are kept in memory: a voter that was started anew votes again, so two may win one term. What a holder
+// tells in numbers of its own goes under its term and its process together. `holder` is drawn at random by
+// each process; two of one term are alike in one case of 2^32.
+constexpr unsigned holder_bits = 32;
 inline std::int64_t told_term(std::int64_t term, std::uint64_t holder) {
-  return term << 20U | static_cast<std::int64_t>(holder & 0xfffffU);
+  constexpr std::uint64_t holder_mask = (1ULL << holder_bits) - 1;
+  return term << holder_bits | static_cast<std::int64_t>(holder & holder_mask);
 }
-inline std::int64_t duty_term(std::int64_t told) { return told >> 20U; }
+inline std::int64_t duty_term(std::int64_t told) { return told >> holder_bits; }
 
 class Duty {
  public:
@@ -34,9 +37,10 @@
 
   // A peer has told what duties it has: this one, of that term, or not this one.
   void heard(const std::string& node, bool holds, std::int64_t term, TimePoint now);
-  // Somebody has heard of that term: those who kept it in mind may all have started anew since. What is told
-  // under an older one would count for nothing, so the duty is vacant.
-  void learn_term(std::int64_t term);
+  // Somebody follows what was told under that number, and turns away what is told under a lower one. A holder
+  // that is overtaken steps down; for others the duty is vacant where the term is later than all that they
+  // know: those who kept it in mind may all have started anew since. `holder`: the number of this process.
+  void learn_told(std::int64_t told, std::uint64_t holder);
   // Whether the vote for this term is given. Each term is given once.
   bool vote(std::int64_t term, TimePoint now);
   // Whether to ask for ballots now, and for which term. Where it is vacant and not yet time, when to look
