--- a/src/control/configuration_order.hpp
+++ b/src/control/configuration_order.hpp
@@ -3,7 +3,7 @@
 // An order is its base version, its own version and its bytes: sent again, all three are the same. Versions
 // rise with each configuration that is taken, so every order has at most one value that it may be applied to,
 // and the record of what was taken tells a repeat from an order that lost. The record is bounded. What it
-// does not reach any more is answered as unclear, never as refused. docs/control-side/operators.md proves it.
+// does not reach any more is answered as unclear, never as refused. docs/control-side/orders.md proves it.
 #pragma once
 
 #include <cstddef>
