--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -20,7 +20,9 @@
 constexpr Span behind_most = Span::ms(150);       // news of a change comes within some ms, or is asked for
 constexpr Span list_every = Span::ms(600);        // a fifth of the time to drain; each reading has its price
 constexpr Span full_every = Span::ms(2000);       // of the words that say all
-constexpr Span answer_most = Span::ms(350);       // of an acceptor: two ways and a sync take some ms
+constexpr Span members_settled_after = Span::ms(3000);  // a full word of each peer, and a lost session anew
+constexpr Span acks_most = Span::ms(300);               // an operator waits so long for edges to acknowledge
+constexpr Span answer_most = Span::ms(350);             // of an acceptor: two ways and a sync take some ms
 constexpr Span vote_most = Span::ms(300);
 constexpr Span leave_least = Span::ms(400);   // between SIGTERM and the end: calls under way
 constexpr Span leave_again = Span::ms(50);    // then it looks so often whether its place is another's
@@ -54,9 +56,10 @@
       address_(net::text_of(settings.internal_address(market::control_plane_port))),
       register_(later_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
       desk_(scheduler),
+      operator_api_(register_, *this, settings.machine_losses),
       operator_port_(scheduler, body_most,
                      [this](const http::Parser& request, market::HttpPort::Reply reply) {
-                       operate(request, std::move(reply));
+                       operator_api_.serve(request, std::move(reply));
                      }),
       list_duty_("list", seed_of(settings.node + "list", scheduler.now())),
       roster_duty_("roster", seed_of(settings.node + "roster", scheduler.now())),
@@ -103,6 +106,7 @@
     know(market::inner_address(
         seed, static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port)));
   for (const std::string& one : record_.controllers) know(one);
+  in_contact_since_ = later_.now();
   listen();
   tick();
   read_list();
@@ -237,8 +241,10 @@
   out.voting = acceptor_->voting();
   out.first = record_.first;
   out.disk_failing = acceptor_->disk_failing();
-  out.list_term = list_.term();
-  out.list_number = list_.number();
+  // Where those with a session here follow a later list than this one has, its holder has to hear of it.
+  const bool later_followed = followed_list_term_ > list_.term();
+  out.list_term = later_followed ? followed_list_term_ : list_.term();
+  out.list_number = later_followed ? 0 : list_.number();
   out.life = contact_.life();
   out.stamp = (later_.now() - TimePoint()).as_us();
   for (const Duty* duty : {&list_duty_, &roster_duty_}) {
@@ -309,6 +315,7 @@
                                    [&](const market::HeldDuty& d) { return d.name == duty->name(); });
     duty->heard(word.node, held != word.duties.end(), held != word.duties.end() ? held->term : 0, now);
   }
+  step_down_if_overtaken(word.list_term);
   if (list_duty_.mine()) {
     for (const market::EndpointList& change : list_.since(word.list_term, word.list_number))
       peer.link->tell(change);
@@ -412,7 +419,7 @@
 }
 
 // The others hear of a change from who made it, not only by asking.
-void ControlPlane::tell_chosen(const market::Value& value) {
+void ControlPlane::announce(const market::Value& value) {
   for (auto& [address, peer] : peers_) peer.link->tell(market::Chosen{value, register_.initial()});
 }
 
@@ -454,7 +461,8 @@
     session.list_term = hello.list_term;
     session.list_number = hello.list_number;
   }
-  list_duty_.learn_term(duty_term(hello.list_term));
+  list_duty_.learn_told(hello.list_term, holder_);
+  followed_list_term_ = std::max(followed_list_term_, hello.list_term);
   if (fresh) {
     session.pushed = hello.member.number;
     market::Beat word;
@@ -483,7 +491,9 @@
 
 const std::string& ControlPlane::pushed_value() {
   if (push_number_ != register_.known()->number) {
-    push_record_ = market::encoded(market::Push{*register_.known()});
+    market::Push push{*register_.known()};
+    push.value.taken.clear();  // only who takes orders has a use for it
+    push_record_ = market::encoded(push);
     push_number_ = register_.known()->number;
   }
   return push_record_;
@@ -533,6 +543,33 @@
   }
 }
 
+void ControlPlane::when_acknowledged(std::int64_t number, std::function<void()> then) {
+  waiting_.push_back({number, later_.now() + acks_most, std::move(then)});
+  later_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
+  acknowledged();
+}
+
+bool ControlPlane::all_peers_heard() const {
+  return std::all_of(peers_.begin(), peers_.end(), [&](const auto& one) {
+    return one.second.last && later_.now() - one.second.heard < peer_heard;
+  });
+}
+
+// A member's session is told of by a peer's next full word; one that had to look for another control machine
+// has found it by then too.
+bool ControlPlane::members_complete() const {
+  return quorum_reached(peer_heard) && all_peers_heard() &&
+         later_.now() - in_contact_since_ >= members_settled_after;
+}
+
+ControlStatus ControlPlane::status() const {
+  ControlStatus out{settings_.node, fresh_age(), {}, list_.entries().size()};
+  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
+    if (duty->mine()) out.duties.push_back({duty->name(), duty->term()});
+  }
+  return out;
+}
+
 std::vector<Member> ControlPlane::members() const {
   std::map<std::string, Member> all;
   const auto take = [&](const Member& m) {
@@ -636,9 +673,15 @@
 }
 
 void ControlPlane::take_list(const market::EndpointList& told) {
+  step_down_if_overtaken(told.term);
   if (list_.apply(told)) list_changed();
 }
 
+// A list that would be turned away by those who follow this one need not be read.
+void ControlPlane::step_down_if_overtaken(std::int64_t told) {
+  if (list_duty_.mine()) list_duty_.learn_told(told, holder_);
+}
+
 void ControlPlane::list_changed() {
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
@@ -673,7 +716,7 @@
       [this, changed = next.has_value()](absl::StatusOr<market::Value> got) {
         changing_roster_ = false;
         if (!got.ok()) return;
-        tell_chosen(*got);
+        announce(*got);
         market::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
                          "number " + std::to_string(got->number) + ", epoch " + std::to_string(got->epoch) +
                              ", map " + std::to_string(got->map) + " of " +
@@ -688,6 +731,7 @@
   if (finished_) return;
   forget_lost();
   try_disk_again();
+  if (!quorum_reached(peer_heard) || !all_peers_heard()) in_contact_since_ = later_.now();
   gossip();
   catch_up();
   beat();
