--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -405,7 +405,8 @@
 
 // ---- what is chosen
 
-void ControlPlane::chosen(const market::Value&) {
+void ControlPlane::chosen(const market::Value& value) {
+  recent_.add(value);
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
   }
@@ -437,32 +438,30 @@
   session.heard = later_.now();
   session.stamp = hello.stamp;
   session.first = hello.first;
-  session.pushed = std::max(session.pushed, hello.member.number);
+  session.values.acknowledged(hello.member.number, hello.refused);
   // What was sent since this word was written stays sent.
   if (std::pair(hello.list_term, hello.list_number) > std::pair(session.list_term, session.list_number)) {
     session.list_term = hello.list_term;
     session.list_number = hello.list_number;
   }
   list_duty_.learn_term(duty_term(hello.list_term));
+  if (fresh || session.first) push(guest.id(), session);
   if (fresh) {
-    session.pushed = hello.member.number;
     market::Beat word;
     word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+    word.number = register_.known() ? register_.known()->number : 0;
     word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
     guest.tell(word);
   }
-  if (fresh || session.first) push(guest.id(), session);
   acknowledged();
 }
 
 void ControlPlane::push(std::uint64_t id, Session& session) {
   market::Desk::Guest* const guest = desk_.find(id);
   if (guest == nullptr) return;
-  if (register_.known() && session.pushed < register_.known()->number) {
-    session.pushed = register_.known()->number;
-    guest->tell_record(market::Push::kind, pushed_value());
-  }
+  if (const std::string* const record = session.values.next(recent_, guest->unsent()))
+    guest->tell_record(market::Push::kind, *record);
   if (!list_.newer_than(session.list_term, session.list_number)) return;
   for (const market::EndpointList& change : list_.since(session.list_term, session.list_number))
     guest->tell(change);
@@ -470,14 +469,6 @@
   session.list_number = list_.number();
 }
 
-const std::string& ControlPlane::pushed_value() {
-  if (push_number_ != register_.known()->number) {
-    push_record_ = market::encoded(market::Push{*register_.known()});
-    push_number_ = register_.known()->number;
-  }
-  return push_record_;
-}
-
 void ControlPlane::beat() {
   market::Beat word;
   word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
@@ -497,9 +488,9 @@
       silent.push_back(id);
       continue;
     }
+    push(id, session);  // before the beat, which confirms what has come
     word.echo_stamp = session.stamp;
     guest->tell(word);
-    push(id, session);
   }
   for (const std::uint64_t id : silent) {
     sessions_.erase(id);
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -20,6 +20,7 @@
 #include "market/process.hpp"
 #include "market/session.hpp"
 #include "market/settings.hpp"
+#include "market/value_update.hpp"
 
 namespace chutevane::control {
 
@@ -46,8 +47,8 @@
     TimePoint heard;
     std::int64_t stamp = 0;  // of the newest Hello: returned with each beat
     std::int64_t list_term = 0, list_number = 0;
-    std::int64_t pushed = 0;  // of the values, the newest that was sent down
-    bool first = false;       // changes go down it at once; down others with the next beat, if still needed
+    market::PushCursor values;
+    bool first = false;  // changes go down it at once; down others with the next beat, if still needed
   };
 
   void prepare(const std::string& address, const market::Prepare& ask,
@@ -80,7 +81,6 @@
   void store_known();
   void on_hello(market::Desk::Guest& guest, const market::Hello& hello);
   void push(std::uint64_t guest, Session& session);
-  const std::string& pushed_value();
   void beat();
   void acknowledged();
 
@@ -115,9 +115,7 @@
   std::map<std::string, Peer> peers_;
   std::vector<std::unique_ptr<market::Link>> parted_;
   std::map<std::uint64_t, Session> sessions_;
-  // The newest value as it is pushed: written once for all sessions.
-  std::string push_record_;
-  std::int64_t push_number_ = -1;
+  market::RecentValues recent_;  // that were known here: what goes to others is the difference from one
   // No value chosen before it is newer than the known one.
   TimePoint fresh_at_;
   TimePoint full_since_, told_since_;
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -98,6 +98,25 @@
   bool operator==(const Value&) const = default;
 };
 
+// What makes one value's record out of another's (market/value_difference.hpp); empty: the message that it
+// stands in has the value whole.
+struct ValueDifference {
+  static constexpr const char* record = "Value_difference";
+  static constexpr std::uint8_t kind = 37;  // on the wire
+  std::int64_t base = 0;
+  std::int64_t base_hash = 0;
+  std::int64_t hash = 0;
+  Bytes content;
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("base", base);
+    v("base_hash", base_hash);
+    v("hash", hash);
+    v("content", content);
+  }
+  bool operator==(const ValueDifference&) const = default;
+};
+
 struct Ballot {
   static constexpr const char* record = "Ballot";
   static constexpr std::uint8_t kind = 6;  // on the wire
@@ -395,6 +414,7 @@
   bool first = false;
   bool ending = false;
   std::int64_t stamp = 0;  // the sender's steady clock at sending, in microseconds
+  std::int64_t refused = 0;  // the newest push that could not be applied, where no later one was; 0: none
   template <class Visitor>
   void each(Visitor& v) {
     v("member", member);
@@ -403,17 +423,22 @@
     v("first", first);
     v("ending", ending);
     v("stamp", stamp);
+    v("refused", refused);
   }
 };
 
-// A numbered change of the register's value, down a session.
+// A newer value of the register, down a session: whole, or as the difference from one that the receiver has.
 struct Push {
   static constexpr const char* record = "Push";
   static constexpr std::uint8_t kind = 22;  // on the wire
+  std::int64_t number = 0;
   Value value;
+  ValueDifference difference;
   template <class Visitor>
   void each(Visitor& v) {
+    v("number", number);
     v("value", value);
+    v("difference", difference);
   }
 };
 
--- a/src/market/session.cpp
+++ b/src/market/session.cpp
@@ -85,7 +85,9 @@
       way.link->on_up([this, address] {
         // One that was parted with may come up all the same before it is destroyed.
         const auto at = ways_.find(address);
-        if (at != ways_.end()) tell(at->second);
+        if (at == ways_.end()) return;
+        at->second.refused = 0;
+        tell(at->second);
       });
       way.link->on_word(
           [this, address](std::uint8_t kind, std::string_view record) { word(address, kind, record); });
@@ -123,12 +125,13 @@
 void Sessions::tell(Way& way) {
   Hello hello;
   hello.member = self_;
-  hello.member.number = value_ ? value_->number : 0;
+  hello.member.number = values_.number();
   hello.list_term = list_.term();
   hello.list_number = list_.number();
   hello.first = first_ == net::text_of(way.link->to());
   hello.ending = ending_;
   hello.stamp = (later_.now() - TimePoint()).as_us();
+  hello.refused = way.refused > values_.number() ? way.refused : 0;
   way.link->tell(hello);
 }
 
@@ -141,17 +144,14 @@
     way->second.heard = later_.now();
     const TimePoint confirmed =
         TimePoint() + Span::us(beat.echo_stamp) - Span::ms(static_cast<double>(beat.fresh_ms));
-    way->second.confirmed = std::max(way->second.confirmed, confirmed);
+    // One whose newest value has not come, was held back or could not be applied confirms nothing.
+    if (beat.number <= values_.number()) way->second.confirmed = std::max(way->second.confirmed, confirmed);
     if (!beat.controllers.empty()) controllers_ = beat.controllers;
     if (beat.edges > 0) edges_ = static_cast<std::size_t>(beat.edges);
   } else if (kind == Push::kind) {
     Push push;
     if (!decode(record, push)) return;
-    if (!value_ || value_->number < push.value.number) {
-      value_ = std::move(push.value);
-      if (told_value_) told_value_(*value_);
-    }
-    tell_all();  // the acknowledgement; who has not sent it yet need not
+    pushed(way->second, std::move(push));
   } else if (kind == EndpointList::kind) {
     EndpointList list;
     if (!decode(record, list) || !list_.apply(list)) return;
@@ -159,4 +159,18 @@
   }
 }
 
+void Sessions::pushed(Way& way, Push push) {
+  const std::int64_t number = push.number;
+  switch (values_.take(std::move(push))) {
+    case ValueReceiver::Came::newer:
+      if (told_value_) told_value_(*values_.value());
+      break;
+    case ValueReceiver::Came::old: break;
+    case ValueReceiver::Came::refused:
+      log_warning("value.refused", "number " + std::to_string(number) + ": asked for whole");
+      way.refused = std::max(way.refused, number);
+  }
+  tell_all();  // the acknowledgement; who has not sent it yet need not
+}
+
 }  // namespace chutevane::market
--- a/src/market/session.hpp
+++ b/src/market/session.hpp
@@ -13,6 +13,7 @@
 #include "market/link.hpp"
 #include "market/messages.hpp"
 #include "market/settings.hpp"
+#include "market/value_update.hpp"
 
 namespace chutevane::market {
 
@@ -22,7 +23,7 @@
   // Told of each newer value and list, numbers rising.
   void on_value(std::function<void(const Value&)> told) { told_value_ = std::move(told); }
   void on_list(std::function<void(const EndpointBook&)> told) { told_list_ = std::move(told); }
-  const std::optional<Value>& value() const { return value_; }
+  const std::optional<Value>& value() const { return values_.value(); }
   const EndpointBook& list() const { return list_; }
   void tell_whole(std::int64_t map) {
     self_.whole = map;
@@ -48,6 +49,7 @@
     // that it has echoed, less the age of its own knowledge. Its clock does not matter, nor how long a
     // message was under way.
     TimePoint confirmed;
+    std::int64_t refused = 0;  // the newest push that could not be applied: to be sent whole
   };
   void tick();
   void tell_all();
@@ -56,6 +58,7 @@
   bool usable(const Way& way) const;
   bool may_become_usable(const Way& way) const;
   void word(const std::string& address, std::uint8_t kind, std::string_view record);
+  void pushed(Way& way, Push push);
 
   net::Scheduler& scheduler_;
   net::Later& later_;
@@ -66,7 +69,7 @@
   std::vector<std::string> seeds_, controllers_;
   std::map<std::string, Way> ways_;
   std::vector<std::unique_ptr<Link>> leaving_;  // destroyed by a later tick
-  std::optional<Value> value_;
+  ValueReceiver values_;
   EndpointBook list_;
   std::string first_;  // the way that changes come down at once; the others wait whether they are needed
   std::function<void(const Value&)> told_value_;
--- a/src/simulation/observers.cpp
+++ b/src/simulation/observers.cpp
@@ -30,7 +30,8 @@
       std::hash<std::string>()(name));
   session.link->on_up([this, name] {
     Session& at = sessions_[name];
-    at.number = at.version = at.owed = 0;
+    at.values = {};
+    at.version = at.owed = 0;
     tell(name);
   });
   session.link->on_word(
@@ -42,7 +43,7 @@
   market::Hello hello;
   hello.member.node = "observer";
   hello.member.plane = "observer";
-  hello.member.number = session.number;
+  hello.member.number = session.values.number();
   hello.first = true;
   session.link->tell(hello);
 }
@@ -55,12 +56,18 @@
   } else if (kind == market::Push::kind) {
     market::Push push;
     if (!market::decode(record, push)) return;
-    if (push.value.number < session.number || push.value.config_version < session.version)
-      checker_.broken("pushed-back", name + " pushes version " + std::to_string(push.value.config_version) +
+    const std::int64_t before = session.values.number(), number = push.number;
+    // One session alone brings each difference behind its base.
+    if (number < before || session.values.take(std::move(push)) == market::ValueReceiver::Came::refused)
+      checker_.broken("pushed-back", name + " pushes what can't follow: number " + std::to_string(number) +
+                                         " after " + std::to_string(before));
+    if (!session.values.value()) return;
+    const market::Value& value = *session.values.value();
+    if (value.config_version < session.version)
+      checker_.broken("pushed-back", name + " pushes version " + std::to_string(value.config_version) +
                                          " after " + std::to_string(session.version));
-    session.number = push.value.number;
-    session.version = push.value.config_version;
-    checker_.seen(session.version, push.value.config.data, "a push of " + name);
+    session.version = value.config_version;
+    checker_.seen(session.version, value.config.data, "a push of " + name);
   }
 }
 
--- a/src/simulation/observers.hpp
+++ b/src/simulation/observers.hpp
@@ -10,6 +10,7 @@
 
 #include "market/link.hpp"
 #include "market/messages.hpp"
+#include "market/value_update.hpp"
 #include "simulation/callers.hpp"
 #include "simulation/checker.hpp"
 
@@ -24,8 +25,9 @@
  private:
   struct Session {
     std::unique_ptr<market::Link> link;
-    std::int64_t number = 0, version = 0;  // the newest that was pushed down it
-    std::int64_t owed = 0;                 // the version that the last beat has promised
+    market::ValueReceiver values;  // that were pushed down it
+    std::int64_t version = 0;      // of the newest of them
+    std::int64_t owed = 0;         // the version that the last beat has promised
   };
   void tick();
   void open(const Machine& control);
--- a/tests/market/avro_test.cpp
+++ b/tests/market/avro_test.cpp
@@ -26,7 +26,7 @@
                market::EndpointList, market::Hello, market::Push, market::Beat, market::Reserve,
                market::Reserved, market::Settle, market::Turn, market::Keep, market::Kept, market::Find,
                market::Found, market::Reservation, market::Account, market::Pull, market::Pulled,
-               market::StorageNodeRecord>;
+               market::StorageNodeRecord, market::ValueDifference>;
 
 template <class F>
 void each_message(F f) {
--- /dev/null
+++ b/tests/market/changing_value.hpp
@@ -0,0 +1,56 @@
+// Values of the register as operators change them: a configuration of a given size, of which each change
+// touches a little.
+#pragma once
+
+#include <string>
+
+#include "market/messages.hpp"
+#include "played_system.hpp"
+
+namespace chutevane::played {
+
+class ChangingValue {
+ public:
+  ChangingValue(std::uint64_t seed, std::size_t config_bytes) : luck_(seed) {
+    for (std::size_t size = 0, i = 0; size < config_bytes; size += routes_.back().size(), ++i)
+      routes_.push_back(route(i, 1500));
+  }
+  // `value` with the next configuration, under the next version and number.
+  market::Value next(const market::Value& value) {
+    ++version_;
+    const std::size_t at = luck_.below(routes_.size());
+    routes_[at] = route(at, 500 + luck_.below(5000));
+    if (luck_.chance(0.1))
+      routes_.insert(routes_.begin() + static_cast<std::ptrdiff_t>(at), route(version_, 700));
+    if (luck_.chance(0.1))
+      routes_.erase(routes_.begin() + static_cast<std::ptrdiff_t>(luck_.below(routes_.size() - 1)));
+    market::Value out = value;
+    ++out.number;
+    out.config_version = static_cast<std::int64_t>(version_);
+    out.config.data = text();
+    out.taken.push_back({out.config_version, static_cast<std::int64_t>(luck_.next())});
+    if (out.taken.size() > taken_most) out.taken.erase(out.taken.begin());
+    return out;
+  }
+
+ private:
+  static constexpr std::size_t taken_most = 64;
+  static std::string route(std::size_t name, std::size_t timeout) {
+    const std::string n = std::to_string(name);
+    return "{\"name\":\"route-" + n + "\",\"match\":{\"host\":\"api.example\",\"prefix\":\"/v1/r" + n +
+           "\"},\"type\":\"idempotent\",\"timeoutMs\":" + std::to_string(timeout) +
+           ",\"maxAttempts\":2,\"split\":[{\"service\":\"s" + std::to_string(name % 7) +
+           "\",\"weight\":1.0}]}";
+  }
+  std::string text() const {
+    std::string out = "{\"version\":" + std::to_string(version_) + ",\"routes\":[";
+    for (const std::string& one : routes_) out += one + ",";
+    out.back() = ']';
+    return out + "}";
+  }
+  Luck luck_;
+  std::vector<std::string> routes_;
+  std::size_t version_ = 0;
+};
+
+}  // namespace chutevane::played
