--- /dev/null
+++ b/src/control/chosen_word.cpp
@@ -0,0 +1,31 @@
+#include "control/chosen_word.hpp"
+
+namespace chutevane::control {
+
+market::Chosen chosen_word(market::RecentValues& recent, const Register& reg, const PeerState& peer) {
+  market::Chosen out;
+  out.epoch = reg.initial().epoch;
+  if (peer.epoch != out.epoch) out.initial = reg.initial();
+  out.ballot = reg.known_ballot();
+  const bool held = recent.number() == reg.known()->number;
+  const market::ValueDifference* const change =
+      held && peer.number > 0 ? recent.difference_from(peer.number) : nullptr;
+  if (change != nullptr) {
+    out.difference = *change;
+  } else {
+    out.value = *reg.known();
+  }
+  return out;
+}
+
+bool take_chosen(Register& reg, const market::RecentValues& recent, const market::Chosen& word) {
+  // Without the first value of its epoch the word is for those who are in that epoch.
+  if (word.initial.epoch == 0 && word.epoch != reg.initial().epoch) return false;
+  const absl::StatusOr<Value> value = market::received_value(word.value, word.difference, recent);
+  if (!value.ok()) return false;
+  reg.learn_chosen(*value, word.initial);
+  if (word.ballot.round > 0) reg.learn_accepted(word.epoch, word.ballot, *value);
+  return true;
+}
+
+}  // namespace chutevane::control
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -125,7 +125,7 @@
     if (number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Chosen>([this](market::Desk::Guest&, std::uint64_t, market::Chosen& word) {
-    register_.learn_chosen(word.value, word.initial);
+    take_chosen(register_, recent_, word);
   });
   desk_.on<Gossip>([this](market::Desk::Guest&, std::uint64_t, Gossip& word) { on_gossip(word); });
   desk_.on<market::Vote>([this](market::Desk::Guest& guest, std::uint64_t number, market::Vote& ask) {
@@ -191,7 +191,9 @@
       std::make_unique<market::Link>(scheduler_, later_, *to, seed_of(address_ + address, later_.now()));
   peer.link->on_up([this, address] {
     const auto at = peers_.find(address);  // it may have been parted with
-    if (at != peers_.end()) at->second.link->tell(addressed(full_word(), at->second));
+    if (at == peers_.end()) return;
+    at->second.told = 0;
+    at->second.link->tell(addressed(full_word(), at->second));
   });
 }
 
@@ -413,9 +415,21 @@
   if (record_.initial.epoch < register_.initial().epoch) store_known();
 }
 
-// The others hear of a change from who made it, not only by asking.
-void ControlPlane::tell_chosen(const market::Value& value) {
-  for (auto& [address, peer] : peers_) peer.link->tell(market::Chosen{value, register_.initial()});
+// The others hear of a change from who made it, not only by asking: of the newest value known here, which is
+// that one or a later one.
+void ControlPlane::tell_chosen(const market::Value&) {
+  if (!register_.known()) return;
+  const std::int64_t number = register_.known()->number;
+  for (auto& [address, peer] : peers_) {
+    // A peer that does not read gets no more: it reads the register when it is there again.
+    if (!peer.link->up() || peer.link->unsent() > market::PushCursor::unsent_most) continue;
+    PeerState state;
+    if (peer.last) state = {peer.last->epoch, peer.last->known};
+    state.number = std::max(state.number, peer.told);
+    if (state.number >= number) continue;
+    peer.link->tell(chosen_word(recent_, register_, state));
+    peer.told = number;
+  }
 }
 
 // So that it finds the others again, whatever the seeds of its settings are by then.
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "control/chosen_word.hpp"
 #include "control/duty.hpp"
 #include "control/platform.hpp"
 #include "control/quorum_contact.hpp"
@@ -41,6 +42,7 @@
     std::unique_ptr<market::Link> link;
     std::optional<market::Gossip> last;
     TimePoint heard, known_since;
+    std::int64_t told = 0;  // the newest value that was told over this connection
   };
   struct Session {
     market::Member member;
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -98,6 +98,10 @@
   // The value that was accepted under that ballot of that epoch: acceptors need not send it.
   void learn_accepted(std::int64_t epoch, const Ballot& ballot, const Value& value);
   const std::optional<Value>& known() const { return known_; }
+  // Under which the known value was accepted, in initial()'s epoch; round 0 where that is not known.
+  Ballot known_ballot() const {
+    return accepted_ && known_ && accepted_->value.number == known_->number ? accepted_->ballot : Ballot{};
+  }
 
   void change(Change change, Span most, Done done);
   // The chosen value as of now.
--- a/src/market/link.hpp
+++ b/src/market/link.hpp
@@ -47,6 +47,7 @@
 
   const sockaddr_in& to() const { return to_; }
   bool up() const { return channel_ && channel_->up(); }
+  std::size_t unsent() const { return channel_ ? channel_->unsent() : 0; }
   void on_up(std::function<void()> told) { told_up_ = std::move(told); }
   void on_down(std::function<void()> told) { told_down_ = std::move(told); }
   void on_word(Word word) { word_ = std::move(word); }
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -202,12 +202,18 @@
 struct Chosen {
   static constexpr const char* record = "Chosen";
   static constexpr std::uint8_t kind = 11;  // on the wire
-  Value value;
-  Value initial;
+  Value value;                              // empty: it comes as a difference
+  Value initial;                            // empty: for a receiver that is in that epoch already
+  ValueDifference difference{};
+  std::int64_t epoch = 0;
+  Ballot ballot{};  // under which the value was accepted; round 0: not known
   template <class Visitor>
   void each(Visitor& v) {
     v("value", value);
     v("initial", initial);
+    v("difference", difference);
+    v("epoch", epoch);
+    v("ballot", ballot);
   }
 };
 
--- a/tests/market/changes_test.cpp
+++ b/tests/market/changes_test.cpp
@@ -12,10 +12,12 @@
 #include <vector>
 
 #include "changing_value.hpp"
+#include "control/chosen_word.hpp"
 #include "market/value_difference.hpp"
 #include "played_register.hpp"
 #include "unit.hpp"
 
+namespace control = chutevane::control;
 namespace market = chutevane::market;
 using namespace chutevane::played;
 using chutevane::Span;
@@ -43,6 +45,8 @@
   std::int64_t told = -1;                          // the newest number that this process told
   bool up = false, away = false, reading = false;  // away: it comes back by itself
   TimePoint behind_since;
+  market::RecentValues recent;
+  std::map<const Member*, control::PeerState> heard_of;
 };
 
 struct Storm {
@@ -65,6 +69,9 @@
     p.voters.own = member.machine->address;
     member.told = -1;
     member.up = true;
+    member.recent = {};
+    member.heard_of.clear();
+    for (Member& other : members) other.heard_of[&member].number = 0;  // the connections are new
     member.reading = false;
     if (first) p.reg.learn_epoch(field.first_set(3));
     p.reg.learn_epoch(member.machine->acceptor->initial());
@@ -72,6 +79,7 @@
       if (member.proposer.get() != &p) return;  // it has ended
       check(v.number > member.told, "told an older value after a newer one");
       member.told = v.number;
+      member.recent.add(v);
       saw(v);
     });
   }
@@ -132,15 +140,21 @@
           tell(member);
         });
   }
-  // The others hear of it by word; the word is lost where one of the two is not there.
+  // The others hear of it by word, as from control_plane.cpp; it is lost where one of the two is not there.
   void tell(Member& from) {
+    const Register& reg = from.proposer->reg;
+    if (!reg.known() || cut(from)) return;
     for (Member& to : members) {
-      if (&to == &from || cut(from) || cut(to)) continue;
-      if (!from.proposer->reg.known()) continue;
-      const market::Chosen word{*from.proposer->reg.known(), from.proposer->reg.initial()};
+      if (&to == &from || cut(to)) continue;
+      control::PeerState state = from.heard_of[&to];
+      if (state.number >= reg.known()->number) continue;
+      const market::Chosen word = control::chosen_word(from.recent, reg, state);
+      from.heard_of[&to].number = reg.known()->number;
       if (field.counting) bytes_chosen += market::encoded(word).size();
-      field.clock.later.after(field.way(), [&to, word] {
-        if (to.up) to.proposer->reg.learn_chosen(word.value, word.initial);
+      field.clock.later.after(field.way(), [this, &to, p = to.proposer.get(), word] {
+        if (to.proposer.get() != p || !to.up) return;
+        ++words;
+        unused += control::take_chosen(p->reg, to.recent, word) ? 0 : 1;
       });
     }
   }
@@ -157,6 +171,8 @@
       for (Member& from : members) {
         if (&from == &to || cut(from)) continue;
         const Register& other = from.proposer->reg;
+        to.heard_of[&from].epoch = other.initial().epoch;
+        to.heard_of[&from].number = std::max(to.heard_of[&from].number, from.told);
         if (other.initial().epoch > reg.initial().epoch) {
           const Value initial = other.initial();
           reg.learn_epoch(initial);
@@ -310,7 +326,8 @@
   std::map<std::int64_t, std::uint64_t> hashes;  // of the value of each number
   std::uint64_t proposers = 0;
   std::int64_t orders = 0, newest = 0;
-  std::size_t acknowledged = 0, sets = 0, troubles = 0, calm_looks = 0, largest = 0, bytes_chosen = 0;
+  std::size_t acknowledged = 0, sets = 0, troubles = 0, calm_looks = 0, largest = 0, bytes_chosen = 0,
+              words = 0, unused = 0;
   const TimePoint begun = field.clock.system.now();
   TimePoint calm_since;
   std::string broken;
@@ -332,7 +349,9 @@
                               numbered(": changes ", static_cast<long long>(storm.acknowledged)) +
                               numbered(", asked a change ", each(storm.field.bytes_asked)) +
                               numbered(", answered ", each(storm.field.bytes_answered)) +
-                              numbered(", Chosen ", each(storm.bytes_chosen));
+                              numbered(", Chosen ", each(storm.bytes_chosen)) +
+                              numbered(", words ", static_cast<long long>(storm.words)) +
+                              numbered(", of no use ", static_cast<long long>(storm.unused));
     if (std::getenv("CHUTEVANE_TELL_BYTES") != nullptr) UT_PRINT(where.c_str());
   }
 }
