--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -120,7 +120,7 @@
     if (number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Accept>([this](market::Desk::Guest& guest, std::uint64_t number, market::Accept& ask) {
-    const auto got = acceptor_->accept(ask);
+    const auto got = accept_here(ask);
     if (!got.ok()) return fail(got.status());
     if (number != 0) guest.answer(number, *got);
   });
@@ -161,10 +161,18 @@
   answered(absl::InvalidArgumentError(address));
 }
 
+// The register here knows what its own acceptor has: others need not send it back.
+absl::StatusOr<market::Accepted> ControlPlane::accept_here(const market::Accept& ask) {
+  auto got = acceptor_->accept(ask);
+  if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes)
+    register_.learn_accepted(ask.epoch, acceptor_->accepted(), acceptor_->value());
+  return got;
+}
+
 void ControlPlane::accept(const std::string& address, const market::Accept& ask,
                           std::function<void(absl::StatusOr<market::Accepted>)> answered) {
   if (address == address_) {
-    auto got = acceptor_->accept(ask);
+    auto got = accept_here(ask);
     if (!got.ok()) fail(got.status());
     return answered(std::move(got));
   }
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -57,6 +57,7 @@
                std::function<void(absl::StatusOr<market::Promise>)> answered) override;
   void accept(const std::string& address, const market::Accept& ask,
               std::function<void(absl::StatusOr<market::Accepted>)> answered) override;
+  absl::StatusOr<market::Accepted> accept_here(const market::Accept& ask);
   void fail(const absl::Status& why);
 
   void listen();
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "market/value_update.hpp"
+
 namespace chutevane::control {
 namespace {
 
@@ -16,6 +18,7 @@
 constexpr Span pause_least =
     Span::ms(8);  // before the next ballot after one that met a later one: two rounds
 constexpr Span pause_spread = Span::ms(40);  // ... and as much as this more, so that two do not meet again
+constexpr int doublings_most = 3;            // of the spread, one for each try that was in vain
 
 }  // namespace
 
@@ -123,14 +126,22 @@
     out.verdict = static_cast<std::int64_t>(Verdict::later);
     return out;
   }
+  out.verdict = static_cast<std::int64_t>(Verdict::yes);
+  if (ask.ballot.round > 0 && ask.ballot == state_.accepted) return out;  // a repeat: it is on disk
+  absl::StatusOr<Value> value = ask.value;
+  if (market::is_difference(ask.difference))
+    value = market::changed_value(ask.difference, market::encoded(state_.value));
+  if (!value.ok()) {
+    out.verdict = static_cast<std::int64_t>(Verdict::whole);
+    return out;
+  }
   const market::AcceptorRecord before = state_;
   state_.promised = state_.accepted = ask.ballot;
-  state_.value = ask.value;
+  state_.value = *std::move(value);
   if (absl::Status s = store(false); !s.ok()) {
     state_ = before;
     return s;
   }
-  out.verdict = static_cast<std::int64_t>(Verdict::yes);
   return out;
 }
 
@@ -140,6 +151,7 @@
   TimePoint until;
   net::Later::Ticket due;
   bool over = false;
+  int in_vain = 0;        // tries that met a later ballot or no majority
   std::int64_t turn = 0;  // answers to an earlier ballot are no answers to this one
   Ballot ballot;
   Value initial;                               // of the epoch that it is in
@@ -147,7 +159,8 @@
   std::vector<Promise> promises;
   std::size_t yes = 0, no = 0;
   bool deciding = false, look_only = true;
-  Value value;  // that is proposed
+  Value value;                         // that is proposed
+  market::ValueDifference difference;  // from what was found; none: it would not be shorter
 };
 
 Register::Register(net::Later& later, Voters& voters, std::uint64_t proposer)
@@ -188,7 +201,33 @@
   if (round->over) return;
   round->over = true;
   later_.cancel(round->due);
+  const bool proposed = proposing_ == round;
   round->done(std::move(result));
+  if (proposed) let_next_propose();
+}
+
+// False: it waits until it may, or until its time is over.
+bool Register::may_propose(const std::shared_ptr<Round>& round) {
+  if (!proposing_) proposing_ = round;
+  if (proposing_ == round) return true;
+  ++round->turn;
+  later_.cancel(round->due);
+  round->due = later_.at(round->until, [this, round] {
+    std::erase(waiting_, round);
+    finish(round, absl::DeadlineExceededError("others were before it"));
+  });
+  waiting_.push_back(round);
+  return false;
+}
+
+void Register::let_next_propose() {
+  proposing_.reset();
+  if (waiting_.empty()) return;
+  const std::shared_ptr<Round> next = waiting_.front();
+  waiting_.pop_front();
+  proposing_ = next;
+  next->look_only = true;  // what it waited for may be all that it wants
+  begin(next);
 }
 
 // The first try only looks: where a majority holds one accepted value, that is chosen, and a read is over.
@@ -196,6 +235,7 @@
   if (round->over) return;
   if (initial_.epoch == 0) return finish(round, absl::UnavailableError("no acceptors known yet"));
   if (later_.now() >= round->until) return finish(round, absl::DeadlineExceededError("no majority in time"));
+  if (!round->look_only && !may_propose(round)) return;
   ++round->turn;
   round->initial = initial_;
   round->promises.clear();
@@ -224,7 +264,9 @@
   luck_ = XXH3_64bits(&luck_, sizeof luck_);
   const double part = static_cast<double>(luck_ >> 11U) * 0x1p-53;
   later_.cancel(round->due);
-  round->due = later_.after(pause_least + pause_spread * part, [this, round] { begin(round); });
+  const double spread = static_cast<double>(1 << std::min(round->in_vain++, doublings_most));
+  const TimePoint next = later_.now() + pause_least + pause_spread * spread * part;
+  round->due = later_.at(std::min(round->until, next), [this, round] { begin(round); });
 }
 
 void Register::on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
@@ -306,37 +348,51 @@
   if (!sealed(current)) {
     if (std::optional<Value> wanted = round->change(current)) {
       wanted->number = current.number + 1;
-      propose(round, std::move(*wanted));
+      propose(round, current, std::move(*wanted));
       return;
     }
   }
   // It stands, and has to be chosen before it is told of: what was lost to it must not come back.
-  propose(round, current);
+  propose(round, current, current);
 }
 
-void Register::propose(const std::shared_ptr<Round>& round, Value value) {
+void Register::propose(const std::shared_ptr<Round>& round, const Value& found, Value value) {
   round->value = std::move(value);
   round->yes = round->no = 0;
+  const std::string record = market::encoded(round->value);
+  round->difference = market::value_difference(found.number, market::encoded(found), record);
+  if (round->difference.content.data.size() > record.size() / 2) round->difference = {};
   const std::int64_t turn = round->turn;
-  const Accept ask{round->initial.epoch, round->ballot, round->value};
-  const std::size_t all = round->initial.acceptors.size();
-  for (std::size_t i = 0; i < all; ++i) {
-    voters_.accept(round->initial.acceptors[i].address, ask,
-                   [this, round, turn, all](absl::StatusOr<Accepted> got) {
-                     if (round->over || round->turn != turn) return;
-                     if (got.ok()) highest_ = std::max(highest_, got->promised.round);
-                     const bool yes = got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes;
-                     ++(yes ? round->yes : round->no);
-                     if (yes && round->yes == majority(round->initial)) {
-                       chosen(round);
-                     } else if (all - round->no < majority(round->initial)) {
-                       again(round);
-                     }
-                   });
+  for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
+    ask_accept(round, i, turn, !market::is_difference(round->difference));
     if (round->over || round->turn != turn) return;
   }
 }
 
+void Register::ask_accept(const std::shared_ptr<Round>& round, std::size_t to, std::int64_t turn,
+                          bool whole) {
+  Accept ask{round->initial.epoch, round->ballot, {}, {}};
+  if (whole) {
+    ask.value = round->value;
+  } else {
+    ask.difference = round->difference;
+  }
+  voters_.accept(round->initial.acceptors[to].address, ask,
+                 [this, round, to, turn, whole](absl::StatusOr<Accepted> got) {
+                   if (round->over || round->turn != turn) return;
+                   if (got.ok()) highest_ = std::max(highest_, got->promised.round);
+                   const auto verdict = got.ok() ? static_cast<Verdict>(got->verdict) : Verdict::later;
+                   if (verdict == Verdict::whole && !whole) return ask_accept(round, to, turn, true);
+                   const bool yes = verdict == Verdict::yes;
+                   ++(yes ? round->yes : round->no);
+                   if (yes && round->yes == majority(round->initial)) {
+                     chosen(round);
+                   } else if (round->initial.acceptors.size() - round->no < majority(round->initial)) {
+                     again(round);
+                   }
+                 });
+}
+
 void Register::chosen(const std::shared_ptr<Round>& round) {
   if (sealed(round->value)) {  // the epoch is over: on to the next, which begins with what this one held
     learn_epoch(opened(round->value));
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -8,6 +8,7 @@
 // docs/register.md weighs this against the other ways.
 #pragma once
 
+#include <deque>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -38,6 +39,7 @@
   later,     // it has promised a later ballot
   moved,     // it is in a later epoch: its initial value comes with the answer
   stranger,  // it is no acceptor of that epoch
+  whole,     // it has another value than the one that the difference rests on: to be sent whole
 };
 
 // Keeps what it promised and accepted on disk before it says so.
@@ -54,6 +56,8 @@
   std::int64_t epoch() const { return state_.epoch; }
   bool voting() const { return state_.epoch > 0; }
   std::int64_t accepted_number() const { return state_.value.number; }
+  const Ballot& accepted() const { return state_.accepted; }
+  const Value& value() const { return state_.value; }  // under accepted()
   const Value& initial() const { return state_.initial; }
 
  private:
@@ -123,9 +127,13 @@
                   absl::StatusOr<market::Promise> got);
   void note_entered(const Value& initial, std::size_t from, const market::Promise& got);
   void decide(const std::shared_ptr<Round>& round);
-  void propose(const std::shared_ptr<Round>& round, Value value);
+  // `found`: what the round has found accepted, so what most of its acceptors have.
+  void propose(const std::shared_ptr<Round>& round, const Value& found, Value value);
+  void ask_accept(const std::shared_ptr<Round>& round, std::size_t to, std::int64_t turn, bool whole);
   void chosen(const std::shared_ptr<Round>& round);
   void again(const std::shared_ptr<Round>& round);
+  bool may_propose(const std::shared_ptr<Round>& round);
+  void let_next_propose();
   void finish(const std::shared_ptr<Round>& round, absl::StatusOr<Value> result);
 
   net::Later& later_;
@@ -138,6 +146,10 @@
   std::set<std::string> entered_;  // addresses of acceptors that have answered in initial_'s epoch
   std::optional<Value> known_;
   std::function<void(const Value&)> told_;
+  // One round of this process proposes at a time, or they would outbid one another; the others wait, the
+  // oldest first. Looks do not wait.
+  std::shared_ptr<Round> proposing_;
+  std::deque<std::shared_ptr<Round>> waiting_;
 };
 
 }  // namespace chutevane::control
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -176,12 +176,14 @@
   static constexpr std::uint8_t kind = 9;  // on the wire
   std::int64_t epoch = 0;
   Ballot ballot;
-  Value value;
+  Value value;                   // empty: it comes as a difference
+  ValueDifference difference{};  // from the value that the acceptor has accepted last
   template <class Visitor>
   void each(Visitor& v) {
     v("epoch", epoch);
     v("ballot", ballot);
     v("value", value);
+    v("difference", difference);
   }
 };
 
--- a/tests/market/changes_test.cpp
+++ b/tests/market/changes_test.cpp
@@ -52,6 +52,11 @@
 struct Storm {
   Storm(std::uint64_t seed, std::size_t config_bytes) : field(5, seed), changes(seed, config_bytes) {
     field.on_death = [this](Machine& m) { stop(member_of(m), Span::ms(200 + 800 * field.luck.unit())); };
+    field.on_accepted = [this](Machine& m) {  // as control_plane.cpp's accept_here
+      Member& member = member_of(m);
+      if (member.up)
+        member.proposer->reg.learn_accepted(m.acceptor->epoch(), m.acceptor->accepted(), m.acceptor->value());
+    };
     for (Machine& m : field.all) {
       members.emplace_back();
       members.back().machine = &m;
--- a/tests/market/played_register.hpp
+++ b/tests/market/played_register.hpp
@@ -135,6 +135,9 @@
     }
     const std::string wrong = answered[m.disk_id].hear(what, *got);
     if (!wrong.empty() && broken.empty()) broken = m.disk_id + " " + wrong;
+    if constexpr (std::is_same_v<Ask, Accept>) {
+      if (verdict(got->verdict) == Verdict::yes && on_accepted) on_accepted(m);
+    }
     return got;
   }
   void died(Machine& m) {
@@ -147,6 +150,7 @@
   Weather weather;
   std::vector<Machine> all;
   std::function<void(Machine&)> on_death;
+  std::function<void(Machine&)> on_accepted;
   std::map<std::string, Answered> answered;  // by disk
   std::string broken;                        // the first answer that took one back
   bool counting = false;                     // bytes are counted: each message is encoded for it
--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "market/value_update.hpp"
 #include "played_register.hpp"
 #include "unit.hpp"
 
@@ -525,6 +526,68 @@
   CHECK_TRUE(field.bytes_asked + field.bytes_answered < 500);
 }
 
+// Orders of one process do not outbid one another: all that come at once are taken, each in its turn.
+TEST(RegisterOrders, ManyAtOnceAreTakenOneAfterAnother) {
+  p.reg.learn_epoch(field.first_set(3));
+  std::size_t taken = 0;
+  for (std::int64_t order = 1; order <= 20; ++order) {
+    p.reg.change(
+        [order](const Value& current) -> std::optional<Value> {
+          if (had(current, order)) return std::nullopt;
+          Value out = current;
+          out.taken.push_back({order, order});
+          return out;
+        },
+        Span::ms(3000),
+        [&taken, order](absl::StatusOr<Value> got) { taken += got.ok() && had(*got, order); });
+  }
+  field.clock.play(Span::ms(3100));
+  CHECK_EQUAL(static_cast<std::size_t>(20), taken);
+}
+
+// One that waits for others of its process ends by its own time.
+TEST(RegisterOrders, OneThatWaitsEndsInTime) {
+  field.all[0].up = field.all[1].up = false;
+  p.reg.learn_epoch(field.first_set(3));
+  const TimePoint start = field.clock.system.now();
+  std::vector<Span> ends;
+  for (const double most : {2000.0, 500.0, 1000.0}) {
+    p.reg.change(replacing(0, 4, 9), Span::ms(most), [&](absl::StatusOr<Value> got) {
+      CHECK_FALSE(got.ok());
+      ends.push_back(field.clock.system.now() - start);
+    });
+  }
+  field.clock.play(Span::ms(5000));
+  CHECK_EQUAL(static_cast<std::size_t>(3), ends.size());
+  CHECK_TRUE(ends[0] <= Span::ms(501) && ends[1] <= Span::ms(1001) && ends[2] <= Span::ms(2001));
+}
+
+// An acceptor with another value than the difference rests on asks for the whole.
+TEST(RegisterOrders, AcceptorWithAnotherValueGetsTheWhole) {
+  const auto store = [](std::size_t size, char c) {
+    return [=](const Value& current) -> std::optional<Value> {
+      Value out = current;
+      out.config.data.assign(size, 'x');
+      out.config.data += c;
+      return out;
+    };
+  };
+  p.reg.learn_epoch(field.first_set(3));
+  p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  field.clock.play(Span::ms(1000));
+  field.all[2].up = false;  // it misses one
+  p.reg.change(store(50000, 'b'), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  field.clock.play(Span::ms(1000));
+  field.all[2].up = true;
+  field.all[0].up = false;  // now it is needed
+  bool taken = false;
+  p.reg.change(store(50000, 'c'), Span::ms(1000), [&](absl::StatusOr<Value> got) { taken = got.ok(); });
+  field.clock.play(Span::ms(1100));
+  CHECK_TRUE(taken);
+  CHECK_TRUE(field.all[2].acceptor->value().config.data.back() == 'c');
+  CHECK_TRUE(field.all[2].acceptor->value() == field.all[1].acceptor->value());
+}
+
 // The set is changed by a sealed value, which nobody is told of: the next epoch begins with what it held.
 TEST(RegisterOrders, SealedAndOpened) {
   Field five(5, 3);
@@ -659,6 +722,37 @@
   }
 }
 
+// Guards the accepted value: a difference from another base than it has, or that makes another value, is no
+// vote.
+TEST(RegisterAcceptor, DifferenceCountsOnItsOwnBaseOnly) {
+  Value base = initial, next = initial, other = initial;
+  base.number = other.number = 1;
+  base.config.data = std::string(3000, 'a') + "base";
+  other.config.data = std::string(3000, 'a') + "othr";
+  next.number = 2;
+  next.config.data = std::string(3000, 'a') + "next";
+  for (const bool on_its_base : {true, false}) {
+    for (const bool spoilt : {false, true}) {
+      market::MemoryDisk disk;
+      AcceptorState a(disk, "m0", "d0", true);
+      CHECK_TRUE(a.open().ok());
+      CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
+      Accept first{1, {1, 1}, on_its_base ? base : other, {}};
+      CHECK_TRUE(verdict(a.accept(first)->verdict) == Verdict::yes);
+      CHECK_TRUE(verdict(a.prepare(prepare(initial, 2))->verdict) == Verdict::yes);
+      Accept ask{1, {2, 1}, {}, market::value_difference(1, market::encoded(base), market::encoded(next))};
+      if (spoilt) ask.difference.content.data.back() ^= 1;
+      const bool good = on_its_base && !spoilt;
+      CHECK_TRUE(verdict(a.accept(ask)->verdict) == (good ? Verdict::yes : Verdict::whole));
+      CHECK_TRUE(a.value() == (good ? next : first.value));
+      CHECK_TRUE(a.accepted() == (good ? ask.ballot : first.ballot));
+      CHECK_TRUE(verdict(a.accept({1, {2, 1}, next, {}})->verdict) == Verdict::yes);
+      CHECK_TRUE(verdict(a.accept(ask)->verdict) == Verdict::yes);  // repeated: it has that value
+      CHECK_TRUE(a.value() == next);
+    }
+  }
+}
+
 // A disk that was lost: the machine has its address and not its promises.
 TEST(RegisterAcceptor, WipedDiskVotesForNothingOfThatEpoch) {
   const Value named = [&] {
