--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -248,10 +248,15 @@
 
 absl::StatusOr<Slots::Opened> Slots::open() {
   Opened out;
+  failed_ = true;  // until it is read to its end
+  current_ = 1;
+  number_ = 0;
+  log_size_ = 0;
   bool found = false, spoilt = false;
   for (int slot = 0; slot < 2; ++slot) {
     const absl::StatusOr<std::string> file_text = disk_.read(file("slot", slot));
-    if (!file_text.ok()) continue;
+    if (absl::IsNotFound(file_text.status())) continue;
+    if (!file_text.ok()) return file_text.status();
     const std::vector<std::string> records = unframed(*file_text, 0);
     if (records.empty() || records[0].size() < 8) {
       spoilt = spoilt || !file_text->empty();
@@ -272,9 +277,13 @@
       if (absl::Status s = disk_.sync(file(kind, current_)); !s.ok()) return s;
     }
   }
-  if (!found) return spoilt ? absl::DataLossError(name_) : absl::NotFoundError(name_);
+  if (!found) {
+    failed_ = false;
+    return spoilt ? absl::DataLossError(name_) : absl::NotFoundError(name_);
+  }
   const std::string log = file("log", current_);
   const absl::StatusOr<std::string> text = disk_.read(log);
+  if (!text.ok() && !absl::IsNotFound(text.status())) return text.status();
   if (text.ok()) {
     out.changes = unframed(*text, number_, &log_size_);
     // What is behind the last good record would hide what is appended next.
@@ -283,20 +292,29 @@
       if (absl::Status s = disk_.sync(log); !s.ok()) return s;
     }
   }
+  failed_ = false;
   return out;
 }
 
 absl::Status Slots::write(std::string_view state) {
+  if (failed_) return absl::FailedPreconditionError(name_ + ": to be opened again after a failure");
+  const absl::Status written = write_steps(state);
+  failed_ = !written.ok();
+  return written;
+}
+
+absl::Status Slots::write_steps(std::string_view state) {
   const int next = 1 - current_;
   std::string record(8, '\0');
   const std::uint64_t number = number_ + 1;
   std::memcpy(record.data(), &number, 8);
   record.append(state);
   const std::string slot = file("slot", next), log = file("log", next);
-  for (const auto& step : {disk_.cut(log, 0), disk_.sync(log), disk_.cut(slot, 0),
-                           disk_.append(slot, framed(record, 0)), disk_.sync(slot)}) {
-    if (!step.ok()) return step;
-  }
+  if (absl::Status s = disk_.cut(log, 0); !s.ok()) return s;
+  if (absl::Status s = disk_.sync(log); !s.ok()) return s;
+  if (absl::Status s = disk_.cut(slot, 0); !s.ok()) return s;
+  if (absl::Status s = disk_.append(slot, framed(record, 0)); !s.ok()) return s;
+  if (absl::Status s = disk_.sync(slot); !s.ok()) return s;
   current_ = next;
   number_ = number;
   log_size_ = 0;
@@ -304,6 +322,13 @@
 }
 
 absl::Status Slots::append(std::string_view change) {
+  if (failed_) return absl::FailedPreconditionError(name_ + ": to be opened again after a failure");
+  const absl::Status written = append_steps(change);
+  failed_ = !written.ok();
+  return written;
+}
+
+absl::Status Slots::append_steps(std::string_view change) {
   const std::string log = file("log", current_);
   const std::string record = framed(change, number_);
   if (absl::Status s = disk_.append(log, record); !s.ok()) return s;
--- a/src/market/disk.hpp
+++ b/src/market/disk.hpp
@@ -66,7 +66,7 @@
 
 // A disk by the deployment's page: after a loss of power each write since the last sync is there, missing or
 // torn. A fault is set at a numbered step; the steps that were counted tell how many points there are.
-class MemoryDisk final : public Disk {
+class MemoryDisk : public Disk {
  public:
   std::vector<std::string> names() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
@@ -107,6 +107,9 @@
 // A slot holds the whole state under a rising number and a checksum; the log beside it the changes since.
 // The older slot is the one written over, so that one whole state is always there. A log's records are bound
 // to their slot's number: what a lost cut leaves of an older log is not taken for this one's.
+//
+// After a step that failed nothing is known of what the disk holds: a log may end with half a record, a newer
+// slot may be whole. So nothing more is written until open() has read it again.
 class Slots {
  public:
   // `name`: of the state, begins its files' names.
@@ -115,21 +118,31 @@
     std::string state;  // of the newest good slot
     std::vector<std::string> changes;
   };
-  // NotFound: there is no state yet. DataLoss: there was one, and none of it can be read.
+  // NotFound: there is no state yet. DataLoss: there was one, and none of it can be read. Other errors are
+  // the disk's: a file that can't be read now is not taken for one that is not there, or an older state would
+  // be taken for the newest.
   absl::StatusOr<Opened> open();
   // Lasts once this returns OK. What it held before lasts otherwise, or this: never a mix.
   absl::Status write(std::string_view state);
   absl::Status append(std::string_view change);
+  // Of slots and logs, where states and changes have so many bytes at most.
+  static constexpr std::size_t disk_most(std::size_t state, std::size_t change) {
+    return 2 * (state + record_head) + 2 * (log_most + change + record_head);
+  }
   bool log_is_long() const { return log_size_ > log_most; }
 
  private:
   static constexpr std::size_t log_most = 512 * 1024;  // bytes: read again within some ms
+  static constexpr std::size_t record_head = 24;       // bytes: of a frame, and a slot's number
+  absl::Status write_steps(std::string_view state);
+  absl::Status append_steps(std::string_view change);
   std::string file(const char* kind, int slot) const { return name_ + "." + kind + std::to_string(slot); }
   Disk& disk_;
   const std::string name_;
   int current_ = 1;  // the first write goes to slot 0
   std::uint64_t number_ = 0;
   std::size_t log_size_ = 0;
+  bool failed_ = false;
 };
 
 }  // namespace chutevane::market
--- a/tests/market/changes_test.cpp
+++ b/tests/market/changes_test.cpp
@@ -314,9 +314,10 @@
       if (!m.up) continue;
       check(m.told >= newest, m.machine->address + numbered(" not caught up at the end: ", m.told));
     }
-    // Two slots and two logs, of two values each at most, and the log's bound beside them.
+    // A record holds two values: the accepted one and the epoch's first.
+    const std::size_t record = 2 * (largest + 200);
     for (const Machine& m : field.all)
-      check(disk_bytes(*m.disk) <= 8 * (largest + 200) + 2 * (512 * 1024),
+      check(disk_bytes(*m.disk) <= market::Slots::disk_most(record, record),
             m.address + ": its disk is not bounded");
   }
 
--- a/tests/market/disk_test.cpp
+++ b/tests/market/disk_test.cpp
@@ -186,6 +186,55 @@
   }
 }
 
+// A disk that fails at one step and then works again, as one that was full: nothing is written behind what
+// the failure has left, until it is opened again; what was reported is there then.
+TEST(DiskSlots, FailureOfOneStepAtEachPoint) {
+  const std::size_t points = steps_of_all();
+  for (std::size_t point = 0; point < points; ++point) {
+    for (std::uint64_t luck = 0; luck < 10; ++luck) {
+      MemoryDisk disk;
+      Slots slots(disk, "s");
+      disk.fail_from(point);
+      const Run before = give_all(slots, {}, orders());
+      disk.fail_from(static_cast<std::size_t>(-1));
+      for (const Order& order : {Order{false, "behind"}, Order{true, "behind"}})
+        CHECK_FALSE(order.give(slots).ok());
+      const Held there = open_again(slots, before, place(point, luck));
+      check_held(there, before, place(point, luck));
+      const Run then = give_all(slots, there, {{true, "next"}, {false, "n1"}, {true, "last"}, {false, "l1"}});
+      CHECK_TRUE(then.sure.state == "last");
+      disk.power_cycle(luck);
+      Slots again(disk, "s");
+      check_held(open_again(again, then, place(point, luck)), then, place(point, luck));
+    }
+  }
+}
+
+// A file that can't be read now: neither the older slot nor a log without its changes is the newest state.
+TEST(DiskSlots, UnreadableFileIsNoOlderState) {
+  class Unreadable final : public MemoryDisk {
+   public:
+    absl::StatusOr<std::string> read(const std::string& name) override {
+      if (name == bad) return absl::InternalError(name);
+      return MemoryDisk::read(name);
+    }
+    std::string bad;
+  };
+  Unreadable disk;
+  Slots slots(disk, "s");
+  CHECK_TRUE(slots.write("first").ok() && slots.write("second").ok() && slots.append("change").ok());
+  for (const char* bad : {"s.slot1", "s.log1"}) {
+    disk.bad = bad;
+    Slots again(disk, "s");
+    CHECK_TRUE(absl::IsInternal(again.open().status()));
+    CHECK_FALSE(again.append("behind").ok() || again.write("over").ok());
+  }
+  disk.bad.clear();
+  Slots last(disk, "s");
+  const auto got = last.open();
+  CHECK_TRUE(got.ok() && got->state == "second" && got->changes == std::vector<std::string>{"change"});
+}
+
 // A fault while it is opened: cutting the spoilt end of a log takes steps too.
 TEST(DiskSlots, LossOfPowerWhileItOpens) {
   const std::size_t points = steps_of_all();
--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -688,6 +688,58 @@
   }
 }
 
+// The log is long, and the next answer switches the slot: power is lost, or one step fails, at each step of
+// the switch and of what follows it. From 1 KB to 8 MB the state is what was answered last, or what was under
+// way.
+TEST(RegisterAcceptor, SlotSwitchAtEveryStepAndSize) {
+  for (const std::size_t size :
+       {std::size_t{1} << 10U, std::size_t{64} << 10U, std::size_t{1} << 20U, std::size_t{8} << 20U}) {
+    const std::string text(size, 'c');
+    const std::uint64_t lucks = size > (1U << 20U) ? 2 : size > (1U << 16U) ? 6 : 30;
+    // So many rounds that the log is at the switch.
+    const std::int64_t rounds = 2 + static_cast<std::int64_t>((512U << 10U) / size);
+    const auto fill = [&](AcceptorState& a) {
+      for (std::int64_t round = 1; round <= rounds; ++round)
+        CHECK_TRUE(a.prepare(prepare(initial, round)).ok() &&
+                   a.accept(accept(initial, round, text + std::to_string(round))).ok());
+    };
+    market::MemoryDisk filled;
+    AcceptorState before(filled, "m0", "d0", true);
+    CHECK_TRUE(before.open().ok());
+    fill(before);
+    for (std::size_t point = 0; point < 14; ++point) {
+      for (std::uint64_t luck = 0; luck < lucks; ++luck) {
+        const std::string where = numbered("size ", static_cast<long long>(size)) +
+                                  numbered(", step ", static_cast<long long>(point)) +
+                                  numbered(", luck ", static_cast<long long>(luck));
+        market::MemoryDisk disk = filled;
+        AcceptorState a(disk, "m0", "d0", true);
+        CHECK_TRUE(a.open().ok());
+        std::int64_t promised = rounds, accepted = rounds, tried = rounds;
+        disk.fail_from(disk.steps() + point);
+        for (std::int64_t round = rounds + 1; round <= rounds + 3; ++round) {
+          if (!a.prepare(prepare(initial, round)).ok()) break;
+          promised = round;
+          tried = round;
+          if (!a.accept(accept(initial, round, text + std::to_string(round))).ok()) break;
+          accepted = round;
+        }
+        if (luck % 2 == 0) disk.power_cycle(luck);
+        disk.fail_from(static_cast<std::size_t>(-1));
+        AcceptorState again(disk, "m0", "d0", true);
+        CHECK_WHERE(again.open().ok(), where);
+        const auto got = again.prepare(prepare(initial, 0, 0, true));
+        CHECK_WHERE(got->promised.round >= promised && got->promised.round <= promised + 1, where);
+        CHECK_WHERE(got->accepted.round == accepted || got->accepted.round == tried, where);
+        CHECK_WHERE(got->value.config.data == text + std::to_string(got->accepted.round), where);
+        std::size_t held = 0;
+        for (const std::string& name : disk.names()) held += disk.read(name)->size();
+        CHECK_WHERE(held <= market::Slots::disk_most(size + 2000, size + 2000), where);
+      }
+    }
+  }
+}
+
 TEST(RegisterAcceptor, EarlierBallotsAreTurnedAway) {
   market::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
