--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -122,12 +122,12 @@
     if (got.ok() && number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Accept>([this](market::Desk::Guest& guest, std::uint64_t number, market::Accept& ask) {
-    const auto got = acceptor_->accept(ask);
+    const auto got = accept_here(ask);
     note_disk(got.status());
     if (got.ok() && number != 0) guest.answer(number, *got);
   });
   desk_.on<market::Chosen>([this](market::Desk::Guest&, std::uint64_t, market::Chosen& word) {
-    register_.learn_chosen(word.value, word.initial);
+    take_chosen(register_, recent_, word);
   });
   desk_.on<Gossip>([this](market::Desk::Guest&, std::uint64_t, Gossip& word) { on_gossip(word); });
   desk_.on<market::Vote>([this](market::Desk::Guest& guest, std::uint64_t number, market::Vote& ask) {
@@ -163,10 +163,18 @@
   answered(absl::InvalidArgumentError(address));
 }
 
+// The register here knows what its own acceptor has: others need not send it back.
+absl::StatusOr<market::Accepted> ControlPlane::accept_here(const market::Accept& ask) {
+  auto got = acceptor_->accept(ask);
+  if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes)
+    register_.learn_accepted(ask.epoch, acceptor_->accepted(), acceptor_->value());
+  return got;
+}
+
 void ControlPlane::accept(const std::string& address, const market::Accept& ask,
                           std::function<void(absl::StatusOr<market::Accepted>)> answered) {
   if (address == address_) {
-    auto got = acceptor_->accept(ask);
+    auto got = accept_here(ask);
     note_disk(got.status());
     return answered(std::move(got));
   }
@@ -193,7 +201,9 @@
       std::make_unique<market::Link>(scheduler_, later_, *to, seed_of(address_ + address, later_.now()));
   peer.link->on_up([this, address] {
     const auto at = peers_.find(address);  // it may have been parted with
-    if (at != peers_.end()) at->second.link->tell(addressed(full_word(), at->second));
+    if (at == peers_.end()) return;
+    at->second.told = 0;
+    at->second.link->tell(addressed(full_word(), at->second));
   });
 }
 
@@ -411,16 +421,32 @@
 
 // ---- what is chosen
 
-void ControlPlane::chosen(const market::Value&) {
+void ControlPlane::chosen(const market::Value& value) {
+  recent_.add(value);
+  market::Value pushed = value;
+  pushed.taken.clear();
+  pushed_.add(pushed);
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
   }
   if (record_.initial.epoch < register_.initial().epoch) store_known();
 }
 
-// The others hear of a change from who made it, not only by asking.
-void ControlPlane::announce(const market::Value& value) {
-  for (auto& [address, peer] : peers_) peer.link->tell(market::Chosen{value, register_.initial()});
+// The others hear of a change from who made it, not only by asking: of the newest value known here, which is
+// that one or a later one.
+void ControlPlane::announce(const market::Value&) {
+  if (!register_.known()) return;
+  const std::int64_t number = register_.known()->number;
+  for (auto& [address, peer] : peers_) {
+    // A peer that does not read gets no more: it reads the register when it is there again.
+    if (!peer.link->up() || peer.link->unsent() > market::PushCursor::unsent_most) continue;
+    PeerState state;
+    if (peer.last) state = {peer.last->epoch, peer.last->known};
+    state.number = std::max(state.number, peer.told);
+    if (state.number >= number) continue;
+    peer.link->tell(chosen_word(recent_, register_, state));
+    peer.told = number;
+  }
 }
 
 // So that it finds the others again, whatever the seeds of its settings are by then.
@@ -455,7 +481,7 @@
   session.heard = later_.now();
   session.stamp = hello.stamp;
   session.first = hello.first;
-  session.pushed = std::max(session.pushed, hello.member.number);
+  session.values.acknowledged(hello.member.number, hello.refused);
   // What was sent since this word was written stays sent.
   if (std::pair(hello.list_term, hello.list_number) > std::pair(session.list_term, session.list_number)) {
     session.list_term = hello.list_term;
@@ -463,25 +489,23 @@
   }
   list_duty_.learn_told(hello.list_term, holder_);
   followed_list_term_ = std::max(followed_list_term_, hello.list_term);
+  if (fresh || session.first) push(guest.id(), session);
   if (fresh) {
-    session.pushed = hello.member.number;
     market::Beat word;
     word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+    word.number = register_.known() ? register_.known()->number : 0;
     word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
     guest.tell(word);
   }
-  if (fresh || session.first) push(guest.id(), session);
   acknowledged();
 }
 
 void ControlPlane::push(std::uint64_t id, Session& session) {
   market::Desk::Guest* const guest = desk_.find(id);
   if (guest == nullptr) return;
-  if (register_.known() && session.pushed < register_.known()->number) {
-    session.pushed = register_.known()->number;
-    guest->tell_record(market::Push::kind, pushed_value());
-  }
+  if (const std::string* const record = session.values.next(pushed_, guest->unsent()))
+    guest->tell_record(market::Push::kind, *record);
   if (!list_.newer_than(session.list_term, session.list_number)) return;
   for (const market::EndpointList& change : list_.since(session.list_term, session.list_number))
     guest->tell(change);
@@ -489,16 +513,6 @@
   session.list_number = list_.number();
 }
 
-const std::string& ControlPlane::pushed_value() {
-  if (push_number_ != register_.known()->number) {
-    market::Push push{*register_.known()};
-    push.value.taken.clear();  // only who takes orders has a use for it
-    push_record_ = market::encoded(push);
-    push_number_ = register_.known()->number;
-  }
-  return push_record_;
-}
-
 void ControlPlane::beat() {
   market::Beat word;
   word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
@@ -518,9 +532,9 @@
       silent.push_back(id);
       continue;
     }
+    push(id, session);  // before the beat, which confirms what has come
     word.echo_stamp = session.stamp;
     guest->tell(word);
-    push(id, session);
   }
   for (const std::uint64_t id : silent) {
     sessions_.erase(id);
--- a/src/market/disk.hpp
+++ b/src/market/disk.hpp
@@ -63,7 +63,7 @@
 
 // A disk by the deployment's page: after a loss of power each write since the last sync is there, missing or
 // torn. A fault is set at a numbered step; the steps that were counted tell how many points there are.
-class MemoryDisk final : public Disk {
+class MemoryDisk : public Disk {
  public:
   std::vector<std::string> names() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
@@ -131,7 +131,9 @@
     std::string state;  // of the newest good slot
     std::vector<std::string> changes;
   };
-  // NotFound: there is no state yet. DataLoss: there was one, and none of it can be read.
+  // NotFound: there is no state yet. DataLoss: there was one, and none of it can be read. Other errors are
+  // the disk's: a file that can't be read now is not taken for one that is not there, or an older state would
+  // be taken for the newest.
   absl::StatusOr<Opened> open();
   // Lasts once this returns OK. What it held before lasts otherwise, or this: never a mix.
   absl::Status write(std::string_view state);
@@ -139,10 +141,15 @@
   absl::Status append(std::string_view change);
   // An order has failed and no whole state has been written since.
   bool needs_write() const { return needs_write_; }
+  // Of slots and logs, where states and changes have so many bytes at most.
+  static constexpr std::size_t disk_most(std::size_t state, std::size_t change) {
+    return 2 * (state + record_head) + 2 * (log_most + change + record_head);
+  }
   bool log_is_long() const { return log_size_ > log_most; }
 
  private:
   static constexpr std::size_t log_most = 512 * 1024;  // bytes: read again within some ms
+  static constexpr std::size_t record_head = 24;       // bytes: of a frame, and a slot's number
   std::string file(const char* kind, int slot) const { return name_ + "." + kind + std::to_string(slot); }
   Disk& disk_;
   const std::string name_;
@@ -150,6 +157,7 @@
   std::uint64_t number_ = 0;
   std::size_t log_size_ = 0;
   bool needs_write_ = false;
+  bool unread_ = false;  // open() has failed: what is written now could hide a newer state
 };
 
 }  // namespace chutevane::market
--- a/src/market/messages.hpp
+++ b/src/market/messages.hpp
@@ -98,6 +98,25 @@
   bool operator==(const Value&) const = default;
 };
 
+// What makes one value's record out of another's (market/value_difference.hpp); empty: the message that it
+// stands in has the value whole.
+struct ValueDifference {
+  static constexpr const char* record = "Value_difference";
+  static constexpr std::uint8_t kind = 37;  // on the wire
+  std::int64_t base = 0;
+  std::int64_t base_hash = 0;
+  std::int64_t hash = 0;
+  Bytes content;
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("base", base);
+    v("base_hash", base_hash);
+    v("hash", hash);
+    v("content", content);
+  }
+  bool operator==(const ValueDifference&) const = default;
+};
+
 struct Ballot {
   static constexpr const char* record = "Ballot";
   static constexpr std::uint8_t kind = 6;  // on the wire
@@ -117,14 +136,16 @@
   static constexpr std::uint8_t kind = 7;  // on the wire
   std::int64_t epoch = 0;
   Ballot ballot;
-  Value initial;
+  Value initial;  // empty: for an acceptor that is in that epoch already
   bool look_only = false;
+  Ballot known{};  // the asker has the value that was accepted under it; round 0: none
   template <class Visitor>
   void each(Visitor& v) {
     v("epoch", epoch);
     v("ballot", ballot);
     v("initial", initial);
     v("look_only", look_only);
+    v("known", known);
   }
 };
 
@@ -135,8 +156,9 @@
   std::int64_t epoch = 0;
   Ballot promised;
   Ballot accepted;
-  Value value;
-  Value initial;
+  Value value;    // empty: the asker has it, `accepted` being what it named
+  Value initial;  // of an epoch that the asker does not know; empty otherwise
+  bool value_known = false;
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
@@ -145,6 +167,7 @@
     v("accepted", accepted);
     v("value", value);
     v("initial", initial);
+    v("value_known", value_known);
   }
 };
 
@@ -153,12 +176,14 @@
   static constexpr std::uint8_t kind = 9;  // on the wire
   std::int64_t epoch = 0;
   Ballot ballot;
-  Value value;
+  Value value;                   // empty: it comes as a difference
+  ValueDifference difference{};  // from the value that the acceptor has accepted last
   template <class Visitor>
   void each(Visitor& v) {
     v("epoch", epoch);
     v("ballot", ballot);
     v("value", value);
+    v("difference", difference);
   }
 };
 
@@ -179,12 +204,18 @@
 struct Chosen {
   static constexpr const char* record = "Chosen";
   static constexpr std::uint8_t kind = 11;  // on the wire
-  Value value;
-  Value initial;
+  Value value;                              // empty: it comes as a difference
+  Value initial;                            // empty: for a receiver that is in that epoch already
+  ValueDifference difference{};
+  std::int64_t epoch = 0;
+  Ballot ballot{};  // under which the value was accepted; round 0: not known
   template <class Visitor>
   void each(Visitor& v) {
     v("value", value);
     v("initial", initial);
+    v("difference", difference);
+    v("epoch", epoch);
+    v("ballot", ballot);
   }
 };
 
@@ -400,7 +431,8 @@
   std::int64_t list_number = 0;
   bool first = false;
   bool ending = false;
-  std::int64_t stamp = 0;  // the sender's steady clock at sending, in microseconds
+  std::int64_t stamp = 0;    // the sender's steady clock at sending, in microseconds
+  std::int64_t refused = 0;  // the newest push that could not be applied, where no later one was; 0: none
   template <class Visitor>
   void each(Visitor& v) {
     v("member", member);
@@ -409,17 +441,22 @@
     v("first", first);
     v("ending", ending);
     v("stamp", stamp);
+    v("refused", refused);
   }
 };
 
-// A numbered change of the register's value, down a session.
+// A newer value of the register, down a session: whole, or as the difference from one that the receiver has.
 struct Push {
   static constexpr const char* record = "Push";
   static constexpr std::uint8_t kind = 22;  // on the wire
+  std::int64_t number = 0;
   Value value;
+  ValueDifference difference;
   template <class Visitor>
   void each(Visitor& v) {
+    v("number", number);
     v("value", value);
+    v("difference", difference);
   }
 };
 
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -234,7 +234,7 @@
   guest.tell(beat);
   // The list first: the acknowledgement of the value then tells of both.
   if (hello.list_number < list_.number) guest.tell(list_);
-  if (hello.member.number < value_.number) guest.tell(market::Push{value_});
+  if (hello.member.number < value_.number) guest.tell(market::Push{value_.number, value_, {}});
 }
 
 void ScriptedControl::configure(const std::string& configuration,
@@ -246,7 +246,8 @@
   value_.map = 1;
   value_.storage_nodes = storage;
   for (const std::uint64_t id : guests_) {
-    if (market::Desk::Guest* const guest = desk_.find(id)) guest->tell(market::Push{value_});
+    if (market::Desk::Guest* const guest = desk_.find(id))
+      guest->tell(market::Push{value_.number, value_, {}});
   }
 }
 
