--- a/src/simulation/faults.cpp
+++ b/src/simulation/faults.cpp
@@ -10,7 +10,6 @@
 constexpr Span disk_trouble_remembered = Span::ms(1500);
 constexpr double slow_factor = 40;  // of the delays of a slowed link
 constexpr Span slow_sync = Span::ms(120);
-constexpr Span restart_spread = Span::ms(400);  // machines that went together come back one by one
 
 }  // namespace
 
@@ -87,6 +86,11 @@
   }
 }
 
+bool Faults::disk_troubled(const Machine& machine) const {
+  const auto found = disk_troubled_until_.find(&machine);
+  return found != disk_troubled_until_.end() && deployment_.world().now() <= found->second;
+}
+
 void Faults::cut_off(const Fault& fault, Machine& machine) {
   std::vector<std::size_t> others;
   for (const Machine* other : deployment_.all()) {
@@ -145,7 +149,8 @@
 }
 
 void Faults::disk(const Fault& fault, Machine& machine) {
-  disk_troubled_.insert(&machine);
+  TimePoint& until = disk_troubled_until_[&machine];
+  until = std::max(until, deployment_.world().now() + fault.lasts + disk_trouble_remembered);
   const auto set = [this, &machine, kind = fault.kind](bool on) {
     if (kind == FaultKind::disk_slow) return deployment_.slow_disk(machine, on ? slow_sync : Span());
     const DiskTrouble trouble = kind == FaultKind::disk_full ? DiskTrouble::full : DiskTrouble::failing;
@@ -153,8 +158,6 @@
   };
   set(true);
   later(fault.lasts, [set] { set(false); });
-  deployment_.world().after(fault.lasts + disk_trouble_remembered,
-                            [this, at = &machine] { disk_troubled_.erase(at); });
 }
 
 void Faults::all_at_once(const Fault& fault) {
