--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -12,6 +12,7 @@
 using http::same_name;
 
 constexpr std::size_t pipelined_most = 256 * 1024;  // bytes that a client may send ahead of its answer
+constexpr std::size_t fields_most = 100;            // of a request's head
 constexpr std::size_t plain_most = 64U << 20U;      // bytes of an answer that is held whole
 constexpr std::size_t event_most = 4U << 20U;       // bytes of one event
 constexpr Span answer_spare = Span::ms(2);          // of the client's time, for the way back
@@ -33,10 +34,10 @@
   };
 }
 
-Client::Client(DataPlane& plane, std::size_t head_most, std::size_t body_most)
+Client::Client(DataPlane& plane)
     : plane_(plane),
       channel_(plane.scheduler_, static_cast<net::Channel::Sink&>(*this)),
-      parser_(http::Side::request, {.head = head_most, .body = body_most, .fields = 100}) {
+      parser_(http::Side::request) {
   set_request_timer();
 }
 
@@ -52,6 +53,13 @@
 
 // ---- the request
 
+// A request is held to what is in force when it begins, on whatever connection it comes.
+http::Limits Client::request_limits() const {
+  const market::ClientLimits limits =
+      plane_.configuration_ ? plane_.configuration_->limits : market::ClientLimits{};
+  return {.head = limits.header_bytes, .body = limits.body_bytes, .fields = fields_most};
+}
+
 Span Client::idle_limit() const {
   return plane_.configuration_ ? plane_.configuration_->limits.idle : market::ClientLimits{}.idle;
 }
@@ -112,6 +120,7 @@
 
 void Client::look() {
   if (stage_ != Stage::reading || channel_.in_size() == 0) return;
+  if (!parser_.begun()) parser_.set_limits(request_limits());
   const bool had_head = parser_.head_done();
   const http::Progress progress = parser_.feed(channel_.in().bytes());
   if (progress == http::Progress::more) {
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -20,7 +20,7 @@
 
 class Client final : net::Channel::Sink, AnswerSink {
  public:
-  Client(DataPlane& plane, std::size_t head_most, std::size_t body_most);
+  explicit Client(DataPlane& plane);
   ~Client();
   void adopt(int fd) { channel_.adopt(fd); }
   // Nothing of a request has come, and nothing of an answer has still to go out.
@@ -56,6 +56,7 @@
   void request_late();
   void set_rest_timer(Span most, Span rested = Span());
   void rest_over(Span most, std::size_t unsent_before);
+  http::Limits request_limits() const;
   Span idle_limit() const;
   // A turn: its chain, then its budget.
   void prepare();
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -39,13 +39,7 @@
                       [this](const http::Parser& request, market::HttpPort::Reply reply) {
                         readiness(request, std::move(reply));
                       }),
-      front_(
-          scheduler,
-          [this](int fd) {
-            const market::ClientLimits limits =
-                configuration_ ? configuration_->limits : market::ClientLimits{};
-            clients_.add(std::make_unique<Client>(*this, limits.header_bytes, limits.body_bytes)).adopt(fd);
-          }),
+      front_(scheduler, [this](int fd) { clients_.add(std::make_unique<Client>(*this)).adopt(fd); }),
       clients_(scheduler) {}
 
 absl::Status DataPlane::open() {
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -34,6 +34,8 @@
 class Parser {
  public:
   explicit Parser(Side side, const Limits& limits = {}) : side_(side), limits_(limits) {}
+  // From the next message on; not while one is read.
+  void set_limits(const Limits& limits) { limits_ = limits; }
   // For the next message; `bodiless`: the answer to a HEAD, whose length is not its body's.
   void reset(bool bodiless = false);
 
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -279,6 +279,22 @@
   EXPECT_EQ(client->answers[1].body, good_body(Kind::non_idempotent, "b"));
 }
 
+// A bound on bodies that grows holds for connections that are open already.
+TEST(Limits, BoundOnBodiesThatGrowsHoldsForAnOpenConnection) {
+  Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms, .body_bytes = 1000});
+  scene.answer_well(Kind::non_idempotent);
+  const auto client = scene.client();
+  client->send(request_text("a", once()));
+  ASSERT_TRUE(scene.answered(*client));
+  scene.configure({}, {.header_ms = 300, .idle_ms = idle_ms, .body_bytes = 8000});
+  ASSERT_TRUE(scene.in_force());
+  RequestOptions larger = once();
+  larger.body = std::string(6000, 'x');
+  client->send(request_text("b", larger));
+  ASSERT_TRUE(scene.answered(*client, 2));
+  EXPECT_EQ(client->answers[1].status, 200);
+}
+
 // A process that was frozen over the limit finds the request that came meanwhile before it ends what rests.
 TEST(Limits, RequestThatCameDuringAFreezeIsRead) {
   Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
