--- a/src/simulation/operators.cpp
+++ b/src/simulation/operators.cpp
@@ -24,7 +24,9 @@
 
 sockaddr_in drawn_address(const Deployment& deployment, const Favourite& favourite, double favour,
                           Pcg& chance) {
-  if (favourite.machine != nullptr && chance.unit() < favour) return *favourite.machine->settings().control;
+  // One that has gone for good is on no operator's list for long.
+  const bool there = favourite.machine != nullptr && deployment.find(favourite.machine->name()) != nullptr;
+  if (there && chance.unit() < favour) return *favourite.machine->settings().control;
   const std::vector<sockaddr_in> all = deployment.control_addresses();
   return all[chance.next() % all.size()];
 }
