--- a/src/control/roster.hpp
+++ b/src/control/roster.hpp
@@ -19,8 +19,10 @@
   bool ready = false;  // it may be made an acceptor
 };
 
-constexpr Span acceptor_lost_after = Span::ms(2500);        // another takes its place: well within `catchUpS`
-constexpr Span storage_node_spared_after = Span::ms(1500);  // where enough are left without it and one more
+// A lost machine stops counting `catchUpS` (4.1 s where known) after its successor began, and the next may go
+// then. Its place is another's by that time, also where a duty had to be won first (within 1.3 s).
+constexpr Span acceptor_lost_after = Span::ms(1500);
+constexpr Span storage_node_spared_after = Span::ms(1500);   // where enough are left without it and one more
 constexpr Span storage_node_replaced_after = Span::ms(800);  // where one came that may be its successor
 constexpr Span newcomer_recent = Span::ms(30000);            // so long one that came may be a successor
 constexpr Span storage_node_lost_after = Span::ms(4000);  // as long: shorter ends come back with their disk
--- a/tests/market/roster_test.cpp
+++ b/tests/market/roster_test.cpp
@@ -96,6 +96,16 @@
   CHECK_TRUE(has(*got.next, "c4", "d4") && !has(*got.next, "c3", "d3"));
 }
 
+// Its successor began when it went: the next loss may come `catchUpS` later, also where the one that keeps
+// the roster went with it.
+TEST(RosterAcceptors, ItsPlaceIsAnothersBeforeTheNextLoss) {
+  constexpr Span catch_up = Span::ms(4000), duty_won = Span::ms(1300), change = Span::ms(200);
+  roster.restart();
+  const Watched got = watch(roster, with_acceptors({1, 2, 3}), controllers({1, 2, 4}), now, Span::ms(20000));
+  CHECK_TRUE(got.next.has_value());
+  CHECK_TRUE(duty_won + got.after + look_every + change < catch_up);
+}
+
 TEST(RosterAcceptors, OneThatComesBackInTimeStays) {
   const Value value = with_acceptors({1, 2, 3});
   for (int round = 0; round < 10; ++round) {
