--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -10,11 +10,13 @@
 #include <vector>
 
 #include "control/duty.hpp"
+#include "control/operator_api.hpp"
 #include "control/platform.hpp"
 #include "control/quorum_contact.hpp"
 #include "control/register.hpp"
 #include "control/roster.hpp"
 #include "market/configuration.hpp"
+#include "market/disk_health.hpp"
 #include "market/http_port.hpp"
 #include "market/link.hpp"
 #include "market/process.hpp"
@@ -23,7 +25,7 @@
 
 namespace chutevane::control {
 
-class ControlPlane final : public market::Plane, Voters {
+class ControlPlane final : public market::Plane, Voters, OperatorApi::Host {
  public:
   ControlPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
                std::unique_ptr<market::Disk> disk);
@@ -32,7 +34,6 @@
   // The last word to the others, then the end.
   void leave() override;
   bool finished() const override { return finished_; }
-  absl::Status failure() const override { return failure_; }
   void reread(const market::ProcessSettings& settings) override;
 
  private:
@@ -54,8 +55,6 @@
                std::function<void(absl::StatusOr<market::Promise>)> answered) override;
   void accept(const std::string& address, const market::Accept& ask,
               std::function<void(absl::StatusOr<market::Accepted>)> answered) override;
-  void fail(const absl::Status& why);
-
   void listen();
   void tick();
   void gossip();
@@ -72,12 +71,17 @@
   market::Gossip addressed(market::Gossip word, const Peer& peer) const;
   bool behind() const;
   bool learn_later_epoch();
+  // Whether nothing that still counts goes with this machine, or nobody is there to take it over.
+  bool may_go() const;
+  void go_when_released(TimePoint latest);
+  bool all_peers_heard() const;
   Span fresh_age() const;
   std::vector<std::string> controller_addresses() const;
 
   void chosen(const market::Value& value);
-  void tell_chosen(const market::Value& value);
   void store_known();
+  void note_disk(const absl::Status& outcome);
+  void try_disk_again();
   void on_hello(market::Desk::Guest& guest, const market::Hello& hello);
   void push(std::uint64_t guest, Session& session);
   const std::string& pushed_value();
@@ -89,17 +93,16 @@
   void ballot(Duty& duty, std::int64_t term);
   void read_list();
   void take_list(const market::EndpointList& told);
+  void step_down_if_overtaken(std::int64_t told);
   void list_changed();
   void keep_roster();
-  std::vector<market::Member> members() const;
 
-  void operate(const http::Parser& request, market::HttpPort::Reply reply);
-  void replace(const http::Parser& request, market::HttpPort::Reply reply);
-  void retrieve(market::HttpPort::Reply reply);
-  void history(market::HttpPort::Reply reply);
-  void retire_start(const std::string& node, market::HttpPort::Reply reply);
-  void retire_state(const std::string& node, market::HttpPort::Reply reply);
-  void status(market::HttpPort::Reply reply);
+  // What the operators' API asks for.
+  void announce(const market::Value& value) override;
+  void when_acknowledged(std::int64_t number, std::function<void()> then) override;
+  std::vector<market::Member> members() const override;
+  bool members_complete() const override;
+  ControlStatus status() const override;
 
   net::Scheduler& scheduler_;
   market::ProcessSettings settings_;
@@ -109,8 +112,10 @@
   market::ControllerRecord record_;
   const std::string address_;
   std::optional<AcceptorState> acceptor_;
+  market::DiskHealth disk_health_;
   Register register_;
   market::Desk desk_;
+  OperatorApi operator_api_;
   market::HttpPort operator_port_;
   std::map<std::string, Peer> peers_;
   std::vector<std::unique_ptr<market::Link>> parted_;
@@ -121,6 +126,7 @@
   // No value chosen before it is newer than the known one.
   TimePoint fresh_at_;
   TimePoint full_since_, told_since_;
+  TimePoint in_contact_since_;  // with every control machine that it knows, without a break
   std::vector<std::string> told_controllers_;
   std::uint64_t full_stamp_ = 0;
   bool catching_up_ = false, leaving_ = false, finished_ = false;
@@ -130,6 +136,7 @@
   const std::uint64_t holder_;  // of duties: this process, told from all others
   QuorumContact contact_;
   market::EndpointBook list_;
+  std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
   bool changing_roster_ = false;
   bool had_roster_ = false;
   Roster roster_;
@@ -139,7 +146,6 @@
     std::function<void()> answer;
   };
   std::deque<Waiting> waiting_;
-  absl::Status failure_;  // of its disk
 };
 
 }  // namespace chutevane::control
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -55,7 +55,8 @@
 
 absl::Status AcceptorState::store(bool whole) {
   const std::string record = market::encoded(state_);
-  return whole || slots_.log_is_long() ? slots_.write(record) : slots_.append(record);
+  const bool as_slot = whole || slots_.log_is_long() || slots_.needs_write();
+  return as_slot ? slots_.write(record) : slots_.append(record);
 }
 
 bool AcceptorState::named(const Value& initial) const {
@@ -102,6 +103,7 @@
       return s;
     }
   }
+  if (entered && told_) told_(state_.initial);
   out.promised = state_.promised;
   out.accepted = state_.accepted;
   out.value = state_.value;
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -12,11 +12,16 @@
 
 constexpr Span pull_most = Span::ms(400);       // for one answer
 constexpr Span pull_again = Span::ms(25);       // where the other has not got the map yet
+constexpr Span disk_again = Span::ms(100);      // between tries of a disk that fails
 constexpr Span silent_most = Span::ms(500);     // an other that says nothing for so long counts as lost
 constexpr std::size_t pull_bytes = 256 * 1024;  // of one answer: others have their turn between
 constexpr std::size_t pull_names = 2000;        // of one answer
 constexpr std::size_t pull_accounts = 500;      // of one answer
+constexpr Span chain_most = Span::ms(60);       // for another's answer with what a chain lacks here
 constexpr std::size_t chain_bytes = 4U << 20U;  // of one answer to an edge
+constexpr Span leave_again = Span::ms(50);      // between looks whether the map still names a leaving one
+constexpr Span last_words = Span::ms(200);      // for what is still to be sent
+constexpr Span grace_spare = Span::ms(600);     // before the platform ends it by force
 constexpr double store_part = 0.5;              // of the memory: the rest is for what comes and goes
 
 std::size_t room_of(const market::ProcessSettings& s) {
@@ -32,17 +37,11 @@
     : scheduler_(scheduler),
       settings_(settings),
       later_(scheduler),
-      disk_(std::make_unique<market::FailStopDisk>(std::move(disk))),
+      disk_(std::move(disk)),
       record_slots_(*disk_, "storage"),
       store_(*disk_, room_of(settings)),
       desk_(scheduler) {}
 
-void StoragePlane::fail(const absl::Status& why) {
-  if (!failure_.ok()) return;
-  failure_ = why;
-  market::log_event(market::Level::error, "disk.failed", why.ToString());
-}
-
 absl::Status StoragePlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
@@ -83,9 +82,16 @@
   later_.after(Span(), [this] { sync(); });
 }
 
+// What waits for a disk that fails is told once it works again; nothing else is taken up meanwhile.
 void StoragePlane::sync() {
+  const bool worked = disk_health_.works();
+  if (!disk_health_.note(store_.commit(later_.now()))) {
+    if (worked) sessions_->tell_disk_failing(true);
+    later_.after(disk_again, [this] { sync(); });
+    return;
+  }
+  if (!worked) sessions_->tell_disk_failing(false);
   sync_due_ = false;
-  if (absl::Status s = store_.commit(later_.now()); !s.ok()) return fail(s);
   std::vector<std::function<void()>> told;
   told.swap(synced_);
   for (const auto& one : told) one();
@@ -96,7 +102,7 @@
     market::Reserved out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && !ready_) verdict = Verdict::unready;
+    if (verdict == Verdict::yes && (!ready_ || store_.failing())) verdict = Verdict::unready;
     out.verdict = static_cast<std::int64_t>(verdict);
     if (verdict != Verdict::yes) return guest.answer(number, out);
     out.others = store_.reserve(ask.program, ask.attempt, ask.most, later_.now());
@@ -112,12 +118,15 @@
     market::Kept out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && !store_.keep(ask.turn, later_.now())) verdict = Verdict::full;
+    if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, later_.now())))
+      verdict = Verdict::full;
     out.verdict = static_cast<std::int64_t>(verdict);
     if (verdict != Verdict::yes) return guest.answer(number, out);
     if (ask.used >= 0) store_.settle(ask.turn.program, ask.turn.id, ask.used, later_.now());
-    when_synced([this, id = guest.id(), number, out] {
-      if (Guest* const there = desk_.find(id)) there->answer(number, out);
+    with_chain(ask.turn, [this, id = guest.id(), number, out] {
+      when_synced([this, id, number, out] {
+        if (Guest* const there = desk_.find(id)) there->answer(number, out);
+      });
     });
   });
   desk_.on<market::Find>([this](Guest& guest, std::uint64_t number, market::Find& ask) {
@@ -135,9 +144,53 @@
   desk_.listen(settings_.internal_address(market::storage_plane_port));
 }
 
-// What the asker holds by the map. Only once this one has it too: from then on nothing is added here under an
-// older one.
+// ---- chains
+
+struct StoragePlane::ChainFetch {
+  market::Turn turn;
+  std::function<void()> then;
+  std::vector<std::string> sources;  // addresses that were not asked yet for what is missing now
+  std::string missing;
+};
+
+void StoragePlane::with_chain(const Turn& turn, std::function<void()> then) {
+  if (store_.first_missing(turn.id).empty()) return then();
+  auto fetch = std::make_shared<ChainFetch>();
+  fetch->turn = turn;
+  fetch->then = std::move(then);
+  fetch_chain(fetch);
+}
+
+void StoragePlane::fetch_chain(const std::shared_ptr<ChainFetch>& fetch) {
+  const std::string missing = store_.first_missing(fetch->turn.id);
+  if (missing != fetch->missing) {
+    fetch->missing = missing;
+    fetch->sources.clear();
+    for (const market::StorageNode& c : storage_nodes_) {
+      if (c.node != settings_.node) fetch->sources.push_back(c.address);
+    }
+  }
+  if (missing.empty() || fetch->sources.empty()) {
+    store_.keep(fetch->turn, later_.now());  // what has come lasts as long as the turn
+    return fetch->then();
+  }
+  const std::string from = fetch->sources.back();
+  fetch->sources.pop_back();
+  link(from).call<market::Found>(market::Find{map_, missing}, chain_most,
+                                 [this, fetch](auto got) { fetched(fetch, std::move(got)); });
+}
+
+void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<market::Found> got) {
+  if (got.ok()) {
+    for (const Turn& t : got->turns) store_.keep(t, later_.now());
+  }
+  fetch_chain(fetch);
+}
+
+// What the asker holds by the map. Only while this one has the same: from then on nothing is added here under
+// an older one; and by a later one the asker may hold less, while edges still ask it under its own.
 void StoragePlane::answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask) {
+  if (store_.failing()) return;  // silent as a lost one is: the asker does without it where it may
   market::Pulled out;
   out.map = map_;
   out.last = true;
@@ -151,8 +204,8 @@
   const bool named = std::any_of(
       storage_nodes_.begin(), storage_nodes_.end(),
       [&](const market::StorageNode& c) { return c.node == settings_.node && c.disk == record_.disk; });
-  if (map_ < ask.map) {
-    out.verdict = static_cast<std::int64_t>(Verdict::behind);
+  if (map_ != ask.map) {
+    out.verdict = static_cast<std::int64_t>(check(ask.map));
   } else if (!named) {  // a disk that no map names yet is no source: what its place held is not here
     out.verdict = static_cast<std::int64_t>(Verdict::unready);
   } else if (!ask.wanted.empty()) {
@@ -162,8 +215,9 @@
       if (t != nullptr) out.turns.push_back(*t);
     }
   } else if (ask.turns) {
+    const std::set<std::string> beyond = store_.chains_of_others(mine);
     store_.each_turn(ask.after, [&](const Turn& t) {
-      if (!mine(t.program)) return true;
+      if (!mine(t.program) && !beyond.contains(t.id)) return true;
       out.ids.push_back(t.id);
       bytes += t.input.data.size() + t.output.data.size();
       return out.last = out.ids.size() < pull_names && bytes < pull_bytes;
@@ -338,10 +392,7 @@
   }
   if (ready_ && !whole_ && pending_turns == 0 && turns >= needed) {
     whole_ = true;
-    if (!record_.held) {
-      record_.held = true;
-      if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) return fail(s);
-    }
+    note_held();
     sessions_->tell_whole(map_);
     market::log_info("storage.whole", "map " + std::to_string(map_) + ", turns " +
                                           std::to_string(store_.turns()) + " after ms " +
@@ -349,17 +400,46 @@
   }
 }
 
+// That this disk has held what is its own. Without it a later take-over leaves nobody out, which is only
+// stricter.
+void StoragePlane::note_held() {
+  if (record_.held) return;
+  market::StorageNodeRecord held = record_;
+  held.held = true;
+  if (record_slots_.write(market::encoded(held)).ok()) record_ = std::move(held);
+}
+
 void StoragePlane::sweep() {
+  if (whole_) note_held();
   store_.sweep(later_.now());
   if (store_.dirty()) when_synced([] {});
   later_.after(Span::ms(1000), [this] { sweep(); });
 }
 
+// Its disk may go with it, and it may hold one of the last copies: the others take over while it is there.
 void StoragePlane::leave() {
   if (leaving_) return;
   leaving_ = true;
+  sessions_->tell_leaving();
+  go_when_released(later_.now() + settings_.grace - grace_spare);
+}
+
+bool StoragePlane::may_go() const {
+  const bool listed = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
+                                  [&](const market::StorageNode& c) { return c.node == settings_.node; });
+  const auto others =
+      std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
+                    [&](const market::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
+  return !listed || static_cast<std::size_t>(others) < group_size(settings_.machine_losses);
+}
+
+void StoragePlane::go_when_released(TimePoint latest) {
+  if (!may_go() && later_.now() < latest) {
+    later_.after(leave_again, [this, latest] { go_when_released(latest); });
+    return;
+  }
   sessions_->end();
-  later_.after(Span::ms(200), [this] { finished_ = true; });
+  later_.after(last_words, [this] { finished_ = true; });
 }
 
 }  // namespace chutevane::storage
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -9,6 +9,7 @@
 #include <functional>
 #include <map>
 #include <optional>
+#include <set>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -39,12 +40,19 @@
   // False: there is no room.
   bool keep(const market::Turn& turn, TimePoint now);
   void merge(const market::Account& account, TimePoint now);
+  // An error: none of what was not committed before lasts for sure. All of it is kept for the next try, which
+  // first cuts the file back to what was committed.
   absl::Status commit(TimePoint now);
+  bool failing() const { return failing_; }  // the last commit was an error
   bool dirty() const { return !pending_.empty(); }
 
   const market::Turn* find(const std::string& id) const;
   // The turn and what it goes on from, as far as it is here, the newest first; all are used again.
   std::vector<const market::Turn*> chain(const std::string& id, std::size_t bytes_most, TimePoint now);
+  // The nearest turn that the chain of `id` names and that is not here; empty: the chain is here whole.
+  std::string first_missing(const std::string& id) const;
+  // Turns that a chain of another program goes on from: they last as long as that chain, wherever it is.
+  std::set<std::string> chains_of_others(const std::function<bool(const std::string& program)>& wanted) const;
   std::size_t turns() const { return turns_.size(); }
   std::size_t accounts() const { return accounts_.size(); }
   std::size_t bytes() const { return bytes_; }
@@ -87,6 +95,7 @@
   std::uint64_t current_ = 1;
   std::size_t current_size_ = 0, bytes_ = 0;
   std::string pending_;
+  bool failing_ = false;
   TimePoint swept_;
 };
 
--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "played_register.hpp"
 #include "played_system.hpp"
 #include "unit.hpp"
 
@@ -30,140 +31,15 @@
 using market::Prepare;
 using market::Promise;
 using market::Value;
-using played::Clockwork;
-using played::Luck;
+using played::Field;
+using played::Machine;
+using played::Proposer;
+using played::Weather;
 
 namespace {
 
 Verdict verdict(std::int64_t v) { return static_cast<Verdict>(v); }
 
-// A machine with a disk that may vote.
-struct Machine {
-  std::string address, disk_id;
-  bool first = true;
-  std::unique_ptr<market::MemoryDisk> disk = std::make_unique<market::MemoryDisk>();
-  std::unique_ptr<AcceptorState> acceptor;
-  bool up = false;
-
-  void start() {
-    acceptor = std::make_unique<AcceptorState>(*disk, address, disk_id, first);
-    const absl::Status s = acceptor->open();
-    if (absl::IsDataLoss(s)) {  // as the control plane does: it is another disk from here on
-      wipe();
-      return start();
-    }
-    up = s.ok();
-  }
-  void wipe() {
-    disk = std::make_unique<market::MemoryDisk>();
-    disk_id += "'";
-    first = false;
-  }
-  void lose_power(std::uint64_t luck) {
-    up = false;
-    acceptor.reset();
-    disk->power_cycle(luck);
-  }
-};
-
-struct Weather {
-  double lost = 0, repeated = 0, slow = 0;  // parts of the messages
-  Span most = Span::ms(20);                 // of a way
-};
-
-// The machines and the ways to them.
-struct Field {
-  explicit Field(std::size_t machines, std::uint64_t seed) : luck(seed), all(machines) {
-    for (std::size_t i = 0; i < machines; ++i) {
-      all[i].address = numbered("m", i);
-      all[i].disk_id = numbered("d", i);
-      all[i].start();
-    }
-  }
-  Machine* find(const std::string& address) {
-    for (Machine& m : all) {
-      if (m.address == address) return &m;
-    }
-    return nullptr;
-  }
-  Value first_set(std::size_t n) const {
-    std::vector<Acceptor> set;
-    for (std::size_t i = 0; i < n; ++i) set.push_back({all[i].address, ""});
-    return first_value(set);
-  }
-  Span way() { return luck.chance(weather.slow) ? Span::ms(900 * luck.unit()) : weather.most * luck.unit(); }
-  // A disk that fails ends its machine: nothing is answered.
-  template <class Ask>
-  auto ask(Machine& m, const Ask& what) {
-    if constexpr (std::is_same_v<Ask, Prepare>) {
-      auto got = m.acceptor->prepare(what);
-      if (!got.ok()) died(m);
-      return got;
-    } else {
-      auto got = m.acceptor->accept(what);
-      if (!got.ok()) died(m);
-      return got;
-    }
-  }
-  void died(Machine& m) {
-    m.up = false;
-    if (on_death) on_death(m);
-  }
-
-  Clockwork clock;
-  Luck luck;
-  Weather weather;
-  std::vector<Machine> all;
-  std::function<void(Machine&)> on_death;
-};
-
-// One proposer's ways: exactly one answer to each message, as a held connection gives it.
-class PlayedVoters final : public control::Voters {
- public:
-  explicit PlayedVoters(Field& field) : field_(field) {}
-  void prepare(const std::string& address, const Prepare& ask,
-               std::function<void(absl::StatusOr<Promise>)> answered) override {
-    send(address, ask, std::move(answered));
-  }
-  void accept(const std::string& address, const Accept& ask,
-              std::function<void(absl::StatusOr<Accepted>)> answered) override {
-    send(address, ask, std::move(answered));
-  }
-  bool cut_off = false;
-
- private:
-  template <class Ask, class Reply>
-  void send(const std::string& address, const Ask& ask, std::function<void(absl::StatusOr<Reply>)> answered) {
-    struct State {
-      bool told = false;
-    };
-    auto state = std::make_shared<State>();
-    auto once = [state, answered = std::move(answered)](absl::StatusOr<Reply> got) {
-      if (std::exchange(state->told, true)) return;
-      answered(std::move(got));
-    };
-    field_.clock.later.after(Span::ms(350), [once] { once(absl::DeadlineExceededError("no answer")); });
-    const int copies = field_.luck.chance(field_.weather.repeated) ? 2 : 1;
-    for (int copy = 0; copy < copies; ++copy) {
-      if (field_.luck.chance(field_.weather.lost)) continue;
-      field_.clock.later.after(field_.way(), [this, address, ask, once] {
-        Machine* const m = field_.find(address);
-        if (m == nullptr || !m->up || cut_off) return;
-        auto got = field_.ask(*m, ask);
-        if (!got.ok() || field_.luck.chance(field_.weather.lost)) return;
-        field_.clock.later.after(field_.way(), [once, got] { once(got); });
-      });
-    }
-  }
-  Field& field_;
-};
-
-struct Proposer {
-  Proposer(Field& field, std::uint64_t number) : voters(field), reg(field.clock.later, voters, number) {}
-  PlayedVoters voters;
-  Register reg;
-};
-
 // What must hold whatever happens, told of every chosen value and of every order's start and end.
 class Watcher {
  public:
@@ -729,6 +605,81 @@
   }
 }
 
+// The disk is full, or syncs fail, at each step in turn and for some steps. It goes on in memory: what it
+// told, before and between and after, stands whenever power is lost.
+TEST(RegisterAcceptor, WhatItSaidStandsThroughFaultsAtEveryStep) {
+  for (const market::DiskFault fault :
+       {market::DiskFault::full, market::DiskFault::sync_loses, market::DiskFault::sync_unsure}) {
+    for (std::size_t from = 0; from < 30; ++from) {
+      for (const std::size_t length : {1, 3, 8}) {
+        const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
+                                  numbered(", steps ", length);
+        market::MemoryDisk disk;
+        AcceptorState a(disk, "m0", "d0", true);
+        CHECK_TRUE(a.open().ok());
+        disk.fail(fault, from, from + length);
+        Ballot promised, accepted;
+        std::size_t refused = 0;
+        // After a loss of power it has promised and accepted no less than was told.
+        const auto check = [&] {
+          for (std::uint64_t luck = 0; luck < 6; ++luck) {
+            market::MemoryDisk dark = disk;
+            dark.power_cycle(luck);
+            AcceptorState again(dark, "m0", "d0", true);
+            if (promised == Ballot{} && !again.open().ok()) continue;
+            if (promised != Ballot{}) CHECK_WHERE(again.open().ok(), where);
+            const auto got = again.prepare(prepare(initial, 0, 0, true));
+            CHECK_WHERE(got.ok(), where);
+            if (promised == Ballot{}) continue;
+            CHECK_WHERE(!(got->promised < promised) && !(got->accepted < accepted), where);
+            if (got->accepted != Ballot{})
+              CHECK_WHERE(got->value.config.data == numbered("v", got->accepted.round), where);
+          }
+        };
+        for (std::int64_t round = 1; round < 14; ++round) {
+          const auto got = a.prepare(prepare(initial, round));
+          if (got.ok()) promised = {round, 1};
+          refused += got.ok() ? 0 : 1;
+          check();
+          const auto voted = a.accept(accept(initial, round, numbered("v", round)));
+          // A first promise that the disk refused has not opened the epoch: that is told, and is no vote.
+          const bool yes = voted.ok() && verdict(voted->verdict) == Verdict::yes;
+          if (yes) promised = accepted = {round, 1};
+          refused += voted.ok() ? 0 : 1;
+          check();
+          // Who only looks is told what is on disk, also meanwhile.
+          const auto look = a.prepare(prepare(initial, 0, 0, true));
+          if (look.ok() && verdict(look->verdict) == Verdict::yes)
+            CHECK_WHERE(look->accepted == accepted && look->promised == promised, where);
+        }
+        if (from < 12 && length > 1) CHECK_WHERE(refused > 0, where);
+        CHECK_WHERE(promised == (Ballot{13, 1}) && accepted == (Ballot{13, 1}),
+                    where + ": the disk works again");
+        CHECK_FALSE(a.disk_failing());
+      }
+    }
+  }
+}
+
+// Without a request it takes up again what it has as soon as the disk does.
+TEST(RegisterAcceptor, WritesAgainOnceTheDiskWorks) {
+  market::MemoryDisk disk;
+  AcceptorState a(disk, "m0", "d0", true);
+  CHECK_TRUE(a.open().ok());
+  CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
+  CHECK_TRUE(a.accept(accept(initial, 1, "x")).ok());
+  disk.fail(market::DiskFault::full, disk.steps(), disk.steps() + 9);
+  CHECK_FALSE(a.prepare(prepare(initial, 2)).ok());
+  CHECK_TRUE(a.disk_failing());
+  while (!a.write_again().ok()) CHECK_TRUE(disk.steps() < 40);
+  CHECK_FALSE(a.disk_failing());
+  disk.power_cycle(1);
+  AcceptorState again(disk, "m0", "d0", true);
+  CHECK_TRUE(again.open().ok());
+  const auto got = again.prepare(prepare(initial, 0, 0, true));
+  CHECK_TRUE(got->promised == (Ballot{1, 1}) && got->value.config.data == "x");
+}
+
 TEST(RegisterAcceptor, EarlierBallotsAreTurnedAway) {
   market::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
--- a/tests/market/roster_test.cpp
+++ b/tests/market/roster_test.cpp
@@ -116,6 +116,22 @@
   CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
 }
 
+// Its successor may have been there for long: once it is gone the next loss comes at any moment.
+TEST(RosterAcceptors, OneThatLeavesIsReplacedBeforeItGoes) {
+  std::vector<LiveController> live = controllers({1, 2, 3, 4});
+  live[2].ready = false;
+  const auto next = roster.acceptors(with_acceptors({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value());
+  CHECK_TRUE(next->size() == 3 && has(*next, "c4", "d4") && !has(*next, "c3", "d3"));
+  // Nobody is there in its stead: it votes on.
+  live.pop_back();
+  CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
+  // Nor one that leaves as well.
+  live = controllers({1, 2, 3, 4});
+  live[2].ready = live[3].ready = false;
+  CHECK_FALSE(watch(roster, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
+}
+
 // Its disk is gone for good, and with it what it promised: there is nothing to wait for.
 TEST(RosterAcceptors, SameAddressWithAnotherDiskAtOnce) {
   std::vector<LiveController> live = controllers({1, 2});
@@ -294,7 +310,49 @@
   CHECK_TRUE(!lists(*next, "n3") && next->storage_nodes.size() == 3 && next->map == 8);
 }
 
+// Two of three copies lie on machines of which one is gone and replaced: the next loss may come `catchUpS`
+// after the successor began. What is noticed after 1.3 s without a session, and taken over in some hundred
+// ms, has to be given up well before.
+TEST(RosterStorageNodes, OneThatWasReplacedIsGivenUpSoon) {
+  constexpr Span catch_up = Span::ms(4100), noticed = Span::ms(1300), take_over = Span::ms(800);
+  for (const bool newcomer_first : {false, true}) {
+    Roster watching(1);
+    Value value = with_storage_nodes({1, 2, 3});
+    if (newcomer_first) {
+      value = *watching.storage_nodes(value, members({1, 2, 3, 4}, 7), now);
+    } else {
+      now = now + look_every;
+      CHECK_FALSE(watching.storage_nodes(value, members({1, 2, 3}, 7), now).has_value());
+      value = *watching.storage_nodes(value, members({1, 2, 4}, 7), now);
+    }
+    const TimePoint start = now;
+    std::optional<Value> next;
+    while (!next && now - start < Span::ms(10000)) {
+      now = now + look_every;
+      next = watching.storage_nodes(value, members({1, 2, 4}, value.map), now);
+    }
+    CHECK_TRUE(next.has_value() && !lists(*next, "n3") && next->storage_nodes.size() == 3);
+    CHECK_TRUE(noticed + (now - start) + look_every + take_over < catch_up);
+  }
+}
+
 // The copies lie there: fewer than bear the losses are not left in the map.
+// One whose disk takes nothing is there and keeps nothing: another takes its part, and it comes back with its
+// disk.
+TEST(RosterStorageNodes, OneWhoseDiskFailsCountsAsGone) {
+  const Value value = with_storage_nodes({1, 2, 3, 4});
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  CHECK_FALSE(roster.storage_nodes(value, live, now).has_value());
+  live[2].disk_failing = true;
+  const auto next = watched(value, live, Span::ms(30000), &after);
+  CHECK_TRUE(next.has_value() && !lists(*next, "n3"));
+  CHECK_TRUE(after > storage_node_lost_after && after <= storage_node_lost_after + look_every);
+  CHECK_FALSE(watched(*next, live, Span::ms(5000), &after).has_value());
+  live[2].disk_failing = false;
+  const auto again = roster.storage_nodes(*next, live, now);
+  CHECK_TRUE(again.has_value() && lists(*again, "n3"));
+}
+
 TEST(RosterStorageNodes, TheLastCopiesStayInTheMap) {
   CHECK_FALSE(
       watched(with_storage_nodes({1, 2, 3}), members({1, 2}, 7), Span::ms(30000), &after).has_value());
@@ -341,6 +399,47 @@
   CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired[0].completed);
 }
 
+// A machine that got SIGTERM may hold one of the last copies: it is emptied first, where enough stay.
+TEST(RosterStorageNodes, OneThatGotSigtermIsEmptiedFirst) {
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  live[3].leaving = true;
+  const auto marked = roster.storage_nodes(with_storage_nodes({1, 2, 3, 4}), live, now);
+  CHECK_TRUE(marked.has_value() && marked->map == 8 && marked->storage_nodes.size() == 4);
+  CHECK_TRUE(marked->storage_nodes[3].leaving && marked->retired.empty());
+  CHECK_FALSE(watched(*marked, live, Span::ms(10000), &after).has_value());  // nobody has taken over yet
+  for (int behind = 0; behind < 3; ++behind) {
+    for (Member& m : live) m.whole = 8;
+    live[static_cast<std::size_t>(behind)].whole = 7;
+    CHECK_FALSE(roster.storage_nodes(*marked, live, now).has_value());
+  }
+  for (Member& m : live) m.whole = 8;
+  const auto given_up = roster.storage_nodes(*marked, live, now);
+  CHECK_TRUE(given_up.has_value() && !lists(*given_up, "n4") && given_up->retired.empty());
+  // While its process comes to its end it is not taken in again; its next one is.
+  for (Member& m : live) m.whole = 9;
+  CHECK_FALSE(roster.storage_nodes(*given_up, live, now).has_value());
+  live[3].leaving = false;
+  const auto back = roster.storage_nodes(*given_up, live, now);
+  CHECK_TRUE(back.has_value() && lists(*back, "n4") && !back->storage_nodes.back().leaving);
+}
+
+// With just enough it keeps its place: it is lost while it is away, and comes back with its disk.
+TEST(RosterStorageNodes, SigtermWithoutAnotherChangesNothing) {
+  std::vector<Member> live = members({1, 2, 3}, 7);
+  live[2].leaving = true;
+  CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), live, Span::ms(10000), &after).has_value());
+}
+
+// It ended before it was emptied, and is started again: it has its place. An order to empty it would stand.
+TEST(RosterStorageNodes, StartedAgainItHasItsPlace) {
+  Value value = with_storage_nodes({1, 2, 3, 4});
+  value.storage_nodes[3].leaving = true;
+  const auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 6), now);
+  CHECK_TRUE(next.has_value() && !next->storage_nodes[3].leaving && next->map == 8);
+  value.retired.push_back({"n4", false});
+  CHECK_FALSE(roster.storage_nodes(value, members({1, 2, 3, 4}, 6), now).has_value());
+}
+
 TEST(RosterStorageNodes, TwoLeaveOneAfterTheOther) {
   Value value = with_storage_nodes({1, 2, 3, 4, 5});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken &&
