--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -17,6 +17,7 @@
 constexpr Span answer_spare = Span::ms(2);          // of the client's time, for the way back
 constexpr std::size_t turned_away_most = 3;         // endpoints that were full, on top of maxAttempts' first
 constexpr Span start_most = Span::ms(700);  // for what a sidecar that has just started does not know yet
+constexpr double start_part = 0.5;          // of the client's time, at most, for the same
 constexpr Span start_look = Span::ms(20);   // between looks whether it does
 constexpr Span storage_most =
     Span::ms(1500);  // for storage that takes over: longer is told, with when to come back
@@ -153,7 +154,8 @@
 
 void Client::route() {
   // A sidecar that has just started knows within a moment where to send it: that is sooner than another try.
-  if (!plane_.knows_enough() && plane_.later_.now() - began_ < start_most) {
+  const Span wait = std::min(start_most, request_.left.value_or(unlimited) * start_part);
+  if (!plane_.knows_enough() && plane_.later_.now() - began_ < wait) {
     timer_ = plane_.later_.after(start_look, guarded([this] { route(); }));
     return;
   }
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -391,7 +391,8 @@
   return out;
 }
 
-Scene::Scene(std::size_t endpoint_count, const RouteOptions& route, const LimitOptions& limits)
+Scene::Scene(std::size_t endpoint_count, const RouteOptions& route, const LimitOptions& limits,
+             Informed informed)
     : script(loop.scheduler) {
   for (std::size_t i = 0; i < endpoint_count; ++i) {
     endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop, script, numbered("i-", i + 1)));
@@ -412,8 +413,10 @@
   storage_node.disk = "disk-1";
   storage_node.address = net::text_of(storage_address);
   storage_node.zone = "z";
-  configure(route, limits);
-  control->list(listed);
+  if (informed == Informed::yes) {
+    configure(route, limits);
+    control->list(listed);
+  }
 
   market::ProcessSettings settings;
   settings.node = "edge-1";
@@ -428,7 +431,8 @@
   settings.machine_losses = 0;
   edge = std::make_unique<DataPlane>(loop.scheduler, settings);
   if (!edge->open().ok()) throw std::runtime_error("the edge does not open");
-  if (!in_force()) throw std::runtime_error("the edge has not taken up its configuration");
+  if (informed == Informed::yes && !in_force())
+    throw std::runtime_error("the edge has not taken up its configuration");
 }
 
 Scene::~Scene() = default;
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -250,7 +250,10 @@
 // The whole scene.
 class Scene {
  public:
-  explicit Scene(std::size_t endpoints, const RouteOptions& route = {}, const LimitOptions& limits = {});
+  enum class Informed : bool { no, yes };
+  // Informed: the edge has its configuration and its list; else control says nothing yet.
+  explicit Scene(std::size_t endpoints, const RouteOptions& route = {}, const LimitOptions& limits = {},
+                 Informed informed = Informed::yes);
   ~Scene();
   // Another configuration of the same routes is in force from now on.
   void configure(const RouteOptions& route, const LimitOptions& limits);
--- a/tests/edge/strike_test.cpp
+++ b/tests/edge/strike_test.cpp
@@ -379,6 +379,18 @@
   }
 }
 
+// An edge that has just started waits for its configuration, but not past the client's time.
+TEST(Bounds, EdgeThatKnowsNothingYetAnswersInTime) {
+  Scene scene(1, {}, {}, Scene::Informed::no);
+  RequestOptions options = request_of(Kind::non_idempotent);
+  options.time_remaining_ms = 300;
+  const TimePoint began = scene.loop.later.now();
+  const Answer got = scene.ask("a", options);
+  EXPECT_EQ(got.status, 503);
+  EXPECT_NE(got.field("Retry-After"), "");
+  EXPECT_LT(scene.loop.later.now() - began, Span::ms(options.time_remaining_ms));
+}
+
 // The route's timeout counts from the whole request on, also where storage is silent.
 TEST(Bounds, SilentStorageIsNotWaitedForBeyondTheTimeout) {
   Scene scene(1, {.timeout_ms = timeout_ms, .max_attempts = 2});
