--- a/tests/market/orders_test.cpp
+++ b/tests/market/orders_test.cpp
@@ -93,7 +93,10 @@
 
   void start_process(std::size_t i) {
     if (processes_.size() <= i) processes_.resize(i + 1);
-    if (processes_[i]) ended_.push_back(std::move(processes_[i]));
+    if (processes_[i]) {
+      processes_[i]->voters.ended = true;
+      ended_.push_back(std::move(processes_[i]));
+    }
     processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.remembered);
     processes_[i]->reg.learn_epoch(newest_set());
   }
@@ -111,8 +114,10 @@
     ControlProcess& p = *processes_[i];
     if (p.voters.ended || p.voters.sends_left) return;
     ++came_.ends;
-    p.voters.on_end = [this, i] {
-      field_.clock.later.after(Span::ms(50 + 400 * field_.luck.unit()), [this, i] { start_process(i); });
+    p.voters.on_end = [this, i, ended = &p] {
+      field_.clock.later.after(Span::ms(50 + 400 * field_.luck.unit()), [this, i, ended] {
+        if (processes_[i].get() == ended) start_process(i);
+      });
     };
     p.voters.sends_left = field_.luck.below(14);
   }
