--- a/tests/market/changes_test.cpp
+++ b/tests/market/changes_test.cpp
@@ -396,3 +396,26 @@
   CHECK_TEXT(storm.broken.empty(), storm.broken.c_str());
   CHECK_TRUE(storm.acknowledged > 2);
 }
+
+TEST_GROUP(ChosenWord){};
+
+// Without its epoch's first value a word is for those who are in that epoch.
+TEST(ChosenWord, OfAnotherEpochIsDropped) {
+  Field field(3, 1);
+  Proposer from(field, 1), to(field, 2);
+  const Value first = field.first_set(3);
+  Value later = first;
+  later.epoch = 2;
+  later.number = 4;
+  from.reg.learn_epoch(first);
+  to.reg.learn_epoch(first);
+  market::RecentValues recent, none;
+  from.reg.learn_chosen(later, later);
+  recent.add(later);
+  const market::Chosen left_out = control::chosen_word(recent, from.reg, {2, 0});
+  CHECK_FALSE(control::take_chosen(to.reg, none, left_out));
+  CHECK_FALSE(to.reg.known().has_value());
+  const market::Chosen with_first = control::chosen_word(recent, from.reg, {1, 0});
+  CHECK_TRUE(control::take_chosen(to.reg, none, with_first));
+  CHECK_TRUE(*to.reg.known() == later && to.reg.initial() == later);
+}
