--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "control/chosen_word.hpp"
 #include "control/duty.hpp"
 #include "control/operator_api.hpp"
 #include "control/platform.hpp"
@@ -22,6 +23,7 @@
 #include "market/process.hpp"
 #include "market/session.hpp"
 #include "market/settings.hpp"
+#include "market/value_update.hpp"
 
 namespace chutevane::control {
 
@@ -41,20 +43,23 @@
     std::unique_ptr<market::Link> link;
     std::optional<market::Gossip> last;
     TimePoint heard, known_since;
+    std::int64_t told = 0;  // the newest value that was told over this connection
   };
   struct Session {
     market::Member member;
     TimePoint heard;
     std::int64_t stamp = 0;  // of the newest Hello: returned with each beat
     std::int64_t list_term = 0, list_number = 0;
-    std::int64_t pushed = 0;  // of the values, the newest that was sent down
-    bool first = false;       // changes go down it at once; down others with the next beat, if still needed
+    market::PushCursor values;
+    bool first = false;  // changes go down it at once; down others with the next beat, if still needed
   };
 
   void prepare(const std::string& address, const market::Prepare& ask,
                std::function<void(absl::StatusOr<market::Promise>)> answered) override;
   void accept(const std::string& address, const market::Accept& ask,
               std::function<void(absl::StatusOr<market::Accepted>)> answered) override;
+  absl::StatusOr<market::Accepted> accept_here(const market::Accept& ask);
+
   void listen();
   void tick();
   void gossip();
@@ -84,7 +89,6 @@
   void try_disk_again();
   void on_hello(market::Desk::Guest& guest, const market::Hello& hello);
   void push(std::uint64_t guest, Session& session);
-  const std::string& pushed_value();
   void beat();
   void acknowledged();
 
@@ -120,9 +124,8 @@
   std::map<std::string, Peer> peers_;
   std::vector<std::unique_ptr<market::Link>> parted_;
   std::map<std::uint64_t, Session> sessions_;
-  // The newest value as it is pushed: written once for all sessions.
-  std::string push_record_;
-  std::int64_t push_number_ = -1;
+  market::RecentValues pushed_;  // the same without the record of orders, for which members have no use
+  market::RecentValues recent_;  // that were known here: what goes to others is the difference from one
   // No value chosen before it is newer than the known one.
   TimePoint fresh_at_;
   TimePoint full_since_, told_since_;
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "market/value_update.hpp"
+
 namespace chutevane::control {
 namespace {
 
@@ -16,6 +18,7 @@
 constexpr Span pause_least =
     Span::ms(8);  // before the next ballot after one that met a later one: two rounds
 constexpr Span pause_spread = Span::ms(40);  // ... and as much as this more, so that two do not meet again
+constexpr int doublings_most = 3;            // of the spread, one for each try that was in vain
 
 }  // namespace
 
@@ -86,8 +89,8 @@
     entered = true;
   }
   out.epoch = state_.epoch;
-  out.initial = state_.initial;
   if (ask.epoch < state_.epoch) {
+    out.initial = state_.initial;
     out.verdict = static_cast<std::int64_t>(Verdict::moved);
     return out;
   }
@@ -106,9 +109,10 @@
   if (entered && told_) told_(state_.initial);
   out.promised = state_.promised;
   out.accepted = state_.accepted;
-  out.value = state_.value;
   const bool yes = ask.look_only || state_.promised == ask.ballot;
   out.verdict = static_cast<std::int64_t>(yes ? Verdict::yes : Verdict::later);
+  out.value_known = ask.known.round > 0 && ask.known == state_.accepted;
+  if (yes && !out.value_known) out.value = state_.value;
   return out;
 }
 
@@ -124,14 +128,22 @@
     out.verdict = static_cast<std::int64_t>(Verdict::later);
     return out;
   }
+  out.verdict = static_cast<std::int64_t>(Verdict::yes);
+  if (ask.ballot.round > 0 && ask.ballot == state_.accepted) return out;  // a repeat: it is on disk
+  absl::StatusOr<Value> value = ask.value;
+  if (market::is_difference(ask.difference))
+    value = market::changed_value(ask.difference, market::encoded(state_.value));
+  if (!value.ok()) {
+    out.verdict = static_cast<std::int64_t>(Verdict::whole);
+    return out;
+  }
   const market::AcceptorRecord before = state_;
   state_.promised = state_.accepted = ask.ballot;
-  state_.value = ask.value;
+  state_.value = *std::move(value);
   if (absl::Status s = store(false); !s.ok()) {
     state_ = before;
     return s;
   }
-  out.verdict = static_cast<std::int64_t>(Verdict::yes);
   return out;
 }
 
@@ -141,20 +153,35 @@
   TimePoint until;
   net::Later::Ticket due;
   bool over = false;
+  int in_vain = 0;        // tries that met a later ballot or no majority
   std::int64_t turn = 0;  // answers to an earlier ballot are no answers to this one
   Ballot ballot;
-  Value initial;  // of the epoch that it is in
+  Value initial;                               // of the epoch that it is in
+  std::shared_ptr<const AcceptedValue> known;  // of this epoch: promises may leave its value out
   std::vector<Promise> promises;
   std::size_t yes = 0, no = 0;
   bool deciding = false, look_only = true;
-  Value value;  // that is proposed
+  Value value;                         // that is proposed
+  market::ValueDifference difference;  // from what was found; none: it would not be shorter
 };
 
 Register::Register(net::Later& later, Voters& voters, std::uint64_t proposer)
     : later_(later), voters_(voters), proposer_(proposer), luck_(proposer) {}
 
 void Register::learn_epoch(const Value& initial) {
-  if (initial.epoch > initial_.epoch) initial_ = initial;
+  if (initial.epoch <= initial_.epoch) return;
+  initial_ = initial;
+  accepted_.reset();
+  entered_.clear();
+}
+
+void Register::learn_accepted(std::int64_t epoch, const Ballot& ballot, const Value& value) {
+  if (epoch != initial_.epoch || (accepted_ && !(accepted_->ballot < ballot))) return;
+  accepted_ = std::make_shared<const AcceptedValue>(AcceptedValue{epoch, ballot, value});
+}
+
+const Value& Register::value_of(const Round& round, const Promise& promise) {
+  return promise.value_known ? round.known->value : promise.value;
 }
 
 void Register::learn_chosen(const Value& value, const Value& initial) {
@@ -176,7 +203,33 @@
   if (round->over) return;
   round->over = true;
   later_.cancel(round->due);
+  const bool proposed = proposing_ == round;
   round->done(std::move(result));
+  if (proposed) let_next_propose();
+}
+
+// False: it waits until it may, or until its time is over.
+bool Register::may_propose(const std::shared_ptr<Round>& round) {
+  if (!proposing_) proposing_ = round;
+  if (proposing_ == round) return true;
+  ++round->turn;
+  later_.cancel(round->due);
+  round->due = later_.at(round->until, [this, round] {
+    std::erase(waiting_, round);
+    finish(round, absl::DeadlineExceededError("others were before it"));
+  });
+  waiting_.push_back(round);
+  return false;
+}
+
+void Register::let_next_propose() {
+  proposing_.reset();
+  if (waiting_.empty()) return;
+  const std::shared_ptr<Round> next = waiting_.front();
+  waiting_.pop_front();
+  proposing_ = next;
+  next->look_only = true;  // what it waited for may be all that it wants
+  begin(next);
 }
 
 // The first try only looks: where a majority holds one accepted value, that is chosen, and a read is over.
@@ -184,6 +237,7 @@
   if (round->over) return;
   if (initial_.epoch == 0) return finish(round, absl::UnavailableError("no acceptors known yet"));
   if (later_.now() >= round->until) return finish(round, absl::DeadlineExceededError("no majority in time"));
+  if (!round->look_only && !may_propose(round)) return;
   ++round->turn;
   round->initial = initial_;
   round->promises.clear();
@@ -193,9 +247,12 @@
   const std::int64_t turn = round->turn;
   later_.cancel(round->due);
   round->due = later_.at(std::min(round->until, later_.now() + round_most), [this, round] { again(round); });
-  const Prepare ask{round->initial.epoch, round->ballot, round->initial, round->look_only};
+  round->known = accepted_;
+  Prepare ask{round->initial.epoch, round->ballot, {}, round->look_only, {}};
+  if (round->known) ask.known = round->known->ballot;
   for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
     const std::string to = round->initial.acceptors[i].address;
+    ask.initial = entered_.contains(to) ? Value{} : round->initial;
     voters_.prepare(to, ask, [this, round, i, turn](absl::StatusOr<Promise> got) {
       on_promise(round, i, turn, std::move(got));
     });
@@ -209,15 +266,21 @@
   luck_ = XXH3_64bits(&luck_, sizeof luck_);
   const double part = static_cast<double>(luck_ >> 11U) * 0x1p-53;
   later_.cancel(round->due);
-  round->due = later_.after(pause_least + pause_spread * part, [this, round] { begin(round); });
+  const double spread = static_cast<double>(1 << std::min(round->in_vain++, doublings_most));
+  const TimePoint next = later_.now() + pause_least + pause_spread * spread * part;
+  round->due = later_.at(std::min(round->until, next), [this, round] { begin(round); });
 }
 
-void Register::on_promise(const std::shared_ptr<Round>& round, std::size_t, std::int64_t turn,
+void Register::on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
                           absl::StatusOr<Promise> got) {
   if (round->over || round->turn != turn || round->deciding) return;
   if (got.ok()) {
     highest_ = std::max(highest_, got->promised.round);
-    const auto verdict = static_cast<Verdict>(got->verdict);
+    auto verdict = static_cast<Verdict>(got->verdict);
+    note_entered(round->initial, from, *got);
+    // Not asked for: an answer to another question.
+    if (got->value_known && (!round->known || round->known->ballot != got->accepted))
+      verdict = Verdict::stranger;
     if (verdict == Verdict::moved) {
       learn_epoch(got->initial);
       ++round->turn;
@@ -248,8 +311,10 @@
     }
     for (const Promise& p : round->promises) alike += p.accepted == newest->accepted ? 1 : 0;
     const bool quiet = alike >= majority(round->initial);
-    if (quiet && !sealed(newest->value) && !round->change(newest->value)) {
-      const Value value = newest->value;
+    const Value& seen = value_of(*round, *newest);
+    if (quiet) learn_accepted(round->initial.epoch, newest->accepted, seen);
+    if (quiet && !sealed(seen) && !round->change(seen)) {
+      const Value value = seen;
       learn_chosen(value, round->initial);
       return finish(round, value);
     }
@@ -264,46 +329,72 @@
   }
 }
 
+// An acceptor that has answered in an epoch has its first value on disk: it need not be sent again.
+void Register::note_entered(const Value& initial, std::size_t from, const Promise& got) {
+  const std::string& address = initial.acceptors[from].address;
+  if (initial.epoch != initial_.epoch) return;
+  if (got.epoch == initial.epoch && static_cast<Verdict>(got.verdict) != Verdict::stranger) {
+    entered_.insert(address);
+  } else {
+    entered_.erase(address);
+  }
+}
+
 void Register::decide(const std::shared_ptr<Round>& round) {
   const Promise* newest = &round->promises.front();
   for (const Promise& p : round->promises) {
     if (newest->accepted < p.accepted) newest = &p;
   }
-  const Value current = newest->value;
+  const Value current = value_of(*round, *newest);
+  learn_accepted(round->initial.epoch, newest->accepted, current);
   if (!sealed(current)) {
     if (std::optional<Value> wanted = round->change(current)) {
       wanted->number = current.number + 1;
-      propose(round, std::move(*wanted));
+      propose(round, current, std::move(*wanted));
       return;
     }
   }
   // It stands, and has to be chosen before it is told of: what was lost to it must not come back.
-  propose(round, current);
+  propose(round, current, current);
 }
 
-void Register::propose(const std::shared_ptr<Round>& round, Value value) {
+void Register::propose(const std::shared_ptr<Round>& round, const Value& found, Value value) {
   round->value = std::move(value);
   round->yes = round->no = 0;
+  const std::string record = market::encoded(round->value);
+  round->difference = market::value_difference(found.number, market::encoded(found), record);
+  if (round->difference.content.data.size() > record.size() / 2) round->difference = {};
   const std::int64_t turn = round->turn;
-  const Accept ask{round->initial.epoch, round->ballot, round->value};
-  const std::size_t all = round->initial.acceptors.size();
-  for (std::size_t i = 0; i < all; ++i) {
-    voters_.accept(round->initial.acceptors[i].address, ask,
-                   [this, round, turn, all](absl::StatusOr<Accepted> got) {
-                     if (round->over || round->turn != turn) return;
-                     if (got.ok()) highest_ = std::max(highest_, got->promised.round);
-                     const bool yes = got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes;
-                     ++(yes ? round->yes : round->no);
-                     if (yes && round->yes == majority(round->initial)) {
-                       chosen(round);
-                     } else if (all - round->no < majority(round->initial)) {
-                       again(round);
-                     }
-                   });
+  for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
+    ask_accept(round, i, turn, !market::is_difference(round->difference));
     if (round->over || round->turn != turn) return;
   }
 }
 
+void Register::ask_accept(const std::shared_ptr<Round>& round, std::size_t to, std::int64_t turn,
+                          bool whole) {
+  Accept ask{round->initial.epoch, round->ballot, {}, {}};
+  if (whole) {
+    ask.value = round->value;
+  } else {
+    ask.difference = round->difference;
+  }
+  voters_.accept(round->initial.acceptors[to].address, ask,
+                 [this, round, to, turn, whole](absl::StatusOr<Accepted> got) {
+                   if (round->over || round->turn != turn) return;
+                   if (got.ok()) highest_ = std::max(highest_, got->promised.round);
+                   const auto verdict = got.ok() ? static_cast<Verdict>(got->verdict) : Verdict::later;
+                   if (verdict == Verdict::whole && !whole) return ask_accept(round, to, turn, true);
+                   const bool yes = verdict == Verdict::yes;
+                   ++(yes ? round->yes : round->no);
+                   if (yes && round->yes == majority(round->initial)) {
+                     chosen(round);
+                   } else if (round->initial.acceptors.size() - round->no < majority(round->initial)) {
+                     again(round);
+                   }
+                 });
+}
+
 void Register::chosen(const std::shared_ptr<Round>& round) {
   if (sealed(round->value)) {  // the epoch is over: on to the next, which begins with what this one held
     learn_epoch(opened(round->value));
@@ -312,6 +403,7 @@
     return;
   }
   const Value value = round->value;
+  learn_accepted(round->initial.epoch, round->ballot, value);
   learn_chosen(value, round->initial);
   finish(round, value);
 }
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -9,8 +9,12 @@
 #pragma once
 
 #include <algorithm>
+#include <deque>
 #include <functional>
+#include <memory>
 #include <optional>
+#include <set>
+#include <string>
 
 #include "absl/status/statusor.h"
 #include "market/disk.hpp"
@@ -39,6 +43,7 @@
   later,     // it has promised a later ballot
   moved,     // it is in a later epoch: its initial value comes with the answer
   stranger,  // it is no acceptor of that epoch
+  whole,     // it has another value than the one that the difference rests on: to be sent whole
 };
 
 // Keeps what it promised and accepted on disk before it says so.
@@ -67,6 +72,8 @@
   std::int64_t epoch() const { return state_.epoch; }
   bool voting() const { return state_.epoch > 0; }
   std::int64_t accepted_number() const { return state_.value.number; }
+  const Ballot& accepted() const { return state_.accepted; }
+  const Value& value() const { return state_.value; }  // under accepted()
   const Value& initial() const { return state_.initial; }
 
  private:
@@ -109,11 +116,17 @@
   // Calls `chosen` with each value that this one knows to be chosen, numbers rising.
   void on_chosen(std::function<void(const Value&)> told) { told_ = std::move(told); }
   void learn_chosen(const Value& value, const Value& initial);
+  // The value that was accepted under that ballot of that epoch: acceptors need not send it.
+  void learn_accepted(std::int64_t epoch, const Ballot& ballot, const Value& value);
   const std::optional<Value>& known() const { return known_; }
   // Whether the machine at that address may go with its disk: a majority of a set without it has the value.
   bool released(const std::string& address) const {
     return known_ && known_->epoch == initial_.epoch && !names(known_->acceptors, address);
   }
+  // Under which the known value was accepted, in initial()'s epoch; round 0 where that is not known.
+  Ballot known_ballot() const {
+    return accepted_ && known_ && accepted_->value.number == known_->number ? accepted_->ballot : Ballot{};
+  }
 
   void change(Change change, Span most, Done done);
   // The chosen value as of now.
@@ -123,13 +136,25 @@
 
  private:
   struct Round;
+  // A value under the ballot that names it: a ballot has one proposer, and that proposes one value under it.
+  struct AcceptedValue {
+    std::int64_t epoch = 0;
+    Ballot ballot;
+    Value value;
+  };
+  static const Value& value_of(const Round& round, const market::Promise& promise);
   void begin(const std::shared_ptr<Round>& round);
   void on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
                   absl::StatusOr<market::Promise> got);
+  void note_entered(const Value& initial, std::size_t from, const market::Promise& got);
   void decide(const std::shared_ptr<Round>& round);
-  void propose(const std::shared_ptr<Round>& round, Value value);
+  // `found`: what the round has found accepted, so what most of its acceptors have.
+  void propose(const std::shared_ptr<Round>& round, const Value& found, Value value);
+  void ask_accept(const std::shared_ptr<Round>& round, std::size_t to, std::int64_t turn, bool whole);
   void chosen(const std::shared_ptr<Round>& round);
   void again(const std::shared_ptr<Round>& round);
+  bool may_propose(const std::shared_ptr<Round>& round);
+  void let_next_propose();
   void finish(const std::shared_ptr<Round>& round, absl::StatusOr<Value> result);
 
   net::Later& later_;
@@ -138,8 +163,14 @@
   std::uint64_t luck_;
   std::int64_t highest_ = 0;  // round that was met
   Value initial_;
+  std::shared_ptr<const AcceptedValue> accepted_;  // the newest that was seen, proposed or told of
+  std::set<std::string> entered_;  // addresses of acceptors that have answered in initial_'s epoch
   std::optional<Value> known_;
   std::function<void(const Value&)> told_;
+  // One round of this process proposes at a time, or they would outbid one another; the others wait, the
+  // oldest first. Looks do not wait.
+  std::shared_ptr<Round> proposing_;
+  std::deque<std::shared_ptr<Round>> waiting_;
 };
 
 }  // namespace chutevane::control
--- a/src/market/disk.cpp
+++ b/src/market/disk.cpp
@@ -175,6 +175,7 @@
   if (loses || unsure) return absl::DataLossError(name);
   file.synced = replayed(std::move(file.synced), file.since,
                          [](const Write& w) { return w.lost ? Fate::missing : Fate::whole; });
+  if (!file.lasts) removed_.clear();  // the folder is synced for its name
   file.lasts = true;
   file.since.clear();
   return absl::OkStatus();
@@ -184,7 +185,10 @@
   const bool no_power = meets(DiskFault::no_power);
   ++steps_;
   if (no_power) return absl::UnavailableError("no power");
-  files_.erase(name);
+  const auto found = files_.find(name);
+  if (found == files_.end()) return absl::OkStatus();
+  if (found->second.lasts) removed_[name] = found->second.synced;
+  files_.erase(found);
   return absl::OkStatus();
 }
 
@@ -231,6 +235,10 @@
     file = {after, after, true, {}};
     ++it;
   }
+  for (const auto& [name, content] : removed_) {
+    if (!files_.contains(name) && draw() == Fate::missing) files_[name] = {content, content, true, {}};
+  }
+  removed_.clear();
 }
 
 std::string framed(std::string_view record, std::uint64_t salt) {
@@ -261,10 +269,15 @@
 
 absl::StatusOr<Slots::Opened> Slots::open() {
   Opened out;
+  unread_ = true;  // until it is read to its end
+  current_ = 1;
+  number_ = 0;
+  log_size_ = 0;
   bool found = false, spoilt = false;
   for (int slot = 0; slot < 2; ++slot) {
     const absl::StatusOr<std::string> file_text = disk_.read(file("slot", slot));
-    if (!file_text.ok()) continue;
+    if (absl::IsNotFound(file_text.status())) continue;
+    if (!file_text.ok()) return file_text.status();
     const std::vector<std::string> records = unframed(*file_text, 0);
     if (records.empty() || records[0].size() < 8) {
       spoilt = spoilt || !file_text->empty();
@@ -286,9 +299,13 @@
       if (!s.ok() && !absl::IsNotFound(s)) return s;  // it may have no log
     }
   }
-  if (!found) return spoilt ? absl::DataLossError(name_) : absl::NotFoundError(name_);
+  if (!found) {
+    unread_ = false;
+    return spoilt ? absl::DataLossError(name_) : absl::NotFoundError(name_);
+  }
   const std::string log = file("log", current_);
   const absl::StatusOr<std::string> text = disk_.read(log);
+  if (!text.ok() && !absl::IsNotFound(text.status())) return text.status();
   if (text.ok()) {
     out.changes = unframed(*text, number_, &log_size_);
     // What is behind the last good record would hide what is appended next.
@@ -297,10 +314,12 @@
       if (absl::Status s = disk_.sync(log); !s.ok()) return s;
     }
   }
+  unread_ = false;
   return out;
 }
 
 absl::Status Slots::write(std::string_view state) {
+  if (unread_) return absl::FailedPreconditionError(name_ + ": what the disk holds could not be read");
   const int next = 1 - current_;
   std::string record(8, '\0');
   const std::uint64_t number = number_ + 1;
@@ -321,6 +340,7 @@
 }
 
 absl::Status Slots::append(std::string_view change) {
+  if (unread_) return absl::FailedPreconditionError(name_ + ": what the disk holds could not be read");
   if (needs_write_) return absl::FailedPreconditionError(name_ + ": a whole state has to be written first");
   const std::string log = file("log", current_);
   const std::string record = framed(change, number_);
--- a/tests/market/register_test.cpp
+++ b/tests/market/register_test.cpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
+#include "market/value_update.hpp"
 #include "played_register.hpp"
-#include "played_system.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
@@ -34,12 +34,11 @@
 using played::Field;
 using played::Machine;
 using played::Proposer;
+using played::verdict;
 using played::Weather;
 
 namespace {
 
-Verdict verdict(std::int64_t v) { return static_cast<Verdict>(v); }
-
 // What must hold whatever happens, told of every chosen value and of every order's start and end.
 class Watcher {
  public:
@@ -272,6 +271,7 @@
       field.clock.later.after(Span::ms(4000 * field.luck.unit()), [this] { trouble(); });
     field.clock.play(Span::ms(7000));
     watcher.check(answered == asked, "an order was not answered, or twice");
+    watcher.check(field.broken.empty(), field.broken);
     // Calm again: a read comes to its end within the time that an order has.
     field.weather = {};
     for (Machine& m : field.all) {
@@ -505,6 +505,89 @@
   for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], field.all[i].disk->steps());
 }
 
+// Values go over the ways only to who does not have them.
+TEST(RegisterOrders, SecondReadBringsNoValues) {
+  field.counting = true;
+  p.reg.learn_epoch(field.first_set(3));
+  p.reg.change(
+      [](const Value& current) -> std::optional<Value> {
+        Value out = current;
+        out.config.data.assign(100000, 'c');
+        return out;
+      },
+      Span::ms(1000), [](absl::StatusOr<Value>) {});
+  field.clock.play(Span::ms(1000));
+  field.bytes_asked = field.bytes_answered = 0;
+  bool read = false;
+  p.reg.read(Span::ms(1000),
+             [&](absl::StatusOr<Value> got) { read = got.ok() && got->config.data.size() == 100000; });
+  field.clock.play(Span::ms(1000));
+  CHECK_TRUE(read);
+  CHECK_TRUE(field.bytes_asked + field.bytes_answered < 500);
+}
+
+// Orders of one process do not outbid one another: all that come at once are taken, each in its turn.
+TEST(RegisterOrders, ManyAtOnceAreTakenOneAfterAnother) {
+  p.reg.learn_epoch(field.first_set(3));
+  std::size_t taken = 0;
+  for (std::int64_t order = 1; order <= 20; ++order) {
+    p.reg.change(
+        [order](const Value& current) -> std::optional<Value> {
+          if (had(current, order)) return std::nullopt;
+          Value out = current;
+          out.taken.push_back({order, order});
+          return out;
+        },
+        Span::ms(3000),
+        [&taken, order](absl::StatusOr<Value> got) { taken += got.ok() && had(*got, order); });
+  }
+  field.clock.play(Span::ms(3100));
+  CHECK_EQUAL(static_cast<std::size_t>(20), taken);
+}
+
+// One that waits for others of its process ends by its own time.
+TEST(RegisterOrders, OneThatWaitsEndsInTime) {
+  field.all[0].up = field.all[1].up = false;
+  p.reg.learn_epoch(field.first_set(3));
+  const TimePoint start = field.clock.system.now();
+  std::vector<Span> ends;
+  for (const double most : {2000.0, 500.0, 1000.0}) {
+    p.reg.change(replacing(0, 4, 9), Span::ms(most), [&](absl::StatusOr<Value> got) {
+      CHECK_FALSE(got.ok());
+      ends.push_back(field.clock.system.now() - start);
+    });
+  }
+  field.clock.play(Span::ms(5000));
+  CHECK_EQUAL(static_cast<std::size_t>(3), ends.size());
+  CHECK_TRUE(ends[0] <= Span::ms(501) && ends[1] <= Span::ms(1001) && ends[2] <= Span::ms(2001));
+}
+
+// An acceptor with another value than the difference rests on asks for the whole.
+TEST(RegisterOrders, AcceptorWithAnotherValueGetsTheWhole) {
+  const auto store = [](std::size_t size, char c) {
+    return [=](const Value& current) -> std::optional<Value> {
+      Value out = current;
+      out.config.data.assign(size, 'x');
+      out.config.data += c;
+      return out;
+    };
+  };
+  p.reg.learn_epoch(field.first_set(3));
+  p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  field.clock.play(Span::ms(1000));
+  field.all[2].up = false;  // it misses one
+  p.reg.change(store(50000, 'b'), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  field.clock.play(Span::ms(1000));
+  field.all[2].up = true;
+  field.all[0].up = false;  // now it is needed
+  bool taken = false;
+  p.reg.change(store(50000, 'c'), Span::ms(1000), [&](absl::StatusOr<Value> got) { taken = got.ok(); });
+  field.clock.play(Span::ms(1100));
+  CHECK_TRUE(taken);
+  CHECK_TRUE(field.all[2].acceptor->value().config.data.back() == 'c');
+  CHECK_TRUE(field.all[2].acceptor->value() == field.all[1].acceptor->value());
+}
+
 // The set is changed by a sealed value, which nobody is told of: the next epoch begins with what it held.
 TEST(RegisterOrders, SealedAndOpened) {
   Field five(5, 3);
@@ -661,6 +744,58 @@
   }
 }
 
+// The log is long, and the next answer switches the slot: power is lost, or one step fails, at each step of
+// the switch and of what follows it. From 1 KB to 8 MB the state is what was answered last, or what was under
+// way.
+TEST(RegisterAcceptor, SlotSwitchAtEveryStepAndSize) {
+  for (const std::size_t size :
+       {std::size_t{1} << 10U, std::size_t{64} << 10U, std::size_t{1} << 20U, std::size_t{8} << 20U}) {
+    const std::string text(size, 'c');
+    const std::uint64_t lucks = size > (1U << 20U) ? 2 : size > (1U << 16U) ? 6 : 30;
+    // So many rounds that the log is at the switch.
+    const std::int64_t rounds = 2 + static_cast<std::int64_t>((512U << 10U) / size);
+    const auto fill = [&](AcceptorState& a) {
+      for (std::int64_t round = 1; round <= rounds; ++round)
+        CHECK_TRUE(a.prepare(prepare(initial, round)).ok() &&
+                   a.accept(accept(initial, round, text + std::to_string(round))).ok());
+    };
+    market::MemoryDisk filled;
+    AcceptorState before(filled, "m0", "d0", true);
+    CHECK_TRUE(before.open().ok());
+    fill(before);
+    for (std::size_t point = 0; point < 14; ++point) {
+      for (std::uint64_t luck = 0; luck < lucks; ++luck) {
+        const std::string where = numbered("size ", static_cast<long long>(size)) +
+                                  numbered(", step ", static_cast<long long>(point)) +
+                                  numbered(", luck ", static_cast<long long>(luck));
+        market::MemoryDisk disk = filled;
+        AcceptorState a(disk, "m0", "d0", true);
+        CHECK_TRUE(a.open().ok());
+        std::int64_t promised = rounds, accepted = rounds, tried = rounds;
+        disk.fail_from(disk.steps() + point);
+        for (std::int64_t round = rounds + 1; round <= rounds + 3; ++round) {
+          if (!a.prepare(prepare(initial, round)).ok()) break;
+          promised = round;
+          tried = round;
+          if (!a.accept(accept(initial, round, text + std::to_string(round))).ok()) break;
+          accepted = round;
+        }
+        if (luck % 2 == 0) disk.power_cycle(luck);
+        disk.fail_from(static_cast<std::size_t>(-1));
+        AcceptorState again(disk, "m0", "d0", true);
+        CHECK_WHERE(again.open().ok(), where);
+        const auto got = again.prepare(prepare(initial, 0, 0, true));
+        CHECK_WHERE(got->promised.round >= promised && got->promised.round <= promised + 1, where);
+        CHECK_WHERE(got->accepted.round == accepted || got->accepted.round == tried, where);
+        CHECK_WHERE(got->value.config.data == text + std::to_string(got->accepted.round), where);
+        std::size_t held = 0;
+        for (const std::string& name : disk.names()) held += disk.read(name)->size();
+        CHECK_WHERE(held <= market::Slots::disk_most(size + 2000, size + 2000), where);
+      }
+    }
+  }
+}
+
 // Without a request it takes up again what it has as soon as the disk does.
 TEST(RegisterAcceptor, WritesAgainOnceTheDiskWorks) {
   market::MemoryDisk disk;
@@ -695,6 +830,56 @@
   CHECK_TRUE(look->value.config.data == "x" && look->accepted == (Ballot{5, 1}));
 }
 
+// Guards the asker's own copy: it stands in for the value of the ballot that it names, and of no other.
+TEST(RegisterAcceptor, ValueIsLeftOutOnlyForTheBallotThatWasNamed) {
+  market::MemoryDisk disk;
+  AcceptorState a(disk, "m0", "d0", true);
+  CHECK_TRUE(a.open().ok());
+  Prepare ask = prepare(initial, 5);
+  CHECK_FALSE(a.prepare(ask)->value_known);  // accepted under no ballot yet: none can be named
+  CHECK_TRUE(verdict(a.accept(accept(initial, 5, "x"))->verdict) == Verdict::yes);
+  ask.ballot = {6, 1};
+  ask.known = {5, 1};
+  const auto named = a.prepare(ask);
+  CHECK_TRUE(named->value_known && named->value == Value{} && named->accepted == (Ballot{5, 1}));
+  for (const Ballot other : {Ballot{}, Ballot{4, 1}, Ballot{5, 2}, Ballot{6, 1}}) {
+    ask.known = other;
+    const auto got = a.prepare(ask);
+    CHECK_TRUE(!got->value_known && got->value.config.data == "x");
+  }
+}
+
+// Guards the accepted value: a difference from another base than it has, or that makes another value, is no
+// vote.
+TEST(RegisterAcceptor, DifferenceCountsOnItsOwnBaseOnly) {
+  Value base = initial, next = initial, other = initial;
+  base.number = other.number = 1;
+  base.config.data = std::string(3000, 'a') + "base";
+  other.config.data = std::string(3000, 'a') + "othr";
+  next.number = 2;
+  next.config.data = std::string(3000, 'a') + "next";
+  for (const bool on_its_base : {true, false}) {
+    for (const bool spoilt : {false, true}) {
+      market::MemoryDisk disk;
+      AcceptorState a(disk, "m0", "d0", true);
+      CHECK_TRUE(a.open().ok());
+      CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
+      Accept first{1, {1, 1}, on_its_base ? base : other, {}};
+      CHECK_TRUE(verdict(a.accept(first)->verdict) == Verdict::yes);
+      CHECK_TRUE(verdict(a.prepare(prepare(initial, 2))->verdict) == Verdict::yes);
+      Accept ask{1, {2, 1}, {}, market::value_difference(1, market::encoded(base), market::encoded(next))};
+      if (spoilt) ask.difference.content.data.back() ^= 1;
+      const bool good = on_its_base && !spoilt;
+      CHECK_TRUE(verdict(a.accept(ask)->verdict) == (good ? Verdict::yes : Verdict::whole));
+      CHECK_TRUE(a.value() == (good ? next : first.value));
+      CHECK_TRUE(a.accepted() == (good ? ask.ballot : first.ballot));
+      CHECK_TRUE(verdict(a.accept({1, {2, 1}, next, {}})->verdict) == Verdict::yes);
+      CHECK_TRUE(verdict(a.accept(ask)->verdict) == Verdict::yes);  // repeated: it has that value
+      CHECK_TRUE(a.value() == next);
+    }
+  }
+}
+
 // A disk that was lost: the machine has its address and not its promises.
 TEST(RegisterAcceptor, WipedDiskVotesForNothingOfThatEpoch) {
   const Value named = [&] {
