--- /dev/null
+++ b/src/control/control_plane_duties.cpp
@@ -0,0 +1,152 @@
+// Duties of a controller: ballots, the platform's list of endpoints, the sets of acceptors and storage nodes.
+#include <algorithm>
+
+#include "control/control_plane.hpp"
+#include "control/control_plane_limits.hpp"
+#include "market/log.hpp"
+
+namespace chutevane::control {
+namespace {
+
+using market::Member;
+
+}  // namespace
+
+void ControlPlane::ballot(Duty& duty, std::int64_t term) {
+  struct Count {
+    std::size_t yes = 0, asked = 0, answered = 0;
+    bool over = false;
+  };
+  auto count = std::make_shared<Count>();
+  const std::size_t needed = majority(register_.initial());
+  const auto hear = [this, count, &duty, term, needed](bool yes) {
+    ++count->answered;
+    count->yes += yes ? 1 : 0;
+    if (count->over) return;
+    if (count->yes >= needed) {
+      count->over = true;
+      duty.won(term, later_.now());
+      market::log_info("duty.won", duty.name() + ", term " + std::to_string(term));
+      gossip();
+    } else if (count->answered == count->asked) {
+      count->over = true;
+      duty.lost(later_.now());
+      stand(duty);
+    }
+  };
+  const std::vector<market::Acceptor> voters = register_.initial().acceptors;
+  count->asked = voters.size();
+  for (const market::Acceptor& a : voters) {
+    if (a.address == address_) {
+      hear(duty.vote(term, later_.now()));
+      continue;
+    }
+    market::Link* const to = link(a.address);
+    if (to == nullptr) {
+      hear(false);
+      continue;
+    }
+    to->call<market::Voted>(market::Vote{duty.name(), term, settings_.node}, vote_most,
+                            [hear](absl::StatusOr<market::Voted> got) { hear(got.ok() && got->granted); });
+  }
+}
+
+void ControlPlane::stand(Duty& duty) {
+  const TimePoint now = later_.now();
+  std::int64_t term = 0;
+  if (leaving_ || register_.initial().epoch == 0) return;
+  if (duty.stand(now, term)) return ballot(duty, term);
+  const TimePoint again = duty.look_again();
+  // Not with the loop's step: those who began together would go on together.
+  if (again > now)
+    later_.at(again, [this, &duty, again] {
+      if (duty.look_again() == again) stand(duty);
+    });
+}
+
+void ControlPlane::work_duties() {
+  if (leaving_) return;
+  const TimePoint now = later_.now();
+  for (Duty* duty : {&list_duty_, &roster_duty_}) {
+    const bool just_won = now - duty->won_at() < duty_vacant_after;  // its ballots stand for the echoes
+    if (duty->mine() && !just_won && !quorum_reached(duty_vacant_after)) duty->give_up(now);
+    stand(*duty);
+  }
+  if (roster_duty_.mine()) {
+    if (!had_roster_) roster_.restart();
+    keep_roster();
+  }
+  had_roster_ = roster_duty_.mine();
+}
+
+void ControlPlane::read_list() {
+  if (list_duty_.mine() && !platform_.reading()) {
+    platform_.read([this](std::optional<std::vector<market::Listed>> entries) {
+      if (!entries || !list_duty_.mine()) return;
+      for (market::Listed& e : *entries)
+        e.cold_ms = e.cold_ms > 0 ? 1 : 0;  // falls with time: no news by itself
+      const std::int64_t term = list_.term(), number = list_.number();
+      if (!list_.update(told_term(list_duty_.term(), holder_), *entries)) return;
+      for (auto& [address, peer] : peers_) {
+        for (const market::EndpointList& change : list_.since(term, number)) peer.link->tell(change);
+      }
+      list_changed();
+    });
+  }
+  later_.after(list_every, [this] { read_list(); });
+}
+
+void ControlPlane::take_list(const market::EndpointList& told) {
+  step_down_if_overtaken(told.term);
+  if (list_.apply(told)) list_changed();
+}
+
+// A list that would be turned away by those who follow this one need not be read.
+void ControlPlane::step_down_if_overtaken(std::int64_t told) {
+  if (list_duty_.mine()) list_duty_.learn_told(told, holder_);
+}
+
+void ControlPlane::list_changed() {
+  for (auto& [id, session] : sessions_) {
+    if (session.first) push(id, session);
+  }
+}
+
+void ControlPlane::keep_roster() {
+  if (changing_roster_ || !register_.known() || !quorum_reached(duty_vacant_after)) return;
+  const TimePoint now = later_.now();
+  const market::Value& value = *register_.known();
+  // One whose disk fails can't vote: it is counted as gone, so that another takes its place.
+  std::vector<LiveController> live;
+  if (!acceptor_->disk_failing()) live.push_back({address_, record_.disk, record_.first, !leaving_});
+  for (const auto& [address, peer] : peers_) {
+    if (peer.last && !peer.last->disk_failing && now - peer.heard < peer_heard)
+      live.push_back({address, peer.last->disk, peer.last->first, !peer.last->leaving});
+  }
+  const auto next = roster_.acceptors(value, live, now);
+  const auto wanted = next ? std::nullopt : roster_.storage_nodes(value, members(), now);
+  if (!next && !wanted) return;
+  changing_roster_ = true;
+  const std::int64_t number = value.number;
+  register_.change(
+      [number, next, wanted](const market::Value& current) -> std::optional<market::Value> {
+        if (current.number != number) return std::nullopt;  // decided on another value: look again
+        if (wanted) return wanted;
+        market::Value out = current;
+        out.next = *next;
+        return out;
+      },
+      Span::ms(1500),
+      [this, changed = next.has_value()](absl::StatusOr<market::Value> got) {
+        changing_roster_ = false;
+        if (!got.ok()) return;
+        announce(*got);
+        market::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
+                         "number " + std::to_string(got->number) + ", epoch " + std::to_string(got->epoch) +
+                             ", map " + std::to_string(got->map) + " of " +
+                             std::to_string(got->storage_nodes.size()));
+        if (changed) gossip();
+      });
+}
+
+}  // namespace chutevane::control
--- /dev/null
+++ b/src/control/control_plane_sessions.cpp
@@ -0,0 +1,145 @@
+// Sessions of edges and storage nodes with a controller: members, pushed values, heartbeats.
+#include <algorithm>
+
+#include "control/control_plane.hpp"
+#include "control/control_plane_limits.hpp"
+#include "market/log.hpp"
+
+namespace chutevane::control {
+namespace {
+
+using market::Member;
+
+}  // namespace
+
+void ControlPlane::on_hello(market::Desk::Guest& guest, const market::Hello& hello) {
+  if (hello.ending) {
+    sessions_.erase(guest.id());
+    return;
+  }
+  const bool fresh = !sessions_.contains(guest.id());
+  Session& session = sessions_[guest.id()];
+  session.member = hello.member;
+  session.heard = later_.now();
+  session.stamp = hello.stamp;
+  session.first = hello.first;
+  session.values.acknowledged(hello.member.number, hello.refused);
+  // What was sent since this word was written stays sent.
+  if (std::pair(hello.list_term, hello.list_number) > std::pair(session.list_term, session.list_number)) {
+    session.list_term = hello.list_term;
+    session.list_number = hello.list_number;
+  }
+  list_duty_.learn_told(hello.list_term, holder_);
+  followed_list_term_ = std::max(followed_list_term_, hello.list_term);
+  if (fresh || session.first) push(guest.id(), session);
+  if (fresh) {
+    market::Beat word;
+    word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+    word.number = register_.known() ? register_.known()->number : 0;
+    word.echo_stamp = hello.stamp;
+    word.controllers = controller_addresses();
+    guest.tell(word);
+  }
+  acknowledged();
+}
+
+void ControlPlane::push(std::uint64_t id, Session& session) {
+  market::Desk::Guest* const guest = desk_.find(id);
+  if (guest == nullptr) return;
+  if (const std::string* const record = session.values.next(pushed_, guest->unsent()))
+    guest->tell_record(market::Push::kind, *record);
+  if (!list_.newer_than(session.list_term, session.list_number)) return;
+  for (const market::EndpointList& change : list_.since(session.list_term, session.list_number))
+    guest->tell(change);
+  session.list_term = list_.term();
+  session.list_number = list_.number();
+}
+
+void ControlPlane::beat() {
+  market::Beat word;
+  word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+  word.number = register_.known() ? register_.known()->number : 0;
+  const TimePoint now = later_.now();
+  const std::vector<Member> all = members();
+  word.edges = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
+  const std::vector<std::string> controllers = controller_addresses();
+  if (controllers != told_controllers_ || now - told_since_ > full_every) {
+    word.controllers = told_controllers_ = controllers;
+    told_since_ = now;
+  }
+  std::vector<std::uint64_t> silent;
+  for (auto& [id, session] : sessions_) {
+    market::Desk::Guest* const guest = desk_.find(id);
+    if (guest == nullptr || now - session.heard > session_heard) {
+      silent.push_back(id);
+      continue;
+    }
+    push(id, session);  // before the beat, which confirms what has come
+    word.echo_stamp = session.stamp;
+    guest->tell(word);
+  }
+  for (const std::uint64_t id : silent) {
+    sessions_.erase(id);
+    if (market::Desk::Guest* const guest = desk_.find(id)) guest->close();
+  }
+  if (!silent.empty()) acknowledged();
+}
+
+void ControlPlane::acknowledged() {
+  const TimePoint now = later_.now();
+  while (!waiting_.empty()) {
+    const Waiting& first = waiting_.front();
+    const bool all = std::all_of(sessions_.begin(), sessions_.end(), [&](const auto& one) {
+      return one.second.member.plane != "edge" || one.second.member.number >= first.number;
+    });
+    if (!all && now < first.until) return;
+    const auto answer = first.answer;
+    waiting_.pop_front();
+    answer();
+  }
+}
+
+void ControlPlane::when_acknowledged(std::int64_t number, std::function<void()> then) {
+  waiting_.push_back({number, later_.now() + acks_most, std::move(then)});
+  later_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
+  acknowledged();
+}
+
+bool ControlPlane::all_peers_heard() const {
+  return std::all_of(peers_.begin(), peers_.end(), [&](const auto& one) {
+    return one.second.last && later_.now() - one.second.heard < peer_heard;
+  });
+}
+
+// A member's session is told of by a peer's next full word; one that had to look for another control machine
+// has found it by then too.
+bool ControlPlane::members_complete() const {
+  return quorum_reached(peer_heard) && all_peers_heard() &&
+         later_.now() - in_contact_since_ >= members_settled_after;
+}
+
+ControlStatus ControlPlane::status() const {
+  ControlStatus out{settings_.node, fresh_age(), {}, list_.entries().size()};
+  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
+    if (duty->mine()) out.duties.push_back({duty->name(), duty->term()});
+  }
+  return out;
+}
+
+std::vector<Member> ControlPlane::members() const {
+  std::map<std::string, Member> all;
+  const auto take = [&](const Member& m) {
+    Member& at = all[m.node];
+    if (at.node.empty() || at.disk != m.disk || at.whole < m.whole) at = m;
+  };
+  for (const auto& [address, peer] : peers_) {
+    if (!peer.last || later_.now() - peer.heard > peer_heard) continue;
+    for (const Member& m : peer.last->members) take(m);
+  }
+  for (const auto& [id, session] : sessions_) take(session.member);
+  std::vector<Member> out;
+  for (const auto& [node, m] : all) out.push_back(m);
+  return out;
+}
+
+}  // namespace chutevane::control
