--- a/src/market/avro.cpp
+++ b/src/common/avro.cpp
@@ -1,11 +1,11 @@
-#include "market/avro.hpp"
+#include "common/avro.hpp"
 
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
 #include <map>
 
-namespace chutevane::market::avro {
+namespace chutevane::common::avro {
 namespace {
 
 [[noreturn]] void stop(const char* what) {
@@ -78,4 +78,4 @@
   return good;
 }
 
-}  // namespace chutevane::market::avro
+}  // namespace chutevane::common::avro
--- a/src/market/avro.hpp
+++ b/src/common/avro.hpp
@@ -9,7 +9,7 @@
 #include <type_traits>
 #include <vector>
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 extern const char* const control_schema;
 extern const char* const storage_schema;
@@ -245,4 +245,4 @@
   return true;
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/configuration.cpp
+++ b/src/common/configuration.cpp
@@ -1,4 +1,4 @@
-#include "market/configuration.hpp"
+#include "common/configuration.hpp"
 
 #include <simdjson.h>
 #include <xxhash.h>
@@ -9,7 +9,7 @@
 #include <map>
 #include <set>
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 using simdjson::dom::element;
@@ -259,4 +259,4 @@
   return room.data();
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/configuration.hpp
+++ b/src/common/configuration.hpp
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "market/findings.hpp"
+#include "common/findings.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 enum class RouteType : std::uint8_t { idempotent, non_idempotent, streaming };
 
@@ -67,4 +67,4 @@
 std::uint64_t hash_of(std::string_view text);
 std::string hash_text(std::uint64_t hash);  // 16 hexadecimal digits
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/disk.cpp
+++ b/src/common/disk.cpp
@@ -1,4 +1,4 @@
-#include "market/disk.hpp"
+#include "common/disk.hpp"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -12,7 +12,7 @@
 #include <cstring>
 #include <fstream>
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 absl::Status error(const std::string& what) { return absl::ErrnoToStatus(errno, what); }
@@ -352,4 +352,4 @@
   return absl::OkStatus();
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/disk.hpp
+++ b/src/common/disk.hpp
@@ -13,7 +13,7 @@
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 class Disk {
  public:
@@ -162,4 +162,4 @@
   bool unread_ = false;  // open() has failed: what is written now could hide a newer state
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/disk_health.hpp
+++ b/src/common/disk_health.hpp
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "absl/status/status.h"
-#include "market/log.hpp"
+#include "common/log.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 class DiskHealth {
  public:
@@ -25,4 +25,4 @@
   bool works_ = true;
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/endpoint_book.cpp
+++ b/src/common/endpoint_book.cpp
@@ -1,6 +1,6 @@
-#include "market/endpoint_book.hpp"
+#include "common/endpoint_book.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 void EndpointBook::note(EndpointList change) {
   changes_.push_back(std::move(change));
@@ -72,4 +72,4 @@
   return out;
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/endpoint_book.hpp
+++ b/src/common/endpoint_book.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 class EndpointBook {
  public:
@@ -38,4 +38,4 @@
   std::deque<EndpointList> changes_;
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/findings.hpp
+++ b/src/common/findings.hpp
@@ -6,7 +6,7 @@
 
 #include "absl/status/status.h"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 struct Finding {
   std::string place;  // a line, a key, or a path into a document
@@ -32,4 +32,4 @@
   std::vector<Finding> list_;
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/http_port.cpp
+++ b/src/common/http_port.cpp
@@ -1,30 +1,31 @@
-#include "market/http_port.hpp"
+#include "common/http_port.hpp"
 
 #include "http/writer.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 HttpPort::HttpPort(net::Scheduler& scheduler, std::size_t body_most, Handler handler)
     : scheduler_(scheduler),
       body_most_(body_most),
       handler_(std::move(handler)),
-      listener_(scheduler, [this](int fd) { crew_.add(std::make_unique<Guest>(*this)).channel_.adopt(fd); }),
+      listener_(scheduler,
+                [this](int fd) { crew_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd); }),
       crew_(scheduler) {}
 
-HttpPort::Guest::Guest(HttpPort& port)
+HttpPort::Connection::Connection(HttpPort& port)
     : port_(port),
       channel_(port.scheduler_, static_cast<net::Channel::Sink&>(*this)),
       parser_(http::Side::request, {.head = 16 * 1024, .body = port.body_most_, .fields = 100}),
       id_(++port.last_) {
-  port.guests_.emplace(id_, this);
+  port.connections_.emplace(id_, this);
 }
 
-void HttpPort::Guest::channel_gone(net::Channel&) {
-  port_.guests_.erase(id_);
+void HttpPort::Connection::channel_gone(net::Channel&) {
+  port_.connections_.erase(id_);
   port_.crew_.retire(*this);
 }
 
-void HttpPort::Guest::look() {
+void HttpPort::Connection::look() {
   if (looking_) return;  // an answer that is given at once comes back here: the loop below goes on
   looking_ = true;
   while (!asked_ && channel_.open() && !channel_.in().empty() && take_request()) {
@@ -33,7 +34,7 @@
 }
 
 // False: it has not come whole yet.
-bool HttpPort::Guest::take_request() {
+bool HttpPort::Connection::take_request() {
   const http::Progress progress = parser_.feed(channel_.in().bytes());
   if (progress == http::Progress::more) return false;
   asked_ = true;
@@ -45,13 +46,14 @@
   }
   keep_ = parser_.keep_alive();
   port_.handler_(parser_, [port = &port_, id = id_, number = asked_number_](HttpAnswer reply) {
-    const auto found = port->guests_.find(id);
-    if (found != port->guests_.end() && found->second->asked_number_ == number) found->second->answer(reply);
+    const auto found = port->connections_.find(id);
+    if (found != port->connections_.end() && found->second->asked_number_ == number)
+      found->second->answer(reply);
   });
   return true;
 }
 
-void HttpPort::Guest::answer(const HttpAnswer& reply) {
+void HttpPort::Connection::answer(const HttpAnswer& reply) {
   if (!asked_ || !channel_.open()) return;
   http::Writer out(channel_.out());
   out.status_line(reply.status);
@@ -71,4 +73,4 @@
   }
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/http_port.hpp
+++ b/src/common/http_port.hpp
@@ -13,7 +13,7 @@
 #include "net/channel.hpp"
 #include "net/crew.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 struct HttpAnswer {
   int status = 200;
@@ -33,9 +33,9 @@
   std::optional<sockaddr_in> address() const { return listener_.address(); }
 
  private:
-  class Guest final : net::Channel::Sink {
+  class Connection final : net::Channel::Sink {
    public:
-    explicit Guest(HttpPort& port);
+    explicit Connection(HttpPort& port);
     std::size_t crew_place = 0;
 
    private:
@@ -57,8 +57,8 @@
   Handler handler_;
   net::Listener listener_;
   std::uint64_t last_ = 0;
-  std::unordered_map<std::uint64_t, Guest*> guests_;
-  net::Crew<Guest> crew_;
+  std::unordered_map<std::uint64_t, Connection*> connections_;
+  net::Crew<Connection> crew_;
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/log.cpp
+++ b/src/common/log.cpp
@@ -1,4 +1,4 @@
-#include "market/log.hpp"
+#include "common/log.hpp"
 
 #include <easylogging++.h>
 
@@ -8,7 +8,7 @@
 
 INITIALIZE_EASYLOGGINGPP
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 constexpr int lines_most = 50;  // a second: what a reader and the processor bear in a storm
@@ -81,4 +81,4 @@
   put(level, log_line_of(name_of(level), the_node, the_role, event, detail, now));
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/log.hpp
+++ b/src/common/log.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 enum class Level : std::uint8_t { info, warning, error };
 
@@ -27,4 +27,4 @@
 std::string log_line_of(std::string_view level, std::string_view node, std::string_view role,
                         std::string_view event, std::string_view detail, std::int64_t unix_ms);
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/messages.hpp
+++ b/src/common/messages.hpp
@@ -1,9 +1,9 @@
 // The records of api/*.avsc as plain values. A field stands here and in its schema file.
 #pragma once
 
-#include "market/avro.hpp"
+#include "common/avro.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 // A control sidecar that votes: where it hears, and which disk it is.
 struct Acceptor {
@@ -98,7 +98,7 @@
   bool operator==(const Value&) const = default;
 };
 
-// What makes one value's record out of another's (market/value_difference.hpp); empty: the message that it
+// What makes one value's record out of another's (common/value_difference.hpp); empty: the message that it
 // stands in has the value whole.
 struct ValueDifference {
   static constexpr const char* record = "Value_difference";
@@ -422,7 +422,7 @@
   }
 };
 
-// A sidecar's word when it opens its session, and with each beat.
+// A sidecar's word when it opens its session, and with each heartbeat.
 struct Hello {
   static constexpr const char* record = "Hello";
   static constexpr std::uint8_t kind = 21;  // on the wire
@@ -461,8 +461,8 @@
 };
 
 // From control down a session, four times a second.
-struct Beat {
-  static constexpr const char* record = "Beat";
+struct Heartbeat {
+  static constexpr const char* record = "Heartbeat";
   static constexpr std::uint8_t kind = 23;  // on the wire
   std::int64_t fresh_ms = 0;                // age of the sender's knowledge of the register
   std::int64_t echo_stamp = 0;              // of the newest Hello received down this session
@@ -682,4 +682,4 @@
   }
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/process.cpp
+++ b/src/common/process.cpp
@@ -1,4 +1,4 @@
-#include "market/process.hpp"
+#include "common/process.hpp"
 
 #include <sys/stat.h>
 
@@ -8,11 +8,11 @@
 #include <cxxopts.hpp>
 #include <exception>
 
-#include "market/log.hpp"
-#include "net/later.hpp"
+#include "common/log.hpp"
 #include "net/signals.hpp"
+#include "net/timer_queue.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 constexpr Span look_every = Span::ms(2000);  // at the settings file, which may change without a signal
@@ -30,13 +30,13 @@
       : plane_(plane),
         path_(std::move(path)),
         node_(std::move(node)),
-        later_(scheduler),
+        timers_(scheduler),
         waker_(scheduler),
         signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGHUP}),
         stamp_(stamp_of(path_)),
         task_(hear()) {
     task_.start();
-    later_.after(look_every, [this] { look(); });
+    timers_.after(look_every, [this] { look(); });
   }
 
  private:
@@ -55,7 +55,7 @@
   }
   void look() {
     if (stamp_of(path_) != stamp_) reread();
-    later_.after(look_every, [this] { look(); });
+    timers_.after(look_every, [this] { look(); });
   }
   // A bad file changes nothing: what runs stays.
   void reread() {
@@ -72,7 +72,7 @@
   }
   Plane& plane_;
   const std::string path_, node_;
-  net::Later later_;
+  net::TimerQueue timers_;
   net::Waker waker_;
   net::Signals signals_;
   std::string stamp_;
@@ -119,4 +119,4 @@
   }
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/process.hpp
+++ b/src/common/process.hpp
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "absl/status/status.h"
-#include "market/settings.hpp"
+#include "common/settings.hpp"
 #include "net/scheduler.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 // A program's plane, as the loop drives it.
 class Plane {
@@ -28,4 +28,4 @@
 int run_process(const std::string& program, const std::string& about, int argc, char** argv,
                 const MakePlane& make);
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/link.cpp
+++ b/src/common/rpc.cpp
@@ -1,12 +1,12 @@
-#include "market/link.hpp"
+#include "common/rpc.hpp"
 
 #include <xxhash.h>
 
 #include <cstring>
 
-#include "market/log.hpp"
+#include "common/log.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 constexpr Span connect_most = Span::ms(500);  // a machine that is there answers within some ms
@@ -39,41 +39,42 @@
 
 }  // namespace frame
 
-Link::Link(net::Scheduler& scheduler, net::Later& later, const sockaddr_in& to, std::uint64_t seed)
-    : scheduler_(scheduler), later_(later), to_(to), pause_(pause_first), luck_(seed) {
+RpcClient::RpcClient(net::Scheduler& scheduler, net::TimerQueue& later, const sockaddr_in& to,
+                     std::uint64_t seed)
+    : scheduler_(scheduler), timers_(later), to_(to), pause_(pause_first), random_(seed) {
   connect();
 }
 
-Link::~Link() {
-  later_.cancel(retry_);
-  later_.cancel(rising_);
-  for (auto& [number, call] : calls_) later_.cancel(call.due);
+RpcClient::~RpcClient() {
+  timers_.cancel(retry_);
+  timers_.cancel(rising_);
+  for (auto& [number, call] : calls_) timers_.cancel(call.due);
 }
 
-void Link::connect() {
+void RpcClient::connect() {
   old_.reset();
   channel_ = std::make_unique<net::Channel>(scheduler_, static_cast<net::Channel::Sink&>(*this));
-  heard_ = later_.now();
+  heard_ = timers_.now();
   if (!channel_->connect(to_)) {
     channel_.reset();
     again();
     return;
   }
-  rising_ = later_.after(connect_most, [this] {
+  rising_ = timers_.after(connect_most, [this] {
     if (channel_ && !channel_->up()) restart();
   });
 }
 
-void Link::again() {
-  later_.cancel(retry_);
-  luck_ = XXH3_64bits(&luck_, sizeof luck_);
-  const double jitter = 0.5 + static_cast<double>(luck_ >> 11U) * 0x1p-53;
-  retry_ = later_.after(pause_ * jitter, [this] { connect(); });
+void RpcClient::again() {
+  timers_.cancel(retry_);
+  random_ = XXH3_64bits(&random_, sizeof random_);
+  const double jitter = 0.5 + static_cast<double>(random_ >> 11U) * 0x1p-53;
+  retry_ = timers_.after(pause_ * jitter, [this] { connect(); });
   pause_ = std::min(pause_ * 2, pause_most);
 }
 
-void Link::restart() {
-  later_.cancel(rising_);
+void RpcClient::restart() {
+  timers_.cancel(rising_);
   const bool was_up = up();
   if (channel_) {
     channel_->reset();
@@ -84,39 +85,39 @@
   if (was_up && told_down_) told_down_();
 }
 
-void Link::fail_all() {
+void RpcClient::fail_all() {
   std::map<std::uint64_t, Call> calls;
   calls.swap(calls_);
   for (auto& [number, call] : calls) {
-    later_.cancel(call.due);
+    timers_.cancel(call.due);
     call.answered(absl::UnavailableError("connection lost"));
   }
 }
 
-void Link::channel_up(net::Channel&) {
-  later_.cancel(rising_);
+void RpcClient::channel_up(net::Channel&) {
+  timers_.cancel(rising_);
   pause_ = pause_first;
-  heard_ = later_.now();
+  heard_ = timers_.now();
   for (auto& [number, call] : calls_)
     put(call.kind, frame::Sort::call, number, call.record), call.record.clear();
   if (told_up_) told_up_();
 }
 
-void Link::channel_gone(net::Channel&) {
-  later_.cancel(rising_);
+void RpcClient::channel_gone(net::Channel&) {
+  timers_.cancel(rising_);
   old_ = std::move(channel_);
   again();
   fail_all();
   if (told_down_) told_down_();
 }
 
-void Link::call_raw(std::uint8_t kind, std::string record, Span most, Answered answered) {
+void RpcClient::call_raw(std::uint8_t kind, std::string record, Span most, Answered answered) {
   const std::uint64_t number = ++last_;
   Call& call = calls_[number];
   call.kind = kind;
   call.answered = std::move(answered);
-  call.since = later_.now();
-  call.due = later_.after(most, [this, number] {
+  call.since = timers_.now();
+  call.due = timers_.after(most, [this, number] {
     const auto found = calls_.find(number);
     if (found == calls_.end()) return;
     const Answered told = std::move(found->second.answered);
@@ -132,13 +133,13 @@
   }
 }
 
-void Link::put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record) {
+void RpcClient::put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record) {
   frame::put(channel_->out(), kind, sort, number, record);
   channel_->flush();
 }
 
-void Link::channel_came(net::Channel& channel) {
-  heard_ = later_.now();
+void RpcClient::channel_came(net::Channel& channel) {
+  heard_ = timers_.now();
   frame::Head head;
   while (channel_.get() == &channel && channel.open()) {
     const std::span<char> bytes = channel.in().bytes();
@@ -151,7 +152,7 @@
       const auto found = calls_.find(head.number);
       if (found == calls_.end()) continue;
       const Answered told = std::move(found->second.answered);
-      later_.cancel(found->second.due);
+      timers_.cancel(found->second.due);
       calls_.erase(found);
       told(record);
     } else if (word_) {
@@ -160,30 +161,33 @@
   }
 }
 
-Desk::Guest::Guest(Desk& desk)
-    : desk_(desk), channel_(desk.scheduler_, static_cast<net::Channel::Sink&>(*this)), id_(++desk.last_) {
-  desk.guests_.emplace(id_, this);
+RpcServer::Connection::Connection(RpcServer& desk)
+    : rpc_server_(desk),
+      channel_(desk.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      id_(++desk.last_) {
+  desk.connections_.emplace(id_, this);
 }
 
-void Desk::Guest::put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record) {
+void RpcServer::Connection::put(std::uint8_t kind, frame::Sort sort, std::uint64_t number,
+                                std::string_view record) {
   if (!channel_.open()) return;
   frame::put(channel_.out(), kind, sort, number, record);
   channel_.flush();
 }
 
-void Desk::Guest::close() {
+void RpcServer::Connection::close() {
   if (!channel_.open()) return;
   channel_.close();
   channel_gone(channel_);
 }
 
-void Desk::Guest::channel_gone(net::Channel&) {
-  desk_.guests_.erase(id_);
-  if (desk_.gone_) desk_.gone_(*this);
-  desk_.crew_.retire(*this);
+void RpcServer::Connection::channel_gone(net::Channel&) {
+  rpc_server_.connections_.erase(id_);
+  if (rpc_server_.gone_) rpc_server_.gone_(*this);
+  rpc_server_.crew_.retire(*this);
 }
 
-void Desk::Guest::channel_came(net::Channel& channel) {
+void RpcServer::Connection::channel_came(net::Channel& channel) {
   frame::Head head;
   while (channel.open()) {
     const std::span<char> bytes = channel.in().bytes();
@@ -196,21 +200,21 @@
     }
     const std::string record(bytes.data() + frame::head_size, head.size);
     channel.in().consume(frame::head_size + head.size);
-    const auto handler = desk_.handlers_.find(head.kind);
-    if (handler != desk_.handlers_.end())
+    const auto handler = rpc_server_.handlers_.find(head.kind);
+    if (handler != rpc_server_.handlers_.end())
       handler->second(*this, head.sort == frame::Sort::call ? head.number : 0, record);
   }
 }
 
-Desk::Desk(net::Scheduler& scheduler)
+RpcServer::RpcServer(net::Scheduler& scheduler)
     : scheduler_(scheduler),
       listener_(scheduler,
                 [this](int fd) {
                   // Its place first: what has come already may end it at once.
-                  crew_.add(std::make_unique<Guest>(*this)).channel_.adopt(fd);
+                  crew_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd);
                 }),
       crew_(scheduler) {}
 
-void Desk::listen(const sockaddr_in& at) { listener_.listen(at); }
+void RpcServer::listen(const sockaddr_in& at) { listener_.listen(at); }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/link.hpp
+++ b/src/common/rpc.hpp
@@ -1,5 +1,5 @@
 // Held connections between the system's own processes: framed Avro records, calls with answers, and words
-// without. Link is the end that connects, and connects again; Desk the end that is connected to.
+// without. RpcClient is the end that connects, and connects again; RpcServer the end that is connected to.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,12 @@
 #include <unordered_map>
 
 #include "absl/status/statusor.h"
-#include "market/avro.hpp"
+#include "common/avro.hpp"
 #include "net/channel.hpp"
 #include "net/crew.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 namespace frame {
 
@@ -35,15 +35,15 @@
 
 }  // namespace frame
 
-class Link final : net::Channel::Sink {
+class RpcClient final : net::Channel::Sink {
  public:
   using Answered = std::function<void(absl::StatusOr<std::string>)>;
   using Word = std::function<void(std::uint8_t kind, std::string_view record)>;
 
-  Link(net::Scheduler& scheduler, net::Later& later, const sockaddr_in& to, std::uint64_t seed);
-  ~Link();
-  Link(const Link&) = delete;
-  Link& operator=(const Link&) = delete;
+  RpcClient(net::Scheduler& scheduler, net::TimerQueue& later, const sockaddr_in& to, std::uint64_t seed);
+  ~RpcClient();
+  RpcClient(const RpcClient&) = delete;
+  RpcClient& operator=(const RpcClient&) = delete;
 
   const sockaddr_in& to() const { return to_; }
   bool up() const { return channel_ && channel_->up(); }
@@ -68,7 +68,7 @@
     if (up()) put(M::kind, frame::Sort::word, 0, encoded(message));
   }
   // Heard of within so long: guards against a peer that is there no more and says nothing.
-  Span silent() const { return later_.now() - heard_; }
+  Span silent() const { return timers_.now() - heard_; }
   void restart();  // closes and connects anew
 
  private:
@@ -85,27 +85,27 @@
     std::uint8_t kind = 0;
     std::string record;  // until it has gone out
     Answered answered;
-    net::Later::Ticket due;
+    net::TimerQueue::Ticket due;
     TimePoint since;
   };
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const sockaddr_in to_;
   std::unique_ptr<net::Channel> channel_, old_;
-  net::Later::Ticket retry_, rising_;
+  net::TimerQueue::Ticket retry_, rising_;
   Span pause_;
-  std::uint64_t luck_, last_ = 0;
+  std::uint64_t random_, last_ = 0;
   TimePoint heard_;
   std::map<std::uint64_t, Call> calls_;
   std::function<void()> told_up_, told_down_;
   Word word_;
 };
 
-class Desk {
+class RpcServer {
  public:
-  class Guest final : net::Channel::Sink {
+  class Connection final : net::Channel::Sink {
    public:
-    explicit Guest(Desk& desk);
+    explicit Connection(RpcServer& desk);
     template <class M>
     void answer(std::uint64_t number, const M& message) {
       put(M::kind, frame::Sort::answer, number, encoded(message));
@@ -122,42 +122,42 @@
     std::size_t crew_place = 0;
 
    private:
-    friend class Desk;
+    friend class RpcServer;
     void put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record);
     void channel_came(net::Channel&) override;
     void channel_gone(net::Channel&) override;
-    Desk& desk_;
+    RpcServer& rpc_server_;
     net::Channel channel_;
     std::uint64_t id_;
   };
   // `number`: of a call, to be answered by it; 0: a word.
-  using Handler = std::function<void(Guest&, std::uint64_t number, std::string_view record)>;
+  using Handler = std::function<void(Connection&, std::uint64_t number, std::string_view record)>;
 
-  explicit Desk(net::Scheduler& scheduler);
+  explicit RpcServer(net::Scheduler& scheduler);
   void listen(const sockaddr_in& at);
   template <class M>
-  void on(std::function<void(Guest&, std::uint64_t number, M& message)> handler) {
-    handlers_[M::kind] = [handler = std::move(handler)](Guest& guest, std::uint64_t number,
+  void on(std::function<void(Connection&, std::uint64_t number, M& message)> handler) {
+    handlers_[M::kind] = [handler = std::move(handler)](Connection& connection, std::uint64_t number,
                                                         std::string_view record) {
       M message;
-      if (decode(record, message)) handler(guest, number, message);
+      if (decode(record, message)) handler(connection, number, message);
     };
   }
-  void on_gone(std::function<void(Guest&)> gone) { gone_ = std::move(gone); }
-  // The guest of that id, while it is there: for answers that come later.
-  Guest* find(std::uint64_t id) {
-    const auto found = guests_.find(id);
-    return found == guests_.end() ? nullptr : found->second;
+  void on_gone(std::function<void(Connection&)> gone) { gone_ = std::move(gone); }
+  // The connection of that id, while it is there: for answers that come later.
+  Connection* find(std::uint64_t id) {
+    const auto found = connections_.find(id);
+    return found == connections_.end() ? nullptr : found->second;
   }
 
  private:
   net::Scheduler& scheduler_;
   net::Listener listener_;
   std::unordered_map<std::uint8_t, Handler> handlers_;
-  std::function<void(Guest&)> gone_;
+  std::function<void(Connection&)> gone_;
   std::uint64_t last_ = 0;
-  std::unordered_map<std::uint64_t, Guest*> guests_;
-  net::Crew<Guest> crew_;
+  std::unordered_map<std::uint64_t, Connection*> connections_;
+  net::Crew<Connection> crew_;
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/session.cpp
+++ b/src/common/session.cpp
@@ -1,18 +1,18 @@
-#include "market/session.hpp"
+#include "common/session.hpp"
 
 #include <arpa/inet.h>
 #include <xxhash.h>
 
 #include <algorithm>
 
-#include "market/log.hpp"
+#include "common/log.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
-constexpr Span beat_every = Span::ms(300);    // a session that is not heard of for four of these is over
-constexpr Span silent_most = Span::ms(1000);  // without a beat
-// Age of what a controller is known to know. An echo is up to a beat and a Hello old, the echoes that it
+constexpr Span heartbeat_every = Span::ms(300);  // a session that is not heard of for four of these is over
+constexpr Span silent_most = Span::ms(1000);     // without a heartbeat
+// Age of what a controller is known to know. An echo is up to a heartbeat and a Hello old, the echoes that it
 // rests on at the controller as much again: 1.1 s and the ways between them; half of it is kept for late
 // turns.
 constexpr Span knowledge_most = Span::ms(1700);
@@ -30,13 +30,14 @@
   return net::text_of(out);
 }
 
-Sessions::Sessions(net::Scheduler& scheduler, net::Later& later, const ProcessSettings& settings, Member self)
+Sessions::Sessions(net::Scheduler& scheduler, net::TimerQueue& later, const ProcessSettings& settings,
+                   Member self)
     : scheduler_(scheduler),
-      later_(later),
+      timers_(later),
       port_(static_cast<std::uint16_t>(settings.first_port + control_plane_port)),
       self_(std::move(self)) {
   reread(settings);
-  later_.after(Span::ms(1), [this] { tick(); });
+  timers_.after(Span::ms(1), [this] { tick(); });
 }
 
 void Sessions::reread(const ProcessSettings& settings) {
@@ -51,12 +52,12 @@
 }
 
 bool Sessions::usable(const Way& way) const {
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   return now - way.heard < silent_most && now - way.confirmed < knowledge_most;
 }
 
 bool Sessions::may_become_usable(const Way& way) const {
-  return usable(way) || later_.now() - way.since < silent_most;
+  return usable(way) || timers_.now() - way.since < silent_most;
 }
 
 // The control sidecars that hash nearest to this one, of those that are known; seeds while none are. One that
@@ -70,7 +71,7 @@
   std::sort(known.begin(), known.end(), [&](const std::string& a, const std::string& b) {
     return mixed(a, self_.node) < mixed(b, self_.node);
   });
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   std::size_t good = 0;
   first_.clear();
   for (const std::string& address : known) {
@@ -81,7 +82,7 @@
       if (!to) continue;
       Way& way = ways_[address];
       way.since = now;
-      way.link = std::make_unique<Link>(scheduler_, later_, *to, mixed(address, self_.node));
+      way.link = std::make_unique<RpcClient>(scheduler_, timers_, *to, mixed(address, self_.node));
       way.link->on_up([this, address] {
         // One that was parted with may come up all the same before it is destroyed.
         const auto at = ways_.find(address);
@@ -115,7 +116,7 @@
   }
   choose();
   tell_all();
-  later_.after(beat_every, [this] { tick(); });
+  timers_.after(heartbeat_every, [this] { tick(); });
 }
 
 void Sessions::tell_all() {
@@ -130,7 +131,7 @@
   hello.list_number = list_.number();
   hello.first = first_ == net::text_of(way.link->to());
   hello.ending = ending_;
-  hello.stamp = (later_.now() - TimePoint()).as_us();
+  hello.stamp = (timers_.now() - TimePoint()).as_us();
   hello.refused = way.refused > values_.number() ? way.refused : 0;
   way.link->tell(hello);
 }
@@ -138,16 +139,17 @@
 void Sessions::word(const std::string& address, std::uint8_t kind, std::string_view record) {
   const auto way = ways_.find(address);
   if (way == ways_.end()) return;
-  if (kind == Beat::kind) {
-    Beat beat;
-    if (!decode(record, beat)) return;
-    way->second.heard = later_.now();
+  if (kind == Heartbeat::kind) {
+    Heartbeat heartbeat;
+    if (!decode(record, heartbeat)) return;
+    way->second.heard = timers_.now();
     const TimePoint confirmed =
-        TimePoint() + Span::us(beat.echo_stamp) - Span::ms(static_cast<double>(beat.fresh_ms));
+        TimePoint() + Span::us(heartbeat.echo_stamp) - Span::ms(static_cast<double>(heartbeat.fresh_ms));
     // One whose newest value has not come, was held back or could not be applied confirms nothing.
-    if (beat.number <= values_.number()) way->second.confirmed = std::max(way->second.confirmed, confirmed);
-    if (!beat.controllers.empty()) controllers_ = beat.controllers;
-    if (beat.edges > 0) edges_ = static_cast<std::size_t>(beat.edges);
+    if (heartbeat.number <= values_.number())
+      way->second.confirmed = std::max(way->second.confirmed, confirmed);
+    if (!heartbeat.controllers.empty()) controllers_ = heartbeat.controllers;
+    if (heartbeat.edges > 0) edges_ = static_cast<std::size_t>(heartbeat.edges);
   } else if (kind == Push::kind) {
     Push push;
     if (!decode(record, push)) return;
@@ -173,4 +175,4 @@
   tell_all();  // the acknowledgement; who has not sent it yet need not
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/session.hpp
+++ b/src/common/session.hpp
@@ -9,17 +9,17 @@
 #include <string>
 #include <vector>
 
-#include "market/endpoint_book.hpp"
-#include "market/link.hpp"
-#include "market/messages.hpp"
-#include "market/settings.hpp"
-#include "market/value_update.hpp"
+#include "common/endpoint_book.hpp"
+#include "common/messages.hpp"
+#include "common/rpc.hpp"
+#include "common/settings.hpp"
+#include "common/value_update.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 class Sessions {
  public:
-  Sessions(net::Scheduler& scheduler, net::Later& later, const ProcessSettings& settings, Member self);
+  Sessions(net::Scheduler& scheduler, net::TimerQueue& later, const ProcessSettings& settings, Member self);
   // Told of each newer value and list, numbers rising.
   void on_value(std::function<void(const Value&)> told) { told_value_ = std::move(told); }
   void on_list(std::function<void(const EndpointBook&)> told) { told_list_ = std::move(told); }
@@ -51,9 +51,9 @@
 
  private:
   struct Way {
-    std::unique_ptr<Link> link;
+    std::unique_ptr<RpcClient> link;
     TimePoint since;  // when it was begun: it is given some time to answer
-    TimePoint heard;  // when a beat came last
+    TimePoint heard;  // when a heartbeat came last
     // Nothing that was chosen before it is newer than what this controller has sent: the stamp of a Hello
     // that it has echoed, less the age of its own knowledge. Its clock does not matter, nor how long a
     // message was under way.
@@ -70,14 +70,14 @@
   void pushed(Way& way, Push push);
 
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const std::uint16_t port_;  // of control's plane, on all machines
   Member self_;
   bool ending_ = false;
   std::size_t edges_ = 1;
   std::vector<std::string> seeds_, controllers_;
   std::map<std::string, Way> ways_;
-  std::vector<std::unique_ptr<Link>> leaving_;  // destroyed by a later tick
+  std::vector<std::unique_ptr<RpcClient>> leaving_;  // destroyed by a later tick
   ValueReceiver values_;
   EndpointBook list_;
   std::string first_;  // the way that changes come down at once; the others wait whether they are needed
@@ -88,4 +88,4 @@
 // An address of control's that clients call, as the one where its peers do.
 std::string inner_address(const sockaddr_in& control, std::uint16_t port);
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/settings.cpp
+++ b/src/common/settings.cpp
@@ -1,4 +1,4 @@
-#include "market/settings.hpp"
+#include "common/settings.hpp"
 
 #include <arpa/inet.h>
 
@@ -9,10 +9,10 @@
 #include <set>
 #include <sstream>
 
-#include "market/findings.hpp"
+#include "common/findings.hpp"
 #include "net/socket.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 constexpr std::size_t file_most = 1U << 20U;  // bytes: a settings file has some kilobytes
@@ -182,4 +182,4 @@
   return out;
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/settings.hpp
+++ b/src/common/settings.hpp
@@ -12,7 +12,7 @@
 #include "absl/status/statusor.h"
 #include "chutevane/types.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 struct ProcessSettings {
   std::string node, role, machine_class, serves, zone, region;
@@ -45,4 +45,4 @@
 constexpr const char* settings_variable = "CHUTEVANE_SETTINGS";
 constexpr const char* settings_default = "/etc/chutevane/boot.conf";
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/value_difference.cpp
+++ b/src/common/value_difference.cpp
@@ -1,4 +1,4 @@
-#include "market/value_difference.hpp"
+#include "common/value_difference.hpp"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 #include <limits>
 #include <vector>
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 constexpr std::size_t block_size = 32;            // bytes: a shorter match costs about what it saves
@@ -203,4 +203,4 @@
 
 std::uint64_t content_hash(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/value_difference.hpp
+++ b/src/common/value_difference.hpp
@@ -1,6 +1,6 @@
 // Differences of two byte strings: what makes one out of the other, as copies of ranges and literal bytes.
 // No I/O, no state. A difference is no proof of its base: who applies one checks a hash of the result
-// (market/value_update.hpp does).
+// (common/value_update.hpp does).
 //
 // A difference is a sequence of operations. Each begins with a variable-length integer (7 bits a byte, low
 // ones first): length * 2, plus 1 for a copy. A copy goes on with a signed offset (zigzag) from the end of
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 // Makes `target` out of `base`. Time and memory are linear in the sizes of both; the result is at most a few
 // bytes longer than `target`. After Bentley and McIlroy, "Data compression with long repeated strings"
@@ -28,4 +28,4 @@
 // XXH3 of all bytes, 64 bits: guards against mistakes, not against forgery.
 std::uint64_t content_hash(std::string_view bytes);
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/value_update.cpp
+++ b/src/common/value_update.cpp
@@ -1,10 +1,10 @@
-#include "market/value_update.hpp"
+#include "common/value_update.hpp"
 
 #include <algorithm>
 
-#include "market/value_difference.hpp"
+#include "common/value_difference.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 namespace {
 
 constexpr std::size_t record_most = 64U << 20U;  // bytes: as much as a frame of a connection holds
@@ -131,4 +131,4 @@
   return Came::newer;
 }
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/market/value_update.hpp
+++ b/src/common/value_update.hpp
@@ -14,9 +14,9 @@
 #include <string_view>
 
 #include "absl/status/statusor.h"
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 
-namespace chutevane::market {
+namespace chutevane::common {
 
 // False: the message that it stands in has the value whole.
 inline bool is_difference(const ValueDifference& difference) { return !difference.content.data.empty(); }
@@ -102,4 +102,4 @@
   RecentValues recent_;  // bases: sessions bring the same values, one sooner than another
 };
 
-}  // namespace chutevane::market
+}  // namespace chutevane::common
--- a/src/control/chosen_word.hpp
+++ b/src/control/chosen_word.hpp
@@ -3,8 +3,8 @@
 // it is behind, and reads the register.
 #pragma once
 
+#include "common/value_update.hpp"
 #include "control/register.hpp"
-#include "market/value_update.hpp"
 
 namespace chutevane::control {
 
@@ -15,9 +15,9 @@
 };
 
 // Of the newest value that `reg` knows; `recent` holds it too.
-market::Chosen chosen_word(market::RecentValues& recent, const Register& reg, const PeerState& peer);
+common::Chosen chosen_word(common::RecentValues& recent, const Register& reg, const PeerState& peer);
 
 // `recent`: the receiver's. Whether the word could be used.
-bool take_chosen(Register& reg, const market::RecentValues& recent, const market::Chosen& word);
+bool take_chosen(Register& reg, const common::RecentValues& recent, const common::Chosen& word);
 
 }  // namespace chutevane::control
--- a/src/control/configuration_order.cpp
+++ b/src/control/configuration_order.cpp
@@ -6,7 +6,7 @@
 namespace chutevane::control {
 namespace {
 
-using market::Taken;
+using common::Taken;
 
 // Of a version that is not above the current one. Each configuration was taken on the version before it: the
 // record holds the bases too.
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-OrderVerdict judge(const market::Value& current, const ConfigurationOrder& order, std::size_t remembered) {
+OrderVerdict judge(const common::Value& current, const ConfigurationOrder& order, std::size_t remembered) {
   if (order.version <= order.base) return OrderVerdict::not_above_base;
   if (order.version <= current.config_version) return judge_by_record(current.taken, order, remembered);
   if (order.base == current.config_version) return OrderVerdict::applicable;
@@ -34,9 +34,9 @@
   return order.base < current.config_version ? OrderVerdict::superseded : OrderVerdict::unclear;
 }
 
-market::Value applied(const market::Value& current, const ConfigurationOrder& order, std::size_t remembered) {
+common::Value applied(const common::Value& current, const ConfigurationOrder& order, std::size_t remembered) {
   assert(judge(current, order, remembered) == OrderVerdict::applicable);
-  market::Value out = current;
+  common::Value out = current;
   out.config_version = order.version;
   out.config.data = order.body;
   out.taken.push_back({order.version, order.hash});
--- a/src/control/configuration_order.hpp
+++ b/src/control/configuration_order.hpp
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <string>
 
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 
 namespace chutevane::control {
 
@@ -21,7 +21,7 @@
 struct ConfigurationOrder {
   std::int64_t base = 0;
   std::int64_t version = 0;
-  std::int64_t hash = 0;  // of the body: market::hash_of()
+  std::int64_t hash = 0;  // of the body: common::hash_of()
   std::string body;
 };
 
@@ -34,10 +34,10 @@
 };
 
 // `remembered`: entries that the record holds at most, the same at all who judge.
-OrderVerdict judge(const market::Value& current, const ConfigurationOrder& order,
+OrderVerdict judge(const common::Value& current, const ConfigurationOrder& order,
                    std::size_t remembered = remembered_configurations);
 // The value with the order applied. Only for one that is applicable.
-market::Value applied(const market::Value& current, const ConfigurationOrder& order,
+common::Value applied(const common::Value& current, const ConfigurationOrder& order,
                       std::size_t remembered = remembered_configurations);
 
 }  // namespace chutevane::control
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -5,8 +5,8 @@
 
 #include <algorithm>
 
+#include "common/log.hpp"
 #include "control/control_plane_limits.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::control {
 
@@ -15,24 +15,24 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), at);
 }
 
-ControlPlane::ControlPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
-                           std::unique_ptr<market::Disk> disk)
+ControlPlane::ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
+                           std::unique_ptr<common::Disk> disk)
     : scheduler_(scheduler),
       settings_(settings),
-      later_(scheduler),
+      timers_(scheduler),
       disk_(std::move(disk)),
       record_slots_(*disk_, "control"),
-      address_(net::text_of(settings.internal_address(market::control_plane_port))),
-      register_(later_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
-      desk_(scheduler),
+      address_(net::text_of(settings.internal_address(common::control_plane_port))),
+      register_(timers_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
+      rpc_server_(scheduler),
       operator_api_(register_, *this, settings.machine_losses),
       operator_port_(scheduler, body_most,
-                     [this](const http::Parser& request, market::HttpPort::Reply reply) {
+                     [this](const http::Parser& request, common::HttpPort::Reply reply) {
                        operator_api_.serve(request, std::move(reply));
                      }),
       list_duty_("list", seed_of(settings.node + "list", scheduler.now())),
       roster_duty_("roster", seed_of(settings.node + "roster", scheduler.now())),
-      platform_(scheduler, later_, settings.platform, settings.platform_rate),
+      platform_(scheduler, timers_, settings.platform, settings.platform_rate),
       holder_(seed_of(settings.node + "holder", scheduler.now())),
       contact_(static_cast<std::int64_t>(holder_)),
       roster_(settings.machine_losses) {}
@@ -40,124 +40,127 @@
 absl::Status ControlPlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
-    if (!market::decode(got->state, record_)) return absl::DataLossError("control: record not read");
+    if (!common::decode(got->state, record_)) return absl::DataLossError("control: record not read");
   } else {
     // A first write that was torn told nobody anything: this disk is as good as new.
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
     record_.disk = disk_->new_id();
     record_.first = settings_.initial_start;
     if (record_.first) {
-      std::vector<market::Acceptor> seeds;
+      std::vector<common::Acceptor> seeds;
       for (const sockaddr_in& seed : settings_.seeds) {
-        const auto port = static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port);
-        seeds.push_back({market::inner_address(seed, port), ""});
+        const auto port = static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port);
+        seeds.push_back({common::inner_address(seed, port), ""});
       }
       record_.initial = first_value(std::move(seeds));
     }
-    if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) return s;
+    if (absl::Status s = record_slots_.write(common::encoded(record_)); !s.ok()) return s;
   }
   acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
   if (absl::Status s = acceptor_->open(); absl::IsDataLoss(s)) {
     // What it promised cannot be read: it is another disk from here on, and votes for nothing of before.
-    market::log_warning("acceptor.lost", s.ToString());
+    common::log_warning("acceptor.lost", s.ToString());
     record_.disk = disk_->new_id();
     record_.first = false;
-    if (absl::Status w = record_slots_.write(market::encoded(record_)); !w.ok()) return w;
+    if (absl::Status w = record_slots_.write(common::encoded(record_)); !w.ok()) return w;
     acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
   } else if (!s.ok()) {
     return s;
   }
-  acceptor_->on_entered([this](const market::Value& initial) { register_.learn_epoch(initial); });
+  acceptor_->on_entered([this](const common::Value& initial) { register_.learn_epoch(initial); });
   register_.learn_epoch(record_.initial);
   register_.learn_epoch(acceptor_->initial());
-  register_.on_chosen([this](const market::Value& value) { chosen(value); });
+  register_.on_chosen([this](const common::Value& value) { chosen(value); });
   for (const sockaddr_in& seed : settings_.seeds)
-    know(market::inner_address(
-        seed, static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port)));
+    know(common::inner_address(
+        seed, static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port)));
   for (const std::string& one : record_.controllers) know(one);
-  in_contact_since_ = later_.now();
+  in_contact_since_ = timers_.now();
   listen();
   tick();
   read_list();
-  market::log_info("control.open", "disk " + record_.disk + (record_.first ? ", first start" : "") +
+  common::log_info("control.open", "disk " + record_.disk + (record_.first ? ", first start" : "") +
                                        ", epoch " + std::to_string(register_.initial().epoch));
   return absl::OkStatus();
 }
 
 void ControlPlane::listen() {
-  desk_.on<market::Prepare>([this](market::Desk::Guest& guest, std::uint64_t number, market::Prepare& ask) {
-    const auto got = acceptor_->prepare(ask);
-    note_disk(got.status());
-    if (got.ok() && number != 0) guest.answer(number, *got);
-  });
-  desk_.on<market::Accept>([this](market::Desk::Guest& guest, std::uint64_t number, market::Accept& ask) {
-    const auto got = accept_here(ask);
-    note_disk(got.status());
-    if (got.ok() && number != 0) guest.answer(number, *got);
-  });
-  desk_.on<market::Chosen>([this](market::Desk::Guest&, std::uint64_t, market::Chosen& word) {
+  rpc_server_.on<common::Prepare>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t number, common::Prepare& ask) {
+        const auto got = acceptor_->prepare(ask);
+        note_disk(got.status());
+        if (got.ok() && number != 0) connection.answer(number, *got);
+      });
+  rpc_server_.on<common::Accept>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t number, common::Accept& ask) {
+        const auto got = accept_here(ask);
+        note_disk(got.status());
+        if (got.ok() && number != 0) connection.answer(number, *got);
+      });
+  rpc_server_.on<common::Chosen>([this](common::RpcServer::Connection&, std::uint64_t, common::Chosen& word) {
     take_chosen(register_, recent_, word);
   });
-  desk_.on<market::Gossip>(
-      [this](market::Desk::Guest&, std::uint64_t, market::Gossip& word) { on_gossip(word); });
-  desk_.on<market::Vote>([this](market::Desk::Guest& guest, std::uint64_t number, market::Vote& ask) {
-    Duty& duty = ask.duty == list_duty_.name() ? list_duty_ : roster_duty_;
-    market::Voted out;
-    out.granted = !leaving_ && duty.vote(ask.term, later_.now());
-    out.term = duty.term();
-    guest.answer(number, out);
-  });
-  desk_.on<market::EndpointList>(
-      [this](market::Desk::Guest&, std::uint64_t, market::EndpointList& list) { take_list(list); });
-  desk_.on<market::Hello>(
-      [this](market::Desk::Guest& guest, std::uint64_t, market::Hello& hello) { on_hello(guest, hello); });
-  desk_.on_gone([this](market::Desk::Guest& guest) {
-    sessions_.erase(guest.id());
+  rpc_server_.on<common::Gossip>(
+      [this](common::RpcServer::Connection&, std::uint64_t, common::Gossip& word) { on_gossip(word); });
+  rpc_server_.on<common::Vote>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t number, common::Vote& ask) {
+        Duty& duty = ask.duty == list_duty_.name() ? list_duty_ : roster_duty_;
+        common::Voted out;
+        out.granted = !leaving_ && duty.vote(ask.term, timers_.now());
+        out.term = duty.term();
+        connection.answer(number, out);
+      });
+  rpc_server_.on<common::EndpointList>(
+      [this](common::RpcServer::Connection&, std::uint64_t, common::EndpointList& list) { take_list(list); });
+  rpc_server_.on<common::Hello>([this](common::RpcServer::Connection& connection, std::uint64_t,
+                                       common::Hello& hello) { on_hello(connection, hello); });
+  rpc_server_.on_gone([this](common::RpcServer::Connection& connection) {
+    sessions_.erase(connection.id());
     acknowledged();
   });
-  desk_.listen(settings_.internal_address(market::control_plane_port));
+  rpc_server_.listen(settings_.internal_address(common::control_plane_port));
   if (settings_.control) operator_port_.listen(*settings_.control);
 }
 
 // ---- the way to the acceptors
 
-void ControlPlane::prepare(const std::string& address, const market::Prepare& ask,
-                           std::function<void(absl::StatusOr<market::Promise>)> answered) {
+void ControlPlane::prepare(const std::string& address, const common::Prepare& ask,
+                           std::function<void(absl::StatusOr<common::Promise>)> answered) {
   if (address == address_) {
     auto got = acceptor_->prepare(ask);
     note_disk(got.status());
     return answered(std::move(got));
   }
-  if (market::Link* const to = link(address))
-    return to->call<market::Promise>(ask, answer_most, std::move(answered));
+  if (common::RpcClient* const to = link(address))
+    return to->call<common::Promise>(ask, answer_most, std::move(answered));
   answered(absl::InvalidArgumentError(address));
 }
 
 // The register here knows what its own acceptor has: others need not send it back.
-absl::StatusOr<market::Accepted> ControlPlane::accept_here(const market::Accept& ask) {
+absl::StatusOr<common::Accepted> ControlPlane::accept_here(const common::Accept& ask) {
   auto got = acceptor_->accept(ask);
   if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes)
     register_.learn_accepted(ask.epoch, acceptor_->accepted(), acceptor_->value());
   return got;
 }
 
-void ControlPlane::accept(const std::string& address, const market::Accept& ask,
-                          std::function<void(absl::StatusOr<market::Accepted>)> answered) {
+void ControlPlane::accept(const std::string& address, const common::Accept& ask,
+                          std::function<void(absl::StatusOr<common::Accepted>)> answered) {
   if (address == address_) {
     auto got = accept_here(ask);
     note_disk(got.status());
     return answered(std::move(got));
   }
-  if (market::Link* const to = link(address))
-    return to->call<market::Accepted>(ask, answer_most, std::move(answered));
+  if (common::RpcClient* const to = link(address))
+    return to->call<common::Accepted>(ask, answer_most, std::move(answered));
   answered(absl::InvalidArgumentError(address));
 }
 
 // ---- what is chosen
 
-void ControlPlane::chosen(const market::Value& value) {
+void ControlPlane::chosen(const common::Value& value) {
   recent_.add(value);
-  market::Value pushed = value;
+  common::Value pushed = value;
   pushed.taken.clear();
   pushed_.add(pushed);
   for (auto& [id, session] : sessions_) {
@@ -168,12 +171,12 @@
 
 // The others hear of a change from who made it, not only by asking: of the newest value known here, which is
 // that one or a later one.
-void ControlPlane::announce(const market::Value&) {
+void ControlPlane::announce(const common::Value&) {
   if (!register_.known()) return;
   const std::int64_t number = register_.known()->number;
   for (auto& [address, peer] : peers_) {
     // A peer that does not read gets no more: it reads the register when it is there again.
-    if (!peer.link->up() || peer.link->unsent() > market::PushCursor::unsent_most) continue;
+    if (!peer.link->up() || peer.link->unsent() > common::PushCursor::unsent_most) continue;
     PeerState state;
     if (peer.last) state = {peer.last->epoch, peer.last->known};
     state.number = std::max(state.number, peer.told);
@@ -187,7 +190,7 @@
 void ControlPlane::store_known() {
   record_.initial = register_.initial();
   record_.controllers = controller_addresses();
-  note_disk(record_slots_.write(market::encoded(record_)));
+  note_disk(record_slots_.write(common::encoded(record_)));
 }
 
 // A request that wrote nothing succeeds on a disk that fails, too.
@@ -208,49 +211,50 @@
   if (finished_) return;
   forget_lost();
   try_disk_again();
-  if (!quorum_reached(peer_heard) || !all_peers_heard()) in_contact_since_ = later_.now();
+  if (!quorum_reached(peer_heard) || !all_peers_heard()) in_contact_since_ = timers_.now();
   gossip();
   catch_up();
-  beat();
+  heartbeat();
   acknowledged();
   work_duties();
-  later_.after(tick_every, [this] { tick(); });
+  timers_.after(tick_every, [this] { tick(); });
 }
 
 void ControlPlane::leave() {
   if (leaving_) return;
   leaving_ = true;
-  list_duty_.give_up(later_.now());
-  roster_duty_.give_up(later_.now());
+  list_duty_.give_up(timers_.now());
+  roster_duty_.give_up(timers_.now());
   gossip();
   // Operators' orders that are under way come to their end.
-  const TimePoint latest = later_.now() + settings_.grace - grace_spare;
-  later_.after(leave_least, [this, latest] { go_when_released(latest); });
+  const TimePoint latest = timers_.now() + settings_.grace - grace_spare;
+  timers_.after(leave_least, [this, latest] { go_when_released(latest); });
 }
 
 // Its disk may go with it, and the machine that replaces it may have been there for long: the next loss would
 // then leave no majority. So it votes until its place is another's.
 bool ControlPlane::may_go() const {
-  const std::vector<market::Acceptor>& set = register_.initial().acceptors;
+  const std::vector<common::Acceptor>& set = register_.initial().acceptors;
   if (!names(set, address_)) return register_.released(address_) || set.empty();
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& one) {
     const auto& [address, peer] = one;
-    return peer.last && !peer.last->leaving && later_.now() - peer.heard < peer_heard && !names(set, address);
+    return peer.last && !peer.last->leaving && timers_.now() - peer.heard < peer_heard &&
+           !names(set, address);
   });
 }
 
 void ControlPlane::go_when_released(TimePoint latest) {
-  if (may_go() || later_.now() >= latest) {
+  if (may_go() || timers_.now() >= latest) {
     finished_ = true;
     return;
   }
-  later_.after(leave_again, [this, latest] { go_when_released(latest); });
+  timers_.after(leave_again, [this, latest] { go_when_released(latest); });
 }
 
-void ControlPlane::reread(const market::ProcessSettings& settings) {
+void ControlPlane::reread(const common::ProcessSettings& settings) {
   for (const sockaddr_in& seed : settings.seeds)
-    know(market::inner_address(
-        seed, static_cast<std::uint16_t>(settings_.first_port + market::control_plane_port)));
+    know(common::inner_address(
+        seed, static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port)));
 }
 
 }  // namespace chutevane::control
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -9,6 +9,14 @@
 #include <string>
 #include <vector>
 
+#include "common/configuration.hpp"
+#include "common/disk_health.hpp"
+#include "common/http_port.hpp"
+#include "common/process.hpp"
+#include "common/rpc.hpp"
+#include "common/session.hpp"
+#include "common/settings.hpp"
+#include "common/value_update.hpp"
 #include "control/chosen_word.hpp"
 #include "control/duty.hpp"
 #include "control/operator_api.hpp"
@@ -16,64 +24,56 @@
 #include "control/quorum_contact.hpp"
 #include "control/register.hpp"
 #include "control/roster.hpp"
-#include "market/configuration.hpp"
-#include "market/disk_health.hpp"
-#include "market/http_port.hpp"
-#include "market/link.hpp"
-#include "market/process.hpp"
-#include "market/session.hpp"
-#include "market/settings.hpp"
-#include "market/value_update.hpp"
 
 namespace chutevane::control {
 
-class ControlPlane final : public market::Plane, Voters, OperatorApi::Host {
+class ControlPlane final : public common::Plane, Voters, OperatorApi::Host {
  public:
-  ControlPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
-               std::unique_ptr<market::Disk> disk);
+  ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
+               std::unique_ptr<common::Disk> disk);
   // Reads its disk and begins to listen. An error: the process cannot serve.
   absl::Status open() override;
   // The last word to the others, then the end.
   void leave() override;
   bool finished() const override { return finished_; }
-  void reread(const market::ProcessSettings& settings) override;
+  void reread(const common::ProcessSettings& settings) override;
 
  private:
   struct Peer {
-    std::unique_ptr<market::Link> link;
-    std::optional<market::Gossip> last;
+    std::unique_ptr<common::RpcClient> link;
+    std::optional<common::Gossip> last;
     TimePoint heard, known_since;
     std::int64_t told = 0;  // the newest value that was told over this connection
   };
   struct Session {
-    market::Member member;
+    common::Member member;
     TimePoint heard;
-    std::int64_t stamp = 0;  // of the newest Hello: returned with each beat
+    std::int64_t stamp = 0;  // of the newest Hello: returned with each heartbeat
     std::int64_t list_term = 0, list_number = 0;
-    market::PushCursor values;
-    bool first = false;  // changes go down it at once; down others with the next beat, if still needed
+    common::PushCursor values;
+    bool first = false;  // changes go down it at once; down others with the next heartbeat, if still needed
   };
 
-  void prepare(const std::string& address, const market::Prepare& ask,
-               std::function<void(absl::StatusOr<market::Promise>)> answered) override;
-  void accept(const std::string& address, const market::Accept& ask,
-              std::function<void(absl::StatusOr<market::Accepted>)> answered) override;
-  absl::StatusOr<market::Accepted> accept_here(const market::Accept& ask);
+  void prepare(const std::string& address, const common::Prepare& ask,
+               std::function<void(absl::StatusOr<common::Promise>)> answered) override;
+  void accept(const std::string& address, const common::Accept& ask,
+              std::function<void(absl::StatusOr<common::Accepted>)> answered) override;
+  absl::StatusOr<common::Accepted> accept_here(const common::Accept& ask);
 
   void listen();
   void tick();
   void gossip();
-  market::Gossip word_of_mine();
-  market::Gossip full_word();
-  void on_gossip(const market::Gossip& word);
+  common::Gossip word_of_mine();
+  common::Gossip full_word();
+  void on_gossip(const common::Gossip& word);
   void know(const std::string& address);
-  market::Link* link(const std::string& address);  // none: that is no address
+  common::RpcClient* link(const std::string& address);  // none: that is no address
   void forget_lost();
   void catch_up();
   void confirm_contact();
   bool quorum_reached(Span within) const;
   AcceptorReport own_report() const;
-  market::Gossip addressed(market::Gossip word, const Peer& peer) const;
+  common::Gossip addressed(common::Gossip word, const Peer& peer) const;
   bool behind() const;
   bool learn_later_epoch();
   // Whether nothing that still counts goes with this machine, or nobody is there to take it over.
@@ -83,49 +83,49 @@
   Span fresh_age() const;
   std::vector<std::string> controller_addresses() const;
 
-  void chosen(const market::Value& value);
+  void chosen(const common::Value& value);
   void store_known();
   void note_disk(const absl::Status& outcome);
   void try_disk_again();
-  void on_hello(market::Desk::Guest& guest, const market::Hello& hello);
-  void push(std::uint64_t guest, Session& session);
-  void beat();
+  void on_hello(common::RpcServer::Connection& connection, const common::Hello& hello);
+  void push(std::uint64_t connection, Session& session);
+  void heartbeat();
   void acknowledged();
 
   void work_duties();
   void stand(Duty& duty);
   void ballot(Duty& duty, std::int64_t term);
   void read_list();
-  void take_list(const market::EndpointList& told);
+  void take_list(const common::EndpointList& told);
   void step_down_if_overtaken(std::int64_t told);
   void list_changed();
   void keep_roster();
 
   // What the operators' API asks for.
-  void announce(const market::Value& value) override;
+  void announce(const common::Value& value) override;
   void when_acknowledged(std::int64_t number, std::function<void()> then) override;
-  std::vector<market::Member> members() const override;
+  std::vector<common::Member> members() const override;
   bool members_complete() const override;
   ControlStatus status() const override;
 
   net::Scheduler& scheduler_;
-  market::ProcessSettings settings_;
-  net::Later later_;
-  std::unique_ptr<market::Disk> disk_;
-  market::Slots record_slots_;
-  market::ControllerRecord record_;
+  common::ProcessSettings settings_;
+  net::TimerQueue timers_;
+  std::unique_ptr<common::Disk> disk_;
+  common::Slots record_slots_;
+  common::ControllerRecord record_;
   const std::string address_;
   std::optional<AcceptorState> acceptor_;
-  market::DiskHealth disk_health_;
+  common::DiskHealth disk_health_;
   Register register_;
-  market::Desk desk_;
+  common::RpcServer rpc_server_;
   OperatorApi operator_api_;
-  market::HttpPort operator_port_;
+  common::HttpPort operator_port_;
   std::map<std::string, Peer> peers_;
-  std::vector<std::unique_ptr<market::Link>> parted_;
+  std::vector<std::unique_ptr<common::RpcClient>> parted_;
   std::map<std::uint64_t, Session> sessions_;
-  market::RecentValues pushed_;  // the same without the record of orders, for which members have no use
-  market::RecentValues recent_;  // that were known here: what goes to others is the difference from one
+  common::RecentValues pushed_;  // the same without the record of orders, for which members have no use
+  common::RecentValues recent_;  // that were known here: what goes to others is the difference from one
   // No value chosen before it is newer than the known one.
   TimePoint fresh_at_;
   TimePoint full_since_, told_since_;
@@ -138,7 +138,7 @@
   Platform platform_;
   const std::uint64_t holder_;  // of duties: this process, told from all others
   QuorumContact contact_;
-  market::EndpointBook list_;
+  common::EndpointBook list_;
   std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
   bool changing_roster_ = false;
   bool had_roster_ = false;
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -1,14 +1,14 @@
 // Duties of a controller: ballots, the platform's list of endpoints, the sets of acceptors and storage nodes.
 #include <algorithm>
 
+#include "common/log.hpp"
 #include "control/control_plane.hpp"
 #include "control/control_plane_limits.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::control {
 namespace {
 
-using market::Member;
+using common::Member;
 
 }  // namespace
 
@@ -25,48 +25,48 @@
     if (count->over) return;
     if (count->yes >= needed) {
       count->over = true;
-      duty.won(term, later_.now());
-      market::log_info("duty.won", duty.name() + ", term " + std::to_string(term));
+      duty.won(term, timers_.now());
+      common::log_info("duty.won", duty.name() + ", term " + std::to_string(term));
       gossip();
     } else if (count->answered == count->asked) {
       count->over = true;
-      duty.lost(later_.now());
+      duty.lost(timers_.now());
       stand(duty);
     }
   };
-  const std::vector<market::Acceptor> voters = register_.initial().acceptors;
+  const std::vector<common::Acceptor> voters = register_.initial().acceptors;
   count->asked = voters.size();
-  for (const market::Acceptor& a : voters) {
+  for (const common::Acceptor& a : voters) {
     if (a.address == address_) {
-      hear(duty.vote(term, later_.now()));
+      hear(duty.vote(term, timers_.now()));
       continue;
     }
-    market::Link* const to = link(a.address);
+    common::RpcClient* const to = link(a.address);
     if (to == nullptr) {
       hear(false);
       continue;
     }
-    to->call<market::Voted>(market::Vote{duty.name(), term, settings_.node}, vote_most,
-                            [hear](absl::StatusOr<market::Voted> got) { hear(got.ok() && got->granted); });
+    to->call<common::Voted>(common::Vote{duty.name(), term, settings_.node}, vote_most,
+                            [hear](absl::StatusOr<common::Voted> got) { hear(got.ok() && got->granted); });
   }
 }
 
 void ControlPlane::stand(Duty& duty) {
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   std::int64_t term = 0;
   if (leaving_ || register_.initial().epoch == 0) return;
   if (duty.stand(now, term)) return ballot(duty, term);
   const TimePoint again = duty.look_again();
   // Not with the loop's step: those who began together would go on together.
   if (again > now)
-    later_.at(again, [this, &duty, again] {
+    timers_.at(again, [this, &duty, again] {
       if (duty.look_again() == again) stand(duty);
     });
 }
 
 void ControlPlane::work_duties() {
   if (leaving_) return;
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
     const bool just_won = now - duty->won_at() < duty_vacant_after;  // its ballots stand for the echoes
     if (duty->mine() && !just_won && !quorum_reached(duty_vacant_after)) duty->give_up(now);
@@ -81,22 +81,22 @@
 
 void ControlPlane::read_list() {
   if (list_duty_.mine() && !platform_.reading()) {
-    platform_.read([this](std::optional<std::vector<market::Listed>> entries) {
+    platform_.read([this](std::optional<std::vector<common::Listed>> entries) {
       if (!entries || !list_duty_.mine()) return;
-      for (market::Listed& e : *entries)
+      for (common::Listed& e : *entries)
         e.cold_ms = e.cold_ms > 0 ? 1 : 0;  // falls with time: no news by itself
       const std::int64_t term = list_.term(), number = list_.number();
       if (!list_.update(told_term(list_duty_.term(), holder_), *entries)) return;
       for (auto& [address, peer] : peers_) {
-        for (const market::EndpointList& change : list_.since(term, number)) peer.link->tell(change);
+        for (const common::EndpointList& change : list_.since(term, number)) peer.link->tell(change);
       }
       list_changed();
     });
   }
-  later_.after(list_every, [this] { read_list(); });
+  timers_.after(list_every, [this] { read_list(); });
 }
 
-void ControlPlane::take_list(const market::EndpointList& told) {
+void ControlPlane::take_list(const common::EndpointList& told) {
   step_down_if_overtaken(told.term);
   if (list_.apply(told)) list_changed();
 }
@@ -114,8 +114,8 @@
 
 void ControlPlane::keep_roster() {
   if (changing_roster_ || !register_.known() || !quorum_reached(duty_vacant_after)) return;
-  const TimePoint now = later_.now();
-  const market::Value& value = *register_.known();
+  const TimePoint now = timers_.now();
+  const common::Value& value = *register_.known();
   // One whose disk fails can't vote: it is counted as gone, so that another takes its place.
   std::vector<LiveController> live;
   if (!acceptor_->disk_failing()) live.push_back({address_, record_.disk, record_.first, !leaving_});
@@ -129,19 +129,19 @@
   changing_roster_ = true;
   const std::int64_t number = value.number;
   register_.change(
-      [number, next, wanted](const market::Value& current) -> std::optional<market::Value> {
+      [number, next, wanted](const common::Value& current) -> std::optional<common::Value> {
         if (current.number != number) return std::nullopt;  // decided on another value: look again
         if (wanted) return wanted;
-        market::Value out = current;
+        common::Value out = current;
         out.next = *next;
         return out;
       },
       Span::ms(1500),
-      [this, changed = next.has_value()](absl::StatusOr<market::Value> got) {
+      [this, changed = next.has_value()](absl::StatusOr<common::Value> got) {
         changing_roster_ = false;
         if (!got.ok()) return;
         announce(*got);
-        market::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
+        common::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
                          "number " + std::to_string(got->number) + ", epoch " + std::to_string(got->epoch) +
                              ", map " + std::to_string(got->map) + " of " +
                              std::to_string(got->storage_nodes.size()));
--- a/src/control/control_plane_peers.cpp
+++ b/src/control/control_plane_peers.cpp
@@ -3,14 +3,14 @@
 
 #include <algorithm>
 
+#include "common/log.hpp"
 #include "control/control_plane.hpp"
 #include "control/control_plane_limits.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::control {
 namespace {
 
-using market::Gossip;
+using common::Gossip;
 
 // Of what a full word holds beyond a short one.
 std::uint64_t stamp_of(const Gossip& word) {
@@ -18,13 +18,13 @@
   part.initial = word.initial;
   part.controllers = word.controllers;
   part.members = word.members;
-  const std::string bytes = market::encoded(part);
+  const std::string bytes = common::encoded(part);
   return XXH3_64bits(bytes.data(), bytes.size());
 }
 
 }  // namespace
 
-market::Link* ControlPlane::link(const std::string& address) {
+common::RpcClient* ControlPlane::link(const std::string& address) {
   know(address);
   const auto found = peers_.find(address);
   return found == peers_.end() ? nullptr : found->second.link.get();
@@ -35,9 +35,9 @@
   const auto to = net::parse_address(address);
   if (!to) return;
   Peer& peer = peers_[address];
-  peer.known_since = later_.now();
-  peer.link =
-      std::make_unique<market::Link>(scheduler_, later_, *to, seed_of(address_ + address, later_.now()));
+  peer.known_since = timers_.now();
+  peer.link = std::make_unique<common::RpcClient>(scheduler_, timers_, *to,
+                                                  seed_of(address_ + address, timers_.now()));
   peer.link->on_up([this, address] {
     const auto at = peers_.find(address);  // it may have been parted with
     if (at == peers_.end()) return;
@@ -48,11 +48,11 @@
 
 void ControlPlane::forget_lost() {
   parted_.clear();
-  const TimePoint now = later_.now();
-  const market::Value& initial = register_.initial();
+  const TimePoint now = timers_.now();
+  const common::Value& initial = register_.initial();
   for (auto it = peers_.begin(); it != peers_.end();) {
     const bool votes = std::any_of(initial.acceptors.begin(), initial.acceptors.end(),
-                                   [&](const market::Acceptor& a) { return a.address == it->first; });
+                                   [&](const common::Acceptor& a) { return a.address == it->first; });
     const TimePoint since = std::max(it->second.heard, it->second.known_since);
     if (!votes && now - since > peer_forgotten && peers_.size() > 1) {
       parted_.push_back(std::move(it->second.link));
@@ -68,7 +68,7 @@
   std::vector<std::string> out;
   if (!leaving_) out.push_back(address_);
   for (const auto& [address, peer] : peers_) {
-    if (peer.last && !peer.last->leaving && later_.now() - peer.heard < peer_heard * 4)
+    if (peer.last && !peer.last->leaving && timers_.now() - peer.heard < peer_heard * 4)
       out.push_back(address);
   }
   return out;
@@ -95,7 +95,7 @@
   out.list_term = later_followed ? followed_list_term_ : list_.term();
   out.list_number = later_followed ? 0 : list_.number();
   out.life = contact_.life();
-  out.stamp = (later_.now() - TimePoint()).as_us();
+  out.stamp = (timers_.now() - TimePoint()).as_us();
   for (const Duty* duty : {&list_duty_, &roster_duty_}) {
     if (duty->mine() && !leaving_) out.duties.push_back({duty->name(), duty->term()});
   }
@@ -118,15 +118,15 @@
   // and then for those who missed it.
   Gossip word = full_word();
   const std::uint64_t stamp = stamp_of(word);
-  if (stamp == full_stamp_ && later_.now() - full_since_ < full_every) {
+  if (stamp == full_stamp_ && timers_.now() - full_since_ < full_every) {
     word = word_of_mine();
   } else {
     full_stamp_ = stamp;
-    full_since_ = later_.now();
+    full_since_ = timers_.now();
   }
   for (auto& [address, peer] : peers_) {
     if (peer.link->up() && peer.link->silent() > Span::ms(3000) &&
-        later_.now() - peer.heard > Span::ms(1500)) {
+        timers_.now() - peer.heard > Span::ms(1500)) {
       peer.link->restart();  // nothing has come over either way: it may be gone without a word
       continue;
     }
@@ -147,7 +147,7 @@
   if (word.address == address_) return;
   know(word.address);
   Peer& peer = peers_[word.address];
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   peer.heard = now;
   Gossip last = word;
   if (!word.full && peer.last) {
@@ -161,12 +161,12 @@
   for (const std::string& one : word.controllers) know(one);
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
     const auto held = std::find_if(word.duties.begin(), word.duties.end(),
-                                   [&](const market::HeldDuty& d) { return d.name == duty->name(); });
+                                   [&](const common::HeldDuty& d) { return d.name == duty->name(); });
     duty->heard(word.node, held != word.duties.end(), held != word.duties.end() ? held->term : 0, now);
   }
   step_down_if_overtaken(word.list_term);
   if (list_duty_.mine()) {
-    for (const market::EndpointList& change : list_.since(word.list_term, word.list_number))
+    for (const common::EndpointList& change : list_.since(word.list_term, word.list_number))
       peer.link->tell(change);
   }
   catch_up();
@@ -180,7 +180,7 @@
 
 // Whether messages went to a quorum of the acceptors and back, the first of them sent no longer ago.
 bool ControlPlane::quorum_reached(Span within) const {
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   const auto at = contact_.reached(register_.initial().acceptors, own_report(), now);
   return at && now - *at < within;
 }
@@ -188,18 +188,18 @@
 void ControlPlane::confirm_contact() {
   if (!register_.known()) return;
   const auto at = contact_.confirmed(register_.initial().acceptors, own_report(), register_.known()->number,
-                                     later_.now());
+                                     timers_.now());
   if (at) fresh_at_ = std::max(fresh_at_, *at);
 }
 
 Span ControlPlane::fresh_age() const {
   if (!register_.known()) return Span::ms(60000);
-  return later_.now() - fresh_at_;
+  return timers_.now() - fresh_at_;
 }
 
 // Whether anything tells of a value or an epoch newer than what is known here.
 bool ControlPlane::behind() const {
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   const std::int64_t known = register_.known() ? register_.known()->number : -1;
   if (known < 0) return true;
   if (acceptor_->voting() && acceptor_->accepted_number() > known) return true;
@@ -214,22 +214,22 @@
 // Asks the acceptors of a later epoch that a peer has told of: its first value is had from one of them. The
 // set alone is told by gossip. False: nobody has told of one.
 bool ControlPlane::learn_later_epoch() {
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   const auto later = std::find_if(peers_.begin(), peers_.end(), [&](const auto& one) {
     const Peer& peer = one.second;
     return peer.last && peer.last->epoch > register_.initial().epoch && now - peer.heard < peer_heard;
   });
   if (later == peers_.end()) return false;
   catching_up_ = true;
-  market::Prepare ask;
+  common::Prepare ask;
   ask.look_only = true;  // of epoch 0, which all have left: the answer names the newest
-  const std::vector<market::Acceptor> acceptors = later->second.last->initial.acceptors;
-  for (const market::Acceptor& a : acceptors) {
-    prepare(a.address, ask, [this](absl::StatusOr<market::Promise> got) {
+  const std::vector<common::Acceptor> acceptors = later->second.last->initial.acceptors;
+  for (const common::Acceptor& a : acceptors) {
+    prepare(a.address, ask, [this](absl::StatusOr<common::Promise> got) {
       if (got.ok() && got->initial.epoch > register_.initial().epoch) register_.learn_epoch(got->initial);
     });
   }
-  later_.after(Span::ms(60), [this] {
+  timers_.after(Span::ms(60), [this] {
     catching_up_ = false;
     catch_up();
   });
@@ -239,20 +239,20 @@
 // Asks the acceptors where anything tells of news that have not come by themselves.
 void ControlPlane::catch_up() {
   confirm_contact();
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   if (!behind()) {
     behind_since_.reset();
     return;
   }
   if (!behind_since_) {
     behind_since_ = now;
-    later_.after(behind_most + Span::ms(1), [this] { catch_up(); });  // sooner than the loop's next step
+    timers_.after(behind_most + Span::ms(1), [this] { catch_up(); });  // sooner than the loop's next step
   }
   if (catching_up_ || (register_.known() && now - *behind_since_ < behind_most)) return;
   if (learn_later_epoch() || register_.initial().epoch == 0) return;
   catching_up_ = true;
   // What it finds was chosen at some time after its beginning.
-  register_.read(Span::ms(1500), [this, now](absl::StatusOr<market::Value> got) {
+  register_.read(Span::ms(1500), [this, now](absl::StatusOr<common::Value> got) {
     catching_up_ = false;
     if (got.ok()) fresh_at_ = std::max(fresh_at_, now);
   });
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -1,26 +1,26 @@
 // Sessions of edges and storage nodes with a controller: members, pushed values, heartbeats.
 #include <algorithm>
 
+#include "common/log.hpp"
 #include "control/control_plane.hpp"
 #include "control/control_plane_limits.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::control {
 namespace {
 
-using market::Member;
+using common::Member;
 
 }  // namespace
 
-void ControlPlane::on_hello(market::Desk::Guest& guest, const market::Hello& hello) {
+void ControlPlane::on_hello(common::RpcServer::Connection& connection, const common::Hello& hello) {
   if (hello.ending) {
-    sessions_.erase(guest.id());
+    sessions_.erase(connection.id());
     return;
   }
-  const bool fresh = !sessions_.contains(guest.id());
-  Session& session = sessions_[guest.id()];
+  const bool fresh = !sessions_.contains(connection.id());
+  Session& session = sessions_[connection.id()];
   session.member = hello.member;
-  session.heard = later_.now();
+  session.heard = timers_.now();
   session.stamp = hello.stamp;
   session.first = hello.first;
   session.values.acknowledged(hello.member.number, hello.refused);
@@ -31,35 +31,35 @@
   }
   list_duty_.learn_told(hello.list_term, holder_);
   followed_list_term_ = std::max(followed_list_term_, hello.list_term);
-  if (fresh || session.first) push(guest.id(), session);
+  if (fresh || session.first) push(connection.id(), session);
   if (fresh) {
-    market::Beat word;
+    common::Heartbeat word;
     word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
     word.number = register_.known() ? register_.known()->number : 0;
     word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
-    guest.tell(word);
+    connection.tell(word);
   }
   acknowledged();
 }
 
 void ControlPlane::push(std::uint64_t id, Session& session) {
-  market::Desk::Guest* const guest = desk_.find(id);
-  if (guest == nullptr) return;
-  if (const std::string* const record = session.values.next(pushed_, guest->unsent()))
-    guest->tell_record(market::Push::kind, *record);
+  common::RpcServer::Connection* const connection = rpc_server_.find(id);
+  if (connection == nullptr) return;
+  if (const std::string* const record = session.values.next(pushed_, connection->unsent()))
+    connection->tell_record(common::Push::kind, *record);
   if (!list_.newer_than(session.list_term, session.list_number)) return;
-  for (const market::EndpointList& change : list_.since(session.list_term, session.list_number))
-    guest->tell(change);
+  for (const common::EndpointList& change : list_.since(session.list_term, session.list_number))
+    connection->tell(change);
   session.list_term = list_.term();
   session.list_number = list_.number();
 }
 
-void ControlPlane::beat() {
-  market::Beat word;
+void ControlPlane::heartbeat() {
+  common::Heartbeat word;
   word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
   word.number = register_.known() ? register_.known()->number : 0;
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   const std::vector<Member> all = members();
   word.edges = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
   const std::vector<std::string> controllers = controller_addresses();
@@ -69,24 +69,24 @@
   }
   std::vector<std::uint64_t> silent;
   for (auto& [id, session] : sessions_) {
-    market::Desk::Guest* const guest = desk_.find(id);
-    if (guest == nullptr || now - session.heard > session_heard) {
+    common::RpcServer::Connection* const connection = rpc_server_.find(id);
+    if (connection == nullptr || now - session.heard > session_heard) {
       silent.push_back(id);
       continue;
     }
-    push(id, session);  // before the beat, which confirms what has come
+    push(id, session);  // before the heartbeat, which confirms what has come
     word.echo_stamp = session.stamp;
-    guest->tell(word);
+    connection->tell(word);
   }
   for (const std::uint64_t id : silent) {
     sessions_.erase(id);
-    if (market::Desk::Guest* const guest = desk_.find(id)) guest->close();
+    if (common::RpcServer::Connection* const connection = rpc_server_.find(id)) connection->close();
   }
   if (!silent.empty()) acknowledged();
 }
 
 void ControlPlane::acknowledged() {
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   while (!waiting_.empty()) {
     const Waiting& first = waiting_.front();
     const bool all = std::all_of(sessions_.begin(), sessions_.end(), [&](const auto& one) {
@@ -100,14 +100,14 @@
 }
 
 void ControlPlane::when_acknowledged(std::int64_t number, std::function<void()> then) {
-  waiting_.push_back({number, later_.now() + acks_most, std::move(then)});
-  later_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
+  waiting_.push_back({number, timers_.now() + acks_most, std::move(then)});
+  timers_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
   acknowledged();
 }
 
 bool ControlPlane::all_peers_heard() const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& one) {
-    return one.second.last && later_.now() - one.second.heard < peer_heard;
+    return one.second.last && timers_.now() - one.second.heard < peer_heard;
   });
 }
 
@@ -115,7 +115,7 @@
 // has found it by then too.
 bool ControlPlane::members_complete() const {
   return quorum_reached(peer_heard) && all_peers_heard() &&
-         later_.now() - in_contact_since_ >= members_settled_after;
+         timers_.now() - in_contact_since_ >= members_settled_after;
 }
 
 ControlStatus ControlPlane::status() const {
@@ -133,7 +133,7 @@
     if (at.node.empty() || at.disk != m.disk || at.whole < m.whole) at = m;
   };
   for (const auto& [address, peer] : peers_) {
-    if (!peer.last || later_.now() - peer.heard > peer_heard) continue;
+    if (!peer.last || timers_.now() - peer.heard > peer_heard) continue;
     for (const Member& m : peer.last->members) take(m);
   }
   for (const auto& [id, session] : sessions_) take(session.member);
--- a/src/control/duty.cpp
+++ b/src/control/duty.cpp
@@ -13,8 +13,8 @@
 }  // namespace
 
 double Duty::draw() {
-  luck_ = XXH3_64bits(&luck_, sizeof luck_);
-  return static_cast<double>(luck_ >> 11U) * 0x1p-53;
+  random_ = XXH3_64bits(&random_, sizeof random_);
+  return static_cast<double>(random_ >> 11U) * 0x1p-53;
 }
 
 void Duty::heard(const std::string& node, bool holds, std::int64_t term, TimePoint now) {
--- a/src/control/duty.hpp
+++ b/src/control/duty.hpp
@@ -27,7 +27,7 @@
 
 class Duty {
  public:
-  Duty(std::string name, std::uint64_t seed) : name_(std::move(name)), luck_(seed) {}
+  Duty(std::string name, std::uint64_t seed) : name_(std::move(name)), random_(seed) {}
 
   const std::string& name() const { return name_; }
   bool mine() const { return mine_; }
@@ -59,7 +59,7 @@
   bool mine_ = false, standing_ = false;
   std::int64_t term_ = 0, voted_ = 0;
   TimePoint heard_, wait_until_, won_at_;
-  std::uint64_t luck_;
+  std::uint64_t random_;
 };
 
 }  // namespace chutevane::control
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,14 +1,14 @@
 // chutevane-control: a control sidecar.
+#include "common/process.hpp"
 #include "control/control_plane.hpp"
-#include "market/process.hpp"
 
 int main(int argc, char** argv) {
   using namespace chutevane;
-  return market::run_process(
+  return common::run_process(
       "chutevane-control", "Control: configuration, membership, the list of endpoints", argc, argv,
       [](net::Scheduler& scheduler,
-         const market::ProcessSettings& settings) -> std::unique_ptr<market::Plane> {
+         const common::ProcessSettings& settings) -> std::unique_ptr<common::Plane> {
         return std::make_unique<control::ControlPlane>(
-            scheduler, settings, std::make_unique<market::FolderDisk>(settings.data_dir));
+            scheduler, settings, std::make_unique<common::FolderDisk>(settings.data_dir));
       });
 }
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -5,10 +5,10 @@
 #include <memory>
 #include <optional>
 
+#include "common/configuration.hpp"
+#include "common/log.hpp"
 #include "control/roster.hpp"
 #include "json/value.hpp"
-#include "market/configuration.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::control {
 namespace {
@@ -16,30 +16,30 @@
 constexpr Span change_most = Span::ms(3000);  // told as unclear well before `ackMs`
 constexpr Span order_most = Span::ms(2500);   // ... and so with all other calls
 
-market::HttpAnswer problem(int status, const std::string& cause) {
+common::HttpAnswer problem(int status, const std::string& cause) {
   json::Writer out;
   out.open('{').key("cause").text(cause).close('}');
   return {status, out.result(), {}};
 }
 
-market::HttpAnswer unclear() {
-  market::HttpAnswer out = problem(503, "not known yet whether it is taken: send it again unchanged");
+common::HttpAnswer unclear() {
+  common::HttpAnswer out = problem(503, "not known yet whether it is taken: send it again unchanged");
   out.fields.emplace_back("Retry-After", "0.2");
   return out;
 }
 
 // All findings, each with its place.
-market::HttpAnswer invalid(const market::Findings& findings) {
+common::HttpAnswer invalid(const common::Findings& findings) {
   json::Writer out;
   out.open('{').key("cause").text(findings.text()).key("findings").open('[');
-  for (const market::Finding& f : findings.list())
+  for (const common::Finding& f : findings.list())
     out.open('{').key("place").text(f.place).key("what").text(f.what).close('}');
   out.close(']').close('}');
   return {400, out.result(), {}};
 }
 
 // -1 where it is missing or no version: a finding then.
-std::int64_t base_version(const http::Parser& request, market::Findings& findings) {
+std::int64_t base_version(const http::Parser& request, common::Findings& findings) {
   constexpr std::string_view name = "X-Chutevane-Base-Version";
   const auto text = request.find(name);
   if (!text) {
@@ -54,9 +54,9 @@
   return -1;
 }
 
-bool is_retired(const market::Value& value, const std::string& node) {
+bool is_retired(const common::Value& value, const std::string& node) {
   return std::any_of(value.retired.begin(), value.retired.end(),
-                     [&](const market::Retired& r) { return r.node == node; });
+                     [&](const common::Retired& r) { return r.node == node; });
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
                          std::size_t remembered)
     : register_(control_register), host_(host), machine_losses_(machine_losses), remembered_(remembered) {}
 
-void OperatorApi::serve(const http::Parser& request, market::HttpPort::Reply reply) {
+void OperatorApi::serve(const http::Parser& request, common::HttpPort::Reply reply) {
   const std::string_view target = request.target();
   const std::string_view path = target.substr(0, target.find('?'));
   const auto node_of = [&](std::string_view prefix) { return std::string(path.substr(prefix.size())); };
@@ -80,25 +80,25 @@
   reply(problem(404, "no such call"));
 }
 
-void OperatorApi::replace(const http::Parser& request, market::HttpPort::Reply reply) {
-  market::Findings findings;
+void OperatorApi::replace(const http::Parser& request, common::HttpPort::Reply reply) {
+  common::Findings findings;
   ConfigurationOrder order;
   order.base = base_version(request, findings);
   order.body = request.body();
-  order.hash = static_cast<std::int64_t>(market::hash_of(order.body));
-  const auto read = market::read_configuration(order.body, findings);
+  order.hash = static_cast<std::int64_t>(common::hash_of(order.body));
+  const auto read = common::read_configuration(order.body, findings);
   if (read && findings.none() && read->version <= order.base)
     findings.add("version", std::to_string(read->version) + " is not above its base");
   if (!findings.none() || !read) return reply(invalid(findings));
   order.version = read->version;
   const auto shared = std::make_shared<const ConfigurationOrder>(std::move(order));
   register_.change(
-      [shared, remembered = remembered_](const market::Value& current) -> std::optional<market::Value> {
+      [shared, remembered = remembered_](const common::Value& current) -> std::optional<common::Value> {
         if (judge(current, *shared, remembered) != OrderVerdict::applicable) return std::nullopt;
         return applied(current, *shared, remembered);
       },
       change_most,
-      [this, reply, shared](absl::StatusOr<market::Value> got) {
+      [this, reply, shared](absl::StatusOr<common::Value> got) {
         if (!got.ok()) return reply(unclear());
         switch (judge(*got, *shared, remembered_)) {
           case OrderVerdict::taken: return acknowledge(*got, shared->version, reply);
@@ -111,9 +111,9 @@
       });
 }
 
-void OperatorApi::acknowledge(const market::Value& chosen, std::int64_t version,
-                              market::HttpPort::Reply reply) {
-  market::log_info("config.taken",
+void OperatorApi::acknowledge(const common::Value& chosen, std::int64_t version,
+                              common::HttpPort::Reply reply) {
+  common::log_info("config.taken",
                    "version " + std::to_string(version) + ", number " + std::to_string(chosen.number));
   host_.announce(chosen);
   json::Writer out;
@@ -123,8 +123,8 @@
   });
 }
 
-void OperatorApi::retrieve(market::HttpPort::Reply reply) {
-  register_.read(order_most, [reply](absl::StatusOr<market::Value> got) {
+void OperatorApi::retrieve(common::HttpPort::Reply reply) {
+  register_.read(order_most, [reply](absl::StatusOr<common::Value> got) {
     if (!got.ok()) return reply(unclear());
     if (got->config_version == 0) return reply(problem(404, "no configuration was taken yet"));
     reply({200, got->config.data, {{"X-Chutevane-Base-Version", std::to_string(got->config_version)}}});
@@ -132,8 +132,8 @@
 }
 
 // What was taken, the oldest first; hashes as texts, since a number in JSON may lose their last digits.
-void OperatorApi::history(market::HttpPort::Reply reply) {
-  register_.read(order_most, [reply](absl::StatusOr<market::Value> got) {
+void OperatorApi::history(common::HttpPort::Reply reply) {
+  register_.read(order_most, [reply](absl::StatusOr<common::Value> got) {
     if (!got.ok()) return reply(unclear());
     json::Writer out;
     out.open('{')
@@ -141,12 +141,12 @@
         .number(static_cast<std::uint64_t>(got->config_version))
         .key("taken")
         .open('[');
-    for (const market::Taken& t : got->taken)
+    for (const common::Taken& t : got->taken)
       out.open('{')
           .key("version")
           .number(static_cast<std::uint64_t>(t.version))
           .key("hash")
-          .text(market::hash_text(static_cast<std::uint64_t>(t.hash)))
+          .text(common::hash_text(static_cast<std::uint64_t>(t.hash)))
           .close('}');
     out.close(']').close('}');
     reply({200, out.result(), {}});
@@ -154,15 +154,15 @@
 }
 
 // An order that was taken is in the value's list for good: the list is looked at before anything else.
-void OperatorApi::initiate_retire(const std::string& node, market::HttpPort::Reply reply) {
+void OperatorApi::initiate_retire(const std::string& node, common::HttpPort::Reply reply) {
   register_.change(
-      [this, node](const market::Value& current) -> std::optional<market::Value> {
-        market::Value out = current;
+      [this, node](const common::Value& current) -> std::optional<common::Value> {
+        common::Value out = current;
         if (retire(out, node, machine_losses_) != RetireVerdict::taken) return std::nullopt;
         return out;
       },
       order_most,
-      [this, reply, node](absl::StatusOr<market::Value> got) {
+      [this, reply, node](absl::StatusOr<common::Value> got) {
         if (!got.ok()) return reply(unclear());
         if (is_retired(*got, node)) {
           host_.announce(*got);
@@ -174,53 +174,53 @@
       });
 }
 
-void OperatorApi::retrieve_retire(const std::string& node, market::HttpPort::Reply reply) {
-  register_.read(order_most, [this, reply, node](absl::StatusOr<market::Value> got) {
+void OperatorApi::retrieve_retire(const std::string& node, common::HttpPort::Reply reply) {
+  register_.read(order_most, [this, reply, node](absl::StatusOr<common::Value> got) {
     if (!got.ok()) return reply(unclear());
-    for (const market::Retired& r : got->retired) {
+    for (const common::Retired& r : got->retired) {
       if (r.node != node) continue;
       return reply({200, r.completed ? "{\"state\":\"completed\"}" : "{\"state\":\"active\"}", {}});
     }
     const bool serves = std::any_of(got->storage_nodes.begin(), got->storage_nodes.end(),
-                                    [&](const market::StorageNode& n) { return n.node == node; });
+                                    [&](const common::StorageNode& n) { return n.node == node; });
     if (serves) return reply({200, "{\"state\":\"active\"}", {}});
     reply(no_such_storage_machine(node));
   });
 }
 
 // Of one that the map does not name: it may be there and not be taken into the map yet.
-market::HttpAnswer OperatorApi::no_such_storage_machine(const std::string& node) const {
+common::HttpAnswer OperatorApi::no_such_storage_machine(const std::string& node) const {
   if (!host_.members_complete()) return unclear();
-  const std::vector<market::Member> all = host_.members();
-  const bool there = std::any_of(all.begin(), all.end(), [&](const market::Member& m) {
+  const std::vector<common::Member> all = host_.members();
+  const bool there = std::any_of(all.begin(), all.end(), [&](const common::Member& m) {
     return m.plane == "storage" && m.node == node;
   });
   return there ? unclear() : problem(404, "no storage machine of that name");
 }
 
-void OperatorApi::status(market::HttpPort::Reply reply) {
+void OperatorApi::status(common::HttpPort::Reply reply) {
   const ControlStatus own = host_.status();
   json::Writer out;
   const auto count = [](std::int64_t n) { return static_cast<std::uint64_t>(std::max<std::int64_t>(n, 0)); };
-  const std::optional<market::Value>& v = register_.known();
+  const std::optional<common::Value>& v = register_.known();
   out.open('{').key("node").text(own.node);
   out.key("freshMs").number(count(static_cast<std::int64_t>(own.fresh_age.as_ms())));
   out.key("number").number(v ? count(v->number) : 0).key("epoch").number(count(register_.initial().epoch));
   out.key("configVersion").number(v ? count(v->config_version) : 0).key("map").number(v ? count(v->map) : 0);
   out.key("acceptors").open('[');
-  for (const market::Acceptor& a : register_.initial().acceptors)
+  for (const common::Acceptor& a : register_.initial().acceptors)
     out.open('{').key("address").text(a.address).key("disk").text(a.disk).close('}');
   out.close(']').key("storageNodes").open('[');
   if (v) {
-    for (const market::StorageNode& c : v->storage_nodes)
+    for (const common::StorageNode& c : v->storage_nodes)
       out.open('{').key("node").text(c.node).key("zone").text(c.zone).key("leaving").truth(c.leaving).close(
           '}');
   }
   out.close(']').key("duties").open('[');
-  for (const market::HeldDuty& duty : own.duties)
+  for (const common::HeldDuty& duty : own.duties)
     out.open('{').key("name").text(duty.name).key("term").number(count(duty.term)).close('}');
   out.close(']').key("members").open('[');
-  for (const market::Member& m : host_.members())
+  for (const common::Member& m : host_.members())
     out.open('{')
         .key("node")
         .text(m.node)
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -11,11 +11,11 @@
 #include <string_view>
 #include <vector>
 
+#include "common/http_port.hpp"
+#include "common/messages.hpp"
 #include "control/configuration_order.hpp"
 #include "control/register.hpp"
 #include "http/parser.hpp"
-#include "market/http_port.hpp"
-#include "market/messages.hpp"
 
 namespace chutevane::control {
 
@@ -23,7 +23,7 @@
 struct ControlStatus {
   std::string node;
   Span fresh_age;                        // since its knowledge of the register was last confirmed
-  std::vector<market::HeldDuty> duties;  // its own
+  std::vector<common::HeldDuty> duties;  // its own
   std::size_t endpoints = 0;             // in its list
 };
 
@@ -33,11 +33,11 @@
   class Host {
    public:
     // Tells the other control machines of a value that was chosen here.
-    virtual void announce(const market::Value& chosen) = 0;
+    virtual void announce(const common::Value& chosen) = 0;
     // Calls back once the edges with a session here have that value, or after a bounded time.
     virtual void when_acknowledged(std::int64_t number, std::function<void()> then) = 0;
     // Edges and storage machines with a session at this or another control machine.
-    virtual std::vector<market::Member> members() const = 0;
+    virtual std::vector<common::Member> members() const = 0;
     // Whether members() holds all that are in touch: false after a start and while a peer is out of contact.
     virtual bool members_complete() const = 0;
     virtual ControlStatus status() const = 0;
@@ -50,17 +50,17 @@
   OperatorApi(Register& control_register, Host& host, std::size_t machine_losses,
               std::size_t remembered = remembered_configurations);
   // Answers one call: at once or later, exactly once.
-  void serve(const http::Parser& request, market::HttpPort::Reply reply);
+  void serve(const http::Parser& request, common::HttpPort::Reply reply);
 
  private:
-  void replace(const http::Parser& request, market::HttpPort::Reply reply);
-  void acknowledge(const market::Value& chosen, std::int64_t version, market::HttpPort::Reply reply);
-  void retrieve(market::HttpPort::Reply reply);
-  void history(market::HttpPort::Reply reply);
-  void initiate_retire(const std::string& node, market::HttpPort::Reply reply);
-  void retrieve_retire(const std::string& node, market::HttpPort::Reply reply);
-  market::HttpAnswer no_such_storage_machine(const std::string& node) const;
-  void status(market::HttpPort::Reply reply);
+  void replace(const http::Parser& request, common::HttpPort::Reply reply);
+  void acknowledge(const common::Value& chosen, std::int64_t version, common::HttpPort::Reply reply);
+  void retrieve(common::HttpPort::Reply reply);
+  void history(common::HttpPort::Reply reply);
+  void initiate_retire(const std::string& node, common::HttpPort::Reply reply);
+  void retrieve_retire(const std::string& node, common::HttpPort::Reply reply);
+  common::HttpAnswer no_such_storage_machine(const std::string& node) const;
+  void status(common::HttpPort::Reply reply);
 
   Register& register_;
   Host& host_;
--- a/src/control/platform.cpp
+++ b/src/control/platform.cpp
@@ -2,8 +2,8 @@
 
 #include <simdjson.h>
 
+#include "common/log.hpp"
 #include "http/writer.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::control {
 namespace {
@@ -23,7 +23,7 @@
     return std::nullopt;
   Page out;
   for (const simdjson::dom::element e : instances) {
-    market::Listed one;
+    common::Listed one;
     std::string_view id, service, address, zone, state;
     if (e["id"].get(id) != simdjson::SUCCESS || e["service"].get(service) != simdjson::SUCCESS ||
         e["address"].get(address) != simdjson::SUCCESS || e["state"].get(state) != simdjson::SUCCESS)
@@ -43,9 +43,9 @@
   return out;
 }
 
-Platform::Platform(net::Scheduler& scheduler, net::Later& later, const sockaddr_in& at, double rate)
+Platform::Platform(net::Scheduler& scheduler, net::TimerQueue& later, const sockaddr_in& at, double rate)
     : scheduler_(scheduler),
-      later_(later),
+      timers_(later),
       at_(at),
       page_pause_(Span::ms(rate > 0 ? 1000.0 / (rate * rate_part) : 0)),
       parser_(http::Side::response, {.head = 16 * 1024, .body = 8U << 20U, .fields = 100}) {}
@@ -59,7 +59,7 @@
     ask();
     return;
   }
-  due_ = later_.after(page_most, [this] { finish(false); });
+  due_ = timers_.after(page_most, [this] { finish(false); });
   old_ = std::move(channel_);
   channel_ = std::make_unique<net::Channel>(scheduler_, static_cast<net::Channel::Sink&>(*this));
   if (!channel_->connect(at_)) finish(false);
@@ -67,8 +67,8 @@
 
 void Platform::ask() {
   if (!done_ || !channel_ || !channel_->up()) return;
-  later_.cancel(due_);
-  due_ = later_.after(page_most, [this] { finish(false); });
+  timers_.cancel(due_);
+  due_ = timers_.after(page_most, [this] { finish(false); });
   parser_.reset();
   http::Writer out(channel_->out());
   out.request_line("GET", token_.empty() ? "/instances" : "/instances?pageToken=" + token_);
@@ -77,8 +77,8 @@
 }
 
 void Platform::finish(bool good) {
-  later_.cancel(due_);
-  later_.cancel(next_);
+  timers_.cancel(due_);
+  timers_.cancel(next_);
   if (!good && channel_) {
     channel_->close();
     old_ = std::move(channel_);
@@ -105,11 +105,11 @@
   const bool keep = parser_.keep_alive();
   channel.in().consume(parser_.size());
   if (!page) {
-    market::log_warning("list.unreadable", "a page of the platform's list could not be read");
+    common::log_warning("list.unreadable", "a page of the platform's list could not be read");
     finish(false);
     return;
   }
-  for (market::Listed& one : page->entries) entries_.push_back(std::move(one));
+  for (common::Listed& one : page->entries) entries_.push_back(std::move(one));
   token_ = page->next;
   if (token_.empty() || !keep) {
     const bool whole = token_.empty();
@@ -120,7 +120,7 @@
     finish(whole);
     return;
   }
-  next_ = later_.after(page_pause_, [this] { ask(); });
+  next_ = timers_.after(page_pause_, [this] { ask(); });
 }
 
 void Platform::channel_gone(net::Channel& channel) {
--- a/src/control/platform.hpp
+++ b/src/control/platform.hpp
@@ -7,24 +7,24 @@
 #include <string>
 #include <vector>
 
+#include "common/messages.hpp"
 #include "http/parser.hpp"
-#include "market/messages.hpp"
 #include "net/channel.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::control {
 
 // One page as the platform answers it; nothing where it cannot be read.
 struct Page {
-  std::vector<market::Listed> entries;
+  std::vector<common::Listed> entries;
   std::string next;  // empty: the last
 };
 std::optional<Page> read_page(std::string_view body);
 
 class Platform final : net::Channel::Sink {
  public:
-  using Done = std::function<void(std::optional<std::vector<market::Listed>>)>;
-  Platform(net::Scheduler& scheduler, net::Later& later, const sockaddr_in& at, double rate);
+  using Done = std::function<void(std::optional<std::vector<common::Listed>>)>;
+  Platform(net::Scheduler& scheduler, net::TimerQueue& later, const sockaddr_in& at, double rate);
   // The whole list, or nothing. One reading at a time.
   void read(Done done);
   bool reading() const { return done_ != nullptr; }
@@ -36,14 +36,14 @@
   void channel_came(net::Channel&) override;
   void channel_gone(net::Channel&) override;
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const sockaddr_in at_;
   const Span page_pause_;
   std::unique_ptr<net::Channel> channel_, old_;
   http::Parser parser_;
-  std::vector<market::Listed> entries_;
+  std::vector<common::Listed> entries_;
   std::string token_;
-  net::Later::Ticket due_, next_;
+  net::TimerQueue::Ticket due_, next_;
   Done done_;
 };
 
--- a/src/control/quorum_contact.cpp
+++ b/src/control/quorum_contact.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Whether the report is of the very disk that the set names. The first set names addresses alone.
-bool is_of(const AcceptorReport& report, const market::Acceptor& named) {
+bool is_of(const AcceptorReport& report, const common::Acceptor& named) {
   if (report.acceptor.address != named.address) return false;
   return named.disk.empty() ? report.disk_of_first : report.acceptor.disk == named.disk;
 }
@@ -22,11 +22,11 @@
 }
 
 template <class Agrees>
-std::optional<TimePoint> QuorumContact::newest_of_quorum(const std::vector<market::Acceptor>& acceptors,
+std::optional<TimePoint> QuorumContact::newest_of_quorum(const std::vector<common::Acceptor>& acceptors,
                                                          const AcceptorReport& own, TimePoint now,
                                                          Agrees agrees) const {
   std::vector<TimePoint> stamps;
-  for (const market::Acceptor& named : acceptors) {
+  for (const common::Acceptor& named : acceptors) {
     if (is_of(own, named)) {
       if (agrees(own)) stamps.push_back(now);
       continue;
@@ -41,12 +41,12 @@
   return stamps[quorum - 1];
 }
 
-std::optional<TimePoint> QuorumContact::reached(const std::vector<market::Acceptor>& acceptors,
+std::optional<TimePoint> QuorumContact::reached(const std::vector<common::Acceptor>& acceptors,
                                                 const AcceptorReport& own, TimePoint now) const {
   return newest_of_quorum(acceptors, own, now, [](const AcceptorReport&) { return true; });
 }
 
-std::optional<TimePoint> QuorumContact::confirmed(const std::vector<market::Acceptor>& acceptors,
+std::optional<TimePoint> QuorumContact::confirmed(const std::vector<common::Acceptor>& acceptors,
                                                   const AcceptorReport& own, std::int64_t known,
                                                   TimePoint now) const {
   return newest_of_quorum(acceptors, own, now, [&](const AcceptorReport& report) {
--- a/src/control/quorum_contact.hpp
+++ b/src/control/quorum_contact.hpp
@@ -24,13 +24,13 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 
 namespace chutevane::control {
 
 /// What a peer's message says of its acceptor, and the stamp that it echoes.
 struct AcceptorReport {
-  market::Acceptor acceptor;  // address and name of the disk
+  common::Acceptor acceptor;  // address and name of the disk
   bool disk_of_first =
       false;  // the disk was new when the whole system was: it is the one the first set means
   std::int64_t epoch = 0;
@@ -49,10 +49,10 @@
 
   /// The newest time since which a quorum has received from this controller and it from them, whatever they
   /// have accepted: what a lease rests on. Nothing: there was none.
-  std::optional<TimePoint> reached(const std::vector<market::Acceptor>& acceptors, const AcceptorReport& own,
+  std::optional<TimePoint> reached(const std::vector<common::Acceptor>& acceptors, const AcceptorReport& own,
                                    TimePoint now) const;
   /// The newest time T such that no value chosen before T has a number above `known`.
-  std::optional<TimePoint> confirmed(const std::vector<market::Acceptor>& acceptors,
+  std::optional<TimePoint> confirmed(const std::vector<common::Acceptor>& acceptors,
                                      const AcceptorReport& own, std::int64_t known, TimePoint now) const;
 
  private:
@@ -61,7 +61,7 @@
     TimePoint echo;
   };
   template <class Agrees>
-  std::optional<TimePoint> newest_of_quorum(const std::vector<market::Acceptor>& acceptors,
+  std::optional<TimePoint> newest_of_quorum(const std::vector<common::Acceptor>& acceptors,
                                             const AcceptorReport& own, TimePoint now, Agrees agrees) const;
 
   const std::int64_t life_;
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -4,15 +4,15 @@
 
 #include <algorithm>
 
-#include "market/value_update.hpp"
+#include "common/value_update.hpp"
 
 namespace chutevane::control {
 namespace {
 
-using market::Accept;
-using market::Accepted;
-using market::Prepare;
-using market::Promise;
+using common::Accept;
+using common::Accepted;
+using common::Prepare;
+using common::Promise;
 
 constexpr Span round_most = Span::ms(400);  // for the answers of one round: a way and a sync take some ms
 constexpr Span pause_least =
@@ -42,22 +42,22 @@
 
 std::size_t majority(const Value& initial) { return initial.acceptors.size() / 2 + 1; }
 
-AcceptorState::AcceptorState(market::Disk& disk, std::string address, std::string disk_id, bool first)
+AcceptorState::AcceptorState(common::Disk& disk, std::string address, std::string disk_id, bool first)
     : slots_(disk, "acceptor"), address_(std::move(address)), disk_id_(std::move(disk_id)), first_(first) {}
 
 absl::Status AcceptorState::open() {
   const auto got = slots_.open();
   if (absl::IsNotFound(got.status())) return absl::OkStatus();
   if (!got.ok()) return got.status();
-  if (!market::decode(got->state, state_)) return absl::DataLossError("acceptor: slot not read");
+  if (!common::decode(got->state, state_)) return absl::DataLossError("acceptor: slot not read");
   for (const std::string& change : got->changes) {
-    if (!market::decode(change, state_)) return absl::DataLossError("acceptor: log not read");
+    if (!common::decode(change, state_)) return absl::DataLossError("acceptor: log not read");
   }
   return absl::OkStatus();
 }
 
 absl::Status AcceptorState::store(bool whole) {
-  const std::string record = market::encoded(state_);
+  const std::string record = common::encoded(state_);
   const bool as_slot = whole || slots_.log_is_long() || slots_.needs_write();
   return as_slot ? slots_.write(record) : slots_.append(record);
 }
@@ -80,7 +80,7 @@
 absl::StatusOr<Promise> AcceptorState::prepare(const Prepare& ask) {
   Promise out;
   bool entered = false;
-  const market::AcceptorRecord before = state_;
+  const common::AcceptorRecord before = state_;
   if (ask.epoch > state_.epoch) {
     if (!enter(ask.epoch, ask.initial)) {
       out.verdict = static_cast<std::int64_t>(Verdict::stranger);
@@ -131,13 +131,13 @@
   out.verdict = static_cast<std::int64_t>(Verdict::yes);
   if (ask.ballot.round > 0 && ask.ballot == state_.accepted) return out;  // a repeat: it is on disk
   absl::StatusOr<Value> value = ask.value;
-  if (market::is_difference(ask.difference))
-    value = market::changed_value(ask.difference, market::encoded(state_.value));
+  if (common::is_difference(ask.difference))
+    value = common::changed_value(ask.difference, common::encoded(state_.value));
   if (!value.ok()) {
     out.verdict = static_cast<std::int64_t>(Verdict::whole);
     return out;
   }
-  const market::AcceptorRecord before = state_;
+  const common::AcceptorRecord before = state_;
   state_.promised = state_.accepted = ask.ballot;
   state_.value = *std::move(value);
   if (absl::Status s = store(false); !s.ok()) {
@@ -151,7 +151,7 @@
   Change change;
   Done done;
   TimePoint until;
-  net::Later::Ticket due;
+  net::TimerQueue::Ticket due;
   bool over = false;
   int in_vain = 0;        // tries that met a later ballot or no majority
   std::int64_t turn = 0;  // answers to an earlier ballot are no answers to this one
@@ -162,11 +162,11 @@
   std::size_t yes = 0, no = 0;
   bool deciding = false, look_only = true;
   Value value;                         // that is proposed
-  market::ValueDifference difference;  // from what was found; none: it would not be shorter
+  common::ValueDifference difference;  // from what was found; none: it would not be shorter
 };
 
-Register::Register(net::Later& later, Voters& voters, std::uint64_t proposer)
-    : later_(later), voters_(voters), proposer_(proposer), luck_(proposer) {}
+Register::Register(net::TimerQueue& later, Voters& voters, std::uint64_t proposer)
+    : timers_(later), voters_(voters), proposer_(proposer), random_(proposer) {}
 
 void Register::learn_epoch(const Value& initial) {
   if (initial.epoch <= initial_.epoch) return;
@@ -195,14 +195,14 @@
   auto round = std::make_shared<Round>();
   round->change = std::move(change);
   round->done = std::move(done);
-  round->until = later_.now() + most;
+  round->until = timers_.now() + most;
   begin(round);
 }
 
 void Register::finish(const std::shared_ptr<Round>& round, absl::StatusOr<Value> result) {
   if (round->over) return;
   round->over = true;
-  later_.cancel(round->due);
+  timers_.cancel(round->due);
   const bool proposed = proposing_ == round;
   round->done(std::move(result));
   if (proposed) let_next_propose();
@@ -213,8 +213,8 @@
   if (!proposing_) proposing_ = round;
   if (proposing_ == round) return true;
   ++round->turn;
-  later_.cancel(round->due);
-  round->due = later_.at(round->until, [this, round] {
+  timers_.cancel(round->due);
+  round->due = timers_.at(round->until, [this, round] {
     std::erase(waiting_, round);
     finish(round, absl::DeadlineExceededError("others were before it"));
   });
@@ -236,7 +236,7 @@
 void Register::begin(const std::shared_ptr<Round>& round) {
   if (round->over) return;
   if (initial_.epoch == 0) return finish(round, absl::UnavailableError("no acceptors known yet"));
-  if (later_.now() >= round->until) return finish(round, absl::DeadlineExceededError("no majority in time"));
+  if (timers_.now() >= round->until) return finish(round, absl::DeadlineExceededError("no majority in time"));
   if (!round->look_only && !may_propose(round)) return;
   ++round->turn;
   round->initial = initial_;
@@ -245,8 +245,9 @@
   round->deciding = false;
   if (!round->look_only) round->ballot = {++highest_, static_cast<std::int64_t>(proposer_)};
   const std::int64_t turn = round->turn;
-  later_.cancel(round->due);
-  round->due = later_.at(std::min(round->until, later_.now() + round_most), [this, round] { again(round); });
+  timers_.cancel(round->due);
+  round->due =
+      timers_.at(std::min(round->until, timers_.now() + round_most), [this, round] { again(round); });
   round->known = accepted_;
   Prepare ask{round->initial.epoch, round->ballot, {}, round->look_only, {}};
   if (round->known) ask.known = round->known->ballot;
@@ -263,12 +264,12 @@
 void Register::again(const std::shared_ptr<Round>& round) {
   if (round->over) return;
   ++round->turn;  // what is still on its way is no answer any more
-  luck_ = XXH3_64bits(&luck_, sizeof luck_);
-  const double part = static_cast<double>(luck_ >> 11U) * 0x1p-53;
-  later_.cancel(round->due);
+  random_ = XXH3_64bits(&random_, sizeof random_);
+  const double part = static_cast<double>(random_ >> 11U) * 0x1p-53;
+  timers_.cancel(round->due);
   const double spread = static_cast<double>(1 << std::min(round->in_vain++, doublings_most));
-  const TimePoint next = later_.now() + pause_least + pause_spread * spread * part;
-  round->due = later_.at(std::min(round->until, next), [this, round] { begin(round); });
+  const TimePoint next = timers_.now() + pause_least + pause_spread * spread * part;
+  round->due = timers_.at(std::min(round->until, next), [this, round] { begin(round); });
 }
 
 void Register::on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
@@ -361,12 +362,12 @@
 void Register::propose(const std::shared_ptr<Round>& round, const Value& found, Value value) {
   round->value = std::move(value);
   round->yes = round->no = 0;
-  const std::string record = market::encoded(round->value);
-  round->difference = market::value_difference(found.number, market::encoded(found), record);
+  const std::string record = common::encoded(round->value);
+  round->difference = common::value_difference(found.number, common::encoded(found), record);
   if (round->difference.content.data.size() > record.size() / 2) round->difference = {};
   const std::int64_t turn = round->turn;
   for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
-    ask_accept(round, i, turn, !market::is_difference(round->difference));
+    ask_accept(round, i, turn, !common::is_difference(round->difference));
     if (round->over || round->turn != turn) return;
   }
 }
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -17,15 +17,15 @@
 #include <string>
 
 #include "absl/status/statusor.h"
-#include "market/disk.hpp"
-#include "market/messages.hpp"
-#include "net/later.hpp"
+#include "common/disk.hpp"
+#include "common/messages.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::control {
 
-using market::Acceptor;
-using market::Ballot;
-using market::Value;
+using common::Acceptor;
+using common::Ballot;
+using common::Value;
 
 // The first epoch's value: alike at all who know the same acceptors.
 Value first_value(std::vector<Acceptor> acceptors);
@@ -53,7 +53,7 @@
 // written again, with the next request or by write_again().
 class AcceptorState {
  public:
-  AcceptorState(market::Disk& disk, std::string address, std::string disk_id, bool first);
+  AcceptorState(common::Disk& disk, std::string address, std::string disk_id, bool first);
   // Reads its disk. An error: this process cannot vote.
   absl::Status open();
   // Called with the first value of each epoch that it enters, once that is on disk. A new member of the set
@@ -61,8 +61,8 @@
   void on_entered(std::function<void(const Value& initial)> told) { told_ = std::move(told); }
 
   // Errors are the disk's: nothing may be answered then.
-  absl::StatusOr<market::Promise> prepare(const market::Prepare& ask);
-  absl::StatusOr<market::Accepted> accept(const market::Accept& ask);
+  absl::StatusOr<common::Promise> prepare(const common::Prepare& ask);
+  absl::StatusOr<common::Accepted> accept(const common::Accept& ask);
 
   // The disk has refused a state and has taken none since.
   bool disk_failing() const { return slots_.needs_write(); }
@@ -80,20 +80,20 @@
   bool named(const Value& initial) const;
   bool enter(std::int64_t epoch, const Value& initial);
   absl::Status store(bool whole);
-  market::Slots slots_;
+  common::Slots slots_;
   const std::string address_, disk_id_;
   const bool first_;  // its disk was new when the whole system was: it is the one that the first set names
-  market::AcceptorRecord state_;
+  common::AcceptorRecord state_;
   std::function<void(const Value&)> told_;
 };
 
 // The way to the acceptors, by address. Answers may come at once, later or never.
 class Voters {
  public:
-  virtual void prepare(const std::string& address, const market::Prepare& ask,
-                       std::function<void(absl::StatusOr<market::Promise>)> answered) = 0;
-  virtual void accept(const std::string& address, const market::Accept& ask,
-                      std::function<void(absl::StatusOr<market::Accepted>)> answered) = 0;
+  virtual void prepare(const std::string& address, const common::Prepare& ask,
+                       std::function<void(absl::StatusOr<common::Promise>)> answered) = 0;
+  virtual void accept(const std::string& address, const common::Accept& ask,
+                      std::function<void(absl::StatusOr<common::Accepted>)> answered) = 0;
 
  protected:
   ~Voters() = default;
@@ -108,7 +108,7 @@
   // never.
   using Done = std::function<void(absl::StatusOr<Value>)>;
 
-  Register(net::Later& later, Voters& voters, std::uint64_t proposer);
+  Register(net::TimerQueue& later, Voters& voters, std::uint64_t proposer);
 
   // The newest epoch that is known; older ones are no news.
   void learn_epoch(const Value& initial);
@@ -142,11 +142,11 @@
     Ballot ballot;
     Value value;
   };
-  static const Value& value_of(const Round& round, const market::Promise& promise);
+  static const Value& value_of(const Round& round, const common::Promise& promise);
   void begin(const std::shared_ptr<Round>& round);
   void on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
-                  absl::StatusOr<market::Promise> got);
-  void note_entered(const Value& initial, std::size_t from, const market::Promise& got);
+                  absl::StatusOr<common::Promise> got);
+  void note_entered(const Value& initial, std::size_t from, const common::Promise& got);
   void decide(const std::shared_ptr<Round>& round);
   // `found`: what the round has found accepted, so what most of its acceptors have.
   void propose(const std::shared_ptr<Round>& round, const Value& found, Value value);
@@ -157,10 +157,10 @@
   void let_next_propose();
   void finish(const std::shared_ptr<Round>& round, absl::StatusOr<Value> result);
 
-  net::Later& later_;
+  net::TimerQueue& timers_;
   Voters& voters_;
   const std::uint64_t proposer_;
-  std::uint64_t luck_;
+  std::uint64_t random_;
   std::int64_t highest_ = 0;  // round that was met
   Value initial_;
   std::shared_ptr<const AcceptedValue> accepted_;  // the newest that was seen, proposed or told of
--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -5,10 +5,10 @@
 
 namespace chutevane::control {
 
-using market::Acceptor;
-using market::Member;
-using market::StorageNode;
-using market::Value;
+using common::Acceptor;
+using common::Member;
+using common::StorageNode;
+using common::Value;
 
 bool Roster::lost(const std::string& key, bool seen, Span after, TimePoint now) {
   const auto [at, fresh] = last_seen_.emplace(key, now);
@@ -96,15 +96,15 @@
   return found == live.end() ? nullptr : &*found;
 }
 
-const market::Retired* order_to_empty(const Value& value, const std::string& node) {
+const common::Retired* order_to_empty(const Value& value, const std::string& node) {
   const auto found = std::find_if(value.retired.begin(), value.retired.end(),
-                                  [&](const market::Retired& r) { return r.node == node; });
+                                  [&](const common::Retired& r) { return r.node == node; });
   return found == value.retired.end() ? nullptr : &*found;
 }
 
 // One that the map does not name comes in. An order to empty it stands, also where it was gone in between.
 bool join(Value& value, const Member& m) {
-  const market::Retired* const order = order_to_empty(value, m.node);
+  const common::Retired* const order = order_to_empty(value, m.node);
   if (m.leaving || (order != nullptr && order->completed)) return false;
   value.storage_nodes.push_back({m.node, m.disk, m.address, m.zone, order != nullptr, false});
   return true;
@@ -142,7 +142,7 @@
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                                   [](const StorageNode& c) { return !stays(c); });
   if (found == value.storage_nodes.end()) return false;
-  for (market::Retired& r : value.retired) r.completed = r.completed || r.node == found->node;
+  for (common::Retired& r : value.retired) r.completed = r.completed || r.node == found->node;
   value.storage_nodes.erase(found);
   return true;
 }
@@ -204,7 +204,7 @@
 }
 
 RetireVerdict retire(Value& value, const std::string& node, std::size_t losses) {
-  for (const market::Retired& r : value.retired) {
+  for (const common::Retired& r : value.retired) {
     if (r.node == node) return RetireVerdict::known;
   }
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
--- a/src/ctl/folder.cpp
+++ b/src/ctl/folder.cpp
@@ -71,20 +71,20 @@
 }
 
 template <class Record>
-Presence read_state(market::Disk& disk, const std::string& name, Record& into) {
-  market::Slots slots(disk, name);
+Presence read_state(common::Disk& disk, const std::string& name, Record& into) {
+  common::Slots slots(disk, name);
   const auto got = slots.open();
   if (absl::IsNotFound(got.status())) return Presence::none;
-  if (!got.ok() || !market::decode(got->state, into)) return Presence::lost;
+  if (!got.ok() || !common::decode(got->state, into)) return Presence::lost;
   for (const std::string& change : got->changes) {
-    if (!market::decode(change, into)) return Presence::lost;
+    if (!common::decode(change, into)) return Presence::lost;
   }
   return Presence::whole;
 }
 
 }  // namespace
 
-absl::StatusOr<Snapshot> Snapshot::of(market::Disk& disk) {
+absl::StatusOr<Snapshot> Snapshot::of(common::Disk& disk) {
   Snapshot out;
   for (const std::string& name : disk.names()) {
     absl::StatusOr<std::string> text = disk.read(name);
@@ -158,7 +158,7 @@
     } else if (name.find(".slot") != std::string::npos) {
       // The older slot may be one whose writing was cut short.
       std::size_t good = 0;
-      market::unframed(text, 0, &good);
+      common::unframed(text, 0, &good);
       if (good < text.size()) out.torn.push_back({name, good, text.size() - good});
     }
   }
@@ -170,11 +170,11 @@
   out.torn.insert(out.torn.end(), snapshot.torn().begin(), snapshot.torn().end());
   storage::Store store(snapshot, static_cast<std::size_t>(-1));
   if (absl::Status s = store.open(TimePoint()); !s.ok()) return s;
-  store.each_turn("", [&](const market::Turn& turn) {
+  store.each_turn("", [&](const common::Turn& turn) {
     out.turns.push_back(turn);
     return true;
   });
-  store.each_account("", [&](const market::Account& account) {
+  store.each_account("", [&](const common::Account& account) {
     out.accounts.push_back(account);
     return true;
   });
--- a/src/ctl/folder.hpp
+++ b/src/ctl/folder.hpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "absl/status/statusor.h"
-#include "market/disk.hpp"
-#include "market/messages.hpp"
+#include "common/disk.hpp"
+#include "common/messages.hpp"
 
 namespace chutevane::ctl {
 
@@ -20,10 +20,10 @@
 };
 
 // A copy of a disk. Cuts are made in the copy and kept as torn ends; any other change is refused.
-class Snapshot final : public market::Disk {
+class Snapshot final : public common::Disk {
  public:
   // What is read from another disk, which is only asked for names and contents.
-  static absl::StatusOr<Snapshot> of(market::Disk& disk);
+  static absl::StatusOr<Snapshot> of(common::Disk& disk);
   // Opens files to read alone. Read again where a running process changed one meanwhile.
   static absl::StatusOr<Snapshot> of_folder(const std::string& path);
 
@@ -53,12 +53,12 @@
 
 struct Holdings {
   Presence has_acceptor = Presence::none, has_controller = Presence::none, has_storage_node = Presence::none;
-  market::AcceptorRecord acceptor;
-  market::ControllerRecord controller;
-  market::StorageNodeRecord storage_node;
+  common::AcceptorRecord acceptor;
+  common::ControllerRecord controller;
+  common::StorageNodeRecord storage_node;
   std::vector<Segment> segments;
-  std::vector<market::Turn> turns;  // by their ids
-  std::vector<market::Account> accounts;
+  std::vector<common::Turn> turns;  // by their ids
+  std::vector<common::Account> accounts;
   std::size_t turn_bytes = 0;  // as a storage node counts them against its room
   std::size_t file_bytes = 0;
   std::vector<Torn> torn;
--- a/src/ctl/run.cpp
+++ b/src/ctl/run.cpp
@@ -6,12 +6,12 @@
 #include <fstream>
 #include <set>
 
+#include "common/configuration.hpp"
+#include "common/settings.hpp"
 #include "ctl/difference.hpp"
 #include "ctl/folder.hpp"
 #include "ctl/orders.hpp"
 #include "ctl/table.hpp"
-#include "market/configuration.hpp"
-#include "market/settings.hpp"
 
 namespace chutevane::ctl {
 namespace {
@@ -44,8 +44,8 @@
 }
 
 std::uint64_t count(std::int64_t n) { return static_cast<std::uint64_t>(std::max<std::int64_t>(n, 0)); }
-std::string text_of(const market::Ballot& b) {
-  return std::to_string(b.round) + "." + market::hash_text(static_cast<std::uint64_t>(b.proposer));
+std::string text_of(const common::Ballot& b) {
+  return std::to_string(b.round) + "." + common::hash_text(static_cast<std::uint64_t>(b.proposer));
 }
 
 class Run {
@@ -259,7 +259,7 @@
       const auto document = read_document(body);
       json::Writer json;
       json.open('{').key("version").text(version == nullptr ? "" : *version).key("from").text(got->from);
-      json.key("hash").text(market::hash_text(market::hash_of(body))).key("bytes").number(body.size());
+      json.key("hash").text(common::hash_text(common::hash_of(body))).key("bytes").number(body.size());
       json.key("configuration");
       document.ok() ? write_value(json, *document) : static_cast<void>(json.null());
       print(json.close('}'));
@@ -298,7 +298,7 @@
   }
 
   // The file's text and what it says, or an exit code with the findings told.
-  std::optional<market::Configuration> checked(std::string& text, int& code) {
+  std::optional<common::Configuration> checked(std::string& text, int& code) {
     auto got = read_file(order_.operand);
     if (!got.ok()) {
       code = end(absl::IsInvalidArgument(got.status()) ? refused : wrong_use,
@@ -306,15 +306,15 @@
       return std::nullopt;
     }
     text = *std::move(got);
-    market::Findings findings;
-    auto out = market::read_configuration(text, findings);
+    common::Findings findings;
+    auto out = common::read_configuration(text, findings);
     if (out && findings.none()) return out;
-    for (const market::Finding& f : findings.list())
+    for (const common::Finding& f : findings.list())
       complain(order_.operand + ": " + f.place + ": " + f.what);
     if (order_.json) {
       json::Writer json;
       json.open('{').key("outcome").text("findings").key("findings").open('[');
-      for (const market::Finding& f : findings.list())
+      for (const common::Finding& f : findings.list())
         json.open('{').key("place").text(f.place).key("what").text(f.what).close('}');
       print(json.close(']').close('}'));
     }
@@ -327,7 +327,7 @@
     int code = good;
     const auto got = checked(text, code);
     if (!got) return code;
-    const std::string hash = market::hash_text(market::hash_of(text));
+    const std::string hash = common::hash_text(common::hash_of(text));
     if (order_.json) {
       json::Writer json;
       json.open('{')
@@ -530,7 +530,7 @@
   }
 
   int settings_check() {
-    const auto got = market::load_settings(order_.operand);
+    const auto got = common::load_settings(order_.operand);
     const std::string why(got.status().message());
     if (order_.json) {
       json::Writer json;
@@ -581,14 +581,14 @@
     std::vector<std::vector<std::string>> rows = {{"files", std::to_string(held.file_bytes) + " bytes"}};
     if (held.has_acceptor == Presence::lost) rows.push_back({"acceptor", "cannot be read"});
     if (held.has_acceptor == Presence::whole) {
-      const market::AcceptorRecord& a = held.acceptor;
+      const common::AcceptorRecord& a = held.acceptor;
       rows.push_back({"acceptor epoch", std::to_string(a.epoch)});
       rows.push_back({"acceptor promised", text_of(a.promised)});
       rows.push_back({"acceptor accepted", text_of(a.accepted)});
       rows.push_back({"acceptor value", "number " + std::to_string(a.value.number) + ", configuration " +
                                             std::to_string(a.value.config_version) + ", map " +
                                             std::to_string(a.value.map)});
-      for (const market::Acceptor& one : a.initial.acceptors)
+      for (const common::Acceptor& one : a.initial.acceptors)
         rows.push_back({"acceptor of the epoch", one.address + (one.disk.empty() ? "" : " " + one.disk)});
     }
     if (held.has_controller == Presence::lost) rows.push_back({"control", "cannot be read"});
@@ -623,12 +623,12 @@
     json.open('{').key("bytes").number(held.file_bytes).key("moving").truth(held.moving);
     json.key("acceptor").open('{').key("record").text(word(held.has_acceptor));
     if (held.has_acceptor == Presence::whole) {
-      const market::AcceptorRecord& a = held.acceptor;
+      const common::AcceptorRecord& a = held.acceptor;
       json.key("epoch").number(count(a.epoch)).key("promised").text(text_of(a.promised));
       json.key("accepted").text(text_of(a.accepted)).key("number").number(count(a.value.number));
       json.key("configVersion").number(count(a.value.config_version)).key("map").number(count(a.value.map));
       json.key("acceptors").open('[');
-      for (const market::Acceptor& one : a.initial.acceptors)
+      for (const common::Acceptor& one : a.initial.acceptors)
         json.open('{').key("address").text(one.address).key("disk").text(one.disk).close('}');
       json.close(']');
     }
@@ -672,38 +672,38 @@
     const auto wanted = [&](const std::string& program) {
       return order_.program.empty() || program == order_.program;
     };
-    std::vector<const market::Turn*> turns;
-    for (const market::Turn& t : held->turns) {
+    std::vector<const common::Turn*> turns;
+    for (const common::Turn& t : held->turns) {
       if (wanted(t.program)) turns.push_back(&t);
     }
-    std::vector<const market::Account*> accounts;
-    for (const market::Account& a : held->accounts) {
+    std::vector<const common::Account*> accounts;
+    for (const common::Account& a : held->accounts) {
       if (wanted(a.program)) accounts.push_back(&a);
     }
     order_.json ? print_turns_json(turns, accounts) : print_turns(turns, accounts);
     return good;
   }
-  void print_turns(const std::vector<const market::Turn*>& turns,
-                   const std::vector<const market::Account*>& accounts) {
+  void print_turns(const std::vector<const common::Turn*>& turns,
+                   const std::vector<const common::Account*>& accounts) {
     std::vector<std::vector<std::string>> rows = {
         {"TURN", "PROGRAM", "GOES ON FROM", "INPUT", "OUTPUT", "KEEP MS"}};
-    for (const market::Turn* t : turns)
+    for (const common::Turn* t : turns)
       rows.push_back({t->id, t->program.empty() ? "-" : t->program, t->previous.empty() ? "-" : t->previous,
                       std::to_string(t->input.data.size()), std::to_string(t->output.data.size()),
                       std::to_string(t->keep_ms)});
     print_rows(out_, rows);
     rows = {{"PROGRAM", "ATTEMPT", "TOKENS", "SETTLED"}};
-    for (const market::Account* a : accounts) {
-      for (const market::Reservation& r : a->entries)
+    for (const common::Account* a : accounts) {
+      for (const common::Reservation& r : a->entries)
         rows.push_back({a->program, r.attempt, std::to_string(r.tokens), r.settled ? "yes" : "no"});
     }
     print_table(rows);
   }
-  void print_turns_json(const std::vector<const market::Turn*>& turns,
-                        const std::vector<const market::Account*>& accounts) {
+  void print_turns_json(const std::vector<const common::Turn*>& turns,
+                        const std::vector<const common::Account*>& accounts) {
     json::Writer json;
     json.open('{').key("turns").open('[');
-    for (const market::Turn* t : turns)
+    for (const common::Turn* t : turns)
       json.open('{')
           .key("id")
           .text(t->id)
@@ -719,9 +719,9 @@
           .number(count(t->keep_ms))
           .close('}');
     json.close(']').key("accounts").open('[');
-    for (const market::Account* a : accounts) {
+    for (const common::Account* a : accounts) {
       json.open('{').key("program").text(a->program).key("entries").open('[');
-      for (const market::Reservation& r : a->entries)
+      for (const common::Reservation& r : a->entries)
         json.open('{')
             .key("attempt")
             .text(r.attempt)
--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
+#include "common/log.hpp"
 #include "edge/data_plane.hpp"
 #include "http/writer.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::edge {
 namespace {
@@ -42,7 +42,7 @@
   set_request_timer();
 }
 
-Client::~Client() { plane_.later_.cancel(timer_); }
+Client::~Client() { plane_.timers_.cancel(timer_); }
 
 void Client::close() {
   if (stage_ == Stage::over) return;
@@ -50,32 +50,32 @@
   channel_gone(channel_);
 }
 
-Span Client::left() const { return deadline_ - plane_.later_.now(); }
+Span Client::left() const { return deadline_ - plane_.timers_.now(); }
 
 // ---- the request
 
 // A request is held to what is in force when it begins, on whatever connection it comes.
 http::Limits Client::request_limits() const {
-  const market::ClientLimits limits =
-      plane_.configuration_ ? plane_.configuration_->limits : market::ClientLimits{};
+  const common::ClientLimits limits =
+      plane_.configuration_ ? plane_.configuration_->limits : common::ClientLimits{};
   return {.head = limits.header_bytes, .body = limits.body_bytes, .fields = fields_most};
 }
 
 Span Client::idle_limit() const {
-  return plane_.configuration_ ? plane_.configuration_->limits.idle : market::ClientLimits{}.idle;
+  return plane_.configuration_ ? plane_.configuration_->limits.idle : common::ClientLimits{}.idle;
 }
 
 void Client::set_request_timer() {
-  const market::ClientLimits limits =
-      plane_.configuration_ ? plane_.configuration_->limits : market::ClientLimits{};
+  const common::ClientLimits limits =
+      plane_.configuration_ ? plane_.configuration_->limits : common::ClientLimits{};
   const bool begun = parser_.begun() || channel_.in_size() > 0;
   reading_timer_for_head_ = begun && !parser_.head_done();
   if (!begun) return set_rest_timer(limits.idle);
-  plane_.later_.cancel(timer_);
-  timer_ = plane_.later_.after(reading_timer_for_head_ ? limits.header : limits.idle, [this] {
+  plane_.timers_.cancel(timer_);
+  timer_ = plane_.timers_.after(reading_timer_for_head_ ? limits.header : limits.idle, [this] {
     if (!channel_.unread()) return request_late();
     // It has arrived, and was not read yet: this process stood still, not the client.
-    timer_ = plane_.later_.after(unread_look, [this] { request_late(); });
+    timer_ = plane_.timers_.after(unread_look, [this] { request_late(); });
   });
 }
 
@@ -90,9 +90,9 @@
 // How long the client may rest, between two requests or before it ends the connection. While an answer is
 // going out to it, it does not rest. `rested`: how much of it is over.
 void Client::set_rest_timer(Span most, Span rested) {
-  plane_.later_.cancel(timer_);
-  timer_ = plane_.later_.after(most - rested,
-                               [this, most, unsent = channel_.unsent()] { rest_over(most, unsent); });
+  plane_.timers_.cancel(timer_);
+  timer_ = plane_.timers_.after(most - rested,
+                                [this, most, unsent = channel_.unsent()] { rest_over(most, unsent); });
 }
 
 void Client::rest_over(Span most, std::size_t unsent_before) {
@@ -101,7 +101,7 @@
   if (stage_ == Stage::reading && idle_limit() > most) return set_rest_timer(idle_limit(), most);
   if (stage_ != Stage::reading || !channel_.unread()) return close();
   // A request has arrived, and was not read yet: this process stood still, not the client.
-  timer_ = plane_.later_.after(unread_look, [this] { request_late(); });
+  timer_ = plane_.timers_.after(unread_look, [this] { request_late(); });
 }
 
 void Client::channel_drained(net::Channel&) {
@@ -132,7 +132,7 @@
     if (!reading_timer_for_head_ || parser_.head_done()) set_request_timer();
     return;
   }
-  plane_.later_.cancel(timer_);
+  plane_.timers_.cancel(timer_);
   alive_ = std::make_shared<int>();
   stage_ = Stage::preparing;
   if (progress == http::Progress::failed) {
@@ -144,7 +144,7 @@
 }
 
 void Client::begin() {
-  began_ = plane_.later_.now();
+  began_ = plane_.timers_.now();
   ++plane_.counters_.requests;
   keep_ = parser_.keep_alive() && !plane_.closing_;
   const std::string wrong = read_request(parser_, request_);
@@ -164,8 +164,8 @@
 void Client::route() {
   // A sidecar that has just started knows within a moment where to send it: that is sooner than another try.
   const Span wait = std::min(start_most, request_.left.value_or(unlimited) * start_part);
-  if (!plane_.knows_enough() && plane_.later_.now() - began_ < wait) {
-    timer_ = plane_.later_.after(start_look, guarded([this] { route(); }));
+  if (!plane_.knows_enough() && plane_.timers_.now() - began_ < wait) {
+    timer_ = plane_.timers_.after(start_look, guarded([this] { route(); }));
     return;
   }
   configuration_ = plane_.configuration_;
@@ -179,17 +179,17 @@
   }
   deadline_ = began_ + std::min(request_.left.value_or(unlimited), route_->timeout);
   double sum = 0;
-  for (const market::Weighted& w : route_->split) sum += w.weight;
-  double at = plane_.luck_.unit() * sum;
+  for (const common::Weighted& w : route_->split) sum += w.weight;
+  double at = plane_.random_.unit() * sum;
   service_ = route_->split.back().service;
-  for (const market::Weighted& w : route_->split) {
+  for (const common::Weighted& w : route_->split) {
     at -= w.weight;
     if (at < 0) {
       service_ = w.service;
       break;
     }
   }
-  streaming_ = route_->type == market::RouteType::streaming && request_.method != "HEAD";
+  streaming_ = route_->type == common::RouteType::streaming && request_.method != "HEAD";
   if (route_->affinity) {
     placing_.affinity = true;
     placing_.parts = request_.parts;
@@ -231,7 +231,7 @@
 }
 
 TimePoint Client::storage_until() const {
-  return std::min(deadline_ - answer_spare, plane_.later_.now() + storage_most);
+  return std::min(deadline_ - answer_spare, plane_.timers_.now() + storage_most);
 }
 
 void Client::reserve() {
@@ -264,7 +264,7 @@
 
 void Client::attempt() {
   stage_ = Stage::asking;
-  const TimePoint now = plane_.later_.now();
+  const TimePoint now = plane_.timers_.now();
   const Span time = left();
   Tier& tier = plane_.tier(service_);
   if (Tier::spent(time)) return give_up(may_have_run_);
@@ -300,8 +300,8 @@
   const Span ceiling = tier.ceiling(route_->timeout, time, route_->repeatable(), now);
   measured_ceiling_ = ceiling < std::min(route_->timeout, time);
   tier.sent(endpoint_, placing_, now);
-  plane_.later_.cancel(timer_);
-  timer_ = plane_.later_.after(ceiling, guarded([this] { attempt_due(); }));
+  plane_.timers_.cancel(timer_);
+  timer_ = plane_.timers_.after(ceiling, guarded([this] { attempt_due(); }));
   std::optional<int> priority;
   if (route_->affinity) priority = std::clamp(route_->priority * 2, 0, 9);
   OutgoingRequest outgoing;
@@ -314,7 +314,7 @@
 
 void Client::attempt_over(Ended how) {
   if (!std::exchange(attempt_open_, false)) return;
-  plane_.tier(service_).ended(endpoint_, placing_, how, plane_.later_.now());
+  plane_.tier(service_).ended(endpoint_, placing_, how, plane_.timers_.now());
 }
 
 // Its ceiling has passed. What cannot be repeated is only held to the class deadline and the client's time.
@@ -346,7 +346,7 @@
   if (const auto load = response.find("X-Chutevane-Server-Load")) {
     double running = 0, waiting = 0, slots = 0;
     if (std::sscanf(std::string(*load).c_str(), "%lf,%lf,%lf", &running, &waiting, &slots) == 3)
-      plane_.tier(service_).load(endpoint_, running, waiting, slots, plane_.later_.now());
+      plane_.tier(service_).load(endpoint_, running, waiting, slots, plane_.timers_.now());
   }
   turned_away_ = response.find("X-Chutevane-Not-Executed").has_value() || status_ == 421;
   if (status_ / 100 == 2) {
@@ -374,8 +374,8 @@
   const bool may_run = how == Failure::broken && !turned_away_;  // a rejection's head is proof enough
   placing_.avoid.push_back(endpoint_);
   // Not from inside the call that has just failed.
-  plane_.later_.cancel(timer_);
-  timer_ = plane_.later_.after(Span(), guarded([this, may_run] { after_failure(may_run); }));
+  plane_.timers_.cancel(timer_);
+  timer_ = plane_.timers_.after(Span(), guarded([this, may_run] { after_failure(may_run); }));
 }
 
 void Client::after_failure(bool ran) {
@@ -386,7 +386,7 @@
 
 void Client::answer_whole() {
   connection_ = nullptr;
-  const TimePoint now = plane_.later_.now();
+  const TimePoint now = plane_.timers_.now();
   if (turned_away_) {
     attempt_over(Ended::turned_away);
     placing_.avoid.push_back(endpoint_);
@@ -473,7 +473,7 @@
 }
 
 void Client::end_exchange() {
-  plane_.later_.cancel(timer_);
+  plane_.timers_.cancel(timer_);
   alive_.reset();
   // What is answered before a request is read whole says nothing of the one before.
   request_ = {};
@@ -489,8 +489,8 @@
   channel_.hold(false);
   // What was sent ahead comes in the next turn.
   if (channel_.in_size() > 0) {
-    plane_.later_.cancel(timer_);
-    timer_ = plane_.later_.after(Span(), [this] {
+    plane_.timers_.cancel(timer_);
+    timer_ = plane_.timers_.after(Span(), [this] {
       set_request_timer();
       look();
     });
@@ -499,7 +499,7 @@
 
 // Passes whole events on as they come.
 void Client::relay(bool all) {
-  const TimePoint now = plane_.later_.now();
+  const TimePoint now = plane_.timers_.now();
   std::size_t at = 0;
   while (at < answer_.size()) {
     std::size_t size = whole_event(std::string_view(answer_).substr(at));
@@ -560,14 +560,14 @@
 // The answer ends, whole, only once the turn is safe: it counts from then on.
 void Client::keep_turn() {
   stage_ = Stage::keeping;
-  market::Turn turn;
+  common::Turn turn;
   turn.id = request_.attempt_id;
   turn.previous = request_.previous;
   turn.program = request_.program;
   turn.input.data = std::move(request_.body);
   turn.output.data = std::move(output_);
   turn.keep_ms = static_cast<std::int64_t>(route_->retention.as_ms());
-  const market::Service* const service = configuration_->service(service_);
+  const common::Service* const service = configuration_->service(service_);
   const int per_event = service != nullptr && service->engine ? service->engine->tokens_per_event : 1;
   const std::int64_t used = reserved_ ? static_cast<std::int64_t>(events_) * per_event : -1;
   plane_.ledger_.keep(turn, used, deadline_, guarded([this](bool kept) {
@@ -585,10 +585,10 @@
 
 void Client::channel_gone(net::Channel&) {
   alive_.reset();
-  plane_.later_.cancel(timer_);
+  plane_.timers_.cancel(timer_);
   if (connection_ != nullptr) plane_.endpoints_.give_up(*std::exchange(connection_, nullptr));
   if (std::exchange(attempt_open_, false))
-    plane_.tier(service_).ended(endpoint_, placing_, Ended::left, plane_.later_.now());
+    plane_.tier(service_).ended(endpoint_, placing_, Ended::left, plane_.timers_.now());
   else if (stage_ == Stage::preparing || (stage_ == Stage::asking && !may_have_run_))
     unreserve();
   stage_ = Stage::over;
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -6,13 +6,13 @@
 #include <optional>
 #include <string>
 
+#include "common/configuration.hpp"
 #include "edge/endpoints.hpp"
 #include "edge/request.hpp"
 #include "edge/tier.hpp"
 #include "http/parser.hpp"
-#include "market/configuration.hpp"
 #include "net/channel.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::edge {
 
@@ -89,12 +89,12 @@
   Stage stage_ = Stage::reading;
   std::shared_ptr<int> alive_;  // of the exchange in hand
   bool keep_ = true, reading_timer_for_head_ = false, told_to_go_on_ = false;
-  net::Later::Ticket timer_;
+  net::TimerQueue::Ticket timer_;
 
   // The exchange in hand.
   Request request_;
-  std::shared_ptr<const market::Configuration> configuration_;
-  const market::Route* route_ = nullptr;
+  std::shared_ptr<const common::Configuration> configuration_;
+  const common::Route* route_ = nullptr;
   std::string service_;
   TimePoint began_, deadline_;
   std::string body_;  // as the endpoint gets it
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "common/log.hpp"
 #include "json/value.hpp"
-#include "market/log.hpp"
 
 namespace chutevane::edge {
 namespace {
@@ -18,25 +18,25 @@
 constexpr Span new_stop_after = Span::ms(2600);  // the platform misses two questions, a second apart, by then
 constexpr Span grace_spare = Span::ms(600);      // before the platform ends it by force
 
-std::uint64_t seed_of(const market::ProcessSettings& settings, TimePoint now) {
+std::uint64_t seed_of(const common::ProcessSettings& settings, TimePoint now) {
   return XXH3_64bits_withSeed(settings.node.data(), settings.node.size(),
                               static_cast<std::uint64_t>(now.as_ms() * 1000));
 }
 
 }  // namespace
 
-DataPlane::DataPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings)
+DataPlane::DataPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings)
     : scheduler_(scheduler),
       settings_(settings),
-      later_(scheduler),
-      luck_(seed_of(settings, scheduler.now())),
-      endpoints_(scheduler, later_,
+      timers_(scheduler),
+      random_(seed_of(settings, scheduler.now())),
+      endpoints_(scheduler, timers_,
                  static_cast<std::size_t>(static_cast<double>(settings.descriptors) * endpoint_part)),
-      ledger_(scheduler, later_, settings.zone, settings.machine_losses,
+      ledger_(scheduler, timers_, settings.zone, settings.machine_losses,
               static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
               seed_of(settings, scheduler.now())),
       readiness_port_(scheduler, 64 * 1024,
-                      [this](const http::Parser& request, market::HttpPort::Reply reply) {
+                      [this](const http::Parser& request, common::HttpPort::Reply reply) {
                         readiness(request, std::move(reply));
                       }),
       front_(scheduler, [this](int fd) { clients_.add(std::make_unique<Client>(*this)).adopt(fd); }),
@@ -47,35 +47,35 @@
   if (!settings_.readiness) return absl::InvalidArgumentError("listenAddrs.readiness: missing");
   readiness_port_.listen(*settings_.readiness);
   front_.listen(*settings_.front);
-  market::Member self;
+  common::Member self;
   self.node = settings_.node;
   self.plane = "edge";
   self.address = net::text_of(*settings_.front);
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
-  sessions_ = std::make_unique<market::Sessions>(scheduler_, later_, settings_, self);
-  sessions_->on_value([this](const market::Value& value) { value_came(value); });
-  sessions_->on_list([this](const market::EndpointBook& list) { list_came(list); });
-  market::log_info("data.open", "front " + net::text_of(*settings_.front));
+  sessions_ = std::make_unique<common::Sessions>(scheduler_, timers_, settings_, self);
+  sessions_->on_value([this](const common::Value& value) { value_came(value); });
+  sessions_->on_list([this](const common::EndpointBook& list) { list_came(list); });
+  common::log_info("data.open", "front " + net::text_of(*settings_.front));
   return absl::OkStatus();
 }
 
-void DataPlane::value_came(const market::Value& value) {
+void DataPlane::value_came(const common::Value& value) {
   ledger_.map_came(value.map, value.storage_nodes);
   if (value.config_version == 0 || (configuration_ && configuration_->version >= value.config_version))
     return;
-  market::Findings findings;
-  auto read = market::read_configuration(value.config.data, findings);
+  common::Findings findings;
+  auto read = common::read_configuration(value.config.data, findings);
   if (!read) {  // it was checked before it was taken
-    market::log_event(market::Level::error, "config.unreadable", findings.text());
+    common::log_event(common::Level::error, "config.unreadable", findings.text());
     return;
   }
-  configuration_ = std::make_shared<const market::Configuration>(std::move(*read));
+  configuration_ = std::make_shared<const common::Configuration>(std::move(*read));
   settle_tiers();
-  market::log_info("config.in_force", "version " + std::to_string(configuration_->version));
+  common::log_info("config.in_force", "version " + std::to_string(configuration_->version));
 }
 
-void DataPlane::list_came(const market::EndpointBook& list) {
+void DataPlane::list_came(const common::EndpointBook& list) {
   std::vector<Endpoint> all;
   for (const auto& [id, l] : list.entries()) {
     const auto address = net::parse_address(l.address);
@@ -98,13 +98,13 @@
   auto& at = tiers_[service];
   if (!at)
     at = std::make_unique<Tier>(settings_.zone,
-                                XXH3_64bits_withSeed(service.data(), service.size(), luck_.next()));
+                                XXH3_64bits_withSeed(service.data(), service.size(), random_.next()));
   return *at;
 }
 
 bool DataPlane::room_at(const Endpoint& endpoint) const {
   if (!endpoint.idle.empty()) return true;
-  const market::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
+  const common::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
   if (service == nullptr || service->max_connections == 0) return true;
   const double part = connections_part * static_cast<double>(service->max_connections) /
                       static_cast<double>(sessions_->edges());
@@ -113,12 +113,12 @@
 
 void DataPlane::settle_tiers() {
   if (!configuration_) return;
-  for (const market::Service& s : configuration_->services) {
+  for (const common::Service& s : configuration_->services) {
     Tier& at = tier(s.name);
     std::vector<Tier::Known> known;
     for (const auto& e : endpoints_.of_service(s.name))
       known.push_back({e->id, e->zone, e->capacity, e->cold});
-    at.listed(known, later_.now());
+    at.listed(known, timers_.now());
     if (s.engine) at.engine(s.engine->kv_capacity);
   }
 }
@@ -130,10 +130,10 @@
   // Turns need storage; where no route keeps any it is not waited for.
   const auto& routes = configuration_->routes;
   return ledger_.usable() ||
-         std::none_of(routes.begin(), routes.end(), [](const market::Route& r) { return r.retained; });
+         std::none_of(routes.begin(), routes.end(), [](const common::Route& r) { return r.retained; });
 }
 
-void DataPlane::readiness(const http::Parser& request, market::HttpPort::Reply reply) {
+void DataPlane::readiness(const http::Parser& request, common::HttpPort::Reply reply) {
   if (request.method() != "GET") return reply({405, "", {}});
   if (request.target() == "/v1/readiness") return reply({ready() ? 200 : 503, "", {}});
   if (request.target() != "/v1/figures") return reply({404, "", {}});
@@ -158,7 +158,7 @@
 
 std::string DataPlane::come_back() {
   char text[16];
-  std::snprintf(text, sizeof text, "%.2f", 0.1 + 0.3 * luck_.unit());
+  std::snprintf(text, sizeof text, "%.2f", 0.1 + 0.3 * random_.unit());
   return text;
 }
 
@@ -166,14 +166,14 @@
 void DataPlane::leave() {
   if (leaving_) return;
   leaving_ = true;
-  leaving_since_ = later_.now();
+  leaving_since_ = timers_.now();
   // Its sessions stand until it ends: it serves on, and has to hear of drains and changes.
-  later_.after(new_stop_after, [this] {
+  timers_.after(new_stop_after, [this] {
     closing_ = true;
     front_.close();
     look_finished();
   });
-  later_.after(settings_.grace - grace_spare, [this] { finished_ = true; });
+  timers_.after(settings_.grace - grace_spare, [this] { finished_ = true; });
 }
 
 void DataPlane::look_finished() {
@@ -184,7 +184,7 @@
   if (clients_.size() == 0) {
     finished_ = true;
   } else {
-    later_.after(Span::ms(50), [this] { look_finished(); });
+    timers_.after(Span::ms(50), [this] { look_finished(); });
   }
 }
 
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -6,13 +6,13 @@
 #include <string>
 
 #include "base/pcg.hpp"
+#include "common/http_port.hpp"
+#include "common/process.hpp"
+#include "common/session.hpp"
 #include "edge/client.hpp"
 #include "edge/endpoints.hpp"
 #include "edge/ledger.hpp"
 #include "edge/tier.hpp"
-#include "market/http_port.hpp"
-#include "market/process.hpp"
-#include "market/session.hpp"
 #include "net/crew.hpp"
 
 namespace chutevane::edge {
@@ -23,18 +23,18 @@
   std::uint64_t streams = 0, events = 0, turns_kept = 0, spent = 0, not_found = 0, unsure = 0;
 };
 
-class DataPlane final : public market::Plane {
+class DataPlane final : public common::Plane {
  public:
-  DataPlane(net::Scheduler& scheduler, const market::ProcessSettings& settings);
+  DataPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings);
   absl::Status open() override;
   void leave() override;
   bool finished() const override { return finished_; }
-  void reread(const market::ProcessSettings& settings) override { sessions_->reread(settings); }
+  void reread(const common::ProcessSettings& settings) override { sessions_->reread(settings); }
 
  private:
   friend class Client;
-  void value_came(const market::Value& value);
-  void list_came(const market::EndpointBook& list);
+  void value_came(const common::Value& value);
+  void list_came(const common::EndpointBook& list);
   void settle_tiers();
   Tier& tier(const std::string& service);
   // Whether this sidecar may open one more connection to it: an endpoint resets those over its bound, which
@@ -42,23 +42,23 @@
   bool room_at(const Endpoint& endpoint) const;
   bool ready() const;
   bool knows_enough() const;  // to send any request on
-  void readiness(const http::Parser& request, market::HttpPort::Reply reply);
+  void readiness(const http::Parser& request, common::HttpPort::Reply reply);
   void look_finished();
   std::string come_back();  // seconds, spread so that those refused together do not return together
 
   net::Scheduler& scheduler_;
-  market::ProcessSettings settings_;
-  net::Later later_;
-  Pcg luck_;
+  common::ProcessSettings settings_;
+  net::TimerQueue timers_;
+  Pcg random_;
   Counters counters_;
-  std::shared_ptr<const market::Configuration> configuration_;
+  std::shared_ptr<const common::Configuration> configuration_;
   Endpoints endpoints_;
   std::map<std::string, std::unique_ptr<Tier>> tiers_;
   Ledger ledger_;
-  market::HttpPort readiness_port_;
+  common::HttpPort readiness_port_;
   net::Listener front_;
   net::Crew<Client> clients_;
-  std::unique_ptr<market::Sessions> sessions_;
+  std::unique_ptr<common::Sessions> sessions_;
   bool leaving_ = false, closing_ = false, finished_ = false;
   TimePoint leaving_since_;
 };
--- a/src/edge/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "market/log.hpp"
+#include "common/log.hpp"
 
 namespace chutevane::edge {
 namespace {
@@ -49,7 +49,7 @@
 }
 
 void EndpointConnection::channel_up(net::Channel&) {
-  all_.later_.cancel(due_);
+  all_.timers_.cancel(due_);
   write_out();
 }
 
@@ -164,9 +164,9 @@
     drop();
   } else {
     endpoint_->idle.push_back(this);
-    idle_since_ = all_.later_.now();
-    all_.later_.cancel(due_);
-    due_ = all_.later_.after(idle_most_, [this] { drop(); });
+    idle_since_ = all_.timers_.now();
+    all_.timers_.cancel(due_);
+    due_ = all_.timers_.after(idle_most_, [this] { drop(); });
   }
   told->answer_whole();
 }
@@ -188,15 +188,15 @@
 void EndpointConnection::drop() {
   if (closed_) return;
   closed_ = true;
-  all_.later_.cancel(due_);
+  all_.timers_.cancel(due_);
   std::erase(endpoint_->idle, this);
   --endpoint_->connections;
   channel_.close();
   all_.crew_.retire(*this);
 }
 
-Endpoints::Endpoints(net::Scheduler& scheduler, net::Later& later, std::size_t connections_most)
-    : scheduler_(scheduler), later_(later), connections_most_(connections_most), crew_(scheduler) {}
+Endpoints::Endpoints(net::Scheduler& scheduler, net::TimerQueue& later, std::size_t connections_most)
+    : scheduler_(scheduler), timers_(later), connections_most_(connections_most), crew_(scheduler) {}
 
 void Endpoints::listed(const std::vector<Endpoint>& list) {
   std::map<std::string, std::shared_ptr<Endpoint>> next;
@@ -235,7 +235,7 @@
   while (!to->idle.empty()) {
     EndpointConnection& c = *to->idle.back();
     to->idle.pop_back();
-    later_.cancel(c.due_);
+    timers_.cancel(c.due_);
     if (!c.channel_.up() ||
         !c.channel_.quiet()) {  // the endpoint has closed it, or sent what nobody asked for
       c.drop();
@@ -252,7 +252,7 @@
   ++opened_;
   EndpointConnection& c = crew_.add(std::make_unique<EndpointConnection>(*this, to));
   c.begin(sink, std::move(request));
-  c.due_ = later_.after(connect_most, [&c] {
+  c.due_ = timers_.after(connect_most, [&c] {
     if (!c.written_ && c.sink_ != nullptr) c.fail(Failure::unsent);
   });
   if (!c.channel_.connect(to->address)) {
--- a/src/edge/endpoints.hpp
+++ b/src/edge/endpoints.hpp
@@ -10,7 +10,7 @@
 #include "http/parser.hpp"
 #include "net/channel.hpp"
 #include "net/crew.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::edge {
 
@@ -84,13 +84,13 @@
   bool written_ = false, head_seen_ = false, skipping_ = false, keep_ = true, closed_ = false;
   std::size_t passes_ = 0;  // answers to requests of before, in the place of this one's
   Span idle_most_;
-  net::Later::Ticket due_;
+  net::TimerQueue::Ticket due_;
   TimePoint idle_since_;
 };
 
 class Endpoints {
  public:
-  Endpoints(net::Scheduler& scheduler, net::Later& later, std::size_t connections_most);
+  Endpoints(net::Scheduler& scheduler, net::TimerQueue& later, std::size_t connections_most);
 
   // Takes over the list; what is draining or gone gets nothing from now on, not even what waits to be
   // written.
@@ -108,7 +108,7 @@
  private:
   friend class EndpointConnection;
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const std::size_t connections_most_;
   std::map<std::string, std::shared_ptr<Endpoint>> endpoints_;
   std::size_t opened_ = 0;
--- a/src/edge/ledger.cpp
+++ b/src/edge/ledger.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-#include "market/log.hpp"
+#include "common/log.hpp"
 
 namespace chutevane::edge {
 namespace {
 
-using market::Turn;
+using common::Turn;
 using storage::Verdict;
 
 constexpr Span ask_most = Span::ms(400);   // for one answer of storage: two ways and a sync take some ms
@@ -29,10 +29,10 @@
   std::function<void(Granted)> done;
   std::uint64_t turn = 0;
   std::size_t yes = 0, no = 0, all = 0;
-  std::map<std::string, market::Reservation> others;  // by attempt: no one of the group need know of all
+  std::map<std::string, common::Reservation> others;  // by attempt: no one of the group need know of all
   std::int64_t map = 0;
   bool over = false, again = false;  // again: a majority has it already, and is asked a second time
-  net::Later::Ticket rest;
+  net::TimerQueue::Ticket rest;
   std::int64_t sum() const {
     std::int64_t out = 0;
     for (const auto& [id, r] : others) out += r.tokens;
@@ -49,7 +49,7 @@
   std::int64_t map = 0;  // of `group`: answers under two maps do not add up
   std::vector<std::size_t> group;
   std::size_t asked = 0, yes = 0, needed = 0;
-  net::Later::Ticket hedge;
+  net::TimerQueue::Ticket hedge;
   bool over = false, again_due = false;
 };
 
@@ -62,38 +62,38 @@
   std::uint64_t turn = 0;
   std::size_t asked = 0, answered = 0, unknown = 0;
   std::int64_t map = 0;
-  net::Later::Ticket hedge;
+  net::TimerQueue::Ticket hedge;
   bool over = false;
 };
 
-Ledger::Ledger(net::Scheduler& scheduler, net::Later& later, std::string zone, std::size_t losses,
+Ledger::Ledger(net::Scheduler& scheduler, net::TimerQueue& later, std::string zone, std::size_t losses,
                std::size_t cache_most, std::uint64_t seed)
     : scheduler_(scheduler),
-      later_(later),
+      timers_(later),
       zone_(std::move(zone)),
       losses_(losses),
       cache_most_(cache_most),
       seed_(seed) {}
 
-void Ledger::map_came(std::int64_t map, const std::vector<market::StorageNode>& storage_nodes) {
+void Ledger::map_came(std::int64_t map, const std::vector<common::StorageNode>& storage_nodes) {
   if (map <= map_) return;
   map_ = map;
   storage_nodes_ = storage_nodes;
-  for (const market::StorageNode& c : storage_nodes_) link(c.address);  // stands before it is needed
+  for (const common::StorageNode& c : storage_nodes_) link(c.address);  // stands before it is needed
 }
 
 bool Ledger::usable() const {
   const auto staying = std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
-                                     [](const market::StorageNode& c) { return !c.leaving; });
+                                     [](const common::StorageNode& c) { return !c.leaving; });
   return static_cast<std::size_t>(staying) > losses_;
 }
 
-market::Link& Ledger::link(const std::string& address) {
+common::RpcClient& Ledger::link(const std::string& address) {
   auto& at = links_[address];
   if (!at) {
     const auto to = net::parse_address(address);
-    at = std::make_unique<market::Link>(scheduler_, later_, to.value_or(sockaddr_in{}),
-                                        seed_ ^ std::hash<std::string>()(address));
+    at = std::make_unique<common::RpcClient>(scheduler_, timers_, to.value_or(sockaddr_in{}),
+                                             seed_ ^ std::hash<std::string>()(address));
   }
   return *at;
 }
@@ -132,35 +132,35 @@
   asked->yes = asked->no = 0;
   asked->all = places.size();
   asked->others.clear();
-  later_.cancel(asked->rest);
+  timers_.cancel(asked->rest);
   const auto anew = [this, asked, turn] {
     if (asked->over || asked->turn != turn) return;
     asked->again = false;
-    later_.cancel(asked->rest);
+    timers_.cancel(asked->rest);
     ++asked->turn;
-    if (later_.now() + ask_again >= asked->until) {
+    if (timers_.now() + ask_again >= asked->until) {
       asked->over = true;
       return asked->done(Granted::unclear);
     }
-    later_.after(ask_again, [this, asked] { ask_reserve(asked); });
+    timers_.after(ask_again, [this, asked] { ask_reserve(asked); });
   };
   if (places.size() <= losses_) return anew();
   const std::size_t needed = std::max(storage::quorum(places.size()), losses_ + 1);
-  const market::Reserve ask{map_, asked->program, asked->attempt, asked->most};
-  const Span most = std::min(ask_most, asked->until - later_.now());
-  const auto answered = [this, asked, turn, needed, anew](absl::StatusOr<market::Reserved> got) {
+  const common::Reserve ask{map_, asked->program, asked->attempt, asked->most};
+  const Span most = std::min(ask_most, asked->until - timers_.now());
+  const auto answered = [this, asked, turn, needed, anew](absl::StatusOr<common::Reserved> got) {
     if (asked->over || asked->turn != turn) return;
     const bool yes = got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes;
     ++(yes ? asked->yes : asked->no);
     if (yes) {
-      for (market::Reservation& r : got->others) {
+      for (common::Reservation& r : got->others) {
         const auto [at, fresh] = asked->others.emplace(r.attempt, r);
         if (!fresh && r.settled && !at->second.settled) at->second = r;
       }
     }
     if (asked->yes == asked->all || (asked->again && asked->yes == needed)) {
       asked->over = true;
-      later_.cancel(asked->rest);
+      timers_.cancel(asked->rest);
       return asked->done(asked->sum() + asked->most <= asked->budget ? Granted::yes : Granted::spent);
     }
     if (asked->all - asked->no < needed) return anew();
@@ -173,16 +173,16 @@
     if (asked->yes + asked->no == asked->all) {
       second();
     } else if (yes && asked->yes == needed) {
-      asked->rest = later_.after(rest_most, second);
+      asked->rest = timers_.after(rest_most, second);
     }
   };
   for (const std::size_t i : places)
-    link(storage_nodes_[i].address).call<market::Reserved>(ask, most, answered);
+    link(storage_nodes_[i].address).call<common::Reserved>(ask, most, answered);
 }
 
 void Ledger::settle(const std::string& program, const std::string& attempt, std::int64_t used) {
   for (const std::size_t i : group(program))
-    link(storage_nodes_[i].address).tell(market::Settle{program, attempt, used});
+    link(storage_nodes_[i].address).tell(common::Settle{program, attempt, used});
 }
 
 // ---- turns
@@ -203,7 +203,7 @@
 // counted.
 void Ledger::ask_keep(const std::shared_ptr<Keeping>& keeping) {
   if (keeping->over) return;
-  if (later_.now() >= keeping->until) {
+  if (timers_.now() >= keeping->until) {
     keeping->over = true;
     return keeping->done(false);
   }
@@ -215,9 +215,9 @@
                         [&](std::size_t i) { return storage_nodes_[i].zone == zone_; });
   keeping->asked = keeping->yes = 0;
   keeping->needed = std::max(storage::quorum(keeping->group.size()), losses_ + 1);
-  later_.cancel(keeping->hedge);
+  timers_.cancel(keeping->hedge);
   if (keeping->group.size() < keeping->needed) {
-    later_.after(ask_again, [this, keeping] { ask_keep(keeping); });
+    timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
     return;
   }
   for (std::size_t n = 0; n < keeping->needed; ++n) keep_at(keeping, keeping->group[keeping->asked++]);
@@ -225,35 +225,35 @@
   for (std::size_t n = keeping->needed; n < keeping->group.size(); ++n) {
     if (keeping->used >= 0)
       link(storage_nodes_[keeping->group[n]].address)
-          .tell(market::Settle{keeping->turn.program, keeping->turn.id, keeping->used});
+          .tell(common::Settle{keeping->turn.program, keeping->turn.id, keeping->used});
   }
   const auto hedge = [this, keeping] {
     if (!keeping->over && keeping->map != map_) return ask_keep(keeping);
     while (!keeping->over && keeping->asked < keeping->group.size())
       keep_at(keeping, keeping->group[keeping->asked++]);
   };
-  keeping->hedge = later_.after(keep_hedge, hedge);
+  keeping->hedge = timers_.after(keep_hedge, hedge);
 }
 
 void Ledger::keep_at(const std::shared_ptr<Keeping>& keeping, std::size_t place) {
   const std::uint64_t turn = keeping->turn_number;
-  const Span most = std::min(ask_most, std::max(keeping->until - later_.now(), Span::ms(1)));
+  const Span most = std::min(ask_most, std::max(keeping->until - timers_.now(), Span::ms(1)));
   link(storage_nodes_[place].address)
-      .call<market::Kept>(market::Keep{map_, keeping->turn, keeping->used}, most,
-                          [this, keeping, turn](absl::StatusOr<market::Kept> got) {
+      .call<common::Kept>(common::Keep{map_, keeping->turn, keeping->used}, most,
+                          [this, keeping, turn](absl::StatusOr<common::Kept> got) {
                             if (keeping->over || keeping->turn_number != turn) return;
                             if (keeping->map != map_) return ask_keep(keeping);
                             if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes) {
                               if (++keeping->yes < keeping->needed) return;
                               keeping->over = true;
-                              later_.cancel(keeping->hedge);
+                              timers_.cancel(keeping->hedge);
                               remember(keeping->turn);
                               return keeping->done(true);
                             }
                             if (keeping->asked < keeping->group.size()) {
                               keep_at(keeping, keeping->group[keeping->asked++]);
                             } else if (!std::exchange(keeping->again_due, true)) {
-                              later_.after(ask_again, [this, keeping] { ask_keep(keeping); });
+                              timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
                             }
                           });
 }
@@ -263,7 +263,7 @@
   if (cache_.contains(id)) return;
   cached_bytes_ += weight(turn);
   order_.push_front(id);
-  const TimePoint until = later_.now() + Span::ms(static_cast<double>(turn.keep_ms));
+  const TimePoint until = timers_.now() + Span::ms(static_cast<double>(turn.keep_ms));
   cache_[id] = {std::make_shared<const Turn>(std::move(turn)), until, order_.begin()};
   while (cached_bytes_ > cache_most_ && order_.size() > 1) {
     const auto last = cache_.find(order_.back());
@@ -296,7 +296,7 @@
   if (seeking->over) return;
   const auto finish = [&](Sought verdict) {
     seeking->over = true;
-    later_.cancel(seeking->hedge);
+    timers_.cancel(seeking->hedge);
     Chain out;
     out.verdict = verdict;
     out.turns.assign(seeking->newest_first.rbegin(), seeking->newest_first.rend());
@@ -310,7 +310,7 @@
     if (seeking->newest_first.size() > chain_most) return finish(Sought::unsure);
   }
   if (seeking->want.empty()) return finish(Sought::whole);
-  if (later_.now() >= seeking->until) return finish(Sought::unsure);
+  if (timers_.now() >= seeking->until) return finish(Sought::unsure);
   ++seeking->turn;
   seeking->asked = seeking->answered = seeking->unknown = 0;
   seeking->map = map_;
@@ -322,7 +322,7 @@
       seeking->order.push_back(i);
   }
   if (seeking->order.empty()) {
-    later_.after(ask_again, [this, seeking] { seek(seeking); });
+    timers_.after(ask_again, [this, seeking] { seek(seeking); });
     return;
   }
   seek_at(seeking, 0);
@@ -334,21 +334,21 @@
   if (which >= seeking->order.size()) return;
   ++seeking->asked;
   // It is told by its time, also where nobody answers.
-  const Span most = std::clamp(seeking->until - later_.now(), Span::ms(1), ask_most);
+  const Span most = std::clamp(seeking->until - timers_.now(), Span::ms(1), ask_most);
   const std::uint64_t turn = seeking->turn;
-  later_.cancel(seeking->hedge);
-  seeking->hedge = later_.after(find_hedge, [this, seeking, turn, which] {
+  timers_.cancel(seeking->hedge);
+  seeking->hedge = timers_.after(find_hedge, [this, seeking, turn, which] {
     if (seeking->turn == turn) seek_at(seeking, which + 1);
   });
   link(storage_nodes_[seeking->order[which]].address)
-      .call<market::Found>(market::Find{seeking->map, seeking->want}, most,
-                           [this, seeking, turn](absl::StatusOr<market::Found> got) {
+      .call<common::Found>(common::Find{seeking->map, seeking->want}, most,
+                           [this, seeking, turn](absl::StatusOr<common::Found> got) {
                              sought(seeking, turn, std::move(got));
                            });
 }
 
 void Ledger::sought(const std::shared_ptr<Seeking>& seeking, std::uint64_t turn,
-                    absl::StatusOr<market::Found> got) {
+                    absl::StatusOr<common::Found> got) {
   if (seeking->over || seeking->turn != turn) return;
   ++seeking->answered;
   if (got.ok() && !got->turns.empty()) {
@@ -361,14 +361,14 @@
   // that there is none.
   if (seeking->unknown + losses_ >= seeking->order.size() && seeking->unknown > 0 && seeking->map == map_) {
     seeking->over = true;
-    later_.cancel(seeking->hedge);
+    timers_.cancel(seeking->hedge);
     seeking->done({Sought::unknown, {}});
     return;
   }
   if (seeking->answered == seeking->order.size()) {  // not certain yet
     ++seeking->turn;
-    const Span rest = std::max(seeking->until - later_.now(), Span());
-    later_.after(std::min(ask_again * 3, rest), [this, seeking] { seek(seeking); });
+    const Span rest = std::max(seeking->until - timers_.now(), Span());
+    timers_.after(std::min(ask_again * 3, rest), [this, seeking] { seek(seeking); });
     return;
   }
   seek_at(seeking, seeking->asked);
--- a/src/edge/ledger.hpp
+++ b/src/edge/ledger.hpp
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "market/link.hpp"
-#include "market/messages.hpp"
+#include "common/messages.hpp"
+#include "common/rpc.hpp"
 #include "storage/placement.hpp"
 
 namespace chutevane::edge {
@@ -22,9 +22,9 @@
   enum class Granted : std::uint8_t { yes, spent, unclear };
   enum class Sought : std::uint8_t { whole, unknown, unsure };
 
-  Ledger(net::Scheduler& scheduler, net::Later& later, std::string zone, std::size_t losses,
+  Ledger(net::Scheduler& scheduler, net::TimerQueue& later, std::string zone, std::size_t losses,
          std::size_t cache_most, std::uint64_t seed);
-  void map_came(std::int64_t map, const std::vector<market::StorageNode>& storage_nodes);
+  void map_came(std::int64_t map, const std::vector<common::StorageNode>& storage_nodes);
   bool usable() const;  // enough storage sidecars are known for copies that bear the losses
 
   // Sets `most` tokens aside, unless others of the program have too much of the budget. Until `until`.
@@ -34,12 +34,12 @@
   void release(const std::string& program, const std::string& attempt) { settle(program, attempt, 0); }
   void settle(const std::string& program, const std::string& attempt, std::int64_t used);
   // True once enough have it on disk.
-  void keep(const market::Turn& turn, std::int64_t used, TimePoint until, std::function<void(bool)> done);
+  void keep(const common::Turn& turn, std::int64_t used, TimePoint until, std::function<void(bool)> done);
 
   // The turn and all before it, the oldest first.
   struct Chain {
     Sought verdict = Sought::unsure;
-    std::vector<std::shared_ptr<const market::Turn>> turns;
+    std::vector<std::shared_ptr<const common::Turn>> turns;
   };
   void find(const std::string& id, const std::string& program, TimePoint until,
             std::function<void(Chain)> done);
@@ -54,22 +54,22 @@
   void keep_at(const std::shared_ptr<Keeping>& keeping, std::size_t place);
   void seek(const std::shared_ptr<Seeking>& seeking);
   void seek_at(const std::shared_ptr<Seeking>& seeking, std::size_t which);
-  void sought(const std::shared_ptr<Seeking>& seeking, std::uint64_t turn, absl::StatusOr<market::Found> got);
+  void sought(const std::shared_ptr<Seeking>& seeking, std::uint64_t turn, absl::StatusOr<common::Found> got);
   std::vector<std::size_t> group(const std::string& program) const;
-  market::Link& link(const std::string& address);
-  void remember(market::Turn turn);
-  std::shared_ptr<const market::Turn> recall(const std::string& id);
+  common::RpcClient& link(const std::string& address);
+  void remember(common::Turn turn);
+  std::shared_ptr<const common::Turn> recall(const std::string& id);
 
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const std::string zone_;
   const std::size_t losses_, cache_most_;
   const std::uint64_t seed_;
   std::int64_t map_ = 0;
-  std::vector<market::StorageNode> storage_nodes_;
-  std::map<std::string, std::unique_ptr<market::Link>> links_;
+  std::vector<common::StorageNode> storage_nodes_;
+  std::map<std::string, std::unique_ptr<common::RpcClient>> links_;
   struct Cached {
-    std::shared_ptr<const market::Turn> turn;
+    std::shared_ptr<const common::Turn> turn;
     TimePoint until;
     std::list<std::string>::iterator place;
   };
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -1,12 +1,12 @@
 // chutevane-edge: a sidecar of the traffic.
+#include "common/process.hpp"
 #include "edge/data_plane.hpp"
-#include "market/process.hpp"
 
 int main(int argc, char** argv) {
   using namespace chutevane;
-  return market::run_process("chutevane-edge", "Traffic: clients in front, endpoints behind", argc, argv,
+  return common::run_process("chutevane-edge", "Traffic: clients in front, endpoints behind", argc, argv,
                              [](net::Scheduler& scheduler,
-                                const market::ProcessSettings& settings) -> std::unique_ptr<market::Plane> {
+                                const common::ProcessSettings& settings) -> std::unique_ptr<common::Plane> {
                                return std::make_unique<edge::DataPlane>(scheduler, settings);
                              });
 }
--- a/src/edge/tier.cpp
+++ b/src/edge/tier.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-Tier::Tier(std::string zone, std::uint64_t seed) : zone_(std::move(zone)), seed_(seed), luck_(seed) {}
+Tier::Tier(std::string zone, std::uint64_t seed) : zone_(std::move(zone)), seed_(seed), random_(seed) {}
 
 Tier::Place* Tier::find(const std::string& id) {
   const auto found = index_.find(id);
@@ -103,8 +103,8 @@
   };
   const auto busy = static_cast<std::size_t>(recent_.sum(now) / part_attempts);
   const std::size_t part = std::min(shares_.size(), std::max(part_least, busy));
-  int drawn = shares_.draw(Arc{0, part}, luck_, 0, fit);
-  if (drawn < 0 && part < shares_.size()) drawn = shares_.draw(Arc{0, shares_.size()}, luck_, 0, fit);
+  int drawn = shares_.draw(Arc{0, part}, random_, 0, fit);
+  if (drawn < 0 && part < shares_.size()) drawn = shares_.draw(Arc{0, shares_.size()}, random_, 0, fit);
   if (drawn >= 0) return places_[static_cast<std::size_t>(drawn)].id;
   const auto cost = [&](std::size_t i) {
     return (load(places_[i]) + 1) / shares_.speed(places_[i].smoothed_ms);
--- a/src/edge/tier.hpp
+++ b/src/edge/tier.hpp
@@ -100,7 +100,7 @@
 
   const std::string zone_;
   const std::uint64_t seed_;
-  Pcg luck_;
+  Pcg random_;
   double kv_tokens_ = 0;
   std::vector<Place> places_;
   std::unordered_map<std::string, std::size_t> index_;  // by id
--- a/src/handover/post.cpp
+++ b/src/handover/post.cpp
@@ -173,24 +173,24 @@
   return out;
 }
 
-Link::Link(net::Scheduler& scheduler, std::function<void()> changed)
+RpcClient::RpcClient(net::Scheduler& scheduler, std::function<void()> changed)
     : changed_(std::move(changed)), waker_(scheduler), socket_(scheduler, waker_) {}
 
-void Link::adopt(int fd) {
+void RpcClient::adopt(int fd) {
   socket_.adopt(fd);
   serves_ = false;
   task_ = run();
   task_.start();
 }
 
-void Link::say(bool serve) {
+void RpcClient::say(bool serve) {
   if (!lives()) return;
   const char word = serve ? i_serve : i_do_not;
   std::size_t written = 0;
   socket_.write({&word, 1}, written);
 }
 
-net::Task Link::run() {
+net::Task RpcClient::run() {
   using net::Socket;
   while (true) {
     const Socket::Result result = socket_.read(buffer_);
--- a/src/lab/tier/endpoint.cpp
+++ b/src/lab/tier/endpoint.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-EndpointStandIn::EndpointStandIn(net::Scheduler& scheduler, net::Later& later, Auditor& auditor,
+EndpointStandIn::EndpointStandIn(net::Scheduler& scheduler, net::TimerQueue& later, Auditor& auditor,
                                  const EndpointSpec& spec, std::uint64_t seed)
-    : later_(later),
+    : timers_(later),
       auditor_(auditor),
       spec_(spec),
       chance_(seed, "endpoint " + spec.id),
@@ -33,7 +33,7 @@
 void EndpointStandIn::end() {
   if (std::exchange(ended_, true)) return;
   for (auto& [visit, job] : jobs_) {
-    later_.cancel(job.next);
+    timers_.cancel(job.next);
     if (Port::Visit* const at = port_.find(visit))
       auditor_.troubled(at->asked().find("X-Chutevane-Attempt-Id"));
   }
@@ -81,9 +81,9 @@
                     id = asked.find("X-Chutevane-Attempt-Id");
   if (!target.empty() && target != spec_.id) return refuse(visit, 421);
   if (id.empty()) return refuse(visit, 400);
-  if (closed_from_ && later_.now() > *closed_from_)
+  if (closed_from_ && timers_.now() > *closed_from_)
     auditor_.breach(Check::drained, id + " came to " + spec_.id + " " +
-                                        std::to_string((later_.now() - *closed_from_).as_ms()) +
+                                        std::to_string((timers_.now() - *closed_from_).as_ms()) +
                                         " ms too late");
   port_.each_answer_ends(draining_);
   if (jobs_.size() < spec_.capacity) return start(visit.id());
@@ -99,7 +99,7 @@
       Span::ms(static_cast<double>(number_in(asked.find("X-Chutevane-Time-Remaining"), 600000)));
   Job& job = jobs_[visit];
   job.visit = visit;
-  job.until = later_.now() + left;
+  job.until = timers_.now() + left;
   job.run = auditor_.ran(asked.find("X-Chutevane-Attempt-Id"), spec_.id, asked.body);
   const std::string counts = asked.find("X-Chutevane-Token-Count");
   const std::int64_t most = number_in(
@@ -112,7 +112,7 @@
     auditor_.troubled(asked.find("X-Chutevane-Attempt-Id"));
   }
   const double wait = spec_.streams ? spec_.first_ms : spec_.work_ms;
-  job.next = later_.after(Span::ms(wait * (0.5 + chance_.unit())), [this, visit] { go_on(visit); });
+  job.next = timers_.after(Span::ms(wait * (0.5 + chance_.unit())), [this, visit] { go_on(visit); });
 }
 
 // The next event of a stream, or the whole of a plain answer.
@@ -121,7 +121,7 @@
   const auto found = jobs_.find(visit);
   if (at == nullptr || found == jobs_.end()) return;
   Job& job = found->second;
-  if (later_.now() > job.until) {  // the caller waits no more
+  if (timers_.now() > job.until) {  // the caller waits no more
     if (job.told > 0) {
       at->reset();
     } else {
@@ -159,7 +159,7 @@
   at->piece(event + "\n");
   if (job.told < job.events) {
     job.next =
-        later_.after(Span::ms(spec_.event_ms * (0.5 + chance_.unit())), [this, visit] { go_on(visit); });
+        timers_.after(Span::ms(spec_.event_ms * (0.5 + chance_.unit())), [this, visit] { go_on(visit); });
     return;
   }
   auditor_.run_whole(job.run);
@@ -171,7 +171,7 @@
 void EndpointStandIn::over(std::uint64_t visit) {
   const auto found = jobs_.find(visit);
   if (found != jobs_.end()) {
-    later_.cancel(found->second.next);
+    timers_.cancel(found->second.next);
     jobs_.erase(found);
   }
   while (jobs_.size() < spec_.capacity && !queue_.empty()) {
--- a/src/lab/tier/endpoint.hpp
+++ b/src/lab/tier/endpoint.hpp
@@ -25,8 +25,8 @@
 
 class EndpointStandIn {
  public:
-  EndpointStandIn(net::Scheduler& scheduler, net::Later& later, Auditor& auditor, const EndpointSpec& spec,
-                  std::uint64_t seed);
+  EndpointStandIn(net::Scheduler& scheduler, net::TimerQueue& later, Auditor& auditor,
+                  const EndpointSpec& spec, std::uint64_t seed);
   const EndpointSpec& spec() const { return spec_; }
   bool draining() const { return draining_; }
   // From here on it stands on the list as leaving; what comes `most` after it was read there is a breach.
@@ -45,7 +45,7 @@
     std::size_t events = 0, told = 0;  // events in all, and so far
     std::int64_t last_id = 0;
     TimePoint until;
-    net::Later::Ticket next;
+    net::TimerQueue::Ticket next;
   };
   void take(Port::Visit& visit);
   void left(Port::Visit& visit);
@@ -56,7 +56,7 @@
   std::string load() const;
   Fields fields_for(const Asked& asked, std::uint64_t run) const;
 
-  net::Later& later_;
+  net::TimerQueue& timers_;
   Auditor& auditor_;
   EndpointSpec spec_;
   Chance chance_;
