--- a/src/lab/tier/fleet.cpp
+++ b/src/lab/tier/fleet.cpp
@@ -52,10 +52,10 @@
 Fleet::Fleet(const FleetSpec& spec)
     : spec_(spec),
       chance_(spec.seed, "faults"),
-      later_(scheduler_),
-      list_(scheduler_, later_, list_rate, drain),
-      lines_(scheduler_, later_),
-      front_(lines_, later_) {
+      timers_(scheduler_),
+      list_(scheduler_, timers_, list_rate, drain),
+      lines_(scheduler_, timers_),
+      front_(lines_, timers_) {
   std::signal(SIGPIPE, SIG_IGN);
   for (const char* program : {"chutevane-control", "chutevane-storage", "chutevane-edge"}) {
     if (!fs::exists(fs::path(spec_.programs) / program))
@@ -73,7 +73,7 @@
     e.capacity = streams ? 5 : 16;  // few enough that turns find them full at times
     e.queue = streams ? 1 : 4;
     e.trouble = trouble_part;
-    endpoints_.push_back(std::make_unique<EndpointStandIn>(scheduler_, later_, auditor_, e, spec_.seed));
+    endpoints_.push_back(std::make_unique<EndpointStandIn>(scheduler_, timers_, auditor_, e, spec_.seed));
     list_.add(*endpoints_.back());
   };
   for (const char* id : {"i-w1", "i-w2", "i-w3", "i-w4"}) endpoint(id, endpoints_.size() + 1, true);
@@ -87,8 +87,8 @@
     if (m->plane == "edge")
       front_.add(m->node, with_port(m->at, front_port), with_port(m->at, readiness_port));
   }
-  operator_ = std::make_unique<OperatorStandIn>(scheduler_, later_, lines_, auditor_, controllers);
-  load_ = std::make_unique<Load>(scheduler_, later_, lines_, front_, auditor_,
+  operator_ = std::make_unique<OperatorStandIn>(scheduler_, timers_, lines_, auditor_, controllers);
+  load_ = std::make_unique<Load>(scheduler_, timers_, lines_, front_, auditor_,
                                  Load::Spec{spec_.seed, spec_.programs_per_s});
 }
 
@@ -168,7 +168,7 @@
     if (const auto how = m->process.ended())
       auditor_.breach(Check::crashed, m->node + ": " + *how + "\n" + last_lines(m->log, 6));
   }
-  later_.after(Span::ms(50), [this] { watch(); });
+  timers_.after(Span::ms(50), [this] { watch(); });
 }
 
 Fleet::Machine& Fleet::drawn(const char* plane, std::size_t& which) {
@@ -191,7 +191,7 @@
 FaultRecord& Fleet::fault(const std::string& name) {
   FaultRecord record;
   record.name = name;
-  record.at = later_.now();
+  record.at = timers_.now();
   faults_.push_back(record);
   return faults_.back();
 }
@@ -201,11 +201,11 @@
   EndpointSpec e = endpoints_.front()->spec();
   e.id = "i-w5";
   e.at = addresses_.at(endpoints, endpoints_.size() + 1, endpoint_port);
-  endpoints_.push_back(std::make_unique<EndpointStandIn>(scheduler_, later_, auditor_, e, spec_.seed));
+  endpoints_.push_back(std::make_unique<EndpointStandIn>(scheduler_, timers_, auditor_, e, spec_.seed));
   list_.add(*endpoints_.back());
   EndpointStandIn* const old = endpoints_.front().get();
   old->drain();
-  later_.after(drain_end, [this, old] {
+  timers_.after(drain_end, [this, old] {
     list_.remove(*old);
     old->end();
   });
@@ -221,8 +221,8 @@
   e.id = "i-t3";
   EndpointStandIn* const gone = old->get();
   gone->end();
-  endpoints_.push_back(std::make_unique<EndpointStandIn>(scheduler_, later_, auditor_, e, spec_.seed));
-  later_.after(list_behind, [this, gone, now = endpoints_.back().get()] {
+  endpoints_.push_back(std::make_unique<EndpointStandIn>(scheduler_, timers_, auditor_, e, spec_.seed));
+  timers_.after(list_behind, [this, gone, now = endpoints_.back().get()] {
     list_.remove(*gone);
     list_.add(*now);
   });
@@ -239,7 +239,7 @@
   // Put aside at once, and removed with the run: removing file by file may hold the stand-ins up.
   fs::rename(m.data, m.data + ".gone");
   ++orders_open_;
-  later_.after(down, [this, &m, record] {
+  timers_.after(down, [this, &m, record] {
     std::ofstream(m.log, std::ios::trunc);
     start(m, false);
     look_whole(record, m.log, faults_[record].at);
@@ -249,12 +249,12 @@
 void Fleet::look_whole(std::size_t record, const std::string& log, TimePoint since) {
   if (lines_with(log, "storage.whole") > 0) {
     faults_[record].note =
-        "whole again after " + std::to_string(static_cast<long>((later_.now() - since).as_ms())) + " ms";
+        "whole again after " + std::to_string(static_cast<long>((timers_.now() - since).as_ms())) + " ms";
     --orders_open_;
     return;
   }
   faults_[record].note = "not whole again";
-  later_.after(Span::ms(20), [=, this] { look_whole(record, log, since); });
+  timers_.after(Span::ms(20), [=, this] { look_whole(record, log, since); });
 }
 
 // A change is under way at the controller that dies.
@@ -263,11 +263,11 @@
   Machine& m = drawn("control", which);
   change(9, which);
   const Span into = Span::ms(12 * chance_.unit());
-  later_.after(into, [this, &m] {
+  timers_.after(into, [this, &m] {
     fault(m.node + " killed, a change in flight there");
     m.ends_by_order = true;
     m.process.kill();
-    later_.after(down, [this, &m] { start(m, false); });
+    timers_.after(down, [this, &m] { start(m, false); });
   });
 }
 
@@ -282,10 +282,10 @@
   const auto look = std::make_shared<std::function<void()>>();
   *look = [this, &m, record, weak = std::weak_ptr(look)] {
     const auto self = weak.lock();
-    const Span took = later_.now() - faults_[record].at;
+    const Span took = timers_.now() - faults_[record].at;
     const auto how = m.process.ended();
     if (!how && took < grace) {
-      later_.after(Span::ms(20), [self] { (*self)(); });
+      timers_.after(Span::ms(20), [self] { (*self)(); });
       return;
     }
     faults_[record].note = "ended after " + std::to_string(static_cast<long>(took.as_ms())) + " ms";
@@ -293,19 +293,19 @@
       auditor_.breach(Check::crashed, m.node +
                                           ", told to end: " + how.value_or("still there after its grace") +
                                           "\n" + last_lines(m.log, 6));
-    later_.after(down, [this, &m] {
+    timers_.after(down, [this, &m] {
       start(m, false);
       --orders_open_;
     });
   };
-  later_.after(Span::ms(20), [look] { (*look)(); });
+  timers_.after(Span::ms(20), [look] { (*look)(); });
 }
 
 // ---- configurations
 
 void Fleet::change(std::int64_t version, std::size_t first_to) {
   if (operator_->busy()) {
-    later_.after(Span::ms(50), [=, this] { change(version, first_to); });
+    timers_.after(Span::ms(50), [=, this] { change(version, first_to); });
     return;
   }
   const std::int64_t before = operator_->acknowledged();
@@ -313,7 +313,7 @@
   operator_->change(version, first_to, [=, this](Span took) {
     change_ms_.push_back(took.as_ms());
     const auto left = std::make_shared<std::size_t>(front_.size());
-    for (std::size_t i = 0; i < front_.size(); ++i) probe(version, before, i, later_.now(), left);
+    for (std::size_t i = 0; i < front_.size(); ++i) probe(version, before, i, timers_.now(), left);
   });
 }
 
@@ -323,13 +323,13 @@
   const auto over = [this, left, since] {
     if (--*left > 0) return;
     --probes_open_;
-    force_ms_.push_back((later_.now() - since).as_ms());
+    force_ms_.push_back((timers_.now() - since).as_ms());
   };
   const auto ask = [this, edge](std::int64_t of, std::function<void(int)> done) {
     const std::uint64_t high = chance_();
     const std::string id = "probe" + std::to_string(high) + std::to_string(chance_());
     auditor_.asked({id, Sort::idempotent, "", "", "", 0, std::nullopt});
-    Errand::run(lines_, later_, front_.address(edge),
+    Errand::run(lines_, timers_, front_.address(edge),
                 request_text("GET", mark_of(of) + "x", host,
                              {{"X-Chutevane-Attempt-Id", id}, {"X-Chutevane-Time-Remaining", "900"}}, ""),
                 Span::ms(1000), [done](const Errand::Got& got) { done(got.whole ? got.status : 0); });
@@ -340,14 +340,14 @@
   }
   if (machine->ends_by_order) return over();  // one that is leaving need not take it
   const auto again = [=, this](const std::string& what) {
-    if (later_.now() - since > in_force_most) {
+    if (timers_.now() - since > in_force_most) {
       if (!machine->ends_by_order)
         auditor_.breach(Check::configuration,
                         "version " + std::to_string(version) + " not in force at " + machine->node +
-                            " after " + std::to_string((later_.now() - since).as_ms()) + " ms: " + what);
+                            " after " + std::to_string((timers_.now() - since).as_ms()) + " ms: " + what);
       return over();
     }
-    later_.after(Span::ms(20), [=, this] { probe(version, before, edge, since, left); });
+    timers_.after(Span::ms(20), [=, this] { probe(version, before, edge, since, left); });
   };
   ask(version, [=](int status) {
     if (status != 200) return again("its new route answers " + std::to_string(status));
@@ -362,15 +362,15 @@
 // ---- the whole
 
 bool Fleet::wait(Span most, const std::function<bool()>& what) {
-  const TimePoint until = later_.now() + most;
+  const TimePoint until = timers_.now() + most;
   // Guards against a turn that has nothing to do: the lab looks at its conditions now and then.
-  while (!what() && later_.now() < until && !told_to_stop_) scheduler_.turn();
+  while (!what() && timers_.now() < until && !told_to_stop_) scheduler_.turn();
   return what();
 }
 
 void Fleet::plan(TimePoint begin, Span lasts) {
   const auto at = [&](double part, std::function<void()> what) {
-    later_.at(begin + lasts * part, std::move(what));
+    timers_.at(begin + lasts * part, std::move(what));
   };
   at(0.05, [this] { change(4, 1); });
   at(0.12, [this] { drain_endpoint(); });
@@ -384,9 +384,9 @@
 
 FleetResult Fleet::run() {
   FleetResult result;
-  const TimePoint began = later_.now();
+  const TimePoint began = timers_.now();
   for (auto& m : machines_) start(*m, true);
-  later_.after(Span::ms(50), [this] { watch(); });
+  timers_.after(Span::ms(50), [this] { watch(); });
   front_.begin(Span::ms(50));
   operator_->change(1, 0, [this](Span) {});
   result.started = wait(up_most, [this] {
@@ -394,12 +394,12 @@
            auditor_.count(Check::crashed) > 0;
   });
   result.started = result.started && auditor_.count(Check::crashed) == 0;
-  result.up = later_.now() - began;
+  result.up = timers_.now() - began;
   if (result.started) {
     front_.every(Span::ms(1000));
     const Span lasts = Span::ms(std::max(spec_.seconds - tail_s, 1.0) * 1000);
-    const TimePoint start = later_.now();
-    delays_ = std::make_unique<OwnDelays>(later_, (fs::path(spec_.folder) / "sync.own").string());
+    const TimePoint start = timers_.now();
+    delays_ = std::make_unique<OwnDelays>(timers_, (fs::path(spec_.folder) / "sync.own").string());
     plan(start, lasts);
     load_->begin();
     wait(lasts, [] { return false; });
@@ -420,7 +420,7 @@
     delays_->stop();
     result.lateness_ms = delays_->lateness_ms();
     result.sync_ms = delays_->sync_ms();
-    judge_faults(result, start, later_.now());
+    judge_faults(result, start, timers_.now());
   } else {
     result.trouble = last_words();
   }
@@ -457,10 +457,10 @@
     m->process.signal(SIGTERM);
     told.push_back(m.get());
   }
-  const TimePoint until = later_.now() + grace;
+  const TimePoint until = timers_.now() + grace;
   for (Machine* const m : told) {
     std::optional<std::string> how;
-    wait(until - later_.now(), [&] {
+    wait(until - timers_.now(), [&] {
       if (!how) how = m->process.ended();  // told once
       return how.has_value();
     });
--- a/src/lab/tier/fleet.hpp
+++ b/src/lab/tier/fleet.hpp
@@ -99,7 +99,7 @@
   Chance chance_;
   AddressBlock addresses_;
   net::Scheduler scheduler_;
-  net::Later later_;
+  net::TimerQueue timers_;
   Auditor auditor_;
   std::vector<std::unique_ptr<Machine>> machines_;
   ListStandIn list_;
--- a/src/lab/tier/load.cpp
+++ b/src/lab/tier/load.cpp
@@ -28,11 +28,11 @@
  public:
   Asking(Load& load, Want want, std::function<void(const Got&)> done, std::uint64_t place)
       : load_(load), want_(std::move(want)), done_(std::move(done)), place_(place) {
-    until_ = load_.later_.now() + want_.lasts;
+    until_ = load_.timers_.now() + want_.lasts;
   }
   ~Asking() {
-    load_.later_.cancel(due_);
-    load_.later_.cancel(again_);
+    load_.timers_.cancel(due_);
+    load_.timers_.cancel(again_);
   }
   void go() {
     ++tries_;
@@ -42,7 +42,7 @@
     retry_after_ = Span();
     bytes_.clear();
     heard_ = false;
-    began_ = load_.later_.now();
+    began_ = load_.timers_.now();
     load_.auditor_.asked(
         {id_, want_.sort, want_.program, want_.previous, want_.input, want_.most, want_.budget});
     Fields fields{
@@ -70,9 +70,9 @@
 
  private:
   void wait() {
-    load_.later_.cancel(due_);
-    const TimePoint silent = load_.later_.now() + silence_most;
-    due_ = load_.later_.at(want_.sort == Sort::turn ? std::min(until_, silent) : until_, [this] {
+    load_.timers_.cancel(due_);
+    const TimePoint silent = load_.timers_.now() + silence_most;
+    due_ = load_.timers_.at(want_.sort == Sort::turn ? std::min(until_, silent) : until_, [this] {
       line_->close();
       over(Ended::broken);
     });
@@ -104,13 +104,13 @@
       if (line.starts_with("data: ")) data.append(line.substr(6)).append("\n");
       if (line.starts_with("id: ")) std::from_chars(line.data() + 4, line.data() + line.size(), number);
     }
-    if (!std::exchange(heard_, true)) first_ = load_.later_.now();
+    if (!std::exchange(heard_, true)) first_ = load_.timers_.now();
     load_.auditor_.came(id_, number, data);
   }
   void line_whole() override {
     if (line_->reusable()) load_.idle(want_.client, *line_);
     if (status_ == 200) {
-      if (!heard_) first_ = load_.later_.now();
+      if (!heard_) first_ = load_.timers_.now();
       if (want_.sort != Sort::turn) load_.auditor_.came_plain(id_, bytes_);
       if (want_.sort == Sort::turn && !bytes_.empty())
         load_.auditor_.breach(Check::joined, id_ + ": a part of an event at its end");
@@ -125,8 +125,8 @@
 
   void over(Ended how) {
     const auto self = load_.asking_.at(place_);
-    load_.later_.cancel(due_);
-    const TimePoint now = load_.later_.now();
+    load_.timers_.cancel(due_);
+    const TimePoint now = load_.timers_.now();
     load_.auditor_.answered(id_, how, seal_);
     // A try that its endpoint spoilt tells nothing of the tier.
     const bool good = how == Ended::whole || how == Ended::spent;
@@ -136,7 +136,7 @@
     const bool may = how == Ended::promised || (how == Ended::broken && want_.sort == Sort::idempotent);
     const Span pause = std::max(retry_after_, Span::ms(20));
     if (may && tries_ < tries_most && pause * 3 < until_ - now) {
-      again_ = load_.later_.after(pause, [this] { go(); });
+      again_ = load_.timers_.after(pause, [this] { go(); });
       return;
     }
     const Got got{how, id_};
@@ -156,7 +156,7 @@
   Span retry_after_;
   bool heard_ = false;
   Line* line_ = nullptr;
-  net::Later::Ticket due_, again_;
+  net::TimerQueue::Ticket due_, again_;
 };
 
 // ---- one program
@@ -198,7 +198,7 @@
     // Room for a turn that breaks off and counts at its most; a loop's is spent in some rounds.
     budget_ = loops_ ? all * 4 : all * 4 + 200;
     parts_ = hex(chance_.below(4) + 1) + ":800," + hex(word()) + ":200";
-    last_possible_ = load_.later_.now() + heirs_ask;
+    last_possible_ = load_.timers_.now() + heirs_ask;
   }
   bool is_heir() const { return heir_; }
   void start() { turn(main_); }
@@ -247,7 +247,7 @@
         if (talk->main) last_ = got.id;
         auto open = std::make_shared<std::size_t>(step.tools + step.acts + (step.sub_agent.empty() ? 0 : 1));
         const auto one_over = [this, talk, open, pause = step.pause] {
-          if (--*open == 0) load_.later_.after(pause, [this, talk] { next(talk); });
+          if (--*open == 0) load_.timers_.after(pause, [this, talk] { next(talk); });
         };
         if (*open == 0) {
           *open = 1;
@@ -269,13 +269,13 @@
       case Ended::denied: return end(talk, false);
       case Ended::promised:
       case Ended::broken:
-        if (heir_ ? load_.later_.now() < last_possible_ : talk->anew++ < anew_most) return again(talk);
+        if (heir_ ? load_.timers_.now() < last_possible_ : talk->anew++ < anew_most) return again(talk);
         return end(talk, false);
     }
   }
   void again(const std::shared_ptr<Talk>& talk) {
     ++load_.figures_.sent_anew;
-    load_.later_.after(Span::ms(100 + 300 * load_.habits_.unit()), [this, talk] { turn(talk); });
+    load_.timers_.after(Span::ms(100 + 300 * load_.habits_.unit()), [this, talk] { turn(talk); });
   }
   void next(const std::shared_ptr<Talk>& talk) {
     if (over_) return;
@@ -346,10 +346,10 @@
 
 // ---- all of them
 
-Load::Load(net::Scheduler& scheduler, net::Later& later, Lines& lines, Front& front, Auditor& auditor,
+Load::Load(net::Scheduler& scheduler, net::TimerQueue& later, Lines& lines, Front& front, Auditor& auditor,
            const Spec& spec)
     : scheduler_(scheduler),
-      later_(later),
+      timers_(later),
       lines_(lines),
       front_(front),
       auditor_(auditor),
@@ -374,7 +374,7 @@
 
 void Load::begin() {
   next_program();
-  later_.after(Span::ms(700), [this] { next_stranger(); });
+  timers_.after(Span::ms(700), [this] { next_stranger(); });
 }
 
 void Load::next_program() {
@@ -385,7 +385,7 @@
   if (programs_.size() % 8 == 4) ++figures_.loops;
   programs_.back()->start();
   const double pause_ms = -std::log(1 - arrivals_.unit()) * 1000.0 / spec_.programs_per_s;
-  later_.after(Span::ms(pause_ms), [this] { next_program(); });
+  timers_.after(Span::ms(pause_ms), [this] { next_program(); });
 }
 
 // Asks for what never was: 404, or 503 while that is not certain.
@@ -405,7 +405,7 @@
   ask(want, [this](const Got& got) {
     if (got.how == Ended::unknown || got.how == Ended::promised) ++figures_.strangers_refused;
   });
-  later_.after(Span::ms(700), [this] { next_stranger(); });
+  timers_.after(Span::ms(700), [this] { next_stranger(); });
 }
 
 void Load::go_on_from_old(std::size_t most) {
@@ -415,8 +415,8 @@
     ++open_;
     ++figures_.heirs;
     programs_.push_back(std::make_unique<Program>(*this, 1000000 + i, from));
-    later_.after(Span::ms(static_cast<double>(i) * 10),
-                 [program = programs_.back().get()] { program->start(); });
+    timers_.after(Span::ms(static_cast<double>(i) * 10),
+                  [program = programs_.back().get()] { program->start(); });
   }
 }
 
--- a/src/lab/tier/load.hpp
+++ b/src/lab/tier/load.hpp
@@ -49,7 +49,7 @@
     std::uint64_t seed = 1;
     double programs_per_s = 12;
   };
-  Load(net::Scheduler& scheduler, net::Later& later, Lines& lines, Front& front, Auditor& auditor,
+  Load(net::Scheduler& scheduler, net::TimerQueue& later, Lines& lines, Front& front, Auditor& auditor,
        const Spec& spec);
   ~Load();
 
@@ -79,7 +79,7 @@
   void part(std::uint64_t client);
 
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   Lines& lines_;
   Front& front_;
   Auditor& auditor_;
--- a/src/lab/tier/operators.cpp
+++ b/src/lab/tier/operators.cpp
@@ -52,13 +52,13 @@
   return all.dump();
 }
 
-OperatorStandIn::OperatorStandIn(net::Scheduler&, net::Later& later, Lines& lines, Auditor& auditor,
+OperatorStandIn::OperatorStandIn(net::Scheduler&, net::TimerQueue& later, Lines& lines, Auditor& auditor,
                                  std::vector<sockaddr_in> controllers)
-    : later_(later), lines_(lines), auditor_(auditor), controllers_(std::move(controllers)) {}
+    : timers_(later), lines_(lines), auditor_(auditor), controllers_(std::move(controllers)) {}
 
 void OperatorStandIn::change(std::int64_t version, std::size_t first_to, std::function<void(Span)> taken) {
   busy_ = true;
-  send(version, first_to, 0, later_.now(), std::move(taken));
+  send(version, first_to, 0, timers_.now(), std::move(taken));
 }
 
 void OperatorStandIn::send(std::int64_t version, std::size_t to, int times, TimePoint since,
@@ -69,25 +69,25 @@
       "POST", "/v1/Configuration.Replace", net::text_of(at),
       {{"X-Chutevane-Base-Version", std::to_string(acknowledged_)}, {"Content-Type", "application/json"}},
       configuration_text(version));
-  Errand::run(lines_, later_, at, std::move(text), silent_most, [=, this](const Errand::Got& got) {
+  Errand::run(lines_, timers_, at, std::move(text), silent_most, [=, this](const Errand::Got& got) {
     if (got.whole && got.status == 200) {
       acknowledged_ = version;
       busy_ = false;
-      return taken(later_.now() - since);
+      return taken(timers_.now() - since);
     }
     // Nobody else changes it: no answer but 200 is final.
     if (got.whole && got.status / 100 == 4 && got.status != 408 && got.status != 429)
       auditor_.breach(Check::configuration, "version " + std::to_string(version) + ": " +
                                                 std::to_string(got.status) + " " + got.body);
     const Span pause = std::min(pause_most, pause_first * static_cast<double>(1 << std::min(times, 4)));
-    later_.after(pause, [=, this] { send(version, to + 1, times + 1, since, taken); });
+    timers_.after(pause, [=, this] { send(version, to + 1, times + 1, since, taken); });
   });
 }
 
 void OperatorStandIn::read_back(Span most, std::function<void()> done) {
   const auto left = std::make_shared<std::size_t>(controllers_.size());
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
-    read(i, later_.now() + most, [left, done] {
+    read(i, timers_.now() + most, [left, done] {
       if (--*left == 0) done();
     });
   }
@@ -96,7 +96,7 @@
 void OperatorStandIn::read(std::size_t controller, TimePoint until, std::function<void()> done) {
   const sockaddr_in& at = controllers_[controller];
   Errand::run(
-      lines_, later_, at, request_text("GET", "/v1/Configuration.Retrieve", net::text_of(at), {}, ""),
+      lines_, timers_, at, request_text("GET", "/v1/Configuration.Retrieve", net::text_of(at), {}, ""),
       silent_most, [=, this](const Errand::Got& got) {
         if (got.whole && got.status == 200 && got.body == configuration_text(acknowledged_)) return done();
         // A controller that answers has to answer with the newest: no second chance for an older one.
@@ -106,13 +106,13 @@
                                                     got.body.substr(0, 60));
           return done();
         }
-        if (later_.now() > until) {
+        if (timers_.now() > until) {
           auditor_.breach(Check::configuration,
                           "controller " + std::to_string(controller) + " does not give back version " +
                               std::to_string(acknowledged_) + ": " + std::to_string(got.status));
           return done();
         }
-        later_.after(pause_first, [=, this] { read(controller, until, done); });
+        timers_.after(pause_first, [=, this] { read(controller, until, done); });
       });
 }
 
--- a/src/lab/tier/operators.hpp
+++ b/src/lab/tier/operators.hpp
@@ -17,7 +17,7 @@
 
 class OperatorStandIn {
  public:
-  OperatorStandIn(net::Scheduler& scheduler, net::Later& later, Lines& lines, Auditor& auditor,
+  OperatorStandIn(net::Scheduler& scheduler, net::TimerQueue& later, Lines& lines, Auditor& auditor,
                   std::vector<sockaddr_in> controllers);
 
   // Sends the version on top of the one before, first to that controller, until it is taken; how long it
@@ -35,7 +35,7 @@
   void send(std::int64_t version, std::size_t to, int times, TimePoint since,
             std::function<void(Span)> taken);
   void read(std::size_t controller, TimePoint until, std::function<void()> done);
-  net::Later& later_;
+  net::TimerQueue& timers_;
   Lines& lines_;
   Auditor& auditor_;
   std::vector<sockaddr_in> controllers_;
--- a/src/lab/tier/own_delays.cpp
+++ b/src/lab/tier/own_delays.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-OwnDelays::OwnDelays(net::Later& later, std::string file) : later_(later), file_(std::move(file)) {
-  tick(later_.now() + tick_every);
+OwnDelays::OwnDelays(net::TimerQueue& later, std::string file) : timers_(later), file_(std::move(file)) {
+  tick(timers_.now() + tick_every);
   thread_ = std::thread([this] { sync(); });
 }
 
@@ -25,9 +25,9 @@
 }
 
 void OwnDelays::tick(TimePoint due) {
-  later_.at(due, [this, due] {
+  timers_.at(due, [this, due] {
     if (stopped_) return;
-    const TimePoint now = later_.now();
+    const TimePoint now = timers_.now();
     lateness_ms_.push_back((now - due).as_ms());
     tick(now + tick_every);
   });
--- a/src/lab/tier/own_delays.hpp
+++ b/src/lab/tier/own_delays.hpp
@@ -7,13 +7,13 @@
 #include <thread>
 #include <vector>
 
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::lab::tier {
 
 class OwnDelays {
  public:
-  OwnDelays(net::Later& later, std::string file);  // a file beside the tier's data
+  OwnDelays(net::TimerQueue& later, std::string file);  // a file beside the tier's data
   ~OwnDelays() { stop(); }
   OwnDelays(const OwnDelays&) = delete;
   OwnDelays& operator=(const OwnDelays&) = delete;
@@ -25,7 +25,7 @@
  private:
   void tick(TimePoint due);
   void sync();
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const std::string file_;
   std::vector<double> lateness_ms_;
   std::vector<double> sync_ms_;  // of the thread, until it has ended
--- a/src/lab/tier/platform.cpp
+++ b/src/lab/tier/platform.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-ListStandIn::ListStandIn(net::Scheduler& scheduler, net::Later& later, double rate_per_s, Span drain)
-    : later_(later),
+ListStandIn::ListStandIn(net::Scheduler& scheduler, net::TimerQueue& later, double rate_per_s, Span drain)
+    : timers_(later),
       rate_(rate_per_s),
       drain_(drain),
       port_(scheduler, [this](Port::Visit& visit) { take(visit); }),
@@ -23,7 +23,7 @@
 void ListStandIn::take(Port::Visit& visit) {
   const Asked& asked = visit.asked();
   if (asked.path() != "/instances" || asked.method != "GET") return visit.answer(404, {}, "");
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   allowed_ = std::min(rate_, allowed_ + (now - at_).as_ms() / 1000.0 * rate_);
   at_ = now;
   if (allowed_ < 1) {
@@ -74,7 +74,7 @@
 }
 
 void Front::look(std::size_t which) {
-  Errand::run(lines_, later_, edges_[which].readiness,
+  Errand::run(lines_, timers_, edges_[which].readiness,
               request_text("GET", "/v1/readiness", net::text_of(edges_[which].readiness), {}, ""),
               readiness_most, [this, which](const Errand::Got& got) {
                 Edge& s = edges_[which];
@@ -85,7 +85,7 @@
                   s.in = false;
                 }
               });
-  later_.after(every_, [this, which] { look(which); });
+  timers_.after(every_, [this, which] { look(which); });
 }
 
 std::size_t Front::in() const {
--- a/src/lab/tier/platform.hpp
+++ b/src/lab/tier/platform.hpp
@@ -13,7 +13,7 @@
 
 class ListStandIn {
  public:
-  ListStandIn(net::Scheduler& scheduler, net::Later& later, double rate_per_s, Span drain);
+  ListStandIn(net::Scheduler& scheduler, net::TimerQueue& later, double rate_per_s, Span drain);
   void listen(const sockaddr_in& at) { port_.listen(at); }
   void add(EndpointStandIn& endpoint) { endpoints_.push_back(&endpoint); }
   void remove(const EndpointStandIn& endpoint) { std::erase(endpoints_, &endpoint); }
@@ -22,7 +22,7 @@
 
  private:
   void take(Port::Visit& visit);
-  net::Later& later_;
+  net::TimerQueue& timers_;
   const double rate_;
   const Span drain_;
   Port port_;
@@ -36,7 +36,7 @@
 // connections go to those that are in, or to all while fewer than half are.
 class Front {
  public:
-  Front(Lines& lines, net::Later& later) : lines_(lines), later_(later) {}
+  Front(Lines& lines, net::TimerQueue& later) : lines_(lines), timers_(later) {}
   void add(const std::string& name, const sockaddr_in& front, const sockaddr_in& readiness);
   void begin(Span every);
   void every(Span span) { every_ = span; }
@@ -56,7 +56,7 @@
   };
   void look(std::size_t which);
   Lines& lines_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   Span every_ = Span::ms(1000);
   std::vector<Edge> edges_;
 };
--- a/src/lab/tier/web.cpp
+++ b/src/lab/tier/web.cpp
@@ -149,7 +149,7 @@
   Line& line = crew_.add(std::make_unique<Line>(*this));
   const bool begun = line.channel_.connect(to);
   // Not from inside the call that opens it.
-  line.due_ = later_.after(begun ? comes_up : Span(), [&line] {
+  line.due_ = timers_.after(begun ? comes_up : Span(), [&line] {
     if (!line.channel_.up()) line.fail(true);
   });
   return line;
@@ -166,14 +166,14 @@
 
 void Line::channel_up(net::Channel&) {
   came_up_ = true;
-  all_.later_.cancel(due_);
+  all_.timers_.cancel(due_);
   if (sink_ != nullptr) channel_.write(request_);
 }
 
 void Line::close() {
   sink_ = nullptr;
   if (std::exchange(left_, true)) return;
-  all_.later_.cancel(due_);
+  all_.timers_.cancel(due_);
   channel_.close();
   if (const auto told = std::exchange(told_gone_, nullptr)) told(*this);
   all_.crew_.retire(*this);
@@ -227,7 +227,7 @@
 
 // ---- an errand
 
-void Errand::run(Lines& lines, net::Later& later, const sockaddr_in& to, std::string request, Span most,
+void Errand::run(Lines& lines, net::TimerQueue& later, const sockaddr_in& to, std::string request, Span most,
                  Done done) {
   const auto one = std::make_shared<Errand>(Key{}, later, std::move(done));
   one->due_ = later.after(most, [one] { one->end(false); });
@@ -243,7 +243,7 @@
 
 void Errand::end(bool whole) {
   const auto self = shared_from_this();
-  later_.cancel(due_);
+  timers_.cancel(due_);
   line_->close();
   got_.whole = whole;
   done_(got_);
--- a/src/lab/tier/web.hpp
+++ b/src/lab/tier/web.hpp
@@ -13,7 +13,7 @@
 #include "http/parser.hpp"
 #include "net/channel.hpp"
 #include "net/crew.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::lab::tier {
 
@@ -119,22 +119,22 @@
   Sink* sink_ = nullptr;
   std::string request_;
   std::function<void(Line&)> told_gone_;
-  net::Later::Ticket due_;
+  net::TimerQueue::Ticket due_;
   bool head_seen_ = false, keep_ = true, left_ = false, came_up_ = false;
 };
 
 // Owns the lines.
 class Lines {
  public:
-  Lines(net::Scheduler& scheduler, net::Later& later)
-      : scheduler_(scheduler), later_(later), crew_(scheduler) {}
+  Lines(net::Scheduler& scheduler, net::TimerQueue& later)
+      : scheduler_(scheduler), timers_(later), crew_(scheduler) {}
   // A new connection; it has a second to come up.
   Line& open(const sockaddr_in& to);
 
  private:
   friend class Line;
   net::Scheduler& scheduler_;
-  net::Later& later_;
+  net::TimerQueue& timers_;
   net::Crew<Line> crew_;
 };
 
@@ -149,14 +149,14 @@
   };
   using Done = std::function<void(const Got&)>;
   // Calls back once, `most` later at the latest. Its timer owns it.
-  static void run(Lines& lines, net::Later& later, const sockaddr_in& to, std::string request, Span most,
+  static void run(Lines& lines, net::TimerQueue& later, const sockaddr_in& to, std::string request, Span most,
                   Done done);
 
  private:
   struct Key {};
 
  public:
-  Errand(Key, net::Later& later, Done done) : later_(later), done_(std::move(done)) {}
+  Errand(Key, net::TimerQueue& later, Done done) : timers_(later), done_(std::move(done)) {}
 
  private:
   void end(bool whole);
@@ -164,11 +164,11 @@
   void line_piece(std::string_view piece) override { got_.body += piece; }
   void line_whole() override { end(true); }
   void line_failed(bool) override { end(false); }
-  net::Later& later_;
+  net::TimerQueue& timers_;
   Done done_;
   Line* line_ = nullptr;
   Got got_;
-  net::Later::Ticket due_;
+  net::TimerQueue::Ticket due_;
 };
 
 std::string request_text(std::string_view method, std::string_view target, std::string_view host,
--- a/src/net/later.hpp
+++ b/src/net/timer_queue.hpp
@@ -11,7 +11,7 @@
 
 namespace chutevane::net {
 
-class Later {
+class TimerQueue {
  public:
   // What was asked for; it may be cancelled, also after it has happened.
   struct Ticket {
@@ -20,7 +20,7 @@
     auto operator<=>(const Ticket&) const = default;
   };
 
-  explicit Later(Scheduler& scheduler)
+  explicit TimerQueue(Scheduler& scheduler)
       : scheduler_(scheduler), waker_(scheduler), timer_(scheduler, waker_, due_bit), task_(run()) {
     task_.start();
   }
--- a/src/simulation/callers.cpp
+++ b/src/simulation/callers.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-Callers::Callers(world::Process& process) : scheduler_(process), later_(scheduler_), crew_(scheduler_) {
+Callers::Callers(world::Process& process) : scheduler_(process), timers_(scheduler_), crew_(scheduler_) {
   process.run(
       scheduler_,
       [this] {
@@ -27,7 +27,7 @@
 
 void Callers::call(const sockaddr_in& to, std::string request, Span most, Done done) {
   Call& call = crew_.add(std::make_unique<Call>(*this, std::move(request), std::move(done)));
-  call.due_ = later_.after(most, [at = &call] { at->end(std::nullopt); });
+  call.due_ = timers_.after(most, [at = &call] { at->end(std::nullopt); });
   if (!call.channel_.connect(to)) call.end(std::nullopt);
 }
 
@@ -48,7 +48,7 @@
 void Callers::Call::end(std::optional<HttpResult> result) {
   if (!done_) return;
   const Done done = std::exchange(done_, nullptr);
-  callers_.later_.cancel(due_);
+  callers_.timers_.cancel(due_);
   channel_.close();
   callers_.crew_.retire(*this);
   done(std::move(result));
--- a/src/simulation/callers.hpp
+++ b/src/simulation/callers.hpp
@@ -10,7 +10,7 @@
 #include "http/parser.hpp"
 #include "net/channel.hpp"
 #include "net/crew.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 #include "world/network.hpp"
 
 namespace chutevane::simulation {
@@ -27,7 +27,7 @@
   using Done = std::function<void(std::optional<HttpResult> result)>;
 
   explicit Callers(world::Process& process);
-  net::Later& later() { return later_; }
+  net::TimerQueue& later() { return timers_; }
   net::Scheduler& scheduler() { return scheduler_; }
   void call(const sockaddr_in& to, std::string request, Span most, Done done);
   static std::string post(std::string_view target, std::string_view body, std::int64_t base_version);
@@ -50,10 +50,10 @@
     http::Parser parser_{http::Side::response, {.head = 16 * 1024, .body = 16U << 20U, .fields = 100}};
     const std::string request_;
     Done done_;
-    net::Later::Ticket due_;
+    net::TimerQueue::Ticket due_;
   };
   net::Scheduler scheduler_;
-  net::Later later_;
+  net::TimerQueue timers_;
   net::Crew<Call> crew_;
   std::map<std::uint64_t, Call*> calls_;
 };
--- a/src/simulation/deployment.cpp
+++ b/src/simulation/deployment.cpp
@@ -38,8 +38,8 @@
 
 std::uint64_t Deployment::drawn() { return (std::uint64_t{chance_.next()} << 32U) | chance_.next(); }
 
-market::ProcessSettings Deployment::settings_of(Role role, std::size_t number) const {
-  market::ProcessSettings out;
+common::ProcessSettings Deployment::settings_of(Role role, std::size_t number) const {
+  common::ProcessSettings out;
   out.node = std::string(name_of(role)) + "-" + std::to_string(number);
   out.role = name_of(role);
   out.zone = "zone-" + std::to_string(number % 3);
@@ -59,7 +59,7 @@
   machines_.push_back(
       std::make_unique<Machine>(world_, role, ip_of(role, number), settings_of(role, number), drawn()));
   Machine& out = *machines_.back();
-  out.on_value = [this](Machine& m, const market::Value& value) {
+  out.on_value = [this](Machine& m, const common::Value& value) {
     if (on_value) on_value(m, value);
   };
   out.on_end = [this](Machine& m) { ended(m); };
--- a/src/simulation/deployment.hpp
+++ b/src/simulation/deployment.hpp
@@ -75,12 +75,12 @@
   // Since when no link, process or disk of any machine has had trouble; never: there is some now.
   TimePoint calm_since() const;
 
-  std::function<void(Machine&, const market::Value&)> on_value;
+  std::function<void(Machine&, const common::Value&)> on_value;
   std::function<void(Machine&)> on_end;  // a process that ended by itself, with no order to
 
  private:
   Machine& add(Role role);
-  market::ProcessSettings settings_of(Role role, std::size_t number) const;
+  common::ProcessSettings settings_of(Role role, std::size_t number) const;
   void event(const Machine& machine);
   void link_event(std::size_t a, std::size_t b);
   bool core_machine(std::size_t number) const;
--- a/src/simulation/disk.hpp
+++ b/src/simulation/disk.hpp
@@ -6,7 +6,7 @@
 
 #include "base/pcg.hpp"
 #include "chutevane/types.hpp"
-#include "market/disk.hpp"
+#include "common/disk.hpp"
 
 namespace chutevane::simulation {
 
@@ -15,14 +15,14 @@
 // What a machine keeps while its processes come and go.
 struct MachineDisk {
   explicit MachineDisk(std::uint64_t seed) : identities(seed) {}
-  market::MemoryDisk contents;
+  common::MemoryDisk contents;
   Pcg identities;  // the machine's source of random numbers
   DiskTrouble trouble = DiskTrouble::none;
   Span sync_takes;  // above zero: a slow disk, the process stands still so long at each sync
 };
 
 // The view that one process has of its machine's disk.
-class DiskHandle final : public market::Disk {
+class DiskHandle final : public common::Disk {
  public:
   // `stand_still` stops the process for so long: its one thread waits for the disk.
   DiskHandle(std::shared_ptr<MachineDisk> disk, std::function<void(Span)> stand_still)
--- a/src/simulation/edge_plane.cpp
+++ b/src/simulation/edge_plane.cpp
@@ -8,30 +8,30 @@
 constexpr std::size_t cache_bytes = 20000;    // some chains: what other edges kept is asked of storage
 constexpr Span leaves_after = Span::ms(500);  // SIGTERM to the end of the process
 
-std::uint64_t seed_of(const market::ProcessSettings& settings, TimePoint now) {
+std::uint64_t seed_of(const common::ProcessSettings& settings, TimePoint now) {
   return XXH3_64bits_withSeed(settings.node.data(), settings.node.size(),
                               static_cast<std::uint64_t>(now.as_ms() * 1000));
 }
 
 }  // namespace
 
-EdgePlane::EdgePlane(net::Scheduler& scheduler, const market::ProcessSettings& settings, Told told)
+EdgePlane::EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings, Told told)
     : scheduler_(scheduler),
       settings_(settings),
-      later_(scheduler),
-      ledger_(scheduler, later_, settings.zone, settings.machine_losses, cache_bytes,
+      timers_(scheduler),
+      ledger_(scheduler, timers_, settings.zone, settings.machine_losses, cache_bytes,
               seed_of(settings, scheduler.now())),
       told_(std::move(told)) {}
 
 absl::Status EdgePlane::open() {
-  market::Member self;
+  common::Member self;
   self.node = settings_.node;
   self.plane = "edge";
   self.address = settings_.ip + ":80";
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
-  sessions_ = std::make_unique<market::Sessions>(scheduler_, later_, settings_, self);
-  sessions_->on_value([this](const market::Value& value) {
+  sessions_ = std::make_unique<common::Sessions>(scheduler_, timers_, settings_, self);
+  sessions_->on_value([this](const common::Value& value) {
     ledger_.map_came(value.map, value.storage_nodes);
     told_(value);
   });
@@ -39,7 +39,7 @@
 }
 
 void EdgePlane::leave() {
-  later_.after(leaves_after, [this] { finished_ = true; });
+  timers_.after(leaves_after, [this] { finished_ = true; });
 }
 
 }  // namespace chutevane::simulation
--- a/src/simulation/edge_plane.hpp
+++ b/src/simulation/edge_plane.hpp
@@ -4,33 +4,33 @@
 #include <functional>
 #include <memory>
 
+#include "common/process.hpp"
+#include "common/session.hpp"
+#include "common/settings.hpp"
 #include "edge/ledger.hpp"
-#include "market/process.hpp"
-#include "market/session.hpp"
-#include "market/settings.hpp"
-#include "net/later.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::simulation {
 
-class EdgePlane final : public market::Plane {
+class EdgePlane final : public common::Plane {
  public:
   // Told of each value that comes into force in this process.
-  using Told = std::function<void(const market::Value&)>;
-  EdgePlane(net::Scheduler& scheduler, const market::ProcessSettings& settings, Told told);
+  using Told = std::function<void(const common::Value&)>;
+  EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings, Told told);
   absl::Status open() override;
   void leave() override;
   bool finished() const override { return finished_; }
-  void reread(const market::ProcessSettings& settings) override { sessions_->reread(settings); }
+  void reread(const common::ProcessSettings& settings) override { sessions_->reread(settings); }
 
   edge::Ledger& ledger() { return ledger_; }
-  net::Later& later() { return later_; }
+  net::TimerQueue& later() { return timers_; }
 
  private:
   net::Scheduler& scheduler_;
-  market::ProcessSettings settings_;
-  net::Later later_;
+  common::ProcessSettings settings_;
+  net::TimerQueue timers_;
   edge::Ledger ledger_;
-  std::unique_ptr<market::Sessions> sessions_;
+  std::unique_ptr<common::Sessions> sessions_;
   Told told_;
   bool finished_ = false;
 };
--- a/src/simulation/machine.cpp
+++ b/src/simulation/machine.cpp
@@ -34,11 +34,11 @@
 struct Machine::Life {
   explicit Life(world::Process& process) : scheduler(process), later(scheduler) {}
   net::Scheduler scheduler;
-  net::Later later;
-  std::unique_ptr<market::Plane> plane;
+  net::TimerQueue later;
+  std::unique_ptr<common::Plane> plane;
 };
 
-Machine::Machine(world::World& world, Role role, std::uint32_t ip, market::ProcessSettings settings,
+Machine::Machine(world::World& world, Role role, std::uint32_t ip, common::ProcessSettings settings,
                  std::uint64_t seed)
     : world_(world),
       role_(role),
@@ -50,7 +50,7 @@
 
 Machine::~Machine() { kill(); }
 
-std::unique_ptr<market::Plane> Machine::make_plane() {
+std::unique_ptr<common::Plane> Machine::make_plane() {
   auto disk = std::make_unique<DiskHandle>(disk_, [this](Span lasts) { process_.pause(lasts); });
   switch (role_) {
     case Role::control:
@@ -58,7 +58,7 @@
     case Role::storage:
       return std::make_unique<storage::StoragePlane>(life_->scheduler, settings_, std::move(disk));
     case Role::edge:
-      return std::make_unique<EdgePlane>(life_->scheduler, settings_, [this](const market::Value& value) {
+      return std::make_unique<EdgePlane>(life_->scheduler, settings_, [this](const common::Value& value) {
         if (on_value) on_value(*this, value);
       });
   }
--- a/src/simulation/machine.hpp
+++ b/src/simulation/machine.hpp
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "market/process.hpp"
-#include "net/later.hpp"
+#include "common/process.hpp"
+#include "net/timer_queue.hpp"
 #include "simulation/disk.hpp"
 #include "simulation/edge_plane.hpp"
 #include "world/network.hpp"
@@ -19,7 +19,7 @@
 
 class Machine {
  public:
-  Machine(world::World& world, Role role, std::uint32_t ip, market::ProcessSettings settings,
+  Machine(world::World& world, Role role, std::uint32_t ip, common::ProcessSettings settings,
           std::uint64_t seed);
   ~Machine();
   Machine(const Machine&) = delete;
@@ -42,22 +42,22 @@
   bool paused() const { return process_.paused(); }
   std::uint64_t lives() const { return lives_; }
   MachineDisk& disk() { return *disk_; }
-  const market::ProcessSettings& settings() const { return settings_; }
+  const common::ProcessSettings& settings() const { return settings_; }
   EdgePlane* edge();  // none: it does not run, or is no edge
 
   // Told of what comes into force at an edge, and of a process that has ended by itself.
-  std::function<void(Machine&, const market::Value&)> on_value;
+  std::function<void(Machine&, const common::Value&)> on_value;
   std::function<void(Machine&)> on_end;
   std::string last_failure;
 
  private:
   struct Life;
   bool turn();
-  std::unique_ptr<market::Plane> make_plane();
+  std::unique_ptr<common::Plane> make_plane();
 
   world::World& world_;
   const Role role_;
-  market::ProcessSettings settings_;
+  common::ProcessSettings settings_;
   world::Process& process_;
   Pcg chance_;
   std::shared_ptr<MachineDisk> disk_;
--- a/src/simulation/observers.cpp
+++ b/src/simulation/observers.cpp
@@ -7,7 +7,7 @@
 
 constexpr Span tell_every = Span::ms(300);
 constexpr Span silent_most = Span::ms(1000);     // then the connection is taken to be lost
-constexpr Span trusted_within = Span::ms(1000);  // edges hold to a beat that claims to be so fresh
+constexpr Span trusted_within = Span::ms(1000);  // edges hold to a heartbeat that claims to be so fresh
 constexpr Span slack = Span::ms(600);            // for ways, late turns and lost segments
 
 }  // namespace
@@ -25,8 +25,8 @@
 void Observers::open(const Machine& control) {
   Session& session = sessions_[control.name()];
   const std::string name = control.name();
-  session.link = std::make_unique<market::Link>(
-      callers_.scheduler(), callers_.later(), control.settings().internal_address(market::control_plane_port),
+  session.link = std::make_unique<common::RpcClient>(
+      callers_.scheduler(), callers_.later(), control.settings().internal_address(common::control_plane_port),
       std::hash<std::string>()(name));
   session.link->on_up([this, name] {
     Session& at = sessions_[name];
@@ -40,7 +40,7 @@
 
 void Observers::tell(const std::string& name) {
   Session& session = sessions_[name];
-  market::Hello hello;
+  common::Hello hello;
   hello.member.node = "observer";
   hello.member.plane = "observer";
   hello.member.number = session.values.number();
@@ -50,19 +50,19 @@
 
 void Observers::word(const std::string& name, std::uint8_t kind, std::string_view record) {
   Session& session = sessions_[name];
-  if (kind == market::Beat::kind) {
-    market::Beat got;
-    if (market::decode(record, got)) beat(name, got);
-  } else if (kind == market::Push::kind) {
-    market::Push push;
-    if (!market::decode(record, push)) return;
+  if (kind == common::Heartbeat::kind) {
+    common::Heartbeat got;
+    if (common::decode(record, got)) heartbeat(name, got);
+  } else if (kind == common::Push::kind) {
+    common::Push push;
+    if (!common::decode(record, push)) return;
     const std::int64_t before = session.values.number(), number = push.number;
     // One session alone brings each difference behind its base.
-    if (number < before || session.values.take(std::move(push)) == market::ValueReceiver::Came::refused)
+    if (number < before || session.values.take(std::move(push)) == common::ValueReceiver::Came::refused)
       checker_.broken("pushed-back", name + " pushes what can't follow: number " + std::to_string(number) +
                                          " after " + std::to_string(before));
     if (!session.values.value()) return;
-    const market::Value& value = *session.values.value();
+    const common::Value& value = *session.values.value();
     if (value.config_version < session.version)
       checker_.broken("pushed-back", name + " pushes version " + std::to_string(value.config_version) +
                                          " after " + std::to_string(session.version));
@@ -71,15 +71,15 @@
   }
 }
 
-// What a beat promises is owed by the next one: the push that belongs to it comes behind it.
-void Observers::beat(const std::string& name, const market::Beat& beat) {
+// What a heartbeat promises is owed by the next one: the push that belongs to it comes behind it.
+void Observers::heartbeat(const std::string& name, const common::Heartbeat& heartbeat) {
   Session& session = sessions_[name];
   if (session.version < session.owed)
     checker_.broken("stale-but-fresh", name + " claims to be fresh and has version " +
                                            std::to_string(session.version) + ", acknowledged was " +
                                            std::to_string(session.owed));
   session.owed = 0;
-  const Span age = Span::ms(static_cast<double>(beat.fresh_ms));
+  const Span age = Span::ms(static_cast<double>(heartbeat.fresh_ms));
   const Machine* const control = deployment_.find(name);
   if (age >= trusted_within || control == nullptr || deployment_.slowed(*control)) return;
   session.owed = checker_.acknowledged_before(callers_.later().now() - age - slack);
--- a/src/simulation/observers.hpp
+++ b/src/simulation/observers.hpp
@@ -1,16 +1,17 @@
 // Sessions with each control machine that nothing cuts off: what a single one of them claims and pushes.
 //
-// An edge has several sessions, and the others make good what one holds back. Here each stands alone: a beat
-// that claims to be fresh is a promise that all older acknowledgements were pushed down this session.
+// An edge has several sessions, and the others make good what one holds back. Here each stands alone: a
+// heartbeat that claims to be fresh is a promise that all older acknowledgements were pushed down this
+// session.
 #pragma once
 
 #include <map>
 #include <memory>
 #include <string>
 
-#include "market/link.hpp"
-#include "market/messages.hpp"
-#include "market/value_update.hpp"
+#include "common/messages.hpp"
+#include "common/rpc.hpp"
+#include "common/value_update.hpp"
 #include "simulation/callers.hpp"
 #include "simulation/checker.hpp"
 
@@ -24,16 +25,16 @@
 
  private:
   struct Session {
-    std::unique_ptr<market::Link> link;
-    market::ValueReceiver values;  // that were pushed down it
+    std::unique_ptr<common::RpcClient> link;
+    common::ValueReceiver values;  // that were pushed down it
     std::int64_t version = 0;      // of the newest of them
-    std::int64_t owed = 0;         // the version that the last beat has promised
+    std::int64_t owed = 0;         // the version that the last heartbeat has promised
   };
   void tick();
   void open(const Machine& control);
   void tell(const std::string& name);
   void word(const std::string& name, std::uint8_t kind, std::string_view record);
-  void beat(const std::string& name, const market::Beat& beat);
+  void heartbeat(const std::string& name, const common::Heartbeat& heartbeat);
 
   Deployment& deployment_;
   Callers& callers_;
--- a/src/simulation/programs.cpp
+++ b/src/simulation/programs.cpp
@@ -146,7 +146,7 @@
   if (program.handed > load_.budget + load_.most)
     checker_.broken("budget", program.id + " was handed " + std::to_string(program.handed) + " tokens of " +
                                   std::to_string(load_.budget));
-  market::Turn turn;
+  common::Turn turn;
   turn.id = id;
   turn.previous = line->last;
   turn.program = program.id;
@@ -158,7 +158,7 @@
                              [this, line, at = &edge, turn, used] { keep(line, *at, turn, used); });
 }
 
-void Programs::keep(const std::shared_ptr<Line>& line, Machine& edge, const market::Turn& turn,
+void Programs::keep(const std::shared_ptr<Line>& line, Machine& edge, const common::Turn& turn,
                     std::int64_t used) {
   EdgePlane& plane = *edge.edge();
   const std::uint64_t number = line->attempt;
--- a/src/simulation/programs.hpp
+++ b/src/simulation/programs.hpp
@@ -53,7 +53,7 @@
   void found(const std::string& wanted, const edge::Ledger::Chain& chain, const std::string& by);
   void reserve(const std::shared_ptr<Line>& line, Machine& edge);
   void run(const std::shared_ptr<Line>& line, Machine& edge, const std::string& id);
-  void keep(const std::shared_ptr<Line>& line, Machine& edge, const market::Turn& turn, std::int64_t used);
+  void keep(const std::shared_ptr<Line>& line, Machine& edge, const common::Turn& turn, std::int64_t used);
   std::shared_ptr<Program> program();
   std::string new_id();
 
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "market/log.hpp"
+#include "common/log.hpp"
 #include "simulation/faults.hpp"
 #include "simulation/observers.hpp"
 #include "simulation/planned_work.hpp"
@@ -18,7 +18,7 @@
 class LogToTrace {
  public:
   LogToTrace(world::World& world, Faults& faults) {
-    market::set_log_sink([&world, &faults](market::Level, std::string_view event, std::string_view detail) {
+    common::set_log_sink([&world, &faults](common::Level, std::string_view event, std::string_view detail) {
       const Machine* const machine = machine_at_work();
       if (machine == nullptr) return;
       if (event == "duty.won") faults.duty_won(*machine);
@@ -27,7 +27,7 @@
                          detail.data());
     });
   }
-  ~LogToTrace() { market::set_log_sink(nullptr); }
+  ~LogToTrace() { common::set_log_sink(nullptr); }
   LogToTrace(const LogToTrace&) = delete;
   LogToTrace& operator=(const LogToTrace&) = delete;
 };
@@ -46,7 +46,7 @@
         planned_(deployment_, callers_),
         programs_(deployment_, checker_, plan.programs, seed + 2),
         log_(world_, faults_) {
-    deployment_.on_value = [this](Machine& m, const market::Value& value) {
+    deployment_.on_value = [this](Machine& m, const common::Value& value) {
       world_.trace().line(world_.now(), "%s has version %lld, number %lld", m.name().c_str(),
                           static_cast<long long>(value.config_version), static_cast<long long>(value.number));
       checker_.pushed(m, value);
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 
 namespace chutevane::storage {
 
@@ -19,7 +19,7 @@
 
 // Places in `storage nodes`, the nearest first. Those that leave get nothing new.
 inline std::vector<std::size_t> group_of(std::string_view program,
-                                         const std::vector<market::StorageNode>& storage_nodes,
+                                         const std::vector<common::StorageNode>& storage_nodes,
                                          std::size_t losses) {
   std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
   for (std::size_t i = 0; i < storage_nodes.size(); ++i) {
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -2,13 +2,13 @@
 
 #include <utility>
 
-#include "market/log.hpp"
+#include "common/log.hpp"
 
 namespace chutevane::storage {
 namespace {
 
-using market::Account;
-using market::Turn;
+using common::Account;
+using common::Turn;
 
 constexpr Span pull_most = Span::ms(400);       // for one answer
 constexpr Span pull_again = Span::ms(25);       // where the other has not got the map yet
@@ -24,7 +24,7 @@
 constexpr Span grace_spare = Span::ms(600);     // before the platform ends it by force
 constexpr double store_part = 0.5;              // of the memory: the rest is for what comes and goes
 
-std::size_t room_of(const market::ProcessSettings& s) {
+std::size_t room_of(const common::ProcessSettings& s) {
   double mb = s.memory_mb > 0 ? s.memory_mb * store_part : 1e6;
   if (s.disk_mb > 0) mb = std::min(mb, s.disk_mb * store_part);
   return static_cast<std::size_t>(mb * 1e6);
@@ -32,38 +32,38 @@
 
 }  // namespace
 
-StoragePlane::StoragePlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
-                           std::unique_ptr<market::Disk> disk)
+StoragePlane::StoragePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
+                           std::unique_ptr<common::Disk> disk)
     : scheduler_(scheduler),
       settings_(settings),
-      later_(scheduler),
+      timers_(scheduler),
       disk_(std::move(disk)),
       record_slots_(*disk_, "storage"),
       store_(*disk_, room_of(settings)),
-      desk_(scheduler) {}
+      rpc_server_(scheduler) {}
 
 absl::Status StoragePlane::open() {
   const auto got = record_slots_.open();
   if (got.ok()) {
-    if (!market::decode(got->state, record_)) return absl::DataLossError("storage: record not read");
+    if (!common::decode(got->state, record_)) return absl::DataLossError("storage: record not read");
   } else {
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
     record_.disk = disk_->new_id();
-    if (absl::Status s = record_slots_.write(market::encoded(record_)); !s.ok()) return s;
+    if (absl::Status s = record_slots_.write(common::encoded(record_)); !s.ok()) return s;
   }
-  if (absl::Status s = store_.open(later_.now()); !s.ok()) return s;
+  if (absl::Status s = store_.open(timers_.now()); !s.ok()) return s;
   listen();
-  market::Member self;
+  common::Member self;
   self.node = settings_.node;
   self.plane = "storage";
   self.disk = record_.disk;
-  self.address = net::text_of(settings_.internal_address(market::storage_plane_port));
+  self.address = net::text_of(settings_.internal_address(common::storage_plane_port));
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
-  sessions_ = std::make_unique<market::Sessions>(scheduler_, later_, settings_, self);
-  sessions_->on_value([this](const market::Value& value) { value_came(value); });
+  sessions_ = std::make_unique<common::Sessions>(scheduler_, timers_, settings_, self);
+  sessions_->on_value([this](const common::Value& value) { value_came(value); });
   sweep();
-  market::log_info("storage.open", "disk " + record_.disk + ", " + std::to_string(store_.turns()) +
+  common::log_info("storage.open", "disk " + record_.disk + ", " + std::to_string(store_.turns()) +
                                        " turns, " + std::to_string(store_.accounts()) + " accounts");
   return absl::OkStatus();
 }
@@ -79,15 +79,15 @@
   if (sync_due_) return;
   sync_due_ = true;
   // All that comes in the same turn goes to disk at once.
-  later_.after(Span(), [this] { sync(); });
+  timers_.after(Span(), [this] { sync(); });
 }
 
 // What waits for a disk that fails is told once it works again; nothing else is taken up meanwhile.
 void StoragePlane::sync() {
   const bool worked = disk_health_.works();
-  if (!disk_health_.note(store_.commit(later_.now()))) {
+  if (!disk_health_.note(store_.commit(timers_.now()))) {
     if (worked) sessions_->tell_disk_failing(true);
-    later_.after(disk_again, [this] { sync(); });
+    timers_.after(disk_again, [this] { sync(); });
     return;
   }
   if (!worked) sessions_->tell_disk_failing(false);
@@ -98,56 +98,57 @@
 }
 
 void StoragePlane::listen() {
-  desk_.on<market::Reserve>([this](Guest& guest, std::uint64_t number, market::Reserve& ask) {
-    market::Reserved out;
+  rpc_server_.on<common::Reserve>([this](Connection& connection, std::uint64_t number, common::Reserve& ask) {
+    common::Reserved out;
     out.map = map_;
     Verdict verdict = check(ask.map);
     if (verdict == Verdict::yes && (!ready_ || store_.failing())) verdict = Verdict::unready;
     out.verdict = static_cast<std::int64_t>(verdict);
-    if (verdict != Verdict::yes) return guest.answer(number, out);
-    out.others = store_.reserve(ask.program, ask.attempt, ask.most, later_.now());
-    when_synced([this, id = guest.id(), number, out] {
-      if (Guest* const there = desk_.find(id)) there->answer(number, out);
+    if (verdict != Verdict::yes) return connection.answer(number, out);
+    out.others = store_.reserve(ask.program, ask.attempt, ask.most, timers_.now());
+    when_synced([this, id = connection.id(), number, out] {
+      if (Connection* const there = rpc_server_.find(id)) there->answer(number, out);
     });
   });
-  desk_.on<market::Settle>([this](Guest&, std::uint64_t, market::Settle& word) {
-    store_.settle(word.program, word.attempt, word.used, later_.now());
+  rpc_server_.on<common::Settle>([this](Connection&, std::uint64_t, common::Settle& word) {
+    store_.settle(word.program, word.attempt, word.used, timers_.now());
     when_synced([] {});
   });
-  desk_.on<market::Keep>([this](Guest& guest, std::uint64_t number, market::Keep& ask) {
-    market::Kept out;
+  rpc_server_.on<common::Keep>([this](Connection& connection, std::uint64_t number, common::Keep& ask) {
+    common::Kept out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, later_.now())))
+    if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
       verdict = Verdict::full;
     out.verdict = static_cast<std::int64_t>(verdict);
-    if (verdict != Verdict::yes) return guest.answer(number, out);
-    if (ask.used >= 0) store_.settle(ask.turn.program, ask.turn.id, ask.used, later_.now());
-    with_chain(ask.turn, [this, id = guest.id(), number, out] {
+    if (verdict != Verdict::yes) return connection.answer(number, out);
+    if (ask.used >= 0) store_.settle(ask.turn.program, ask.turn.id, ask.used, timers_.now());
+    with_chain(ask.turn, [this, id = connection.id(), number, out] {
       when_synced([this, id, number, out] {
-        if (Guest* const there = desk_.find(id)) there->answer(number, out);
+        if (Connection* const there = rpc_server_.find(id)) there->answer(number, out);
       });
     });
   });
-  desk_.on<market::Find>([this](Guest& guest, std::uint64_t number, market::Find& ask) {
-    market::Found out;
+  rpc_server_.on<common::Find>([this](Connection& connection, std::uint64_t number, common::Find& ask) {
+    common::Found out;
     out.map = map_;
-    for (const Turn* t : store_.chain(ask.id, chain_bytes, later_.now())) out.turns.push_back(*t);
+    for (const Turn* t : store_.chain(ask.id, chain_bytes, timers_.now())) out.turns.push_back(*t);
     const Verdict at = check(ask.map);
     Verdict verdict = Verdict::yes;
     if (out.turns.empty()) verdict = at != Verdict::yes ? at : whole_ ? Verdict::unknown : Verdict::unsure;
     out.verdict = static_cast<std::int64_t>(verdict);
-    guest.answer(number, out);
+    connection.answer(number, out);
   });
-  desk_.on<market::Pull>(
-      [this](Guest& guest, std::uint64_t number, market::Pull& ask) { answer_pull(guest, number, ask); });
-  desk_.listen(settings_.internal_address(market::storage_plane_port));
+  rpc_server_.on<common::Pull>([this](Connection& connection, std::uint64_t number, common::Pull& ask) {
+    answer_pull(connection, number, ask);
+  });
+  rpc_server_.listen(settings_.internal_address(common::storage_plane_port));
 }
 
 // ---- chains
 
 struct StoragePlane::ChainFetch {
-  market::Turn turn;
+  common::Turn turn;
   std::function<void()> then;
   std::vector<std::string> sources;  // addresses that were not asked yet for what is missing now
   std::string missing;
@@ -166,32 +167,32 @@
   if (missing != fetch->missing) {
     fetch->missing = missing;
     fetch->sources.clear();
-    for (const market::StorageNode& c : storage_nodes_) {
+    for (const common::StorageNode& c : storage_nodes_) {
       if (c.node != settings_.node) fetch->sources.push_back(c.address);
     }
   }
   if (missing.empty() || fetch->sources.empty()) {
-    store_.keep(fetch->turn, later_.now());  // what has come lasts as long as the turn
+    store_.keep(fetch->turn, timers_.now());  // what has come lasts as long as the turn
     return fetch->then();
   }
   const std::string from = fetch->sources.back();
   fetch->sources.pop_back();
-  link(from).call<market::Found>(market::Find{map_, missing}, chain_most,
+  link(from).call<common::Found>(common::Find{map_, missing}, chain_most,
                                  [this, fetch](auto got) { fetched(fetch, std::move(got)); });
 }
 
-void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<market::Found> got) {
+void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<common::Found> got) {
   if (got.ok()) {
-    for (const Turn& t : got->turns) store_.keep(t, later_.now());
+    for (const Turn& t : got->turns) store_.keep(t, timers_.now());
   }
   fetch_chain(fetch);
 }
 
 // What the asker holds by the map. Only while this one has the same: from then on nothing is added here under
 // an older one; and by a later one the asker may hold less, while edges still ask it under its own.
-void StoragePlane::answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask) {
+void StoragePlane::answer_pull(Connection& connection, std::uint64_t number, const common::Pull& ask) {
   if (store_.failing()) return;  // silent as a lost one is: the asker does without it where it may
-  market::Pulled out;
+  common::Pulled out;
   out.map = map_;
   out.last = true;
   const auto mine = [&](const std::string& program) {
@@ -203,7 +204,7 @@
   std::size_t bytes = 0;
   const bool named = std::any_of(
       storage_nodes_.begin(), storage_nodes_.end(),
-      [&](const market::StorageNode& c) { return c.node == settings_.node && c.disk == record_.disk; });
+      [&](const common::StorageNode& c) { return c.node == settings_.node && c.disk == record_.disk; });
   if (map_ != ask.map) {
     out.verdict = static_cast<std::int64_t>(check(ask.map));
   } else if (!named) {  // a disk that no map names yet is no source: what its place held is not here
@@ -229,45 +230,45 @@
     });
   }
   // What is told here and not on disk yet may be gone with this machine: the asker would have it alone.
-  when_synced([this, id = guest.id(), number, out = std::move(out)] {
-    if (Guest* const there = desk_.find(id)) there->answer(number, out);
+  when_synced([this, id = connection.id(), number, out = std::move(out)] {
+    if (Connection* const there = rpc_server_.find(id)) there->answer(number, out);
   });
 }
 
 // ---- maps
 
-market::Link& StoragePlane::link(const std::string& address) {
+common::RpcClient& StoragePlane::link(const std::string& address) {
   auto& at = links_[address];
   if (!at) {
     const auto to = net::parse_address(address);
-    at = std::make_unique<market::Link>(scheduler_, later_, to.value_or(sockaddr_in{}),
-                                        std::hash<std::string>()(address + settings_.node));
+    at = std::make_unique<common::RpcClient>(scheduler_, timers_, to.value_or(sockaddr_in{}),
+                                             std::hash<std::string>()(address + settings_.node));
   }
   return *at;
 }
 
-void StoragePlane::value_came(const market::Value& value) {
+void StoragePlane::value_came(const common::Value& value) {
   if (value.map <= map_) return;
-  const std::vector<market::StorageNode> before = std::move(storage_nodes_);
+  const std::vector<common::StorageNode> before = std::move(storage_nodes_);
   const std::int64_t map_before = map_;
   storage_nodes_ = value.storage_nodes;
   map_ = value.map;
-  const auto in = [](const std::vector<market::StorageNode>& all, const market::StorageNode& c) {
-    return std::any_of(all.begin(), all.end(), [&](const market::StorageNode& o) {
+  const auto in = [](const std::vector<common::StorageNode>& all, const common::StorageNode& c) {
+    return std::any_of(all.begin(), all.end(), [&](const common::StorageNode& o) {
       return o.node == c.node && o.disk == c.disk && o.leaving == c.leaving;
     });
   };
   // Who was here for the map before, and lost nobody by this one, has what is its own already.
   // One that a map in between may have given up has missed what was kept since.
-  const auto me = [&](const market::StorageNode& c) {
+  const auto me = [&](const common::StorageNode& c) {
     return c.node == settings_.node && c.disk == record_.disk;
   };
   const bool was_in = std::any_of(before.begin(), before.end(), me);
   const bool went_on = map_before > 0 && ready_ && whole_ && was_in && map_ == map_before + 1;
-  const bool lost_some = std::any_of(before.begin(), before.end(), [&](const market::StorageNode& c) {
+  const bool lost_some = std::any_of(before.begin(), before.end(), [&](const common::StorageNode& c) {
     return !c.leaving && !in(storage_nodes_, c) &&
            std::none_of(storage_nodes_.begin(), storage_nodes_.end(),
-                        [&](const market::StorageNode& o) { return o.node == c.node && !o.leaving; });
+                        [&](const common::StorageNode& o) { return o.node == c.node && !o.leaving; });
   });
   if (went_on && !lost_some) {
     sessions_->tell_whole(map_);
@@ -286,27 +287,27 @@
   // Nor is another's lost disk known here to be made up for: what it answers may be less than it held.
   const bool lost_beside =
       std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
-                  [&](const market::StorageNode& c) { return c.lost && c.node != settings_.node; });
+                  [&](const common::StorageNode& c) { return c.lost && c.node != settings_.node; });
   const bool lost_already = lost_some || came_back || lost_beside || (mine->lost && !record_.held);
   may_miss_ =
       settings_.machine_losses - std::min<std::size_t>(settings_.machine_losses, lost_already ? 1 : 0);
   take_over(before);
 }
 
-void StoragePlane::take_over(const std::vector<market::StorageNode>& before) {
+void StoragePlane::take_over(const std::vector<common::StorageNode>& before) {
   ready_ = whole_ = false;
-  takeover_since_ = later_.now();
+  takeover_since_ = timers_.now();
   ++turn_;
   taking_.clear();
-  for (const std::vector<market::StorageNode>* all : {&std::as_const(storage_nodes_), &before}) {
-    for (const market::StorageNode& c : *all) {
+  for (const std::vector<common::StorageNode>* all : {&std::as_const(storage_nodes_), &before}) {
+    for (const common::StorageNode& c : *all) {
       // One that the map has given up is lost; one that leaves still answers, and stands in the map.
       const bool there = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
-                                     [&](const market::StorageNode& o) { return o.node == c.node; });
+                                     [&](const common::StorageNode& o) { return o.node == c.node; });
       if (c.node == settings_.node || !there || taking_.contains(c.node)) continue;
       Taking& t = taking_[c.node];
       t.address = c.address;
-      t.since = later_.now();
+      t.since = timers_.now();
       t.turn = turn_;
     }
   }
@@ -318,7 +319,7 @@
 
 void StoragePlane::ask(const std::string& node) {
   Taking& t = taking_[node];
-  market::Pull pull;
+  common::Pull pull;
   pull.map = map_;
   pull.node = settings_.node;
   pull.turns = t.accounts_done;
@@ -328,21 +329,21 @@
     pull.wanted.assign(t.wanted.end() - static_cast<std::ptrdiff_t>(some), t.wanted.end());
     t.wanted.resize(t.wanted.size() - some);
   }
-  link(t.address).call<market::Pulled>(
+  link(t.address).call<common::Pulled>(
       pull, pull_most, [this, node, turn = turn_](auto got) { pulled(node, turn, std::move(got)); });
 }
 
-void StoragePlane::pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<market::Pulled> got) {
+void StoragePlane::pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<common::Pulled> got) {
   const auto found = taking_.find(node);
   if (turn != turn_ || found == taking_.end()) return;
   Taking& t = found->second;
-  const TimePoint now = later_.now();
+  const TimePoint now = timers_.now();
   if (!got.ok() || static_cast<Verdict>(got->verdict) != Verdict::yes) {
     if (got.ok()) t.since = now;
     if (now - t.since > silent_most) t.given_up = true;
     t.wanted.clear();  // asked for again by name
     if (t.accounts_done) t.after.clear();
-    later_.after(pull_again, [this, node, turn] {
+    timers_.after(pull_again, [this, node, turn] {
       if (turn == turn_ && taking_.contains(node) && !taking_[node].done) ask(node);
     });
     look_ready();
@@ -387,16 +388,16 @@
   const std::size_t needed = taking_.size() - std::min(taking_.size(), may_miss_);
   if (!ready_ && pending_accounts == 0 && accounts >= needed) {
     ready_ = true;
-    market::log_info("storage.ready", "map " + std::to_string(map_) + " after ms " +
-                                          std::to_string((later_.now() - takeover_since_).as_ms()));
+    common::log_info("storage.ready", "map " + std::to_string(map_) + " after ms " +
+                                          std::to_string((timers_.now() - takeover_since_).as_ms()));
   }
   if (ready_ && !whole_ && pending_turns == 0 && turns >= needed) {
     whole_ = true;
     note_held();
     sessions_->tell_whole(map_);
-    market::log_info("storage.whole", "map " + std::to_string(map_) + ", turns " +
+    common::log_info("storage.whole", "map " + std::to_string(map_) + ", turns " +
                                           std::to_string(store_.turns()) + " after ms " +
-                                          std::to_string((later_.now() - takeover_since_).as_ms()));
+                                          std::to_string((timers_.now() - takeover_since_).as_ms()));
   }
 }
 
@@ -404,16 +405,16 @@
 // stricter.
 void StoragePlane::note_held() {
   if (record_.held) return;
-  market::StorageNodeRecord held = record_;
+  common::StorageNodeRecord held = record_;
   held.held = true;
-  if (record_slots_.write(market::encoded(held)).ok()) record_ = std::move(held);
+  if (record_slots_.write(common::encoded(held)).ok()) record_ = std::move(held);
 }
 
 void StoragePlane::sweep() {
   if (whole_) note_held();
-  store_.sweep(later_.now());
+  store_.sweep(timers_.now());
   if (store_.dirty()) when_synced([] {});
-  later_.after(Span::ms(1000), [this] { sweep(); });
+  timers_.after(Span::ms(1000), [this] { sweep(); });
 }
 
 // Its disk may go with it, and it may hold one of the last copies: the others take over while it is there.
@@ -421,25 +422,25 @@
   if (leaving_) return;
   leaving_ = true;
   sessions_->tell_leaving();
-  go_when_released(later_.now() + settings_.grace - grace_spare);
+  go_when_released(timers_.now() + settings_.grace - grace_spare);
 }
 
 bool StoragePlane::may_go() const {
   const bool listed = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
-                                  [&](const market::StorageNode& c) { return c.node == settings_.node; });
+                                  [&](const common::StorageNode& c) { return c.node == settings_.node; });
   const auto others =
       std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
-                    [&](const market::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
+                    [&](const common::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
   return !listed || static_cast<std::size_t>(others) < group_size(settings_.machine_losses);
 }
 
 void StoragePlane::go_when_released(TimePoint latest) {
-  if (!may_go() && later_.now() < latest) {
-    later_.after(leave_again, [this, latest] { go_when_released(latest); });
+  if (!may_go() && timers_.now() < latest) {
+    timers_.after(leave_again, [this, latest] { go_when_released(latest); });
     return;
   }
   sessions_->end();
-  later_.after(last_words, [this] { finished_ = true; });
+  timers_.after(last_words, [this] { finished_ = true; });
 }
 
 }  // namespace chutevane::storage
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -9,27 +9,27 @@
 #include <string>
 #include <vector>
 
-#include "market/disk_health.hpp"
-#include "market/link.hpp"
-#include "market/process.hpp"
-#include "market/session.hpp"
-#include "market/settings.hpp"
+#include "common/disk_health.hpp"
+#include "common/process.hpp"
+#include "common/rpc.hpp"
+#include "common/session.hpp"
+#include "common/settings.hpp"
 #include "storage/placement.hpp"
 #include "storage/store.hpp"
 
 namespace chutevane::storage {
 
-class StoragePlane final : public market::Plane {
+class StoragePlane final : public common::Plane {
  public:
-  StoragePlane(net::Scheduler& scheduler, const market::ProcessSettings& settings,
-               std::unique_ptr<market::Disk> disk);
+  StoragePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
+               std::unique_ptr<common::Disk> disk);
   absl::Status open() override;
   void leave() override;
   bool finished() const override { return finished_; }
-  void reread(const market::ProcessSettings& settings) override { sessions_->reread(settings); }
+  void reread(const common::ProcessSettings& settings) override { sessions_->reread(settings); }
 
  private:
-  using Guest = market::Desk::Guest;
+  using Connection = common::RpcServer::Connection;
   // Taking over from one other: accounts first, then the names of turns, then those that are not here.
   struct Taking {
     std::string address;
@@ -41,41 +41,41 @@
   };
 
   void listen();
-  void value_came(const market::Value& value);
-  void take_over(const std::vector<market::StorageNode>& before);
+  void value_came(const common::Value& value);
+  void take_over(const std::vector<common::StorageNode>& before);
   void ask(const std::string& node);
-  void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<market::Pulled> got);
+  void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<common::Pulled> got);
   void look_ready();
   void note_held();
   Verdict check(std::int64_t map) const;
   // Once the whole chain of the turn is here, or none of the others has what is missing: a turn is kept with
   // all that it goes on from, so that these have its time here too.
   struct ChainFetch;
-  void with_chain(const market::Turn& turn, std::function<void()> then);
+  void with_chain(const common::Turn& turn, std::function<void()> then);
   void fetch_chain(const std::shared_ptr<ChainFetch>& fetch);
-  void fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<market::Found> got);
+  void fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<common::Found> got);
   // Once what was written before is on disk.
   void when_synced(std::function<void()> then);
   void sync();
-  void answer_pull(Guest& guest, std::uint64_t number, const market::Pull& ask);
-  market::Link& link(const std::string& address);
+  void answer_pull(Connection& connection, std::uint64_t number, const common::Pull& ask);
+  common::RpcClient& link(const std::string& address);
   void sweep();
   // Whether the others have taken over what is here, or are too few to.
   bool may_go() const;
   void go_when_released(TimePoint latest);
 
   net::Scheduler& scheduler_;
-  market::ProcessSettings settings_;
-  net::Later later_;
-  std::unique_ptr<market::Disk> disk_;
-  market::Slots record_slots_;
-  market::StorageNodeRecord record_;
+  common::ProcessSettings settings_;
+  net::TimerQueue timers_;
+  std::unique_ptr<common::Disk> disk_;
+  common::Slots record_slots_;
+  common::StorageNodeRecord record_;
   Store store_;
-  market::DiskHealth disk_health_;
-  market::Desk desk_;
-  std::unique_ptr<market::Sessions> sessions_;
-  std::map<std::string, std::unique_ptr<market::Link>> links_;  // by address
-  std::vector<market::StorageNode> storage_nodes_;
+  common::DiskHealth disk_health_;
+  common::RpcServer rpc_server_;
+  std::unique_ptr<common::Sessions> sessions_;
+  std::map<std::string, std::unique_ptr<common::RpcClient>> links_;  // by address
+  std::vector<common::StorageNode> storage_nodes_;
   std::int64_t map_ = 0;
   bool ready_ = false, whole_ = false, leaving_ = false, finished_ = false;
   // How many of the others may be left out of the take-over under way: none, where a copy was lost already.
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -6,9 +6,9 @@
 namespace chutevane::storage {
 namespace {
 
-using market::Account;
-using market::Reservation;
-using market::Turn;
+using common::Account;
+using common::Reservation;
+using common::Turn;
 
 constexpr std::size_t segment_most = 4U << 20U;  // bytes: some tens of seconds of a small deployment
 constexpr Span account_kept =
@@ -27,8 +27,8 @@
 template <class M>
 void Store::put(const M& record) {
   std::string text(1, static_cast<char>(M::kind));
-  text += market::encoded(record);
-  pending_ += market::framed(text, segment_salt ^ current_);
+  text += common::encoded(record);
+  pending_ += common::framed(text, segment_salt ^ current_);
 }
 
 std::optional<std::uint64_t> Store::segment_of(const std::string& name) {
@@ -41,7 +41,7 @@
 
 std::vector<std::string> Store::records(std::string_view file, std::uint64_t segment,
                                         std::size_t* good_size) {
-  return market::unframed(file, segment_salt ^ segment, good_size);
+  return common::unframed(file, segment_salt ^ segment, good_size);
 }
 
 absl::Status Store::open(TimePoint now) {
@@ -67,10 +67,10 @@
   const std::string_view body = std::string_view(record).substr(1);
   if (kind == Turn::kind) {
     Turn turn;
-    if (market::decode(body, turn)) insert(std::move(turn), segment, now);
+    if (common::decode(body, turn)) insert(std::move(turn), segment, now);
   } else if (kind == Account::kind) {
     Account account;
-    if (!market::decode(body, account)) return;
+    if (!common::decode(body, account)) return;
     for (const Reservation& r : account.entries) {
       Reservation& at = entry(account.program, r.attempt, now);
       if (!at.settled || r.settled) at.tokens = r.tokens;
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 // Fails every change: a look at it would be seen.
-class Untouched final : public market::Disk {
+class Untouched final : public common::Disk {
  public:
-  explicit Untouched(market::Disk& below) : below_(below) {}
+  explicit Untouched(common::Disk& below) : below_(below) {}
   std::vector<std::string> names() override { return below_.names(); }
   absl::StatusOr<std::string> read(const std::string& name) override { return below_.read(name); }
   absl::Status append(const std::string&, std::string_view) override { return touched(); }
@@ -32,13 +32,13 @@
     ++changes;
     return absl::InternalError("changed");
   }
-  market::Disk& below_;
+  common::Disk& below_;
 };
 
 }  // namespace
 
 TEST_GROUP(folder) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   Holdings look() {
     Untouched guarded(disk);
     auto snapshot = Snapshot::of(guarded);
@@ -50,24 +50,24 @@
   }
   std::string text(const std::string& name) { return *disk.read(name); }
   void write_controller() {
-    market::Slots slots(disk, "control");
-    market::ControllerRecord record;
+    common::Slots slots(disk, "control");
+    common::ControllerRecord record;
     record.disk = "d1";
     record.first = true;
     record.known.number = 7;
-    CHECK(slots.write(market::encoded(record)).ok());
+    CHECK(slots.write(common::encoded(record)).ok());
     record.known.number = 8;
-    CHECK(slots.append(market::encoded(record)).ok());
+    CHECK(slots.append(common::encoded(record)).ok());
   }
   void write_acceptor() {
     control::AcceptorState state(disk, "10.0.0.1:1", "d1", true);
     CHECK(state.open().ok());
-    market::Prepare prepare;
+    common::Prepare prepare;
     prepare.initial = control::first_value({{"10.0.0.1:1", ""}});
     prepare.epoch = 1;
     prepare.ballot = {3, 0xabc};
     CHECK(state.prepare(prepare).ok());
-    market::Accept accept;
+    common::Accept accept;
     accept.epoch = 1;
     accept.ballot = {3, 0xabc};
     accept.value = prepare.initial;
@@ -80,7 +80,7 @@
     CHECK(store.open(TimePoint::at_ms(0)).ok());
     store.reserve("p", "x", 100, TimePoint::at_ms(0));
     store.settle("p", "x", 60, TimePoint::at_ms(0));
-    market::Turn turn;
+    common::Turn turn;
     turn.id = "t1";
     turn.program = "p";
     turn.input.data = "in";
--- a/tests/ctl/run_test.cpp
+++ b/tests/ctl/run_test.cpp
@@ -5,8 +5,8 @@
 #include <fstream>
 #include <sstream>
 
+#include "common/configuration.hpp"
 #include "json/value.hpp"
-#include "market/configuration.hpp"
 #include "played.hpp"
 
 using namespace chutevane;
@@ -111,7 +111,7 @@
   const Scratch file(configuration_3);
   LONGS_EQUAL(0, played.run({"config", "check", file.path()}, ""));
   CHECK(has(played.out.str(),
-            "version 3, 1 routes, 1 services, hash " + market::hash_text(market::hash_of(configuration_3))));
+            "version 3, 1 routes, 1 services, hash " + common::hash_text(common::hash_of(configuration_3))));
   LONGS_EQUAL(2, played.run({"config", "check", "/nowhere/x"}, ""));
   STRCMP_EQUAL("chutevanectl: /nowhere/x: cannot be opened\n", played.err.str().c_str());
   LONGS_EQUAL(2, played.run({"config", "check", "/"}, ""));
--- a/tests/ctl/wire_test.cpp
+++ b/tests/ctl/wire_test.cpp
@@ -11,9 +11,9 @@
 #include <atomic>
 #include <thread>
 
+#include "common/log.hpp"
 #include "control/control_plane.hpp"
 #include "ctl/run.hpp"
-#include "market/log.hpp"
 #include "played.hpp"
 
 using namespace chutevane;
@@ -167,7 +167,7 @@
 // A lone controller, a majority of itself, driven in a thread of its own.
 TEST(wire, against_a_control_sidecar) {
   Listening control, inner;
-  market::ProcessSettings settings;
+  common::ProcessSettings settings;
   settings.node = "core-1";
   settings.ip = "127.0.0.1";
   settings.zone = "z";
@@ -186,7 +186,7 @@
   std::atomic<bool> opened = false, over = false;
   std::thread sidecar([&] {
     net::Scheduler scheduler;
-    control::ControlPlane plane(scheduler, settings, std::make_unique<market::MemoryDisk>());
+    control::ControlPlane plane(scheduler, settings, std::make_unique<common::MemoryDisk>());
     opened = plane.open().ok();
     while (opened && !over) scheduler.turn();
   });
@@ -205,7 +205,7 @@
   const Scratch other(text);
   text.replace(text.find(":3,"), 3, ":8,");
   const Scratch later(text);
-  const std::string hash = market::hash_text(market::hash_of(configuration_3));
+  const std::string hash = common::hash_text(common::hash_of(configuration_3));
 
   const int history_of_none = run({"config", "history", "--json"});
   const bool none_told = has(R"({"taken":[],"version":0})");
@@ -221,7 +221,7 @@
   const bool same = out.str() == text;
   const int history = run({"config", "history"});
   const bool told =
-      has("3        " + hash) && has("8        " + market::hash_text(market::hash_of(text)) + "  in force");
+      has("3        " + hash) && has("8        " + common::hash_text(common::hash_of(text)) + "  in force");
   // Unclear (3) at first: a control machine that has just started does not know who is there.
   const std::vector<std::string> retire_nobody = {"retire", "start", "nobody", "--deadline-s", "1"};
   int unknown = 3;
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -48,7 +48,7 @@
 
 bool Loop::until(const std::function<bool()>& done, Span limit) {
   bool late = false;
-  net::Later::Ticket bound = later.after(limit, [&late] { late = true; });
+  net::TimerQueue::Ticket bound = later.after(limit, [&late] { late = true; });
   while (!late && !done()) scheduler.turn();
   later.cancel(bound);
   return done();
@@ -214,50 +214,53 @@
 
 // ---- control and storage
 
-ScriptedControl::ScriptedControl(Loop& loop, const sockaddr_in& at) : desk_(loop.scheduler) {
-  desk_.on<market::Hello>([this](market::Desk::Guest& guest, std::uint64_t, market::Hello& hello) {
-    guests_.insert(guest.id());
-    acknowledged_value_ = hello.member.number;
-    acknowledged_list_ = hello.list_number;
-    bring_up_to_date(guest, hello);
-  });
-  desk_.on_gone([this](market::Desk::Guest& guest) { guests_.erase(guest.id()); });
-  desk_.listen(at);
-}
-
-void ScriptedControl::bring_up_to_date(market::Desk::Guest& guest, const market::Hello& hello) {
-  market::Beat beat;
-  beat.fresh_ms = 0;
-  beat.echo_stamp = hello.stamp;
-  beat.number = value_.number;
-  beat.edges = 1;
-  guest.tell(beat);
+ScriptedControl::ScriptedControl(Loop& loop, const sockaddr_in& at) : rpc_server_(loop.scheduler) {
+  rpc_server_.on<common::Hello>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t, common::Hello& hello) {
+        connections_.insert(connection.id());
+        acknowledged_value_ = hello.member.number;
+        acknowledged_list_ = hello.list_number;
+        bring_up_to_date(connection, hello);
+      });
+  rpc_server_.on_gone(
+      [this](common::RpcServer::Connection& connection) { connections_.erase(connection.id()); });
+  rpc_server_.listen(at);
+}
+
+void ScriptedControl::bring_up_to_date(common::RpcServer::Connection& connection,
+                                       const common::Hello& hello) {
+  common::Heartbeat heartbeat;
+  heartbeat.fresh_ms = 0;
+  heartbeat.echo_stamp = hello.stamp;
+  heartbeat.number = value_.number;
+  heartbeat.edges = 1;
+  connection.tell(heartbeat);
   // The list first: the acknowledgement of the value then tells of both.
-  if (hello.list_number < list_.number) guest.tell(list_);
-  if (hello.member.number < value_.number) guest.tell(market::Push{value_.number, value_, {}});
+  if (hello.list_number < list_.number) connection.tell(list_);
+  if (hello.member.number < value_.number) connection.tell(common::Push{value_.number, value_, {}});
 }
 
 void ScriptedControl::configure(const std::string& configuration,
-                                const std::vector<market::StorageNode>& storage) {
+                                const std::vector<common::StorageNode>& storage) {
   ++value_.number;
   ++value_.config_version;
   value_.epoch = 1;
   value_.config.data = configuration;
   value_.map = 1;
   value_.storage_nodes = storage;
-  for (const std::uint64_t id : guests_) {
-    if (market::Desk::Guest* const guest = desk_.find(id))
-      guest->tell(market::Push{value_.number, value_, {}});
+  for (const std::uint64_t id : connections_) {
+    if (common::RpcServer::Connection* const connection = rpc_server_.find(id))
+      connection->tell(common::Push{value_.number, value_, {}});
   }
 }
 
-void ScriptedControl::list(const std::vector<market::Listed>& endpoints) {
+void ScriptedControl::list(const std::vector<common::Listed>& endpoints) {
   list_.term = 1;
   ++list_.number;
   list_.base = 0;
   list_.entries = endpoints;
-  for (const std::uint64_t id : guests_) {
-    if (market::Desk::Guest* const guest = desk_.find(id)) guest->tell(list_);
+  for (const std::uint64_t id : connections_) {
+    if (common::RpcServer::Connection* const connection = rpc_server_.find(id)) connection->tell(list_);
   }
 }
 
@@ -265,29 +268,32 @@
   return acknowledged_value_ == value_.number && acknowledged_list_ == list_.number;
 }
 
-ScriptedStorage::ScriptedStorage(Loop& loop, const sockaddr_in& at) : desk_(loop.scheduler) {
-  desk_.on<market::Reserve>(
-      [this](market::Desk::Guest& guest, std::uint64_t number, const market::Reserve& reserve) {
-        if (silent_on_reserve) return;
-        reserved[reserve.attempt] = reserve.most;
-        guest.answer(number, market::Reserved{});
-      });
-  desk_.on<market::Settle>([this](market::Desk::Guest&, std::uint64_t, const market::Settle& settle) {
-    settled[settle.attempt] = settle.used;
+ScriptedStorage::ScriptedStorage(Loop& loop, const sockaddr_in& at) : rpc_server_(loop.scheduler) {
+  rpc_server_.on<common::Reserve>([this](common::RpcServer::Connection& connection, std::uint64_t number,
+                                         const common::Reserve& reserve) {
+    if (silent_on_reserve) return;
+    reserved[reserve.attempt] = reserve.most;
+    connection.answer(number, common::Reserved{});
   });
-  desk_.on<market::Keep>([this](market::Desk::Guest& guest, std::uint64_t number, const market::Keep& keep) {
-    if (silent_on_keep) return;
-    kept[keep.turn.id] = keep.turn;
-    settled[keep.turn.id] = keep.used;
-    guest.answer(number, market::Kept{});
-  });
-  desk_.on<market::Find>([this](market::Desk::Guest& guest, std::uint64_t number, const market::Find& find) {
-    market::Found found;
-    if (const auto known = kept.find(find.id); known != kept.end()) found.turns.push_back(known->second);
-    if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::Verdict::unknown);
-    guest.answer(number, found);
-  });
-  desk_.listen(at);
+  rpc_server_.on<common::Settle>(
+      [this](common::RpcServer::Connection&, std::uint64_t, const common::Settle& settle) {
+        settled[settle.attempt] = settle.used;
+      });
+  rpc_server_.on<common::Keep>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t number, const common::Keep& keep) {
+        if (silent_on_keep) return;
+        kept[keep.turn.id] = keep.turn;
+        settled[keep.turn.id] = keep.used;
+        connection.answer(number, common::Kept{});
+      });
+  rpc_server_.on<common::Find>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t number, const common::Find& find) {
+        common::Found found;
+        if (const auto known = kept.find(find.id); known != kept.end()) found.turns.push_back(known->second);
+        if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::Verdict::unknown);
+        connection.answer(number, found);
+      });
+  rpc_server_.listen(at);
 }
 
 // ---- clients
@@ -397,7 +403,7 @@
     : script(loop.scheduler) {
   for (std::size_t i = 0; i < endpoint_count; ++i) {
     endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop, script, numbered("i-", i + 1)));
-    market::Listed& entry = listed.emplace_back();
+    common::Listed& entry = listed.emplace_back();
     entry.id = endpoints.back()->id();
     entry.service = "s";
     entry.address = net::text_of(endpoints.back()->address());
@@ -419,7 +425,7 @@
     control->list(listed);
   }
 
-  market::ProcessSettings settings;
+  common::ProcessSettings settings;
   settings.node = "edge-1";
   settings.zone = "z";
   settings.front = front;
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -16,14 +16,14 @@
 #include <utility>
 #include <vector>
 
+#include "common/messages.hpp"
+#include "common/rpc.hpp"
 #include "edge/data_plane.hpp"
 #include "http/parser.hpp"
-#include "market/link.hpp"
-#include "market/messages.hpp"
 #include "net/channel.hpp"
 #include "net/crew.hpp"
-#include "net/later.hpp"
 #include "net/scheduler.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::edge::harness {
 
@@ -46,7 +46,7 @@
   void freeze(Span span) const;
 
   net::Scheduler scheduler;
-  net::Later later;
+  net::TimerQueue later;
 };
 
 // ---- endpoints
@@ -153,18 +153,18 @@
  public:
   ScriptedControl(Loop& loop, const sockaddr_in& at);
   // In force from the next word on.
-  void configure(const std::string& configuration, const std::vector<market::StorageNode>& storage);
-  void list(const std::vector<market::Listed>& endpoints);
+  void configure(const std::string& configuration, const std::vector<common::StorageNode>& storage);
+  void list(const std::vector<common::Listed>& endpoints);
   // Whether the edge has told that it has the newest of both.
   bool acknowledged() const;
 
  private:
-  void bring_up_to_date(market::Desk::Guest& guest, const market::Hello& hello);
-  market::Desk desk_;
-  market::Value value_;
-  market::EndpointList list_;
+  void bring_up_to_date(common::RpcServer::Connection& connection, const common::Hello& hello);
+  common::RpcServer rpc_server_;
+  common::Value value_;
+  common::EndpointList list_;
   std::int64_t acknowledged_value_ = -1, acknowledged_list_ = -1;
-  std::set<std::uint64_t> guests_;
+  std::set<std::uint64_t> connections_;
 };
 
 // One storage sidecar that has room for everything, or says nothing at all.
@@ -174,10 +174,10 @@
   bool silent_on_reserve = false, silent_on_keep = false;
   std::map<std::string, std::int64_t> reserved;  // attempt id -> tokens
   std::map<std::string, std::int64_t> settled;   // attempt id -> tokens used; 0: it never ran
-  std::map<std::string, market::Turn> kept;
+  std::map<std::string, common::Turn> kept;
 
  private:
-  market::Desk desk_;
+  common::RpcServer rpc_server_;
 };
 
 // ---- clients
@@ -273,10 +273,10 @@
   Loop loop;
   EndpointScript script;
   std::vector<std::unique_ptr<ScriptedEndpoint>> endpoints;
-  std::vector<market::Listed> listed;
+  std::vector<common::Listed> listed;
   std::unique_ptr<ScriptedControl> control;
   std::unique_ptr<ScriptedStorage> storage;
-  market::StorageNode storage_node;
+  common::StorageNode storage_node;
   sockaddr_in front{};
   std::unique_ptr<DataPlane> edge;
 };
--- a/tests/market/avro_test.cpp
+++ b/tests/tier/avro_test.cpp
@@ -9,24 +9,24 @@
 #include <tuple>
 #include <vector>
 
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 #include "played_system.hpp"
 #include "unit.hpp"
 
-namespace market = chutevane::market;
-using chutevane::played::Luck;
+namespace common = chutevane::common;
+using chutevane::played::RandomSource;
 
 namespace {
 
 using Messages =
-    std::tuple<market::Acceptor, market::StorageNode, market::Retired, market::Taken, market::Value,
-               market::Ballot, market::Prepare, market::Promise, market::Accept, market::Accepted,
-               market::Chosen, market::AcceptorRecord, market::ControllerRecord, market::Member,
-               market::HeldDuty, market::Gossip, market::Vote, market::Voted, market::Listed,
-               market::EndpointList, market::Hello, market::Push, market::Beat, market::Reserve,
-               market::Reserved, market::Settle, market::Turn, market::Keep, market::Kept, market::Find,
-               market::Found, market::Reservation, market::Account, market::Pull, market::Pulled,
-               market::StorageNodeRecord, market::ValueDifference>;
+    std::tuple<common::Acceptor, common::StorageNode, common::Retired, common::Taken, common::Value,
+               common::Ballot, common::Prepare, common::Promise, common::Accept, common::Accepted,
+               common::Chosen, common::AcceptorRecord, common::ControllerRecord, common::Member,
+               common::HeldDuty, common::Gossip, common::Vote, common::Voted, common::Listed,
+               common::EndpointList, common::Hello, common::Push, common::Heartbeat, common::Reserve,
+               common::Reserved, common::Settle, common::Turn, common::Keep, common::Kept, common::Find,
+               common::Found, common::Reservation, common::Account, common::Pull, common::Pulled,
+               common::StorageNodeRecord, common::ValueDifference>;
 
 template <class F>
 void each_message(F f) {
@@ -39,7 +39,7 @@
   void operator()(const char* name, std::int64_t&) { add(name, "long"); }
   void operator()(const char* name, bool&) { add(name, "boolean"); }
   void operator()(const char* name, std::string&) { add(name, "string"); }
-  void operator()(const char* name, market::Bytes&) { add(name, "bytes"); }
+  void operator()(const char* name, common::Bytes&) { add(name, "bytes"); }
   template <class T>
   void operator()(const char* name, std::vector<T>&) {
     if constexpr (std::is_same_v<T, std::string>) {
@@ -75,7 +75,7 @@
 std::map<std::string, std::vector<std::string>> schema_records() {
   std::map<std::string, std::vector<std::string>> out;
   const ForGood schemas;
-  for (const char* text : {market::control_schema, market::storage_schema}) {
+  for (const char* text : {common::control_schema, common::storage_schema}) {
     avro_schema_t all;
     CHECK_EQUAL(0, avro_schema_from_json_length(text, std::strlen(text), &all));
     for (std::size_t i = 0; i < avro_schema_union_size(all); ++i) {
@@ -94,35 +94,35 @@
 // Puts something into every field.
 class Filler {
  public:
-  Filler(Luck& luck, std::size_t most) : luck_(luck), most_(most) {}
+  Filler(RandomSource& luck, std::size_t most) : random_(luck), most_(most) {}
   void operator()(const char*, std::int64_t& v) {
-    v = static_cast<std::int64_t>(luck_.next() >> luck_.below(64));
-    if (luck_.chance(0.3)) v = -v;
-    if (luck_.chance(0.05)) v = std::numeric_limits<std::int64_t>::min();
-    if (luck_.chance(0.05)) v = std::numeric_limits<std::int64_t>::max();
+    v = static_cast<std::int64_t>(random_.next() >> random_.below(64));
+    if (random_.chance(0.3)) v = -v;
+    if (random_.chance(0.05)) v = std::numeric_limits<std::int64_t>::min();
+    if (random_.chance(0.05)) v = std::numeric_limits<std::int64_t>::max();
   }
-  void operator()(const char*, bool& v) { v = luck_.chance(0.5); }
+  void operator()(const char*, bool& v) { v = random_.chance(0.5); }
   void operator()(const char*, std::string& v) { v = text(); }
-  void operator()(const char*, market::Bytes& v) { v.data = text(); }
+  void operator()(const char*, common::Bytes& v) { v.data = text(); }
   template <class T>
   void operator()(const char* name, std::vector<T>& v) {
-    v.resize(luck_.below(most_ + 1));
+    v.resize(random_.below(most_ + 1));
     for (T& one : v) (*this)(name, one);
   }
   template <class T>
   requires requires { T::record; }
   void operator()(const char*, T& v) {
-    Filler inner(luck_, most_ > 0 ? most_ - 1 : 0);
+    Filler inner(random_, most_ > 0 ? most_ - 1 : 0);
     v.each(inner);
   }
 
  private:
   std::string text() {  // any bytes, zeros among them
-    std::string out(luck_.below(luck_.chance(0.05) ? 3000 : 20), '\0');
-    for (char& c : out) c = static_cast<char>(luck_.next());
+    std::string out(random_.below(random_.chance(0.05) ? 3000 : 20), '\0');
+    for (char& c : out) c = static_cast<char>(random_.next());
     return out;
   }
-  Luck& luck_;
+  RandomSource& random_;
   const std::size_t most_;
 };
 
@@ -132,7 +132,7 @@
   void operator()(const char* name, std::int64_t& v) { add(name, std::to_string(v)); }
   void operator()(const char* name, bool& v) { add(name, v ? "true" : "false"); }
   void operator()(const char* name, std::string& v) { add(name, v); }
-  void operator()(const char* name, market::Bytes& v) { add(name, v.data); }
+  void operator()(const char* name, common::Bytes& v) { add(name, v.data); }
   template <class T>
   void operator()(const char* name, std::vector<T>& v) {
     add(name, numbered("list of ", v.size()));
@@ -201,44 +201,44 @@
 }
 
 TEST(AvroNoise, EachComesBackAsItWas) {
-  Luck luck(5);
+  RandomSource luck(5);
   for (int round = 0; round < 40; ++round) {
     each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
       Filler fill(luck, static_cast<std::size_t>(round % 4));
       message.each(fill);
-      const std::string bytes = market::encoded(message);
+      const std::string bytes = common::encoded(message);
       M back;
       Filler other(luck, 2);
       back.each(other);  // what was there before does not stay
-      CHECK_WHERE(market::decode(bytes, back), M::record);
+      CHECK_WHERE(common::decode(bytes, back), M::record);
       CHECK_WHERE(shown(message) == shown(back), M::record);
-      CHECK_WHERE(market::encoded(back) == bytes, M::record);
+      CHECK_WHERE(common::encoded(back) == bytes, M::record);
     });
   }
 }
 
 // A configuration as large as one may be.
 TEST(AvroMessages, LargeValue) {
-  market::Value value;
+  common::Value value;
   value.config.data.assign(8U << 20U, '\x7f');
-  market::Value back;
-  CHECK_TRUE(market::decode(market::encoded(value), back) && back == value);
+  common::Value back;
+  CHECK_TRUE(common::decode(common::encoded(value), back) && back == value);
 }
 
 // Every beginning of a message is refused.
 TEST(AvroNoise, CutAtEveryByte) {
-  Luck luck(6);
+  RandomSource luck(6);
   for (int round = 0; round < 6; ++round) {
     each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
       Filler fill(luck, 2);
       message.each(fill);
-      const std::string bytes = market::encoded(message);
+      const std::string bytes = common::encoded(message);
       const std::size_t step = bytes.size() > 600 ? 7 : 1;
       for (std::size_t n = 0; n < bytes.size(); n += step) {
         M back;
-        CHECK_WHERE(!market::decode(std::string_view(bytes).substr(0, n), back),
+        CHECK_WHERE(!common::decode(std::string_view(bytes).substr(0, n), back),
                     numbered(M::record, n) + numbered(" bytes of ", bytes.size()));
       }
     });
@@ -247,7 +247,7 @@
 
 // Bytes of anybody: refused, or a message that stands by itself; the process goes on.
 TEST(AvroNoise, RandomBytes) {
-  Luck luck(7);
+  RandomSource luck(7);
   std::size_t refused = 0, all = 0;
   for (int round = 0; round < 300; ++round) {
     std::string noise(luck.below(120), '\0');
@@ -255,12 +255,12 @@
     each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
       ++all;
-      if (!market::decode(noise, message)) {
+      if (!common::decode(noise, message)) {
         ++refused;
         return;
       }
       M back;
-      CHECK_WHERE(market::decode(market::encoded(message), back) && shown(message) == shown(back), M::record);
+      CHECK_WHERE(common::decode(common::encoded(message), back) && shown(message) == shown(back), M::record);
     });
   }
   CHECK_TRUE(refused > all / 2);
@@ -268,19 +268,19 @@
 
 // One byte of a good message is changed: lengths and counts among them.
 TEST(AvroNoise, ChangedBytes) {
-  Luck luck(8);
+  RandomSource luck(8);
   for (int round = 0; round < 60; ++round) {
     each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
       Filler fill(luck, 2);
       message.each(fill);
-      std::string bytes = market::encoded(message);
+      std::string bytes = common::encoded(message);
       if (bytes.empty()) return;
       bytes[luck.below(bytes.size())] = static_cast<char>(luck.next());
       M back;
-      if (!market::decode(bytes, back)) return;
+      if (!common::decode(bytes, back)) return;
       M again;
-      CHECK_WHERE(market::decode(market::encoded(back), again) && shown(back) == shown(again), M::record);
+      CHECK_WHERE(common::decode(common::encoded(back), again) && shown(back) == shown(again), M::record);
     });
   }
 }
@@ -295,13 +295,13 @@
                                             std::string("\xfe\xff\xff\xff\x0f")};
   for (const std::string& length : lengths) {
     for (const std::string& behind : {std::string(), std::string("abc"), std::string(64, '\0')}) {
-      each_message([&](auto& message) { (void)market::decode(length + behind, message); });
-      market::Settle word;
-      CHECK_FALSE(market::decode(length, word));
+      each_message([&](auto& message) { (void)common::decode(length + behind, message); });
+      common::Settle word;
+      CHECK_FALSE(common::decode(length, word));
     }
   }
   // A message after a refused one is read as ever.
-  market::Voted voted;
-  CHECK_TRUE(market::decode(market::encoded(market::Voted{true, 9}), voted) && voted.granted &&
+  common::Voted voted;
+  CHECK_TRUE(common::decode(common::encoded(common::Voted{true, 9}), voted) && voted.granted &&
              voted.term == 9);
 }
--- a/tests/market/changes_test.cpp
+++ b/tests/tier/changes_test.cpp
@@ -12,13 +12,13 @@
 #include <vector>
 
 #include "changing_value.hpp"
+#include "common/value_difference.hpp"
 #include "control/chosen_word.hpp"
-#include "market/value_difference.hpp"
 #include "played_register.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 using namespace chutevane::played;
 using chutevane::Span;
 using chutevane::TimePoint;
@@ -32,7 +32,7 @@
 constexpr Span caught_up_most =
     Span::ms(1500);  // after the last trouble of any kind, two lost rounds and a read
 
-std::size_t disk_bytes(market::MemoryDisk& disk) {
+std::size_t disk_bytes(common::MemoryDisk& disk) {
   std::size_t out = 0;
   for (const std::string& name : disk.names()) out += disk.read(name)->size();
   return out;
@@ -45,7 +45,7 @@
   std::int64_t told = -1;                          // the newest number that this process told
   bool up = false, away = false, reading = false;  // away: it comes back by itself
   TimePoint behind_since;
-  market::RecentValues recent;
+  common::RecentValues recent;
   std::map<const Member*, control::PeerState> heard_of;
 };
 
@@ -109,9 +109,9 @@
   void calm_from(TimePoint at) { calm_since = std::max(calm_since, at); }
 
   void saw(const Value& v) {
-    const std::string record = market::encoded(v);
-    const auto [at, fresh] = hashes.emplace(v.number, market::content_hash(record));
-    check(fresh || at->second == market::content_hash(record), numbered("two values of number ", v.number));
+    const std::string record = common::encoded(v);
+    const auto [at, fresh] = hashes.emplace(v.number, common::content_hash(record));
+    check(fresh || at->second == common::content_hash(record), numbered("two values of number ", v.number));
     largest = std::max(largest, record.size());
   }
 
@@ -123,7 +123,7 @@
     const std::int64_t hash = ++orders;
     const auto had = [hash](const Value& v) {
       return std::any_of(v.taken.begin(), v.taken.end(),
-                         [&](const market::Taken& t) { return t.hash == hash; });
+                         [&](const common::Taken& t) { return t.hash == hash; });
     };
     member.proposer->reg.change(
         [=](const Value& current) -> std::optional<Value> {
@@ -153,9 +153,9 @@
       if (&to == &from || cut(to)) continue;
       control::PeerState state = from.heard_of[&to];
       if (state.number >= reg.known()->number) continue;
-      const market::Chosen word = control::chosen_word(from.recent, reg, state);
+      const common::Chosen word = control::chosen_word(from.recent, reg, state);
       from.heard_of[&to].number = reg.known()->number;
-      if (field.counting) bytes_chosen += market::encoded(word).size();
+      if (field.counting) bytes_chosen += common::encoded(word).size();
       field.clock.later.after(field.way(), [this, &to, p = to.proposer.get(), word] {
         if (to.proposer.get() != p || !to.up) return;
         ++words;
@@ -317,7 +317,7 @@
     // A record holds two values: the accepted one and the epoch's first.
     const std::size_t record = 2 * (largest + 200);
     for (const Machine& m : field.all)
-      check(disk_bytes(*m.disk) <= market::Slots::disk_most(record, record),
+      check(disk_bytes(*m.disk) <= common::Slots::disk_most(record, record),
             m.address + ": its disk is not bounded");
   }
 
@@ -409,13 +409,13 @@
   later.number = 4;
   from.reg.learn_epoch(first);
   to.reg.learn_epoch(first);
-  market::RecentValues recent, none;
+  common::RecentValues recent, none;
   from.reg.learn_chosen(later, later);
   recent.add(later);
-  const market::Chosen left_out = control::chosen_word(recent, from.reg, {2, 0});
+  const common::Chosen left_out = control::chosen_word(recent, from.reg, {2, 0});
   CHECK_FALSE(control::take_chosen(to.reg, none, left_out));
   CHECK_FALSE(to.reg.known().has_value());
-  const market::Chosen with_first = control::chosen_word(recent, from.reg, {1, 0});
+  const common::Chosen with_first = control::chosen_word(recent, from.reg, {1, 0});
   CHECK_TRUE(control::take_chosen(to.reg, none, with_first));
   CHECK_TRUE(*to.reg.known() == later && to.reg.initial() == later);
 }
--- a/tests/market/changing_value.hpp
+++ b/tests/tier/changing_value.hpp
@@ -4,31 +4,31 @@
 
 #include <string>
 
-#include "market/messages.hpp"
+#include "common/messages.hpp"
 #include "played_system.hpp"
 
 namespace chutevane::played {
 
 class ChangingValue {
  public:
-  ChangingValue(std::uint64_t seed, std::size_t config_bytes) : luck_(seed) {
+  ChangingValue(std::uint64_t seed, std::size_t config_bytes) : random_(seed) {
     for (std::size_t size = 0, i = 0; size < config_bytes; size += routes_.back().size(), ++i)
       routes_.push_back(route(i, 1500));
   }
   // `value` with the next configuration, under the next version and number.
-  market::Value next(const market::Value& value) {
+  common::Value next(const common::Value& value) {
     ++version_;
-    const std::size_t at = luck_.below(routes_.size());
-    routes_[at] = route(at, 500 + luck_.below(5000));
-    if (luck_.chance(0.1))
+    const std::size_t at = random_.below(routes_.size());
+    routes_[at] = route(at, 500 + random_.below(5000));
+    if (random_.chance(0.1))
       routes_.insert(routes_.begin() + static_cast<std::ptrdiff_t>(at), route(version_, 700));
-    if (luck_.chance(0.1) && routes_.size() > 3)
-      routes_.erase(routes_.begin() + static_cast<std::ptrdiff_t>(luck_.below(routes_.size() - 1)));
-    market::Value out = value;
+    if (random_.chance(0.1) && routes_.size() > 3)
+      routes_.erase(routes_.begin() + static_cast<std::ptrdiff_t>(random_.below(routes_.size() - 1)));
+    common::Value out = value;
     ++out.number;
     out.config_version = static_cast<std::int64_t>(version_);
     out.config.data = text();
-    out.taken.push_back({out.config_version, static_cast<std::int64_t>(luck_.next())});
+    out.taken.push_back({out.config_version, static_cast<std::int64_t>(random_.next())});
     if (out.taken.size() > taken_most) out.taken.erase(out.taken.begin());
     return out;
   }
@@ -48,7 +48,7 @@
     out.back() = ']';
     return out + "}";
   }
-  Luck luck_;
+  RandomSource random_;
   std::vector<std::string> routes_;
   std::size_t version_ = 0;
 };
--- a/tests/market/configuration_test.cpp
+++ b/tests/tier/configuration_test.cpp
@@ -1,5 +1,5 @@
 // The operator's configuration: each kind that wants a 4xx is found with its place, several in one reading.
-#include "market/configuration.hpp"
+#include "common/configuration.hpp"
 
 #include <algorithm>
 #include <string>
@@ -9,12 +9,12 @@
 #include "unit.hpp"
 
 using chutevane::Span;
-using chutevane::market::Configuration;
-using chutevane::market::Finding;
-using chutevane::market::Findings;
-using chutevane::market::read_configuration;
-using chutevane::market::Route;
-using chutevane::market::RouteType;
+using chutevane::common::Configuration;
+using chutevane::common::Finding;
+using chutevane::common::Findings;
+using chutevane::common::read_configuration;
+using chutevane::common::Route;
+using chutevane::common::RouteType;
 
 namespace {
 
@@ -215,7 +215,7 @@
 
 // Bytes changed at random: read or refused, and what is read keeps what was checked.
 TEST(OperatorConfiguration, NoiseInTheText) {
-  chutevane::played::Luck luck(11);
+  chutevane::played::RandomSource luck(11);
   for (int n = 0; n < 4000; ++n) {
     std::string text = example;
     for (std::size_t k = 1 + luck.below(4); k > 0; --k)
--- a/tests/market/disk_test.cpp
+++ b/tests/tier/disk_test.cpp
@@ -1,6 +1,6 @@
 // Slots on a disk that loses power, or whose process is killed, at every step in turn: what was reported as
 // lasting is there, or the state that was being written; never a mix.
-#include "market/disk.hpp"
+#include "common/disk.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -10,12 +10,12 @@
 #include "played_system.hpp"
 #include "unit.hpp"
 
-using chutevane::market::Disk;
-using chutevane::market::DiskFault;
-using chutevane::market::framed;
-using chutevane::market::MemoryDisk;
-using chutevane::market::Slots;
-using chutevane::market::unframed;
+using chutevane::common::Disk;
+using chutevane::common::DiskFault;
+using chutevane::common::framed;
+using chutevane::common::MemoryDisk;
+using chutevane::common::Slots;
+using chutevane::common::unframed;
 
 namespace {
 
@@ -399,7 +399,7 @@
 
 TEST(DiskFrames, ZerosAndNoiseAreNoRecords) {
   CHECK_TRUE(unframed(std::string(4096, '\0'), 7).empty());
-  chutevane::played::Luck luck(3);
+  chutevane::played::RandomSource luck(3);
   for (int n = 0; n < 2000; ++n) {
     std::string noise(luck.below(200), '\0');
     for (char& c : noise) c = static_cast<char>(luck.next());
--- a/tests/market/duty_fencing_test.cpp
+++ b/tests/tier/duty_fencing_test.cpp
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "common/endpoint_book.hpp"
 #include "control/duty.hpp"
-#include "market/endpoint_book.hpp"
 #include "played_system.hpp"
 #include "unit.hpp"
 
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::control::Duty;
@@ -21,7 +21,7 @@
 using chutevane::control::duty_vacant_after;
 using chutevane::control::told_term;
 using chutevane::played::Clockwork;
-using chutevane::played::Luck;
+using chutevane::played::RandomSource;
 
 namespace {
 
@@ -30,35 +30,35 @@
 constexpr Span hello_every = Span::ms(300);
 
 // What the platform's list says, as of a time: one endpoint whose capacity is the time.
-std::vector<market::Listed> platform_list(TimePoint now) {
-  market::Listed one;
+std::vector<common::Listed> platform_list(TimePoint now) {
+  common::Listed one;
   one.id = "e";
   one.capacity = static_cast<std::int64_t>(now.as_ms());
   return {one};
 }
-std::int64_t read_at(const market::EndpointBook& book) {
+std::int64_t read_at(const common::EndpointBook& book) {
   return book.entries().empty() ? 0 : book.entries().begin()->second.capacity;
 }
 
 class Followed {
  public:
-  Followed(std::uint64_t seed, std::size_t controllers, double lost) : luck_(seed), lost_(lost) {
+  Followed(std::uint64_t seed, std::size_t controllers, double lost) : random_(seed), lost_(lost) {
     nodes_.resize(controllers);
     for (std::size_t i = 0; i < controllers; ++i) {
       start(i);
-      clock_.later.after(tick * luck_.unit(), [this, i] { work(i); });
-      clock_.later.after(reading_every * luck_.unit(), [this, i] { read(i); });
+      clock_.later.after(tick * random_.unit(), [this, i] { work(i); });
+      clock_.later.after(reading_every * random_.unit(), [this, i] { read(i); });
     }
     followers_.resize(4);
     for (std::size_t i = 0; i < followers_.size(); ++i) {
-      followers_[i].sessions = {luck_.below(controllers)};
-      if (i == 0) followers_[i].sessions.push_back(luck_.below(controllers));
-      clock_.later.after(hello_every * luck_.unit(), [this, i] { hello(i); });
+      followers_[i].sessions = {random_.below(controllers)};
+      if (i == 0) followers_[i].sessions.push_back(random_.below(controllers));
+      clock_.later.after(hello_every * random_.unit(), [this, i] { hello(i); });
     }
   }
 
   std::string run(Span troubled, Span calm) {
-    for (int n = 0; n < 16; ++n) clock_.later.after(troubled * luck_.unit(), [this] { trouble(); });
+    for (int n = 0; n < 16; ++n) clock_.later.after(troubled * random_.unit(), [this] { trouble(); });
     clock_.play(troubled);
     for (Node& n : nodes_) {
       n.frozen = false;
@@ -82,30 +82,30 @@
  private:
   struct Node {
     std::unique_ptr<Duty> duty;
-    market::EndpointBook book;
+    common::EndpointBook book;
     std::uint64_t holder = 0, life = 0;
     std::int64_t followed = 0;  // the latest list that a follower has told of
     bool frozen = false;
     std::set<std::size_t> cut;  // those that it does not reach
   };
   struct Follower {
-    market::EndpointBook book;
+    common::EndpointBook book;
     std::vector<std::size_t> sessions;
   };
 
   void start(std::size_t i) {
     Node& n = nodes_[i];
-    n.duty = std::make_unique<Duty>("list", luck_.next());
+    n.duty = std::make_unique<Duty>("list", random_.next());
     n.book = {};
     n.followed = 0;
-    n.holder = luck_.next();
+    n.holder = random_.next();
     ++n.life;
   }
   bool reaches(std::size_t a, std::size_t b) {
     return !nodes_[a].frozen && !nodes_[b].frozen && !nodes_[a].cut.contains(b) && !nodes_[b].cut.contains(a);
   }
   std::size_t majority() const { return nodes_.size() / 2 + 1; }
-  Span way() { return Span::ms(1 + 30 * luck_.unit()); }
+  Span way() { return Span::ms(1 + 30 * random_.unit()); }
   TimePoint now() { return clock_.system.now(); }
 
   // As the control plane's gossip and its list do it.
@@ -114,7 +114,7 @@
     Node& n = nodes_[i];
     if (n.frozen) return;
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
-      if (to != i && !luck_.chance(lost_)) gossip(i, to);
+      if (to != i && !random_.chance(lost_)) gossip(i, to);
     }
     std::size_t heard = 0;
     for (std::size_t j = 0; j < nodes_.size(); ++j) heard += j == i || reaches(i, j) ? 1 : 0;
@@ -137,7 +137,7 @@
     });
   }
   void tell(std::size_t from, std::size_t to, std::int64_t term, std::int64_t number) {
-    for (const market::EndpointList& change : nodes_[from].book.since(term, number)) {
+    for (const common::EndpointList& change : nodes_[from].book.since(term, number)) {
       clock_.later.after(way(), [=, this] {
         if (!reaches(from, to)) return;
         Node& at = nodes_[to];
@@ -155,7 +155,7 @@
     if (!n.book.update(told_term(n.duty->term(), n.holder), platform_list(now()))) return;
     saw(n.book);
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
-      if (to != i && !luck_.chance(lost_)) tell(i, to, term, number);
+      if (to != i && !random_.chance(lost_)) tell(i, to, term, number);
     }
   }
   void ballot(std::size_t i, std::int64_t term) {
@@ -177,7 +177,7 @@
       }
     };
     for (std::size_t j = 0; j < nodes_.size(); ++j) {
-      const bool arrives = !luck_.chance(lost_);
+      const bool arrives = !random_.chance(lost_);
       clock_.later.after(way(), [=, this] {
         const bool there = arrives && (i == j || reaches(i, j));
         const bool yes = there && nodes_[j].duty->vote(term, now());
@@ -191,10 +191,10 @@
     Follower& f = followers_[which];
     for (const std::size_t i : f.sessions) {
       Node& n = nodes_[i];
-      if (n.frozen || luck_.chance(lost_)) continue;
+      if (n.frozen || random_.chance(lost_)) continue;
       n.duty->learn_told(f.book.term(), n.holder);
       n.followed = std::max(n.followed, f.book.term());
-      for (const market::EndpointList& change : n.book.since(f.book.term(), f.book.number())) {
+      for (const common::EndpointList& change : n.book.since(f.book.term(), f.book.number())) {
         const std::pair before{f.book.term(), f.book.number()};
         if (!f.book.apply(change)) continue;
         if (std::pair{f.book.term(), f.book.number()} <= before) broken_ = "a follower went back";
@@ -203,22 +203,22 @@
     }
   }
   // One content for each number of each holder.
-  void saw(const market::EndpointBook& book) {
+  void saw(const common::EndpointBook& book) {
     if (book.empty()) return;
     const auto [at, fresh] = contents_.emplace(std::pair{book.term(), book.number()}, read_at(book));
     if (!fresh && at->second != read_at(book)) broken_ = "two lists of one number";
   }
 
   void trouble() {
-    const std::size_t i = luck_.below(nodes_.size()), j = luck_.below(nodes_.size());
-    const double kind = luck_.unit();
+    const std::size_t i = random_.below(nodes_.size()), j = random_.below(nodes_.size());
+    const double kind = random_.unit();
     if (kind < 0.5) return start(i);  // killed and there again
     if (kind < 0.7) {
       nodes_[i].frozen = true;
-      clock_.later.after(Span::ms(3000 * luck_.unit()), [this, i] { nodes_[i].frozen = false; });
+      clock_.later.after(Span::ms(3000 * random_.unit()), [this, i] { nodes_[i].frozen = false; });
     } else if (i != j) {
       nodes_[i].cut.insert(j);
-      clock_.later.after(Span::ms(4000 * luck_.unit()), [this, i, j] { nodes_[i].cut.erase(j); });
+      clock_.later.after(Span::ms(4000 * random_.unit()), [this, i, j] { nodes_[i].cut.erase(j); });
     }
   }
 
@@ -234,8 +234,8 @@
       }
       start(v);
       for (int n = 0; n < 60; ++n) clock_.later.after(Span::ms(40.0 * n), [this, v] { forget_vote(v); });
-      const std::size_t gone = (v + 1 + luck_.below(nodes_.size() - 1)) % nodes_.size();
-      clock_.later.after(Span::ms(2600 + 1500 * luck_.unit()), [this, gone] { start(gone); });
+      const std::size_t gone = (v + 1 + random_.below(nodes_.size() - 1)) % nodes_.size();
+      clock_.later.after(Span::ms(2600 + 1500 * random_.unit()), [this, gone] { start(gone); });
       return;
     }
   }
@@ -247,7 +247,7 @@
   }
 
   Clockwork clock_;
-  Luck luck_;
+  RandomSource random_;
   const double lost_;
   std::vector<Node> nodes_;
   std::vector<Follower> followers_;
--- a/tests/market/duty_test.cpp
+++ b/tests/tier/duty_test.cpp
@@ -18,7 +18,7 @@
 using chutevane::control::duty_vacant_after;
 using chutevane::control::told_term;
 using chutevane::played::Clockwork;
-using chutevane::played::Luck;
+using chutevane::played::RandomSource;
 
 namespace {
 
@@ -109,7 +109,7 @@
   }
 
   Clockwork clock;
-  Luck luck;
+  RandomSource luck;
   const double lost;
   std::vector<Node> nodes;
   std::map<std::int64_t, std::set<std::string>> winners;
--- a/tests/market/endpoint_book_test.cpp
+++ b/tests/tier/endpoint_book_test.cpp
@@ -1,5 +1,5 @@
 // The list of endpoints as numbered changes: whoever follows has the same list, whatever was lost on the way.
-#include "market/endpoint_book.hpp"
+#include "common/endpoint_book.hpp"
 
 #include <map>
 #include <string>
@@ -9,9 +9,9 @@
 
 namespace {
 
-using chutevane::market::EndpointBook;
-using chutevane::market::EndpointList;
-using chutevane::market::Listed;
+using chutevane::common::EndpointBook;
+using chutevane::common::EndpointList;
+using chutevane::common::Listed;
 
 Listed endpoint(int n, bool draining = false) {
   Listed out;
--- a/tests/market/http_port_test.cpp
+++ b/tests/tier/http_port_test.cpp
@@ -1,6 +1,6 @@
 // The operators' port on real sockets: each answer goes to the call that it belongs to, on one connection or
 // many, whatever order the answers come in, and nowhere where the caller has gone.
-#include "market/http_port.hpp"
+#include "common/http_port.hpp"
 
 #include <arpa/inet.h>
 #include <poll.h>
@@ -14,14 +14,14 @@
 #include <vector>
 
 #include "net/epoll.hpp"
-#include "net/later.hpp"
 #include "net/scheduler.hpp"
+#include "net/timer_queue.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
+using chutevane::common::HttpAnswer;
+using chutevane::common::HttpPort;
 using chutevane::http::Parser;
-using chutevane::market::HttpAnswer;
-using chutevane::market::HttpPort;
 
 namespace {
 
@@ -48,7 +48,7 @@
 
   chutevane::net::Epoll system;
   chutevane::net::Scheduler scheduler{system};
-  chutevane::net::Later later{scheduler};
+  chutevane::net::TimerQueue later{scheduler};
   std::map<std::string, HttpPort::Reply> waiting;
   std::size_t asked = 0;
   bool at_once = false;
--- a/tests/market/ledger_test.cpp
+++ b/tests/tier/ledger_test.cpp
@@ -10,9 +10,9 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
+using chutevane::common::StorageNode;
+using chutevane::common::Turn;
 using chutevane::edge::Ledger;
-using chutevane::market::StorageNode;
-using chutevane::market::Turn;
 using chutevane::played::Clockwork;
 
 namespace {
--- a/tests/market/losses_test.cpp
+++ b/tests/tier/losses_test.cpp
@@ -10,15 +10,15 @@
 #include "unit.hpp"
 
 namespace control = chutevane::control;
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::played::Clockwork;
-using market::Accept;
-using market::Accepted;
-using market::Acceptor;
-using market::Prepare;
-using market::Promise;
-using market::Value;
+using common::Accept;
+using common::Accepted;
+using common::Acceptor;
+using common::Prepare;
+using common::Promise;
+using common::Value;
 
 namespace {
 
@@ -163,7 +163,7 @@
   };
 
   struct Machine {
-    market::MemoryDisk disk;
+    common::MemoryDisk disk;
     std::unique_ptr<control::AcceptorState> acceptor;
     std::unique_ptr<Wire> voters;
     std::unique_ptr<control::Register> reg;
@@ -284,7 +284,7 @@
   std::size_t steps = 0;
   for (std::size_t point = 0; point <= steps + 1; ++point) {
     for (std::uint64_t luck = 0; luck < 8; ++luck) {
-      market::MemoryDisk disk;
+      common::MemoryDisk disk;
       control::AcceptorState acceptor(disk, "m0", "d0", false);
       CHECK_TRUE(acceptor.open().ok());
       const std::size_t before = disk.steps();
--- a/tests/market/main.cpp
+++ b/tests/tier/main.cpp
@@ -5,7 +5,7 @@
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
-#include "market/avro.hpp"
+#include "common/avro.hpp"
 #include "unit.hpp"
 
 std::string numbered(const char* word, long long number) {
@@ -18,7 +18,7 @@
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   {
     const ForGood schemas;
-    chutevane::market::avro::value_of("Value");
+    chutevane::common::avro::value_of("Value");
   }
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/tests/market/operator_api_test.cpp
+++ b/tests/tier/operator_api_test.cpp
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-#include "market/configuration.hpp"
+#include "common/configuration.hpp"
 #include "played_control.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::control::ConfigurationOrder;
 using chutevane::control::judge;
@@ -21,7 +21,7 @@
 using chutevane::played::configuration;
 using chutevane::played::ControlProcess;
 using chutevane::played::Field;
-using market::Value;
+using common::Value;
 
 namespace {
 
@@ -34,13 +34,13 @@
   }
   int replace(ControlProcess& at, std::int64_t base, const std::string& sent) {
     int status = 0;
-    at.replace(base, sent, [&](const market::HttpAnswer& answer) { status = answer.status; });
+    at.replace(base, sent, [&](const common::HttpAnswer& answer) { status = answer.status; });
     field.clock.play(Span::ms(4000), [&] { return status != 0; });
     return status;
   }
   int call(ControlProcess& at, const std::string& method, const std::string& target) {
     int status = 0;
-    at.call(method, target, "", "", [&](const market::HttpAnswer& answer) {
+    at.call(method, target, "", "", [&](const common::HttpAnswer& answer) {
       status = answer.status;
       body = answer.body;
     });
@@ -70,8 +70,8 @@
     a.reg.change(
         [node](const Value& current) -> std::optional<Value> {
           Value out = current;
-          std::erase_if(out.storage_nodes, [&](const market::StorageNode& n) { return n.node == node; });
-          for (market::Retired& r : out.retired) r.completed = r.completed || r.node == node;
+          std::erase_if(out.storage_nodes, [&](const common::StorageNode& n) { return n.node == node; });
+          for (common::Retired& r : out.retired) r.completed = r.completed || r.node == node;
           return out;
         },
         Span::ms(1000), [&](const absl::StatusOr<Value>& got) { done = got.ok(); });
@@ -158,10 +158,10 @@
     const std::int64_t base = version;
     version += 1 + static_cast<std::int64_t>(i % 3);
     const std::string body = numbered("body ", version);
-    value = control::applied(value, order(base, version, static_cast<std::int64_t>(market::hash_of(body))));
+    value = control::applied(value, order(base, version, static_cast<std::int64_t>(common::hash_of(body))));
   }
   CHECK_EQUAL(remembered_configurations, value.taken.size());
-  const std::size_t bytes = market::encoded(value).size();
+  const std::size_t bytes = common::encoded(value).size();
   CHECK_WHERE(bytes < 64 * 1024, numbered("bytes: ", static_cast<long long>(bytes)));
 }
 
@@ -220,7 +220,7 @@
   for (std::size_t i = 0; i < 8; ++i) {
     ControlProcess& at = i % 2 == 0 ? pair.a : pair.b;
     at.replace(0, configuration(5, numbered("r", static_cast<long long>(i))),
-               [&status, i](const market::HttpAnswer& answer) { status[i] = answer.status; });
+               [&status, i](const common::HttpAnswer& answer) { status[i] = answer.status; });
   }
   pair.field.clock.play(Span::ms(4000));
   CHECK_EQUAL(1, std::count(status.begin(), status.end(), 200));
@@ -236,7 +236,7 @@
   void half_done(std::int64_t base, const std::string& body, std::size_t accepts) {
     pair.a.voters.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
     bool answered = false;
-    pair.a.replace(base, body, [&](const market::HttpAnswer&) { answered = true; });
+    pair.a.replace(base, body, [&](const common::HttpAnswer&) { answered = true; });
     pair.field.clock.play(Span::ms(1000));
     CHECK_TRUE(pair.a.voters.ended && !answered);
   }
@@ -244,7 +244,7 @@
   std::size_t holding(std::int64_t version) {
     return static_cast<std::size_t>(
         std::count_if(pair.field.all.begin(), pair.field.all.end(), [&](chutevane::played::Machine& m) {
-          const market::Prepare look{1, {}, pair.field.first_set(3), true};
+          const common::Prepare look{1, {}, pair.field.first_set(3), true};
           return m.acceptor->prepare(look)->value.config_version == version;
         }));
   }
@@ -339,9 +339,9 @@
   pair.storage_nodes(4);
   int first = 0, second = 0;
   pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "",
-              [&](const market::HttpAnswer& answer) { first = answer.status; });
+              [&](const common::HttpAnswer& answer) { first = answer.status; });
   pair.b.call("POST", "/v1/Retire.Initiate/s2", "", "",
-              [&](const market::HttpAnswer& answer) { second = answer.status; });
+              [&](const common::HttpAnswer& answer) { second = answer.status; });
   pair.field.clock.play(Span::ms(4000));
   CHECK_TRUE((first == 200 && second == 409) || (first == 409 && second == 200));
 }
@@ -356,7 +356,7 @@
   LONGS_EQUAL(503, retrieve(pair.a, "s9"));
   LONGS_EQUAL(200, retrieve(pair.a, "s1"));
   pair.a.all_members_known = true;
-  market::Member newcomer;
+  common::Member newcomer;
   newcomer.node = "s9";
   newcomer.plane = "storage";
   pair.a.known_members.push_back(newcomer);
@@ -368,7 +368,7 @@
 TEST(RetireOrders, HalfDoneAndSentAgain) {
   pair.storage_nodes(4);
   pair.a.voters.sends_left = 3 + 3 + 1;
-  pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const market::HttpAnswer&) {});
+  pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const common::HttpAnswer&) {});
   pair.field.clock.play(Span::ms(1000));
   CHECK_TRUE(pair.a.voters.ended);
   pair.field.all[0].up = false;
--- a/tests/market/orders_test.cpp
+++ b/tests/tier/orders_test.cpp
@@ -13,7 +13,7 @@
 #include "unit.hpp"
 
 namespace control = chutevane::control;
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::control::remembered_configurations;
@@ -24,7 +24,7 @@
 using chutevane::played::OrderHistory;
 using chutevane::played::OrderKey;
 using chutevane::played::Weather;
-using market::Value;
+using common::Value;
 
 namespace {
 
@@ -162,7 +162,7 @@
       field_.clock.later.after(Span::ms(ms), [this] { change_set(luck_process()); });
   }
   void change_set(ControlProcess& p) {
-    std::vector<market::Acceptor> next;
+    std::vector<common::Acceptor> next;
     for (const Machine& m : field_.all) {
       if (m.up && next.size() < 3) next.push_back({m.address, m.disk_id});
     }
@@ -209,7 +209,7 @@
   void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
     ControlProcess& at = luck_process();
     if (at.voters.ended) return;
-    at.replace(sending->key.base, sending->key.body, [=, this](const market::HttpAnswer& answer) {
+    at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpAnswer& answer) {
       history_.answered(sending->key, sent, now(), answer.status);
       if (lost()) return;
       field_.clock.later.after(field_.way(), [=, this, status = answer.status] {
@@ -245,7 +245,7 @@
   void read_back(ControlProcess& at, Operator* by = nullptr) {
     if (at.voters.ended) return;
     at.call("GET", "/v1/Configuration.Retrieve", "", "",
-            [this, by, sent = now()](const market::HttpAnswer& answer) {
+            [this, by, sent = now()](const common::HttpAnswer& answer) {
               if (answer.status != 200 && answer.status != 404) return;
               std::int64_t version = 0;
               for (const auto& [name, text] : answer.fields) {
@@ -271,7 +271,7 @@
     ControlProcess& last = *processes_.back();
     for (const SendingPtr& sending : all_) {
       int status = 0;
-      last.replace(sending->key.base, sending->key.body, [&](const market::HttpAnswer& answer) {
+      last.replace(sending->key.base, sending->key.body, [&](const common::HttpAnswer& answer) {
         history_.answered(sending->key, now(), now(), answer.status);
         status = answer.status;
       });
--- a/tests/market/played_control.hpp
+++ b/tests/tier/played_control.hpp
@@ -14,7 +14,7 @@
 
 class ControlProcess final : control::OperatorApi::Host {
  public:
-  using Answered = std::function<void(market::HttpAnswer)>;
+  using Answered = std::function<void(common::HttpAnswer)>;
 
   ControlProcess(Field& field, std::uint64_t proposer, std::size_t remembered)
       : voters(field), reg(field.clock.later, voters, proposer), api_(reg, *this, 1, remembered) {}
@@ -26,7 +26,7 @@
                         "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     http::Parser parser(http::Side::request, {.head = 16 * 1024, .body = 8U << 20U, .fields = 100});
     parser.feed(bytes);
-    api_.serve(parser, [this, answered = std::move(answered)](market::HttpAnswer answer) {
+    api_.serve(parser, [this, answered = std::move(answered)](common::HttpAnswer answer) {
       if (!voters.ended) answered(std::move(answer));
     });
   }
@@ -37,13 +37,13 @@
 
   PlayedVoters voters;
   control::Register reg;
-  std::vector<market::Member> known_members;
+  std::vector<common::Member> known_members;
   bool all_members_known = true;
 
  private:
-  void announce(const market::Value&) override {}
+  void announce(const common::Value&) override {}
   void when_acknowledged(std::int64_t, std::function<void()> then) override { then(); }
-  std::vector<market::Member> members() const override { return known_members; }
+  std::vector<common::Member> members() const override { return known_members; }
   bool members_complete() const override { return all_members_known; }
   control::ControlStatus status() const override { return {}; }
 
--- a/tests/market/played_register.hpp
+++ b/tests/tier/played_register.hpp
@@ -17,17 +17,17 @@
 
 namespace chutevane::played {
 
+using common::Accept;
+using common::Accepted;
+using common::Acceptor;
+using common::Ballot;
+using common::Prepare;
+using common::Promise;
+using common::Value;
 using control::AcceptorState;
 using control::first_value;
 using control::Register;
 using control::Verdict;
-using market::Accept;
-using market::Accepted;
-using market::Acceptor;
-using market::Ballot;
-using market::Prepare;
-using market::Promise;
-using market::Value;
 
 inline Verdict verdict(std::int64_t v) { return static_cast<Verdict>(v); }
 
@@ -68,7 +68,7 @@
 struct Machine {
   std::string address, disk_id;
   bool first = true;
-  std::unique_ptr<market::MemoryDisk> disk = std::make_unique<market::MemoryDisk>();
+  std::unique_ptr<common::MemoryDisk> disk = std::make_unique<common::MemoryDisk>();
   std::unique_ptr<AcceptorState> acceptor;
   bool up = false;
   TimePoint frozen_until;  // what comes before is done then
@@ -83,7 +83,7 @@
     up = s.ok();
   }
   void wipe() {
-    disk = std::make_unique<market::MemoryDisk>();
+    disk = std::make_unique<common::MemoryDisk>();
     disk_id += "'";
     first = false;
   }
@@ -147,7 +147,7 @@
   }
 
   Clockwork clock;
-  Luck luck;
+  RandomSource luck;
   Weather weather;
   std::vector<Machine> all;
   std::function<void(Machine&)> on_death;
@@ -196,7 +196,7 @@
       answered(std::move(got));
     };
     field_.clock.later.after(Span::ms(350), [once] { once(absl::DeadlineExceededError("no answer")); });
-    if (field_.counting && address != own) field_.bytes_asked += market::encoded(ask).size();
+    if (field_.counting && address != own) field_.bytes_asked += common::encoded(ask).size();
     const int copies = field_.luck.chance(field_.weather.repeated) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
       if (field_.luck.chance(field_.weather.lost)) continue;
@@ -212,7 +212,7 @@
       return;
     }
     auto got = field_.ask(*m, ask);
-    if (got.ok() && field_.counting && address != own) field_.bytes_answered += market::encoded(*got).size();
+    if (got.ok() && field_.counting && address != own) field_.bytes_answered += common::encoded(*got).size();
     if (!got.ok() || field_.luck.chance(field_.weather.lost)) return;
     field_.clock.later.after(field_.way(), [once, got] { once(got); });
   }
--- a/tests/market/played_system.hpp
+++ b/tests/tier/played_system.hpp
@@ -5,9 +5,9 @@
 #include <cerrno>
 #include <functional>
 
-#include "net/later.hpp"
 #include "net/scheduler.hpp"
 #include "net/system.hpp"
+#include "net/timer_queue.hpp"
 
 namespace chutevane::played {
 
@@ -50,11 +50,11 @@
   std::size_t connects_ = 0;
 };
 
-// A clock, a scheduler on it, and Later.
+// A clock, a scheduler on it, and TimerQueue.
 struct Clockwork {
   PlayedSystem system;
   net::Scheduler scheduler{system};
-  net::Later later{scheduler};
+  net::TimerQueue later{scheduler};
 
   // Plays until then, or until `enough` says so; false where it had to go on to the end.
   bool play(Span most, const std::function<bool()>& enough = nullptr) {
@@ -70,10 +70,10 @@
   }
 };
 
-// Luck by a seed: alike on every machine.
-class Luck {
+// RandomSource by a seed: alike on every machine.
+class RandomSource {
  public:
-  explicit Luck(std::uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 0x853c49e6748fea9bULL) {}
+  explicit RandomSource(std::uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 0x853c49e6748fea9bULL) {}
   std::uint64_t next() {
     state_ += 0x9e3779b97f4a7c15ULL;
     std::uint64_t z = state_;
--- a/tests/market/quorum_contact_test.cpp
+++ b/tests/tier/quorum_contact_test.cpp
@@ -13,10 +13,10 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
+using chutevane::common::Acceptor;
 using chutevane::control::AcceptorReport;
 using chutevane::control::QuorumContact;
-using chutevane::market::Acceptor;
-using chutevane::played::Luck;
+using chutevane::played::RandomSource;
 
 namespace {
 
@@ -119,7 +119,7 @@
   constexpr int runs = 3000, steps = 400;
   std::size_t claims = 0;
   for (int run = 0; run < runs; ++run) {
-    Luck luck(static_cast<std::uint64_t>(run) + 1);
+    RandomSource luck(static_cast<std::uint64_t>(run) + 1);
     const int count = luck.chance(0.5) ? 3 : 5;
     const std::vector<Acceptor> set = set_of(count);
     QuorumContact watcher(life);
--- a/tests/market/register_test.cpp
+++ b/tests/tier/register_test.cpp
@@ -11,26 +11,26 @@
 #include <string>
 #include <vector>
 
-#include "market/value_update.hpp"
+#include "common/value_update.hpp"
 #include "played_register.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 namespace played = chutevane::played;
 using chutevane::Span;
 using chutevane::TimePoint;
+using common::Accept;
+using common::Accepted;
+using common::Acceptor;
+using common::Ballot;
+using common::Prepare;
+using common::Promise;
+using common::Value;
 using control::AcceptorState;
 using control::first_value;
 using control::Register;
 using control::Verdict;
-using market::Accept;
-using market::Accepted;
-using market::Acceptor;
-using market::Ballot;
-using market::Prepare;
-using market::Promise;
-using market::Value;
 using played::Field;
 using played::Machine;
 using played::Proposer;
@@ -48,7 +48,7 @@
     const auto [at, fresh] = values_.emplace(v.number, v);
     check(fresh || at->second == v, numbered("two values of number ", v.number));
     check(v.next.empty(), "a sealed value is told of");
-    for (const market::Taken& t : v.taken) {
+    for (const common::Taken& t : v.taken) {
       check(!refused_.contains(t.hash), numbered("refused, and in force: ", t.hash));
       in_force_.insert(t.hash);
     }
@@ -72,7 +72,7 @@
   void close(const Value& last) {
     for (const std::int64_t hash : acknowledged_)
       check(std::any_of(last.taken.begin(), last.taken.end(),
-                        [&](const market::Taken& t) { return t.hash == hash; }),
+                        [&](const common::Taken& t) { return t.hash == hash; }),
             numbered("acknowledged, and gone: ", hash));
     const Value* before = nullptr;
     for (const auto& [number, v] : values_) {
@@ -102,7 +102,7 @@
 };
 
 bool had(const Value& v, std::int64_t hash) {
-  return std::any_of(v.taken.begin(), v.taken.end(), [&](const market::Taken& t) { return t.hash == hash; });
+  return std::any_of(v.taken.begin(), v.taken.end(), [&](const common::Taken& t) { return t.hash == hash; });
 }
 
 // As the operator's order does it.
@@ -655,7 +655,7 @@
       }
     }
   };
-  market::MemoryDisk whole;
+  common::MemoryDisk whole;
   AcceptorState counted(whole, "m0", "d0", true);
   CHECK_TRUE(counted.open().ok());
   Ballot promised, accepted;
@@ -666,7 +666,7 @@
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t luck = 0; luck < 30; ++luck) {
       const std::string where = numbered("point ", point) + numbered(", luck ", luck);
-      market::MemoryDisk disk;
+      common::MemoryDisk disk;
       AcceptorState a(disk, "m0", "d0", true);
       CHECK_TRUE(a.open().ok());
       disk.fail_from(point);
@@ -691,13 +691,13 @@
 // The disk is full, or syncs fail, at each step in turn and for some steps. It goes on in memory: what it
 // told, before and between and after, stands whenever power is lost.
 TEST(RegisterAcceptor, WhatItSaidStandsThroughFaultsAtEveryStep) {
-  for (const market::DiskFault fault :
-       {market::DiskFault::full, market::DiskFault::sync_loses, market::DiskFault::sync_unsure}) {
+  for (const common::DiskFault fault :
+       {common::DiskFault::full, common::DiskFault::sync_loses, common::DiskFault::sync_unsure}) {
     for (std::size_t from = 0; from < 30; ++from) {
       for (const std::size_t length : {1, 3, 8}) {
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
                                   numbered(", steps ", length);
-        market::MemoryDisk disk;
+        common::MemoryDisk disk;
         AcceptorState a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
         disk.fail(fault, from, from + length);
@@ -706,7 +706,7 @@
         // After a loss of power it has promised and accepted no less than was told.
         const auto check = [&] {
           for (std::uint64_t luck = 0; luck < 6; ++luck) {
-            market::MemoryDisk dark = disk;
+            common::MemoryDisk dark = disk;
             dark.power_cycle(luck);
             AcceptorState again(dark, "m0", "d0", true);
             if (promised == Ballot{} && !again.open().ok()) continue;
@@ -759,7 +759,7 @@
         CHECK_TRUE(a.prepare(prepare(initial, round)).ok() &&
                    a.accept(accept(initial, round, text + std::to_string(round))).ok());
     };
-    market::MemoryDisk filled;
+    common::MemoryDisk filled;
     AcceptorState before(filled, "m0", "d0", true);
     CHECK_TRUE(before.open().ok());
     fill(before);
@@ -768,7 +768,7 @@
         const std::string where = numbered("size ", static_cast<long long>(size)) +
                                   numbered(", step ", static_cast<long long>(point)) +
                                   numbered(", luck ", static_cast<long long>(luck));
-        market::MemoryDisk disk = filled;
+        common::MemoryDisk disk = filled;
         AcceptorState a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
         std::int64_t promised = rounds, accepted = rounds, tried = rounds;
@@ -790,7 +790,7 @@
         CHECK_WHERE(got->value.config.data == text + std::to_string(got->accepted.round), where);
         std::size_t held = 0;
         for (const std::string& name : disk.names()) held += disk.read(name)->size();
-        CHECK_WHERE(held <= market::Slots::disk_most(size + 2000, size + 2000), where);
+        CHECK_WHERE(held <= common::Slots::disk_most(size + 2000, size + 2000), where);
       }
     }
   }
@@ -798,12 +798,12 @@
 
 // Without a request it takes up again what it has as soon as the disk does.
 TEST(RegisterAcceptor, WritesAgainOnceTheDiskWorks) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
   CHECK_TRUE(a.accept(accept(initial, 1, "x")).ok());
-  disk.fail(market::DiskFault::full, disk.steps(), disk.steps() + 9);
+  disk.fail(common::DiskFault::full, disk.steps(), disk.steps() + 9);
   CHECK_FALSE(a.prepare(prepare(initial, 2)).ok());
   CHECK_TRUE(a.disk_failing());
   while (!a.write_again().ok()) CHECK_TRUE(disk.steps() < 40);
@@ -816,7 +816,7 @@
 }
 
 TEST(RegisterAcceptor, EarlierBallotsAreTurnedAway) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(verdict(a.prepare(prepare(initial, 5))->verdict) == Verdict::yes);
@@ -832,7 +832,7 @@
 
 // Guards the asker's own copy: it stands in for the value of the ballot that it names, and of no other.
 TEST(RegisterAcceptor, ValueIsLeftOutOnlyForTheBallotThatWasNamed) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   Prepare ask = prepare(initial, 5);
@@ -860,14 +860,14 @@
   next.config.data = std::string(3000, 'a') + "next";
   for (const bool on_its_base : {true, false}) {
     for (const bool spoilt : {false, true}) {
-      market::MemoryDisk disk;
+      common::MemoryDisk disk;
       AcceptorState a(disk, "m0", "d0", true);
       CHECK_TRUE(a.open().ok());
       CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
       Accept first{1, {1, 1}, on_its_base ? base : other, {}};
       CHECK_TRUE(verdict(a.accept(first)->verdict) == Verdict::yes);
       CHECK_TRUE(verdict(a.prepare(prepare(initial, 2))->verdict) == Verdict::yes);
-      Accept ask{1, {2, 1}, {}, market::value_difference(1, market::encoded(base), market::encoded(next))};
+      Accept ask{1, {2, 1}, {}, common::value_difference(1, common::encoded(base), common::encoded(next))};
       if (spoilt) ask.difference.content.data.back() ^= 1;
       const bool good = on_its_base && !spoilt;
       CHECK_TRUE(verdict(a.accept(ask)->verdict) == (good ? Verdict::yes : Verdict::whole));
@@ -889,7 +889,7 @@
     return v;
   }();
   for (const Value& epoch : {initial, named}) {
-    market::MemoryDisk disk;
+    common::MemoryDisk disk;
     AcceptorState wiped(disk, "m0", "another", false);
     CHECK_TRUE(wiped.open().ok());
     CHECK_FALSE(wiped.voting());
@@ -909,7 +909,7 @@
 TEST(RegisterAcceptor, AddressAloneCountsInTheFirstEpochOnly) {
   Value second = initial;
   second.epoch = 2;
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(verdict(a.prepare(prepare(second, 1))->verdict) == Verdict::stranger);
@@ -917,7 +917,7 @@
 }
 
 TEST(RegisterAcceptor, EarlierEpochsAreToldOfTheLater) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(verdict(a.prepare(prepare(initial, 9))->verdict) == Verdict::yes);
@@ -936,7 +936,7 @@
 
 // An accept that comes before anybody has prepared this acceptor for the epoch is no vote of that epoch.
 TEST(RegisterAcceptor, AcceptAloneDoesNotOpenAnEpoch) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(verdict(a.accept(accept(initial, 1, "x"))->verdict) == Verdict::stranger);
@@ -944,7 +944,7 @@
 
 // Its log is long and is folded into a slot: nothing is lost on the way.
 TEST(RegisterAcceptor, LongLogIsFolded) {
-  market::MemoryDisk disk;
+  common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
--- a/tests/market/roster_test.cpp
+++ b/tests/tier/roster_test.cpp
@@ -12,6 +12,10 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
+using chutevane::common::Acceptor;
+using chutevane::common::Member;
+using chutevane::common::StorageNode;
+using chutevane::common::Value;
 using chutevane::control::acceptor_lost_after;
 using chutevane::control::copies_for;
 using chutevane::control::LiveController;
@@ -19,10 +23,6 @@
 using chutevane::control::RetireVerdict;
 using chutevane::control::Roster;
 using chutevane::control::storage_node_lost_after;
-using chutevane::market::Acceptor;
-using chutevane::market::Member;
-using chutevane::market::StorageNode;
-using chutevane::market::Value;
 
 namespace {
 
@@ -193,7 +193,7 @@
 // cause.
 TEST(RosterAcceptors, ComingsAndGoings) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
-    chutevane::played::Luck luck(seed);
+    chutevane::played::RandomSource luck(seed);
     Roster r(1);
     Value value = with_acceptors({0, 1, 2});
     std::vector<int> disks(6, 0);
--- a/tests/market/settings_test.cpp
+++ b/tests/tier/settings_test.cpp
@@ -1,5 +1,5 @@
 // The settings file: read whole, with all that is wrong found in one reading, each with its line.
-#include "market/settings.hpp"
+#include "common/settings.hpp"
 
 #include <map>
 #include <string>
@@ -9,7 +9,7 @@
 #include "unit.hpp"
 
 using chutevane::Span;
-using chutevane::market::read_settings;
+using chutevane::common::read_settings;
 
 namespace {
 
@@ -125,9 +125,9 @@
 // Where peers hear: one port for each plane, on the machine's own address.
 TEST(ProcessSettingsFile, InternalAddressesAreApart) {
   const auto got = read_settings(example);
-  CHECK_TRUE(chutevane::net::text_of(got->internal_address(chutevane::market::control_plane_port)) ==
+  CHECK_TRUE(chutevane::net::text_of(got->internal_address(chutevane::common::control_plane_port)) ==
              "10.1.0.30:7380");
-  CHECK_TRUE(chutevane::net::text_of(got->internal_address(chutevane::market::storage_plane_port)) ==
+  CHECK_TRUE(chutevane::net::text_of(got->internal_address(chutevane::common::storage_plane_port)) ==
              "10.1.0.30:7381");
 }
 
@@ -209,7 +209,7 @@
 }
 
 TEST(ProcessSettingsFile, FileThatIsNotThere) {
-  CHECK_TRUE(absl::IsNotFound(chutevane::market::load_settings("no-such-folder/boot.conf").status()));
+  CHECK_TRUE(absl::IsNotFound(chutevane::common::load_settings("no-such-folder/boot.conf").status()));
 }
 
 TEST_GROUP(ProcessSettingsPorts){};
--- a/tests/market/storage_test.cpp
+++ b/tests/tier/storage_test.cpp
@@ -13,13 +13,13 @@
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::market::Account;
-using chutevane::market::DiskFault;
-using chutevane::market::MemoryDisk;
-using chutevane::market::Reservation;
-using chutevane::market::StorageNode;
-using chutevane::market::Turn;
-using chutevane::played::Luck;
+using chutevane::common::Account;
+using chutevane::common::DiskFault;
+using chutevane::common::MemoryDisk;
+using chutevane::common::Reservation;
+using chutevane::common::StorageNode;
+using chutevane::common::Turn;
+using chutevane::played::RandomSource;
 using chutevane::storage::group_of;
 using chutevane::storage::group_size;
 using chutevane::storage::quorum;
@@ -124,7 +124,7 @@
   std::map<std::string, Account> wanted;
   std::vector<std::size_t> order(words.size());
   for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
-  Luck luck(4);
+  RandomSource luck(4);
   for (int round = 0; round < 600; ++round) {
     for (std::size_t i = order.size(); i-- > 1;) std::swap(order[i], order[luck.below(i + 1)]);
     MemoryDisk d;
@@ -360,7 +360,7 @@
   State sure, tried;
 
   // Runs until a commit fails.
-  void run(Store& store, TimePoint now, Luck& luck, int steps, int first = 0) {
+  void run(Store& store, TimePoint now, RandomSource& luck, int steps, int first = 0) {
     for (int n = first; n < first + steps; ++n) {
       const std::string id = numbered("t", n);
       const std::string program = numbered("p", n % 3);
@@ -420,7 +420,7 @@
       MemoryDisk disk;
       Store store(disk, room);
       CHECK_TRUE(store.open(now).ok());
-      Luck luck(seed);
+      RandomSource luck(seed);
       Ledgered work;
       work.run(store, now, luck, 30);
       points = disk.steps();
@@ -434,7 +434,7 @@
         Store store(disk, room);
         CHECK_TRUE(store.open(now).ok());
         disk.fail_from(point);
-        Luck luck(seed);
+        RandomSource luck(seed);
         Ledgered work;
         work.run(store, now, luck, 30);
         disk.power_cycle(loss);
@@ -471,7 +471,7 @@
         Store store(disk, room);
         CHECK_TRUE(store.open(now).ok());
         disk.fail(fault, from, from + length);
-        Luck luck(from);
+        RandomSource luck(from);
         Ledgered work;
         std::size_t failed = 0;
         for (int part = 0; part < 12; ++part) {
--- a/tests/market/value_difference_test.cpp
+++ b/tests/tier/value_difference_test.cpp
@@ -1,6 +1,6 @@
 // Differences of byte strings: what comes back is the target, whatever the edits; what is malformed or rests
 // on another base makes nothing, or something that the hash tells from the target.
-#include "market/value_difference.hpp"
+#include "common/value_difference.hpp"
 
 #include <string>
 #include <vector>
@@ -8,16 +8,16 @@
 #include "played_system.hpp"
 #include "unit.hpp"
 
-using chutevane::market::apply_difference;
-using chutevane::market::content_hash;
-using chutevane::market::difference;
-using chutevane::played::Luck;
+using chutevane::common::apply_difference;
+using chutevane::common::content_hash;
+using chutevane::common::difference;
+using chutevane::played::RandomSource;
 
 namespace {
 
 constexpr std::size_t most = 64U << 20U;  // bytes
 
-std::string noise(Luck& luck, std::size_t size) {
+std::string noise(RandomSource& luck, std::size_t size) {
   std::string out(size, '\0');
   for (char& c : out) c = static_cast<char>(luck.next());
   return out;
@@ -34,7 +34,7 @@
 }
 
 // Replaces, inserts, removes and moves ranges.
-std::string edited(Luck& luck, std::string text) {
+std::string edited(RandomSource& luck, std::string text) {
   const std::size_t edits = 1 + luck.below(6);
   for (std::size_t i = 0; i < edits; ++i) {
     const std::size_t at = luck.below(text.size() + 1), length = luck.below(200);
@@ -73,7 +73,7 @@
 
 TEST(ValueDifference, RandomEditsComeBack) {
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
-    Luck luck(seed);
+    RandomSource luck(seed);
     const std::size_t size = luck.below(8000);
     const std::string base = luck.chance(0.5) ? routes(size) : noise(luck, size);
     check_round_trip(base, edited(luck, base), numbered("seed ", static_cast<long long>(seed)));
@@ -95,7 +95,7 @@
 
 // Ranges that moved are copied, not sent.
 TEST(ValueDifference, MovedHalvesAreCopied) {
-  Luck luck(1);
+  RandomSource luck(1);
   const std::string a = noise(luck, 100000), b = noise(luck, 100000);
   check_round_trip(a + b, b + a, "halves");
   CHECK_TRUE(difference(a + b, b + a).size() < 100);
@@ -112,14 +112,14 @@
 
 // The search gives up on what is new altogether, and what comes behind is literal.
 TEST(ValueDifference, LargeAndNewComesBack) {
-  Luck luck(5);
+  RandomSource luck(5);
   const std::string base = noise(luck, 3U << 20U);
   check_round_trip(base, noise(luck, 3U << 20U) + base, "new and long");
 }
 
 TEST(ValueDifference, CutAtEveryByteIsNeverTheTarget) {
   const std::string base = routes(3000);
-  Luck luck(3);
+  RandomSource luck(3);
   const std::string target = edited(luck, edited(luck, base));
   const std::string made = difference(base, target);
   for (std::size_t size = 0; size < made.size(); ++size) {
@@ -132,7 +132,7 @@
 TEST(ValueDifference, NoiseIsBounded) {
   const std::string base = routes(2000);
   for (std::uint64_t seed = 0; seed < 20000; ++seed) {
-    Luck luck(seed);
+    RandomSource luck(seed);
     const auto got = apply_difference(base, noise(luck, luck.below(60)), 5000);
     CHECK_TRUE(!got || got->size() <= 5000);
   }
@@ -149,7 +149,7 @@
 TEST(ValueDifference, AnotherBaseMakesAnotherHash) {
   std::size_t made_something = 0;
   for (std::uint64_t seed = 0; seed < 500; ++seed) {
-    Luck luck(seed);
+    RandomSource luck(seed);
     const std::string base = routes(2000);
     const std::string target = edited(luck, base);
     std::string other = base;
--- a/tests/market/value_update_test.cpp
+++ b/tests/tier/value_update_test.cpp
@@ -1,6 +1,6 @@
 // Values that go down sessions as differences: what a receiver takes is what was chosen under that number, or
 // nothing; whoever missed some, or holds another base, gets the whole, within a bound; bytes are counted.
-#include "market/value_update.hpp"
+#include "common/value_update.hpp"
 
 #include <map>
 #include <memory>
@@ -8,28 +8,28 @@
 #include <vector>
 
 #include "changing_value.hpp"
-#include "market/value_difference.hpp"
+#include "common/value_difference.hpp"
 #include "played_system.hpp"
 #include "unit.hpp"
 
-namespace market = chutevane::market;
+namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::played::ChangingValue;
 using chutevane::played::Clockwork;
-using chutevane::played::Luck;
-using market::encoded;
-using market::Push;
-using market::PushCursor;
-using market::RecentValues;
-using market::Value;
-using market::ValueReceiver;
+using chutevane::played::RandomSource;
+using common::encoded;
+using common::Push;
+using common::PushCursor;
+using common::RecentValues;
+using common::Value;
+using common::ValueReceiver;
 
 namespace {
 
 Push decoded(const std::string& record) {
   Push push;
-  CHECK_TRUE(market::decode(record, push));
+  CHECK_TRUE(common::decode(record, push));
   return push;
 }
 
@@ -73,12 +73,12 @@
   PushCursor cursor;
   cursor.acknowledged(1, 0);
   const Push push = decoded(*cursor.next(sent, 0));
-  CHECK_TRUE(market::is_difference(push.difference));
+  CHECK_TRUE(common::is_difference(push.difference));
   CHECK_TRUE(receiver.take(push) == ValueReceiver::Came::refused);
   CHECK_TRUE(*receiver.value() == other);
   cursor.acknowledged(1, 2);
   const Push whole = decoded(*cursor.next(sent, 0));
-  CHECK_FALSE(market::is_difference(whole.difference));
+  CHECK_FALSE(common::is_difference(whole.difference));
   cursor.acknowledged(1, 2);  // was written before the whole came
   CHECK_TRUE(cursor.next(sent, 0) == nullptr);
   CHECK_TRUE(receiver.take(whole) == ValueReceiver::Came::newer);
@@ -112,11 +112,11 @@
   for (const std::int64_t held : {0, 1, 100}) {
     PushCursor cursor;
     cursor.acknowledged(held, 0);
-    CHECK_FALSE(market::is_difference(decoded(*cursor.next(sent, 0)).difference));
+    CHECK_FALSE(common::is_difference(decoded(*cursor.next(sent, 0)).difference));
   }
   PushCursor cursor;
   cursor.acknowledged(190, 0);
-  CHECK_TRUE(market::is_difference(decoded(*cursor.next(sent, 0)).difference));
+  CHECK_TRUE(common::is_difference(decoded(*cursor.next(sent, 0)).difference));
 }
 
 // One that does not read gets no more: what waits for it is bounded by one value.
@@ -154,7 +154,7 @@
 namespace {
 
 constexpr Span change_every = Span::ms(50);
-constexpr Span beat_every = Span::ms(250);
+constexpr Span heartbeat_every = Span::ms(250);
 constexpr Span hello_every = Span::ms(300);
 constexpr Span caught_up_most = Span::ms(1200);  // of a sidecar that nothing holds up
 constexpr std::size_t controls = 3;
@@ -264,7 +264,7 @@
       if (s.first == control) push(s, control);
     }
   }
-  void beat() {
+  void heartbeat() {
     for (std::size_t i = 0; i < controls; ++i) {
       if (lost_for[i] <= now() && truth.size() > 1) hear(i, truth.back());  // it has read the register
       for (Sidecar& s : sidecars) push(s, i);
@@ -332,7 +332,7 @@
         clock.later.after(change_every * static_cast<double>(i), [this] { trouble(); });
     }
     const Span all = change_every * static_cast<double>(count) + Span::ms(4000);
-    for (Span at; at < all; at = at + beat_every) clock.later.after(at, [this] { beat(); });
+    for (Span at; at < all; at = at + heartbeat_every) clock.later.after(at, [this] { heartbeat(); });
     for (Span at; at < all; at = at + hello_every) {
       clock.later.after(at, [this] {
         for (Sidecar& s : sidecars) hello_all(s);
@@ -348,7 +348,7 @@
   }
 
   Clockwork clock;
-  Luck luck;
+  RandomSource luck;
   ChangingValue changes;
   std::vector<Value> truth = {{}};
   std::vector<std::unique_ptr<RecentValues>> known;
