--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -60,7 +60,7 @@
   const auto at = std::find_if(paths.begin(), paths.end(), [&](const Path& p) { return p.target == target; });
   if (at == paths.end()) return answer(404, text, "no such path\n");
   if (at->method != parser_.method()) return answer(405, text, "another method\n", at->method);
-  RpcServer& desk = server_.rpc_server_;
+  Desk& desk = server_.desk_;
   bool yes = true;
   switch (at->word) {
     case Word::counters: return answer(200, "application/json", desk.figures());
@@ -116,9 +116,9 @@
   server_.visits_.retire(*this);
 }
 
-Server::Server(net::Scheduler& scheduler, RpcServer& desk, std::size_t most)
+Server::Server(net::Scheduler& scheduler, Desk& desk, std::size_t most)
     : scheduler_(scheduler),
-      rpc_server_(desk),
+      desk_(desk),
       most_(most),
       waker_(scheduler),
       timer_(scheduler, waker_, retry),
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -16,7 +16,7 @@
 namespace chutevane::admin {
 
 // What operators ask of a process. Every call is harmless when it comes twice.
-class RpcServer {
+class Desk {
  public:
   virtual bool takes_clients() const = 0;
   virtual std::string figures() const = 0;           // JSON
@@ -26,7 +26,7 @@
   virtual bool in_service() = 0;
 
  protected:
-  ~RpcServer() = default;
+  ~Desk() = default;
 };
 
 class Server;
@@ -58,7 +58,7 @@
 class Server {
  public:
   // `most`: connections at once, its own reserve of descriptors.
-  Server(net::Scheduler& scheduler, RpcServer& desk, std::size_t most);
+  Server(net::Scheduler& scheduler, Desk& desk, std::size_t most);
   void listen(const sockaddr_in& at);  // throws std::system_error
   std::optional<sockaddr_in> address() const { return socket_.local(); }
   std::size_t size() const { return visits_.size(); }
@@ -69,7 +69,7 @@
   void make_room();
 
   net::Scheduler& scheduler_;
-  RpcServer& rpc_server_;
+  Desk& desk_;
   const std::size_t most_;
   net::Waker waker_;
   net::Timer timer_;
--- a/src/handover/post.cpp
+++ b/src/handover/post.cpp
@@ -173,24 +173,24 @@
   return out;
 }
 
-RpcClient::RpcClient(net::Scheduler& scheduler, std::function<void()> changed)
+Link::Link(net::Scheduler& scheduler, std::function<void()> changed)
     : changed_(std::move(changed)), waker_(scheduler), socket_(scheduler, waker_) {}
 
-void RpcClient::adopt(int fd) {
+void Link::adopt(int fd) {
   socket_.adopt(fd);
   serves_ = false;
   task_ = run();
   task_.start();
 }
 
-void RpcClient::say(bool serve) {
+void Link::say(bool serve) {
   if (!lives()) return;
   const char word = serve ? i_serve : i_do_not;
   std::size_t written = 0;
   socket_.write({&word, 1}, written);
 }
 
-net::Task RpcClient::run() {
+net::Task Link::run() {
   using net::Socket;
   while (true) {
     const Socket::Result result = socket_.read(buffer_);
--- a/src/handover/post.hpp
+++ b/src/handover/post.hpp
@@ -38,9 +38,9 @@
 };
 
 // One process's end of a link.
-class RpcClient {
+class Link {
  public:
-  RpcClient(net::Scheduler& scheduler, std::function<void()> changed);
+  Link(net::Scheduler& scheduler, std::function<void()> changed);
   void adopt(int fd);
   bool lives() const { return socket_.open(); }
   bool serves() const { return lives() && serves_; }
@@ -66,8 +66,8 @@
   // This process serves: successors are to come here, in place of whoever was asked before.
   void open();
   void say(bool serve);
-  const RpcClient& before() const { return before_; }
-  const RpcClient& after() const { return after_; }
+  const Link& before() const { return before_; }
+  const Link& after() const { return after_; }
 
  private:
   net::Task accept();
@@ -77,7 +77,7 @@
   std::function<Estate()> estate_;
   std::function<void()> changed_;
   bool serve_ = false;
-  RpcClient before_, after_;
+  Link before_, after_;
   net::Waker waker_;
   net::Socket socket_;
   net::Task task_;
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -358,7 +358,7 @@
 // --- The time line ---------------------------------------------------------------------------------
 
 void Fleet::later(Span in, std::function<void()> what) {
-  timers_.push_back({scheduler_.now() + in, std::move(what)});
+  later_.push_back({scheduler_.now() + in, std::move(what)});
 }
 
 void Fleet::apply_ills() {
@@ -541,13 +541,13 @@
     watch_processes();
     while (next_step_ < timeline_.steps().size() && begins_ + timeline_.steps()[next_step_].at <= now)
       step(timeline_.steps()[next_step_++]);
-    for (std::size_t i = 0; i < timers_.size();) {
-      if (timers_[i].at > now) {
+    for (std::size_t i = 0; i < later_.size();) {
+      if (later_[i].at > now) {
         ++i;
         continue;
       }
-      const std::function<void()> what = std::move(timers_[i].what);
-      timers_.erase(timers_.begin() + static_cast<long>(i));
+      const std::function<void()> what = std::move(later_[i].what);
+      later_.erase(later_.begin() + static_cast<long>(i));
       what();
     }
     std::erase_if(graves_, [](const auto& g) { return g->connections() == 0; });
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -129,7 +129,7 @@
     sockaddr_in at{};     // the relay's
     std::unique_ptr<Relay> relay;
   };
-  struct TimerQueue {
+  struct Later {
     TimePoint at;
     std::function<void()> what;
   };
@@ -191,7 +191,7 @@
   Ledger ledger_;
   CallerStandIns callers_;
   std::vector<bool> in_force_;
-  std::vector<TimerQueue> timers_;
+  std::vector<Later> later_;
   EndpointKey last_key_ = 0;
   std::size_t next_step_ = 0;
   bool stopped_ = false, timekeeper_started_ = false;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -132,7 +132,7 @@
 }
 
 void Sidecar::open() {
-  if (rpc_server_) rpc_server_->listen(*desk_at_);
+  if (desk_) desk_->listen(*desk_at_);
   enter(Phase::serving, scheduler_.now());
   coming_back_.began(scheduler_.now(), started_from_);
   keeper_.start();
@@ -156,7 +156,7 @@
 }
 
 void Sidecar::look_at_return() {
-  if (!rpc_server_ || coming_back_.full()) return;
+  if (!desk_ || coming_back_.full()) return;
   coming_back_.look({counters_.calls, counters_.rejected + counters_.broken_off}, scheduler_.now());
 }
 
@@ -172,8 +172,7 @@
 void Sidecar::open_desk(const std::string& address, std::size_t sockets) {
   if (address.empty()) return;
   desk_at_ = net::parse_address(address);
-  rpc_server_ =
-      std::make_unique<admin::Server>(scheduler_, *this, std::clamp(sockets / 24, desk_least, desk_most));
+  desk_ = std::make_unique<admin::Server>(scheduler_, *this, std::clamp(sockets / 24, desk_least, desk_most));
 }
 
 std::string Sidecar::figures() const {
@@ -415,7 +414,7 @@
 }
 
 void Daemon::meet() {
-  const handover::RpcClient &before = post_->before(), &after = post_->after();
+  const handover::Link &before = post_->before(), &after = post_->after();
   sidecar_.beside(after.serves(), before.serves(), before.lives() || after.lives());
   // The successor that served is gone, or ends: clients are this one's again, and so are successors.
   const bool mine = !sidecar_.ending() && !after.serves();
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -21,7 +21,7 @@
 
 namespace chutevane::sidecar {
 
-class Sidecar final : public admin::RpcServer {
+class Sidecar final : public admin::Desk {
  public:
   // The platform's: one service with one pool.
   Sidecar(net::Scheduler& scheduler, const config::Config& config);
@@ -57,9 +57,7 @@
   std::string coming_back_text() const override;
   bool out_of_service() override;
   bool in_service() override;
-  std::optional<sockaddr_in> admin_address() const {
-    return rpc_server_ ? rpc_server_->address() : std::nullopt;
-  }
+  std::optional<sockaddr_in> admin_address() const { return desk_ ? desk_->address() : std::nullopt; }
   void heard_sighup(bool applied) { ++(applied ? counters_.sighup_applied : counters_.sighup_rejected); }
   std::optional<sockaddr_in> address() const { return callers_.front()->address(); }
   // Where each listener listens, in the file's order.
@@ -96,7 +94,7 @@
   OpenIds open_ids_;
   std::vector<std::unique_ptr<Callers>> callers_;  // one for each listener
   std::optional<sockaddr_in> desk_at_;
-  std::unique_ptr<admin::Server> rpc_server_;  // none: no second address
+  std::unique_ptr<admin::Server> desk_;  // none: no second address
   Phase phase_ = Phase::starting;
   bool other_serves_ = false;  // new connections are another process's
   bool ending_ = false;        // SIGTERM: whatever is said from here on, it ends
--- a/src/snapshot/files.cpp
+++ b/src/snapshot/files.cpp
@@ -60,8 +60,8 @@
 }
 
 // What the writing thread and its owner share; the thread keeps it alive where the disk never answers.
-struct RpcServer {
-  explicit RpcServer(std::string p) : path(std::move(p)), lock(path + ".lock", O_RDWR | O_CREAT) {}
+struct Desk {
+  explicit Desk(std::string p) : path(std::move(p)), lock(path + ".lock", O_RDWR | O_CREAT) {}
 
   bool hold() {
     held = held || ::flock(lock.fd, LOCK_EX | LOCK_NB) == 0;
@@ -119,19 +119,19 @@
 class Files final : public Store {
  public:
   explicit Files(const std::string& path)
-      : rpc_server_(std::make_shared<RpcServer>(path)), boot_(stamp_of_machine().boot) {
+      : desk_(std::make_shared<Desk>(path)), boot_(stamp_of_machine().boot) {
     // It inherits the signal mask: whoever opens a store has blocked what it reads as signals.
-    thread_ = std::thread([desk = rpc_server_] { desk->run(); });
+    thread_ = std::thread([desk = desk_] { desk->run(); });
   }
   ~Files() override {
     settle();
     {
-      const std::unique_lock guard(rpc_server_->mutex);
-      rpc_server_->over = true;
-      rpc_server_->next.reset();
-      rpc_server_->changed.notify_all();
+      const std::unique_lock guard(desk_->mutex);
+      desk_->over = true;
+      desk_->next.reset();
+      desk_->changed.notify_all();
       // Guards the process's end against a disk that never answers.
-      if (rpc_server_->busy) thread_.detach();
+      if (desk_->busy) thread_.detach();
     }
     if (thread_.joinable()) thread_.join();
   }
@@ -146,33 +146,31 @@
   std::vector<std::string> generations() override {
     std::vector<std::string> out;
     for (const char* end : {"", ".1"}) {
-      if (std::optional<std::string> text = read_file(rpc_server_->path + end))
-        out.push_back(std::move(*text));
+      if (std::optional<std::string> text = read_file(desk_->path + end)) out.push_back(std::move(*text));
     }
     return out;
   }
   void set_aside_newest() override {
-    const std::string& path = rpc_server_->path;
+    const std::string& path = desk_->path;
     std::rename((std::filesystem::exists(path) ? path : path + ".1").c_str(), (path + ".broken").c_str());
   }
   void put(Content content) override {
-    const std::unique_lock guard(rpc_server_->mutex);
-    rpc_server_->counters.passed_over += rpc_server_->next ? 1 : 0;
-    rpc_server_->next = std::move(content);
-    rpc_server_->changed.notify_all();
+    const std::unique_lock guard(desk_->mutex);
+    desk_->counters.passed_over += desk_->next ? 1 : 0;
+    desk_->next = std::move(content);
+    desk_->changed.notify_all();
   }
   void settle() override {
-    std::unique_lock guard(rpc_server_->mutex);
-    rpc_server_->changed.wait_for(guard, settle_most,
-                                  [&] { return !rpc_server_->next && !rpc_server_->busy; });
+    std::unique_lock guard(desk_->mutex);
+    desk_->changed.wait_for(guard, settle_most, [&] { return !desk_->next && !desk_->busy; });
   }
   StoreCounters counters() const override {
-    const std::unique_lock guard(rpc_server_->mutex);
-    return rpc_server_->counters;
+    const std::unique_lock guard(desk_->mutex);
+    return desk_->counters;
   }
 
  private:
-  std::shared_ptr<RpcServer> rpc_server_;
+  std::shared_ptr<Desk> desk_;
   std::string boot_;
   std::thread thread_;
 };
--- a/src/world/day.cpp
+++ b/src/world/day.cpp
@@ -207,12 +207,12 @@
   }
 
   std::vector<Process*> at_other_end(const Trouble& t, std::size_t sidecar, lab::Chance& chance) {
-    if (t.link == RpcClient::callers) return callers_of(sidecar);
+    if (t.link == Link::callers) return callers_of(sidecar);
     std::vector<Process*> out;
     const std::size_t tier = fleet_.tier_of_sidecar(sidecar);
     const std::size_t last = scenario_.experiment.pools ? scenario_.experiment.tiers.size() : tier + 1;
     for (std::size_t of = tier; of < last; ++of) {
-      if (t.link == RpcClient::discovery) {
+      if (t.link == Link::discovery) {
         out.push_back(ground_.process(lab::discovery_group + static_cast<int>(of),
                                       fleet_.place_of_sidecar(sidecar) + 1));
       } else {
@@ -282,18 +282,18 @@
     switch (t.kind) {
       case TroubleKind::partition:
         for (Process* p : at_other_end(t, i, chance)) block(t, own, p->number());
-        if (t.link == RpcClient::callers) doubt(i, t.lasts);
+        if (t.link == Link::callers) doubt(i, t.lasts);
         break;
       case TroubleKind::slow_link:
         for (Process* p : at_other_end(t, i, chance)) {
           world().slow(own, p->number(), t.factor);
           world().after(t.lasts, [this, own, other = p->number()] { world().slow(own, other, 1.0); });
         }
-        if (t.link == RpcClient::callers) doubt(i, t.lasts);
+        if (t.link == Link::callers) doubt(i, t.lasts);
         break;
       case TroubleKind::cut:
       case TroubleKind::lost_end:
-        if (t.link == RpcClient::callers) doubt(i, t.lasts);
+        if (t.link == Link::callers) doubt(i, t.lasts);
         for (Process* p : at_other_end(t, i, chance)) {
           const bool here = t.direction == Direction::to_sidecar;
           world().cut(here ? own : p->number(), here ? p->number() : own, t.kind == TroubleKind::cut);
--- a/src/world/scenario.cpp
+++ b/src/world/scenario.cpp
@@ -28,9 +28,8 @@
                                             {"moved", TroubleKind::moved},
                                             {"clock-stepped", TroubleKind::clock_stepped}};
 static_assert(std::size(kind_words) == trouble_kinds);
-constexpr Word<RpcClient> link_words[] = {{"callers", RpcClient::callers},
-                                          {"endpoints", RpcClient::endpoints},
-                                          {"discovery", RpcClient::discovery}};
+constexpr Word<Link> link_words[] = {
+    {"callers", Link::callers}, {"endpoints", Link::endpoints}, {"discovery", Link::discovery}};
 constexpr Word<Direction> direction_words[] = {{"both", Direction::both},
                                                {"to-sidecar", Direction::to_sidecar},
                                                {"from-sidecar", Direction::from_sidecar}};
@@ -52,7 +51,7 @@
   Trouble out;
   out.kind = t.word<TroubleKind>("kind", kind_words, std::nullopt);
   out.tier = t.text("tier", "");
-  out.link = t.word<RpcClient>("link", link_words, RpcClient::endpoints);
+  out.link = t.word<Link>("link", link_words, Link::endpoints);
   out.direction = t.word<Direction>("direction", direction_words, Direction::both);
   out.at = t.span("at_ms", std::nullopt);
   out.lasts = t.span("for_ms", lasts_needed(out.kind) ? std::nullopt : std::optional<double>(0.0));
--- a/src/world/scenario.hpp
+++ b/src/world/scenario.hpp
@@ -33,13 +33,13 @@
                      // with it
 };
 inline constexpr std::size_t trouble_kinds = 15;
-enum class RpcClient : std::uint8_t { callers, endpoints, discovery };   // between those and sidecars
+enum class Link : std::uint8_t { callers, endpoints, discovery };        // between those and sidecars
 enum class Direction : std::uint8_t { both, to_sidecar, from_sidecar };  // what does not come through
 
 struct Trouble {
   TroubleKind kind = TroubleKind::partition;
   std::string tier;  // its sidecars; the first, where none is named
-  RpcClient link = RpcClient::endpoints;
+  Link link = Link::endpoints;
   Direction direction = Direction::both;
   Span at, lasts;     // from the beginning of the measured time
   int sidecars = 0;   // drawn by the seed; 0: all
--- a/src/world/swarm.cpp
+++ b/src/world/swarm.cpp
@@ -134,7 +134,7 @@
     Trouble t;
     t.kind = kind;
     t.tier = e_.pools ? "" : tier.name;
-    t.link = static_cast<RpcClient>(chance_.below(3));
+    t.link = static_cast<Link>(chance_.below(3));
     t.direction = may(0.5) ? Direction::both : may(0.5) ? Direction::to_sidecar : Direction::from_sidecar;
     t.at = moment();
     t.lasts = lasting(t.at);
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -5,8 +5,8 @@
 namespace chutevane::sidecar {
 namespace {
 
-struct RpcServer : SidecarBench {
-  RpcServer() : SidecarBench("\"seed\"", "\"admin_addr\":\"127.0.0.1:0\",\"seed\"") {}
+struct Desk : SidecarBench {
+  Desk() : SidecarBench("\"seed\"", "\"admin_addr\":\"127.0.0.1:0\",\"seed\"") {}
   Peer visitor() { return Peer::to(*sidecar->admin_address()); }
   // The whole answer to one call.
   std::string ask(const std::string& method, const std::string& path) {
@@ -39,7 +39,7 @@
 };
 
 TEST(Admin, WhatDoesNotFitIsSaidSoAndHasNoEffect) {
-  RpcServer d;
+  Desk d;
   EXPECT_TRUE(d.yes("GET", "ready"));
   EXPECT_TRUE(d.ask("GET", "nowhere").starts_with("HTTP/1.1 404"));
   EXPECT_NE(d.ask("POST", "out-of-service").find("Allow: PUT"), std::string::npos);
@@ -53,7 +53,7 @@
 
 // Staff ask how far a process is on its way to full service, and what it started from.
 TEST(Admin, TellsHowFarItHasComeBack) {
-  RpcServer d;
+  Desk d;
   const auto told = [&] {
     const std::string answer = d.ask("GET", "coming-back");
     return json::parse(answer.substr(answer.find("\r\n\r\n") + 4));
@@ -65,7 +65,7 @@
 
 // Guards staff against connections that are held with no whole call, more of them than there are places.
 TEST(Admin, AnswersBesideThoseThatHoldTheirConnection) {
-  RpcServer d;
+  Desk d;
   std::vector<Peer> held;
   for (int i = 0; i < 60; ++i) {
     held.push_back(d.visitor());
@@ -77,7 +77,7 @@
 }
 
 TEST(Admin, EachAnswerIsCountedOnceByClassAndHow) {
-  RpcServer d;
+  Desk d;
   Peer endpoint;
   Peer caller = d.call(request_text("a", "plan"), endpoint);
   EXPECT_EQ(d.figure("outstanding"), 1.0);
@@ -102,7 +102,7 @@
 
 // Out of service: no at once, calls are served on, then connections end, idle ones too, and it listens on.
 TEST(Service, OutOfItEmptiesTheSidecarAndInEndsThat) {
-  RpcServer d;
+  Desk d;
   Peer idle = d.caller();
   idle.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(d.hears(idle, "ready"));
@@ -127,7 +127,7 @@
 }
 
 TEST(Service, InItUndoesADrainThatHasJustBegunAndNoEnd) {
-  RpcServer d;
+  Desk d;
   EXPECT_TRUE(d.yes("PUT", "out-of-service"));
   EXPECT_TRUE(d.yes("PUT", "in-service"));
   ASSERT_TRUE(d.pass(Span::ms(700)));
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -321,7 +321,7 @@
   EXPECT_FALSE(served.over());
 }
 
-// Guards rule 1: of two open calls with one id an endpoint can answer only one. TimerQueue it is free again.
+// Guards rule 1: of two open calls with one id an endpoint can answer only one. Later it is free again.
 TEST(BadInput, AnIdThatIsOpenIsRefused) {
   SidecarBench b;
   Peer endpoint, thief = b.caller();
