--- a/src/common/configuration.cpp
+++ b/src/common/configuration.cpp
@@ -135,6 +135,8 @@
   in.whole("maxAttempts", r.max_attempts, 1, 1000, false);
   in.flag("retained", r.retained);
   in.flag("affinity", r.affinity);
+  in.flag("resumable", r.resumable);
+  if (r.resumable && r.type != RouteType::streaming) r.resumable = false;  // there is nothing to take up
   in.span("retentionS", r.retention, 1000, r.retained);
   in.span("gap_aim_ms", r.gap_aim, 1, false);
   read_split(from, place, in, r, findings);
--- a/src/common/configuration.hpp
+++ b/src/common/configuration.hpp
@@ -27,9 +27,11 @@
   std::vector<Weighted> split;
   std::size_t max_attempts = 1;
   bool retained = false, affinity = false;
+  bool resumable = false;  // its streams may be taken up elsewhere, by `Last-Event-Id`
   Span retention;
   Span gap_aim;  // zero: none is stated
-  bool repeatable() const { return type == RouteType::idempotent; }
+  // Whether an attempt that may have run may be followed by another.
+  bool repeatable() const { return type == RouteType::idempotent || resumable; }
 };
 
 struct Engine {
--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -23,7 +23,8 @@
 Client::Client(DataPlane& plane)
     : plane_(plane),
       channel_(plane.scheduler_, static_cast<net::Channel::Sink&>(*this)),
-      parser_(http::Side::request) {
+      parser_(http::Side::request),
+      budget_(plane.ledger_) {
   set_request_timer();
 }
 
@@ -144,8 +145,11 @@
   told_to_go_on_ = false;
   body_.clear();
   output_.clear();
-  reserved_ = may_have_run_ = false;
+  budget_.close();
+  may_have_run_ = head_out_ = false;
   attempts_ = tries_ = 0;
+  events_ = 0;
+  last_event_.reset();
   placing_ = {};
   route_ = nullptr;
   service_.clear();
@@ -183,7 +187,7 @@
     prepare();
   } else {
     body_ = request_.body;
-    attempt();
+    reserve();
   }
 }
 
@@ -223,18 +227,21 @@
 
 void Client::reserve() {
   placing_.bytes = static_cast<double>(body_.size());
-  if (!request_.budget) return attempt();
+  if (!holds_budget()) return attempt();
+  if (request_.attempt_id.empty())
+    return answer_own(Cause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
   if (request_.program.empty()) return answer_own(Cause::missing_program, 400, "Program: missing");
-  plane_.ledger_.reserve(request_.program, request_.attempt_id, request_.most_out.value_or(0),
+  budget_.open(request_.program, request_.attempt_id);
+  // One that does not say how much it may generate may generate all that there is.
+  plane_.ledger_.reserve(request_.program, request_.attempt_id, request_.most_out.value_or(*request_.budget),
                          *request_.budget, storage_until(), guarded([this](Ledger::Granted granted) {
-                           reserved_ = true;
                            if (granted == Ledger::Granted::spent) {
                              ++plane_.counters_.spent;
-                             unreserve();
+                             budget_.release();
                              return answer_own(Cause::budget_spent, 402, "the budget is spent");
                            }
                            if (granted == Ledger::Granted::unclear) {
-                             unreserve();
+                             budget_.release();
                              return answer_own(Cause::budget_uncertain, 503,
                                                "budgets cannot be set aside now", ComeBack::yes);
                            }
@@ -242,10 +249,13 @@
                          }));
 }
 
-// The turn has not run and will not.
-void Client::unreserve() {
-  if (!std::exchange(reserved_, false)) return;
-  plane_.ledger_.release(request_.program, request_.attempt_id);
+// Only streams generate tokens: they alone are counted.
+bool Client::holds_budget() const { return request_.budget && route_->type == common::RouteType::streaming; }
+
+std::optional<std::int64_t> Client::tokens_passed_on() const {
+  const common::Service* const service = configuration_->service(service_);
+  if (service == nullptr || !service->engine) return std::nullopt;
+  return static_cast<std::int64_t>(events_) * service->engine->tokens_per_event;
 }
 
 }  // namespace chutevane::edge
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "common/configuration.hpp"
+#include "edge/budget_hold.hpp"
 #include "edge/endpoints.hpp"
 #include "edge/failure.hpp"
 #include "edge/request.hpp"
@@ -68,17 +69,25 @@
   // A turn: its chain, then its budget.
   void prepare();
   void reserve();
+  bool holds_budget() const;
   void attempt();
   void send_attempt();
   void attempt_due();
   void attempt_over(Ended how);
+  void begin_attempt(const Endpoint& to, TimePoint now);
+  void first_event_came(TimePoint now);
   void after_failure(bool may_have_run);
+  // A stream of which a part is at the client has lost its endpoint: it is taken up elsewhere, or broken off.
+  void resume_or_break_off(Cause cause);
   // Answers in place of an endpoint: 502 or 504 where it may have run, else 503 for that cause.
   void give_up(Cause unsent_cause);
   Cause cause_of_last_attempt() const;
+  Cause cause_of_break() const;
   void deliver();
   void relay(bool all);
   void finish_stream();
+  // Of what was handed to the client: no more will be.
+  void settle_budget();
   void keep_turn();
   void end_exchange();
 
@@ -92,7 +101,8 @@
   void check_answer_belongs() const;
   void write_head(int status, const std::vector<std::pair<std::string, std::string>>& fields);
   void write_body(int status, std::string_view body, std::size_t length);
-  void unreserve();
+  // Tokens of the events that were passed on; none: the configuration does not say how many an event holds.
+  std::optional<std::int64_t> tokens_passed_on() const;
   Span left() const;
 
   // Guards callbacks that come after the exchange that they were for.
@@ -119,7 +129,7 @@
   std::string service_;
   TimePoint began_, deadline_;
   std::string body_;  // as the endpoint gets it
-  bool reserved_ = false;
+  BudgetHold budget_;
   std::size_t attempts_ = 0, tries_ = 0;
   bool may_have_run_ = false;
   // How an attempt ended, for the cause that is told.
@@ -141,12 +151,14 @@
   TimePoint sent_;
   bool measured_ceiling_ =
       false;  // the estimate holds the attempt, not the class deadline or the client's time
-  bool attempt_open_ = false, turned_away_ = false, bad_answer_ = false, streaming_ = false,
-       head_out_ = false;
+  bool attempt_open_ = false, turned_away_ = false, bad_answer_ = false, streaming_ = false;
+  bool first_event_seen_ = false;  // of the attempt in hand
   int status_ = 0;
   std::size_t stated_length_ = 0;  // bytes of the answer's body, as its head says
   std::vector<std::pair<std::string, std::string>> answer_fields_;
   std::string answer_;  // its body, or the part of a stream that is no whole event yet
+  // What the client has got of its answer, by whichever attempts.
+  bool head_out_ = false;
   std::string output_;  // of a turn
   std::size_t events_ = 0;
   std::optional<std::int64_t> last_event_;
--- a/src/edge/client_answers.cpp
+++ b/src/edge/client_answers.cpp
@@ -45,7 +45,7 @@
 void Client::deliver() {
   ++plane_.counters_.answered;
   check_answer_belongs();
-  if (status_ >= 400 && turned_away_) unreserve();
+  if (status_ >= 400 && turned_away_) budget_.release();
   write_head(status_, answer_fields_);
   write_body(status_, answer_, stated_length_);
   end_exchange();
@@ -89,7 +89,8 @@
 void Client::end_exchange() {
   plane_.timers_.cancel(timer_);
   alive_.reset();
-  exchange_open_ = false;
+  exchange_open_ = head_out_ = false;
+  budget_.close();
   // What is answered before a request is read whole says nothing of the one before.
   request_ = {};
   stage_ = Stage::reading;
@@ -131,11 +132,10 @@
       return;
     }
     if (event.id) last_event_ = event.id;
+    first_event_came(now);
     if (!head_out_) {
       head_out_ = true;
-      stage_ = Stage::relaying;
       ++plane_.counters_.streams;
-      plane_.tier(service_).answered(endpoint_, placing_, now - sent_, now);
       check_answer_belongs();
       write_head(status_, answer_fields_);
       channel_.out().append("Transfer-Encoding: chunked\r\n\r\n");
@@ -157,7 +157,7 @@
 }
 
 void Client::finish_stream() {
-  if (bad_answer_) return break_off(Cause::stream_bad);
+  if (bad_answer_) return resume_or_break_off(Cause::stream_bad);
   if (!head_out_) {
     write_head(status_, answer_fields_);
     channel_.out().append("Transfer-Encoding: chunked\r\n\r\n");
@@ -166,9 +166,14 @@
   if (route_->retained) return keep_turn();
   channel_.out().append("0\r\n\r\n");
   ++plane_.counters_.answered;
+  settle_budget();
   end_exchange();
 }
 
+void Client::settle_budget() {
+  if (const auto tokens = tokens_passed_on()) budget_.settle(*tokens);
+}
+
 // The answer ends, whole, only once the turn is safe: it counts from then on.
 void Client::keep_turn() {
   stage_ = Stage::keeping;
@@ -179,9 +184,8 @@
   turn.input.data = std::move(request_.body);
   turn.output.data = std::move(output_);
   turn.keep_ms = static_cast<std::int64_t>(route_->retention.as_ms());
-  const common::Service* const service = configuration_->service(service_);
-  const int per_event = service != nullptr && service->engine ? service->engine->tokens_per_event : 1;
-  const std::int64_t used = reserved_ ? static_cast<std::int64_t>(events_) * per_event : -1;
+  const std::int64_t tokens = tokens_passed_on().value_or(static_cast<std::int64_t>(events_));
+  const std::int64_t used = budget_.is_open() ? tokens : -1;
   plane_.ledger_.keep(turn, used, deadline_, guarded([this](bool kept) {
                         if (!kept) return break_off(Cause::turn_not_kept);
                         ++plane_.counters_.turns_kept;
@@ -204,7 +208,11 @@
   if (connection_ != nullptr)
     reached_endpoint = plane_.endpoints_.give_up(*std::exchange(connection_, nullptr)) || reached_endpoint;
   attempt_over(Ended::left);
-  if (!reached_endpoint && (stage_ == Stage::preparing || stage_ == Stage::asking)) unreserve();
+  if (head_out_) {
+    settle_budget();  // no more of it reaches the client
+  } else if (!reached_endpoint && (stage_ == Stage::preparing || stage_ == Stage::asking)) {
+    budget_.release();
+  }
   exchange_open_ = false;
   stage_ = Stage::over;
   plane_.clients_.retire(*this);
--- a/src/edge/client_attempts.cpp
+++ b/src/edge/client_attempts.cpp
@@ -18,15 +18,15 @@
   stage_ = Stage::asking;
   common::check_invariant(common::Invariant::not_sent_twice, !may_have_run_ || route_->repeatable(),
                           [&] { return request_.attempt_id + " after " + endpoint_; });
-  common::check_invariant(common::Invariant::reserved_before_sent,
-                          !route_->retained || !request_.budget || reserved_,
+  common::check_invariant(common::Invariant::reserved_before_sent, !holds_budget() || budget_.is_open(),
                           [&] { return request_.attempt_id; });
   const TimePoint now = plane_.timers_.now();
   const Span time = left();
   Tier& tier = plane_.tier(service_);
   if (Tier::spent(time)) return give_up(Cause::time_spent);
   if (tries_ > 0 && !tier.worth_retry(time, now)) return give_up(Cause::time_spent);
-  if (attempts_ >= std::max<std::size_t>(route_->max_attempts, 1) || tries_ > turned_away_most + attempts_)
+  const std::size_t most_attempts = std::max<std::size_t>(route_->max_attempts, 1);
+  if (attempts_ >= most_attempts || tries_ > turned_away_most + attempts_)
     return give_up(last_attempt_ == LastAttempt::turned_away ? Cause::endpoints_full : Cause::no_endpoint);
   std::shared_ptr<Endpoint> to;
   // What may be repeated goes once more to where it has been, rather than to nobody with time left.
@@ -41,33 +41,51 @@
   placing_.avoid.resize(avoided);
   if (!to)
     return give_up(last_attempt_ == LastAttempt::turned_away ? Cause::endpoints_full : Cause::no_endpoint);
-  endpoint_ = to->id;
+  begin_attempt(*to, now);
+  const Span class_deadline = std::min(route_->timeout, time);
+  // One that nothing can follow can't be sent again: it is held to the class deadline and the client's time.
+  const bool may_follow = route_->repeatable() && (!streaming_ || attempts_ < most_attempts);
+  const Span ceiling = tier.ceiling(route_->timeout, time, may_follow, now);
+  measured_ceiling_ = ceiling < class_deadline;
+  tier.sent(endpoint_, placing_, now);
+  plane_.timers_.cancel(timer_);
+  timer_ = plane_.timers_.after(ceiling, guarded([this] { attempt_due(); }));
+  OwnFields own;
+  own.endpoint_id = endpoint_;
+  // The measured ceiling of a stream ends with its first event: its endpoint works on.
+  own.left = streaming_ ? class_deadline : ceiling;
+  if (route_->affinity) own.priority = std::clamp(route_->priority * 2, 0, 9);
+  if (head_out_) own.last_event = last_event_;
+  OutgoingRequest outgoing;
+  outgoing.head = head_for(request_, own, body_.size());
+  outgoing.body = body_;
+  outgoing.attempt_id = request_.attempt_id;
+  outgoing.bodiless_answer = request_.method == "HEAD";
+  connection_ = plane_.endpoints_.send(to, *this, std::move(outgoing));
+}
+
+void Client::begin_attempt(const Endpoint& to, TimePoint now) {
+  endpoint_ = to.id;
   ++tries_;
   ++attempts_;
   ++plane_.counters_.attempts;
   if (tries_ > 1) ++plane_.counters_.retries;
-  turned_away_ = bad_answer_ = head_out_ = false;
+  turned_away_ = bad_answer_ = first_event_seen_ = false;
   status_ = 0;
   answer_.clear();
   answer_fields_.clear();
-  events_ = 0;
-  last_event_.reset();
-  output_.clear();
   sent_ = now;
   attempt_open_ = true;
-  const Span ceiling = tier.ceiling(route_->timeout, time, route_->repeatable(), now);
-  measured_ceiling_ = ceiling < std::min(route_->timeout, time);
-  tier.sent(endpoint_, placing_, now);
+}
+
+void Client::first_event_came(TimePoint now) {
+  if (std::exchange(first_event_seen_, true)) return;
+  plane_.tier(service_).answered(endpoint_, placing_, now - sent_, now);
+  stage_ = Stage::relaying;
+  if (!measured_ceiling_) return;
+  measured_ceiling_ = false;
   plane_.timers_.cancel(timer_);
-  timer_ = plane_.timers_.after(ceiling, guarded([this] { attempt_due(); }));
-  std::optional<int> priority;
-  if (route_->affinity) priority = std::clamp(route_->priority * 2, 0, 9);
-  OutgoingRequest outgoing;
-  outgoing.head = head_for(request_, endpoint_, ceiling, priority, body_.size());
-  outgoing.body = body_;
-  outgoing.attempt_id = request_.attempt_id;
-  outgoing.bodiless_answer = request_.method == "HEAD";
-  connection_ = plane_.endpoints_.send(to, *this, std::move(outgoing));
+  timer_ = plane_.timers_.after(left(), guarded([this] { attempt_due(); }));
 }
 
 void Client::attempt_over(Ended how) {
@@ -83,7 +101,7 @@
   attempt_over(measured_ceiling_ ? Ended::cut : Ended::failed);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::timed_out;
-  if (stage_ == Stage::relaying) return break_off(Cause::stream_timeout);
+  if (head_out_) return resume_or_break_off(Cause::stream_timeout);
   if (route_->repeatable()) {
     placing_.avoid.push_back(endpoint_);
     return attempt();
@@ -120,7 +138,6 @@
 void Client::answer_failed(Failure how) {
   connection_ = nullptr;
   attempt_over(Ended::failed);
-  if (stage_ == Stage::relaying) return break_off(Cause::stream_broke_off);
   if (how == Failure::unsent) --attempts_;
   const bool may_run = how == Failure::broken && !turned_away_;  // a rejection's head is proof enough
   last_attempt_ = may_run        ? LastAttempt::broke_off
@@ -136,10 +153,19 @@
 
 void Client::after_failure(bool ran) {
   may_have_run_ = may_have_run_ || ran;
+  if (head_out_) return resume_or_break_off(Cause::stream_broke_off);
   if (ran && !route_->repeatable()) return give_up(Cause::time_spent);
   attempt();
 }
 
+void Client::resume_or_break_off(Cause cause) {
+  if (!route_->resumable || !last_event_) return break_off(cause);
+  if (std::find(placing_.avoid.begin(), placing_.avoid.end(), endpoint_) == placing_.avoid.end())
+    placing_.avoid.push_back(endpoint_);
+  ++plane_.counters_.resumed;
+  attempt();
+}
+
 void Client::answer_whole() {
   connection_ = nullptr;
   const TimePoint now = plane_.timers_.now();
@@ -147,14 +173,14 @@
     attempt_over(Ended::turned_away);
     last_attempt_ = LastAttempt::turned_away;
     placing_.avoid.push_back(endpoint_);
-    if (status_ == 400) return deliver();
+    if (status_ == 400 && !head_out_) return deliver();
     return attempt();
   }
   if (bad_answer_) {
     attempt_over(Ended::failed);
-    if (stage_ == Stage::relaying) return break_off(Cause::stream_bad);
     last_attempt_ = LastAttempt::bad_answer;
     placing_.avoid.push_back(endpoint_);
+    if (head_out_) return resume_or_break_off(Cause::stream_bad);
     return after_failure(true);
   }
   if (status_ / 100 == 2) {
@@ -164,6 +190,7 @@
       relay(true);
       return finish_stream();
     }
+    if (head_out_) return resume_or_break_off(Cause::stream_bad);
     return deliver();
   }
   // It has run, or a promise that only an endpoint could give is missing.
@@ -171,6 +198,7 @@
   attempt_over(status_ > 500 ? Ended::failed : Ended::served);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::server_error;
+  if (head_out_) return resume_or_break_off(Cause::stream_broke_off);
   if (status_ >= 500 && route_->repeatable() && attempts_ < route_->max_attempts) {
     placing_.avoid.push_back(endpoint_);
     return attempt();
@@ -182,12 +210,13 @@
 }
 
 void Client::give_up(Cause unsent_cause) {
+  if (head_out_) return break_off(cause_of_break());
   if (may_have_run_) {
     ++plane_.counters_.failed;
     const int status = Tier::spent(left()) ? 504 : 502;
     return answer_own(cause_of_last_attempt(), status, "the endpoint gave no whole answer");
   }
-  unreserve();
+  budget_.release();
   answer_own(unsent_cause, 503, "no endpoint can take it now", ComeBack::yes);
 }
 
@@ -204,6 +233,19 @@
   return Cause::endpoint_broke_off;
 }
 
+Cause Client::cause_of_break() const {
+  switch (last_attempt_) {
+    case LastAttempt::bad_answer: return Cause::stream_bad;
+    case LastAttempt::timed_out: return Cause::stream_timeout;
+    case LastAttempt::none:
+    case LastAttempt::unsent:
+    case LastAttempt::turned_away:
+    case LastAttempt::server_error:
+    case LastAttempt::broke_off: break;
+  }
+  return Cause::stream_broke_off;
+}
+
 std::string_view Client::name_of(LastAttempt how) {
   switch (how) {
     case LastAttempt::none: return "";
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -207,6 +207,7 @@
   counter("chutevane_attempts", "Attempts sent to endpoints.", c.attempts);
   counter("chutevane_retries", "Attempts after the first of their request.", c.retries);
   counter("chutevane_attempts_cut", "Attempts ended because their time was over.", c.cut);
+  counter("chutevane_streams_resumed", "Times that a stream was taken up at another endpoint.", c.resumed);
   counter("chutevane_streams", "Streams of which a part was passed on.", c.streams);
   counter("chutevane_events", "Events of streams passed on.", c.events);
   counter("chutevane_turns_kept", "Turns that storage has kept.", c.turns_kept);
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -21,7 +21,8 @@
 
 // What was done, for operators.
 struct Counters {
-  std::uint64_t requests = 0, answered = 0, refused = 0, failed = 0, attempts = 0, retries = 0, cut = 0;
+  std::uint64_t requests = 0, answered = 0, refused = 0, failed = 0, attempts = 0, retries = 0, cut = 0,
+                resumed = 0;
   std::uint64_t streams = 0, events = 0, turns_kept = 0, spent = 0, not_found = 0, unsure = 0;
 };
 
--- a/src/edge/request.cpp
+++ b/src/edge/request.cpp
@@ -13,6 +13,7 @@
 constexpr std::int64_t left_most_ms =
     1000LL * 3600 * 24;                   // a day: a client that waits for ever waits no longer
 constexpr std::size_t parts_most = 4096;  // of one prompt
+constexpr std::string_view last_event_field = "Last-Event-Id";
 
 bool whole_number(std::string_view text, std::int64_t& out) {
   const auto got = std::from_chars(text.data(), text.data() + text.size(), out);
@@ -97,14 +98,17 @@
   return "";
 }
 
-std::string head_for(const Request& request, const std::string& endpoint_id, Span left,
-                     std::optional<int> priority, std::size_t size) {
+std::string head_for(const Request& request, const OwnFields& own, std::size_t size) {
   std::string out = request.method + " " + request.target + " HTTP/1.1\r\n";
-  for (const auto& [name, value] : request.fields) out += name + ": " + value + "\r\n";
-  const auto ms = static_cast<std::int64_t>(std::max(left.as_ms(), 1.0));
+  for (const auto& [name, value] : request.fields) {
+    if (own.last_event && same_name(name, last_event_field)) continue;
+    out += name + ": " + value + "\r\n";
+  }
+  const auto ms = static_cast<std::int64_t>(std::max(own.left.as_ms(), 1.0));
   out += "X-Chutevane-Time-Remaining: " + std::to_string(ms) + "\r\n";
-  out += "X-Chutevane-Target-Instance: " + endpoint_id + "\r\n";
-  if (priority) out += "Priority: " + std::to_string(*priority) + "\r\n";
+  out += "X-Chutevane-Target-Instance: " + own.endpoint_id + "\r\n";
+  if (own.priority) out += "Priority: " + std::to_string(*own.priority) + "\r\n";
+  if (own.last_event) out += std::string(last_event_field) + ": " + std::to_string(*own.last_event) + "\r\n";
   if (size > 0 || request.method != "GET") out += "Content-Length: " + std::to_string(size) + "\r\n";
   return out + "\r\n";
 }
--- a/src/edge/request.hpp
+++ b/src/edge/request.hpp
@@ -30,9 +30,15 @@
 // Whether a field concerns one connection only. `also`: what the Connection field names.
 bool of_one_connection(std::string_view name, std::string_view also);
 
-// The request as it goes to an endpoint, head only; `size`: of its body.
-std::string head_for(const Request& request, const std::string& endpoint_id, Span left,
-                     std::optional<int> priority, std::size_t size);
+// What a sidecar says itself in the head of a request to an endpoint.
+struct OwnFields {
+  std::string endpoint_id{};
+  Span left{};  // until the endpoint is to stop work
+  std::optional<int> priority{};
+  std::optional<std::int64_t> last_event{};  // of a stream that is taken up: in place of what the client says
+};
+// The request as it goes to an endpoint, head only; `size`: of its body, in bytes.
+std::string head_for(const Request& request, const OwnFields& own, std::size_t size);
 
 // An event of a stream, as far as it is read: the data with a line feed behind.
 struct Event {
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -120,6 +120,7 @@
     request.target = parser_.target();
     request.attempt_id = id;
     request.target_instance = parser_.find("X-Chutevane-Target-Instance").value_or("");
+    request.last_event = parser_.find("Last-Event-Id").value_or("");
     request.body = parser_.body();
     request.connection = number_;
     request.endpoint = endpoint_;
@@ -291,7 +292,9 @@
                                          const common::Reserve& reserve) {
     if (silent_on_reserve) return;
     reserved[reserve.attempt] = reserve.most;
-    connection.answer(number, common::Reserved{});
+    common::Reserved reserved_now;
+    reserved_now.others = others;
+    connection.answer(number, reserved_now);
   });
   rpc_server_.on<common::Settle>(
       [this](common::RpcServer::Connection&, std::uint64_t, const common::Settle& settle) {
@@ -385,10 +388,15 @@
            type + R"(","service":"s","timeoutMs":)" + std::to_string(route.timeout_ms) +
            R"(,"maxAttempts":)" + std::to_string(route.max_attempts) + extra + "}";
   };
+  const std::string engine = route.tokens_per_event == 0
+                                 ? ""
+                                 : R"(,"engine":{"capacity":16,"kvCapacity":100000,"tokensPerEvent":)" +
+                                       std::to_string(route.tokens_per_event) + "}";
   return R"({"version":1,"routes":[)" + one("idempotent", "idempotent", "") + "," +
-         one("once", "non_idempotent", "") + "," + one("stream", "streaming", "") + "," +
-         one("turn", "streaming", R"(,"retained":true,"retentionS":60)") +
-         R"(],"services":[{"name":"s"}],"limits":{"maxBodyBytes":)" + std::to_string(limits.body_bytes) +
+         one("once", "non_idempotent", "") + "," +
+         one("stream", "streaming", route.resumable ? R"(,"resumable":true)" : "") + "," +
+         one("turn", "streaming", R"(,"retained":true,"retentionS":60)") + R"(],"services":[{"name":"s")" +
+         engine + R"(}],"limits":{"maxBodyBytes":)" + std::to_string(limits.body_bytes) +
          R"(,"headerTimeoutMs":)" + std::to_string(limits.header_ms) + R"(,"idleTimeoutMs":)" +
          std::to_string(limits.idle_ms) + "}}";
 }
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -53,7 +53,7 @@
 
 // A request as it came whole to an endpoint.
 struct ReceivedRequest {
-  std::string method, target, attempt_id, target_instance, body;
+  std::string method, target, attempt_id, target_instance, last_event, body;
   std::size_t connection = 0;  // the number of the connection, from 1 on, over all endpoints of the script
   std::string endpoint;
 };
@@ -195,6 +195,7 @@
   std::map<std::string, std::int64_t> reserved;  // attempt id -> tokens
   std::map<std::string, std::int64_t> settled;   // attempt id -> tokens used; 0: it never ran
   std::map<std::string, common::Turn> kept;
+  std::vector<common::Reservation> others;  // of the program, as a reservation is told
 
  private:
   common::RpcServer rpc_server_;
@@ -249,6 +250,8 @@
 
 struct RouteOptions {
   int timeout_ms = 4000, max_attempts = 3;
+  bool resumable = false;    // the streaming route
+  int tokens_per_event = 0;  // of the service's engine; 0: it states none
 };
 struct LimitOptions {
   int header_ms = 3000, idle_ms = 15000;
--- a/tests/tier/request_test.cpp
+++ b/tests/tier/request_test.cpp
@@ -116,7 +116,7 @@
   Request r;
   CHECK_TRUE(read_request(parser, r).empty());
   CHECK_TRUE(r.body == "abcde" && count(r, "Transfer-Encoding") == 0);
-  const std::string head = head_for(r, "i-1", Span::ms(10), std::nullopt, r.body.size());
+  const std::string head = head_for(r, {.endpoint_id = "i-1", .left = Span::ms(10)}, r.body.size());
   CHECK_TRUE(times(head, "Content-Length: 5\r\n") == 1 && times(head, "ransfer-") == 0);
 }
 
@@ -131,7 +131,7 @@
                         "X-Chutevane-Time-Remaining: 60\r\nPriority: 1\r\npriority: 2\r\n"
                         "X-Chutevane-Target-Instance: i-9\r\n");
   CHECK_TRUE(got.wrong.empty() && count(got.request, "Accept") == 2);
-  const std::string head = head_for(got.request, "i-1", Span::ms(40), 4, 0);
+  const std::string head = head_for(got.request, {.endpoint_id = "i-1", .left = Span::ms(40), .priority = 4}, 0);
   CHECK_TRUE(times(head, "X-Chutevane-Time-Remaining: ") == 1 && times(head, "riority: ") == 1);
   CHECK_TRUE(times(head, "X-Chutevane-Target-Instance: i-1\r\n") == 1 && times(head, "i-9") == 0);
   CHECK_TRUE(head.find("Accept: a\r\n") < head.find("Accept: b\r\n"));
@@ -175,7 +175,7 @@
 
 TEST(RequestSent, AsItCame) {
   const Read got = read(host + "X-Chutevane-Attempt-Id: 9c41\r\nX-Odd:  a b \r\nX-Empty:\r\n", "bytes");
-  const std::string head = head_for(got.request, "i-7f3a91c2", Span::ms(1234.9), std::nullopt, 5);
+  const std::string head = head_for(got.request, {.endpoint_id = "i-7f3a91c2", .left = Span::ms(1234.9)}, 5);
   CHECK_TRUE(head.starts_with("POST /lohu930/2f?a=1&b=%20 HTTP/1.1\r\n") && head.ends_with("\r\n\r\n"));
   CHECK_EQUAL(static_cast<std::size_t>(1), times(head, "\r\n\r\n"));
   for (const char* line : {"Host: ficu95.example\r\n", "X-Chutevane-Attempt-Id: 9c41\r\n", "X-Odd: a b\r\n",
@@ -195,7 +195,7 @@
 TEST(RequestSent, TimeThatIsLeft) {
   const Read got = read(host);
   for (const double ms : {0.0, -5.0, 0.4, 1.0, 1.9, 60000.0}) {
-    const std::string head = head_for(got.request, "i", Span::ms(ms), 9, 0);
+    const std::string head = head_for(got.request, {.endpoint_id = "i", .left = Span::ms(ms), .priority = 9}, 0);
     const auto want = std::max<long>(1, static_cast<long>(ms));
     CHECK_WHERE(times(head, numbered("X-Chutevane-Time-Remaining: ", want) + "\r\n") == 1, head);
     CHECK_EQUAL(static_cast<std::size_t>(1), times(head, "Priority: 9\r\n"));
@@ -206,9 +206,9 @@
 TEST(RequestSent, Bodiless) {
   CHECK_EQUAL(
       static_cast<std::size_t>(0),
-      times(head_for(read(host, "", "GET /x HTTP/1.1").request, "i", Span::ms(1), {}, 0), "Content-Length"));
+      times(head_for(read(host, "", "GET /x HTTP/1.1").request, {.endpoint_id = "i", .left = Span::ms(1)}, 0), "Content-Length"));
   CHECK_EQUAL(static_cast<std::size_t>(1),
-              times(head_for(read(host, "", "DELETE /x HTTP/1.1").request, "i", Span::ms(1), {}, 0),
+              times(head_for(read(host, "", "DELETE /x HTTP/1.1").request, {.endpoint_id = "i", .left = Span::ms(1)}, 0),
                     "Content-Length: 0\r\n"));
 }
 
