--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -156,7 +156,7 @@
     for (const auto& e : endpoints_.of_service(s.name))
       known.push_back({e->id, e->zone, e->capacity, e->cold});
     at.listed(known, timers_.now());
-    if (s.engine) at.engine(s.engine->kv_capacity);
+    if (s.engine) at.engine(s.engine->kv_capacity, s.engine->capacity);
   }
 }
 
--- a/src/edge/tier.cpp
+++ b/src/edge/tier.cpp
@@ -9,11 +9,14 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr double other_zone = 0.6;             // of its share, for an endpoint of another zone
-constexpr double part_attempts = 10;           // of this sidecar's in 10 s, for each endpoint of its part
-constexpr std::size_t part_least = 3;          // endpoints: one may fail and one be loaded
+constexpr double other_zone = 0.6;  // of its share, for an endpoint of another zone
+constexpr double part_in_flight =
+    0.5;                               // of this sidecar's attempts at each endpoint of its part, on the mean
+constexpr double held_gain = 0.05;     // per attempt: smooths over about 40 of them
+constexpr double nearly_full = 0.75;   // of its places: with fewer taken nobody waits there
+constexpr std::size_t part_least = 3;  // endpoints: one may fail and one be loaded
 constexpr double zone_tokens_per_byte = 0.2;   // what a byte to another zone counts as, in prompt tokens
-constexpr double running_tokens = 24;          // what a running request costs the next one, in tokens
+constexpr double beyond_part_ms = 20;          // a new connection, and its price, against a wait
 constexpr Span report_fresh = Span::ms(2000);  // of an endpoint's load
 constexpr Span shun_first = Span::ms(300), shun_most = Span::ms(5000);  // after failures in a row, doubling
 constexpr double kv_part = 0.8;  // of an endpoint's memory: running requests have the rest
@@ -107,10 +110,10 @@
   const auto fit = [&](std::size_t i, int) {
     return may[i] && load(places_[i]) <= bound ? Shares::Fit::yes : Shares::Fit::no;
   };
-  const auto busy = static_cast<std::size_t>(recent_.sum(now) / part_attempts);
-  const std::size_t part = std::min(shares_.size(), std::max(part_least, busy));
-  int drawn = shares_.draw(Arc{0, part}, random_, 0, fit);
-  if (drawn < 0 && part < shares_.size()) drawn = shares_.draw(Arc{0, shares_.size()}, random_, 0, fit);
+  const std::size_t near = part(now);
+  int drawn = shares_.draw(Arc{0, near}, random_, 0, fit);
+  if (drawn < 0) drawn = least_loaded_of_part(near, may, load);
+  if (drawn < 0 && near < shares_.size()) drawn = shares_.draw(Arc{0, shares_.size()}, random_, 0, fit);
   if (drawn >= 0) return places_[static_cast<std::size_t>(drawn)].id;
   const auto cost = [&](std::size_t i) {
     return (load(places_[i]) + 1) / shares_.speed(places_[i].smoothed_ms);
@@ -120,29 +123,65 @@
       .id;
 }
 
-// Where the least is to be read before it runs: what is not held of the prompt, what is being read there, and
-// what runs. Of those alike all sidecars take the same.
+// All of the part are above the mean. It is passed over as a whole only where its endpoints are nearly full:
+// with free places nobody waits there, and a connection beyond the part has its price.
+template <class May, class Load>
+int Tier::least_loaded_of_part(std::size_t near, const May& may, const Load& load) const {
+  int least = -1;
+  for (std::size_t i = 0; i < near; ++i) {
+    if (!may[i] || load(places_[i]) >= nearly_full * static_cast<double>(places_[i].capacity)) continue;
+    if (least < 0 || load(places_[i]) < load(places_[static_cast<std::size_t>(least)]))
+      least = static_cast<int>(i);
+  }
+  return least;
+}
+
+std::size_t Tier::part(TimePoint now) {
+  // Before any has ended there is no mean yet.
+  const double mean_in_flight =
+      held_ms_ > 0 ? recent_.sum(now) * held_ms_ / recent_window.as_ms() : in_flight();
+  const auto busy = static_cast<std::size_t>(std::ceil(mean_in_flight / part_in_flight));
+  return std::min(places_.size(), std::max(part_least, busy));
+}
+
+double Tier::others_at(const Place& place, TimePoint now) const {
+  if (!place.heard) return model_.others_unheard();
+  return model_.others_now(place.others, now - place.told);
+}
+
+double Tier::cost(const Place& p, const Placing& placing, TimePoint now) const {
+  double unheld = 0;
+  bool whole = true;  // a part counts as held only behind held parts
+  for (const Part& part : placing.parts) {
+    whole = whole && p.held.has(part.id);
+    if (!whole) unheld += part.tokens;
+  }
+  const double others = others_at(p, now), running = p.in_flight + others;
+  const double places = batch_ > 0 ? batch_ : static_cast<double>(p.capacity);
+  double cost = unheld * (1 + running) + p.unread + running * model_.mean_unread();
+  cost += model_.wait_ms(p.in_flight, others, places) / model_.ms_per_token();
+  if (p.zone != zone_) cost += placing.bytes * zone_tokens_per_byte;
+  return cost;
+}
+
+// Where it costs the least, among the endpoints of its part; beyond them where that is worth a connection. Of
+// those alike all sidecars take the same.
 std::string Tier::by_parts(const std::vector<std::size_t>& open, const Placing& placing, TimePoint now) {
   double best = 0;
   std::uint64_t best_rank = 0;
   std::size_t chosen = open.front();
   const std::uint64_t key = placing.parts.front().id;
-  for (const std::size_t i : open) {
-    const Place& p = places_[i];
-    double unheld = 0;
-    bool whole = true;  // a part counts as held only behind held parts
-    for (const Part& part : placing.parts) {
-      whole = whole && p.held.has(part.id);
-      if (!whole) unheld += part.tokens;
-    }
-    const double others = now - p.told < report_fresh ? p.others : 0;
-    double cost = unheld + p.unread + running_tokens * (p.in_flight + others);
-    if (p.zone != zone_) cost += placing.bytes * zone_tokens_per_byte;
+  const std::size_t near = std::min(part(now), open.size());
+  const double beyond = beyond_part_ms / model_.ms_per_token();
+  for (std::size_t n = 0; n < open.size(); ++n) {
+    if (n >= near && best <= beyond) break;
+    const Place& p = places_[open[n]];
+    const double there = cost(p, placing, now) + (n >= near ? beyond : 0);
     const std::uint64_t r = rank(p.id, key);
-    if (i == open.front() || cost < best - 0.5 || (cost < best + 0.5 && r < best_rank)) {
-      best = cost;
+    if (n == 0 || there < best - 0.5 || (there < best + 0.5 && r < best_rank)) {
+      best = there;
       best_rank = r;
-      chosen = i;
+      chosen = open[n];
     }
   }
   return places_[chosen].id;
@@ -154,6 +193,7 @@
   p->in_flight += 1;
   recent_.add(1, now);
   placing.unread = 0;
+  placing.sent = now;
   bool whole = true;
   for (const Part& part : placing.parts) {
     whole = whole && p->held.has(part.id);
@@ -165,6 +205,7 @@
 
 void Tier::answered(const std::string& id, const Placing& placing, Span latency, TimePoint now) {
   estimate_.served(latency, now);
+  if (!placing.parts.empty()) model_.prompt_read(placing.unread, latency);
   Place* const p = find(id);
   if (p == nullptr) return;
   const double ms = std::max(latency.as_ms(), 0.1);
@@ -176,6 +217,7 @@
 
 void Tier::ended(const std::string& id, const Placing& placing, Ended how, TimePoint now) {
   if (how == Ended::cut) estimate_.cut(Span::ms(1), now);
+  note_held(placing, how, now);
   Place* const p = find(id);
   if (p == nullptr) return;
   p->in_flight = std::max(0.0, p->in_flight - 1);
@@ -189,11 +231,21 @@
   }
 }
 
+// How long an attempt held its place.
+void Tier::note_held(const Placing& placing, Ended how, TimePoint now) {
+  if (!placing.sent) return;
+  const Span held = now - *std::exchange(placing.sent, std::nullopt);
+  held_ms_ += (held.as_ms() - held_ms_) * (held_ms_ > 0 ? held_gain : 1.0);
+  if (how == Ended::served && !placing.parts.empty()) model_.place_held(held);
+}
+
 void Tier::load(const std::string& id, double running, double waiting, double, TimePoint now) {
   Place* const p = find(id);
   if (p == nullptr) return;
   p->others = std::max(0.0, running + waiting - p->in_flight);
+  p->heard = true;
   p->told = now;
+  model_.others_told(p->others);
 }
 
 bool Tier::crowded() const {
--- a/src/edge/tier.hpp
+++ b/src/edge/tier.hpp
@@ -17,6 +17,7 @@
 #include "base/pcg.hpp"
 #include "base/windowed_count.hpp"
 #include "chutevane/types.hpp"
+#include "edge/engine_model.hpp"
 #include "edge/held_parts.hpp"
 #include "policy/estimate.hpp"
 #include "policy/shares.hpp"
@@ -33,8 +34,9 @@
   bool affinity = false;    // it goes where parts of its prompt are held
   std::vector<Part> parts;  // of its prompt, in order
   double bytes = 0;         // of its body
-  mutable double unread =
-      0;  // kept by the tier, of the attempt under way: tokens that its endpoint has still to read
+  // Kept by the tier, of the attempt under way: tokens that its endpoint has still to read, and since when.
+  mutable double unread = 0;
+  mutable std::optional<TimePoint> sent{};
   std::vector<std::string> avoid;  // endpoints that have turned it away or failed it
 };
 
@@ -57,7 +59,11 @@
     bool cold = false;
   };
   void listed(const std::vector<Known>& endpoints, TimePoint now);
-  void engine(double kv_tokens) { kv_tokens_ = kv_tokens; }
+  // Of the service's engine: tokens of memory, and requests that run at once (0: as the list says).
+  void engine(double kv_tokens, std::size_t batch) {
+    kv_tokens_ = kv_tokens;
+    batch_ = static_cast<double>(batch);
+  }
   bool empty() const { return places_.empty(); }
 
   // The ceiling of an attempt: the least of the class deadline and the time left, and of three times the
@@ -90,6 +96,7 @@
     double unread = 0;       // tokens of prompts of this sidecar's that are still being read
     double smoothed_ms = 0;  // 0: unheard
     double others = 0;       // requests of other sidecars, by its last report
+    bool heard = false;
     TimePoint told;
     TimePoint shunned_until;  // it has failed of late
     double failures = 0;      // in a row
@@ -97,17 +104,28 @@
   };
   Place* find(const std::string& id);
   void solve(TimePoint now);
+  void note_held(const Placing& placing, Ended how, TimePoint now);
   std::string draw(const std::vector<std::size_t>& open, TimePoint now);
   std::string by_parts(const std::vector<std::size_t>& open, const Placing& placing, TimePoint now);
+  // What it costs there, in tokens that could be read meanwhile.
+  double cost(const Place& place, const Placing& placing, TimePoint now) const;
+  double others_at(const Place& place, TimePoint now) const;
+  template <class May, class Load>
+  int least_loaded_of_part(std::size_t near, const May& may, const Load& load) const;
+  // How many endpoints attempts are spread over.
+  std::size_t part(TimePoint now);
 
   const std::string zone_;
   const std::uint64_t seed_;
   Pcg random_;
-  double kv_tokens_ = 0;
+  double kv_tokens_ = 0, batch_ = 0;
+  EngineModel model_;
   std::vector<Place> places_;
   std::unordered_map<std::string, std::size_t> index_;  // by id
   Estimate estimate_;
-  WindowedCount recent_{Span::ms(10000)};  // attempts
+  static constexpr Span recent_window = Span::ms(10000);
+  WindowedCount recent_{recent_window};  // attempts
+  double held_ms_ = 0;                   // by an attempt, smoothed
   Shares shares_{TimePoint()};
 };
 
