--- a/src/common/session.cpp
+++ b/src/common/session.cpp
@@ -83,7 +83,7 @@
   });
   const TimePoint now = timers_.now();
   std::size_t good = 0;
-  first_.clear();
+  if (!first_stays()) first_.clear();
   for (const std::string& address : known) {
     if (good >= ways_most) break;
     const auto found = ways_.find(address);
@@ -98,6 +98,7 @@
         const auto at = ways_.find(address);
         if (at == ways_.end()) return;
         at->second.refused = 0;
+        if (first_.empty()) first_ = address;  // what is new need not wait for the next look
         tell(at->second);
       });
       way.link->on_word(
@@ -119,6 +120,12 @@
   }
 }
 
+// What is on its way down it would be sent anew down another.
+bool Sessions::first_stays() const {
+  const auto way = ways_.find(first_);
+  return way != ways_.end() && way->second.link->up() && may_become_usable(way->second);
+}
+
 void Sessions::tick() {
   leaving_.clear();
   for (auto& [address, way] : ways_) {
--- a/src/common/session.hpp
+++ b/src/common/session.hpp
@@ -69,6 +69,7 @@
   void choose();
   bool usable(const Way& way) const;
   bool may_become_usable(const Way& way) const;
+  bool first_stays() const;
   void word(const std::string& address, std::uint8_t kind, std::string_view record);
   void pushed(Way& way, Push push);
 
--- a/src/common/value_update.cpp
+++ b/src/common/value_update.cpp
@@ -112,6 +112,10 @@
   return needs_whole_ || at == bases_.rend() ? no_base : *at;
 }
 
+bool PushCursor::needs_whole(RecentValues& values) const {
+  return !values.empty() && values.difference_from(base(values)) == nullptr;
+}
+
 const std::string* PushCursor::next(RecentValues& values, std::size_t unsent) {
   if (values.empty() || unsent > unsent_most) return nullptr;
   if (values.number() <= (needs_whole_ ? held_ : sent_)) return nullptr;
--- a/src/common/value_update.hpp
+++ b/src/common/value_update.hpp
@@ -71,6 +71,8 @@
   static constexpr std::size_t unsent_most = 256 * 1024;  // bytes
   // The receiver told which number it holds, and which push it could not apply (0: none).
   void acknowledged(std::int64_t number, std::int64_t refused);
+  // Whether the next push has the value whole.
+  bool needs_whole(RecentValues& values) const;
   // The record of the next push, if there is one to be sent now; it counts as sent.
   const std::string* next(RecentValues& values, std::size_t unsent);
 
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -48,7 +48,7 @@
   };
   struct Session {
     common::Member member;
-    TimePoint heard;
+    TimePoint since, heard;
     std::int64_t stamp = 0;  // of the newest Hello: returned with each heartbeat
     std::int64_t list_term = 0, list_number = 0;
     common::PushCursor values;
@@ -97,6 +97,8 @@
   void stand(Duty& duty);
   void ballot(Duty& duty, std::int64_t term);
   void read_list();
+  void read_list_now();  // where the duty is this one's
+  void list_was_read(std::vector<common::Listed> entries);
   void take_list(const common::EndpointList& told);
   void step_down_if_overtaken(std::int64_t told);
   void list_changed();
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -29,6 +29,7 @@
       duty.won(term, timers_.now());
       common::log_info("duty.won", duty.name() + ", term " + std::to_string(term));
       gossip();
+      if (&duty == &list_duty_) read_list_now();
     } else if (count->answered == count->asked) {
       count->over = true;
       duty.lost(timers_.now());
@@ -81,22 +82,27 @@
 }
 
 void ControlPlane::read_list() {
-  if (list_duty_.mine() && !platform_.reading()) {
-    platform_.read([this](std::optional<std::vector<common::Listed>> entries) {
-      if (!entries || !list_duty_.mine()) return;
-      for (common::Listed& e : *entries)
-        e.cold_ms = e.cold_ms > 0 ? 1 : 0;  // falls with time: no news by itself
-      const std::int64_t term = list_.term(), number = list_.number();
-      if (!list_.update(told_term(list_duty_.term(), holder_), *entries)) return;
-      for (auto& [address, peer] : peers_) {
-        for (const common::EndpointList& change : list_.since(term, number)) peer.link->tell(change);
-      }
-      list_changed();
-    });
-  }
+  read_list_now();
   timers_.after(list_every, [this] { read_list(); });
 }
 
+void ControlPlane::read_list_now() {
+  if (!list_duty_.mine() || platform_.reading()) return;
+  platform_.read([this](std::optional<std::vector<common::Listed>> entries) {
+    if (entries && list_duty_.mine()) list_was_read(std::move(*entries));
+  });
+}
+
+void ControlPlane::list_was_read(std::vector<common::Listed> entries) {
+  for (common::Listed& e : entries) e.cold_ms = e.cold_ms > 0 ? 1 : 0;  // falls with time: no news by itself
+  const std::int64_t term = list_.term(), number = list_.number();
+  if (!list_.update(told_term(list_duty_.term(), holder_), entries)) return;
+  for (auto& [address, peer] : peers_) {
+    for (const common::EndpointList& change : list_.since(term, number)) peer.link->tell(change);
+  }
+  list_changed();
+}
+
 void ControlPlane::take_list(const common::EndpointList& told) {
   step_down_if_overtaken(told.term);
   if (list_.apply(told)) list_changed();
--- a/src/control/control_plane_limits.hpp
+++ b/src/control/control_plane_limits.hpp
@@ -15,6 +15,7 @@
 constexpr Span session_heard = Span::ms(1300);    // four beats of a sidecar
 constexpr Span behind_most = Span::ms(150);       // news of a change comes within some ms, or is asked for
 constexpr Span list_every = Span::ms(600);        // a fifth of the time to drain; each reading has its price
+constexpr Span whole_elsewhere = Span::ms(600);   // a session's first way has brought the whole value by then
 constexpr Span full_every = Span::ms(2000);       // of the words that say all
 constexpr Span members_settled_after = Span::ms(3000);  // a full word of each peer, and a lost session anew
 constexpr Span acks_most = Span::ms(300);               // an operator waits so long for edges to acknowledge
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -20,6 +20,7 @@
   }
   const bool fresh = !sessions_.contains(connection.id());
   Session& session = sessions_[connection.id()];
+  if (fresh) session.since = timers_.now();
   session.member = hello.member;
   session.heard = timers_.now();
   session.stamp = hello.stamp;
@@ -47,8 +48,14 @@
 void ControlPlane::push(std::uint64_t id, Session& session) {
   common::RpcServer::Connection* const connection = rpc_server_.find(id);
   if (connection == nullptr) return;
-  if (const std::string* const record = session.values.next(pushed_, connection->unsent()))
-    connection->tell_record(common::Push::kind, *record);
+  // A whole value is large, and each member has several sessions: it goes down the first alone, unless that
+  // one does not bring it.
+  const bool leave_to_first = !session.first && timers_.now() - session.since < whole_elsewhere &&
+                              session.values.needs_whole(pushed_);
+  if (!leave_to_first) {
+    if (const std::string* const record = session.values.next(pushed_, connection->unsent()))
+      connection->tell_record(common::Push::kind, *record);
+  }
   if (!list_.newer_than(session.list_term, session.list_number)) return;
   for (const common::EndpointList& change : list_.since(session.list_term, session.list_number))
     connection->tell(change);
