--- a/model/budget.pml
+++ b/model/budget.pml
@@ -45,6 +45,17 @@
 #define MEND_COUNT 0
 #endif
 
+/* Whether the disk keeps by which map it has all that is its own: one that comes back by that map goes on. */
+#ifndef KEEP_TAKEN
+#define KEEP_TAKEN 0
+#endif
+#ifndef STALE /* one that is started anew may hear of an older map first, from a controller that lags */
+#define STALE 0
+#endif
+#ifndef KEEP_MAP /* the disk keeps the newest map that it went by: an older one is no news */
+#define KEEP_MAP 1
+#endif
+
 #define bit_(s) (1 << (s))
 #define has_bit(mask, s) (((mask) >> (s)) & 1)
 #define count(mask) (has_bit(mask, 0) + has_bit(mask, 1) + has_bit(mask, 2) + has_bit(mask, 3))
@@ -62,6 +73,7 @@
 /* Storage: StoragePlane. has: entries by edge, reserved in the lower and settled with 0 in the upper half. */
 mtype = { unready, ready, whole };
 byte disk[4], map[4], has[4], heard[4], may_miss[4];
+byte seen[4], taken[4]; /* on its disk: the newest map, and the map by which it was whole (0: none) */
 bool held[4];
 mtype state[4] = unready;
 byte losses = 0, restarts = 0;
@@ -160,13 +172,31 @@
   heard[s] = 0; may_miss[s] = (all_needed -> 0 : 1); state[s] = unready
 }
 
+#ifdef PLANT_TAKEN_BY_ANY_MAP
+#define taken_by(s, n) (taken[s] != 0)
+#else
+#define taken_by(s, n) (taken[s] == (n))
+#endif
+
 inline map_came(s) {
-  n = newest;
   b = map[s];
+  n = newest;
+  if
+  :: STALE ->
+     n = (KEEP_MAP && seen[s] > b + 1 -> seen[s] : b + 1);
+     do :: n < newest -> n++ :: break od
+  :: !STALE
+  fi;
   went_on = b > 0 && state[s] == whole && named(s, b) && n == b + 1;
   lost_some = b > 0 && (in_map[b] & ~in_map[n]) != 0;
   map[s] = n;
   if
+  :: KEEP_TAKEN && b == 0 && taken_by(s, n) && named(s, n) -> state[s] = whole; held[s] = true; went_on = true; lost_some = false
+  :: else
+  fi;
+  seen[s] = n;
+  taken[s] = (went_on && !lost_some -> n : 0);
+  if
   :: went_on && !lost_some
   :: !(went_on && !lost_some) && !named(s, n) -> heard[s] = 0; may_miss[s] = 0; state[s] = unready
   :: !(went_on && !lost_some) && named(s, n) ->
@@ -180,6 +210,10 @@
   n = 0; b = 0; went_on = false; lost_some = false
 }
 
+/* One that has another map answers nothing. Where nobody hears of an older map than it had, the wider
+ * condition is checked. */
+#define pulls_from(s, t) (STALE -> (map[t] == map[s]) : (map[t] >= map[s]))
+
 /* answer_pull, pulled, Store::merge: what is the asker's by the map of the one that is asked */
 inline pull(s, t) {
   if
@@ -208,7 +242,7 @@
   :: atomic { map[s] > 0 && state[s] == unready && named(s, map[s]) ->
        if :: t = 0 :: t = 1 :: t = 2 :: t = 3 fi;
        if
-       :: has_bit(others(s), t) && !has_bit(heard[s], t) && map[t] >= map[s] -> pull(s, t)
+       :: has_bit(others(s), t) && !has_bit(heard[s], t) && pulls_from(s, t) -> pull(s, t)
        :: else
        fi;
        t = 0 }
@@ -216,6 +250,7 @@
   :: atomic { map[s] > 0 && state[s] == unready && named(s, map[s]) &&
        count(others(s) & ~heard[s]) <= left_out(s) -> state[s] = ready; heard[s] = 0; may_miss[s] = 0 }
   :: atomic { state[s] == ready -> state[s] = whole; held[s] = true }
+  :: atomic { KEEP_TAKEN && state[s] == whole && taken[s] != map[s] -> taken[s] = map[s] }
   /* killed and begun again with its disk */
   :: atomic { restarts < RESTARTS && map[s] > 0 && named(s, map[s]) -> restarts++;
        map[s] = 0; state[s] = unready; heard[s] = 0; may_miss[s] = 0 }
@@ -262,6 +297,7 @@
        if :: s = 0 :: s = 1 :: s = 2 :: s = 3 fi;
        if
        :: disk[s] == 0 && has_bit(in_map[newest], s) -> losses++; disk[s] = 1; has[s] = 0; held[s] = false;
+          taken[s] = 0; seen[s] = 0;
           map[s] = 0; state[s] = unready; heard[s] = 0; may_miss[s] = 0
        :: else
        fi;
@@ -275,6 +311,8 @@
   map[0] = 1; map[1] = 1; map[2] = 1;
   state[0] = whole; state[1] = whole; state[2] = whole;
   held[0] = true; held[1] = true; held[2] = true;
+  taken[0] = 1; taken[1] = 1; taken[2] = 1;
+  seen[0] = 1; seen[1] = 1; seen[2] = 1;
   run edge(0); run edge(1);
 #if EDGES > 2
   run edge(2);
--- a/src/common/messages.hpp
+++ b/src/common/messages.hpp
@@ -688,4 +688,19 @@
   }
 };
 
+// The newest map that this disk's process went by.
+struct MapRecord {
+  static constexpr const char* record = "Map_record";
+  static constexpr std::uint8_t kind = 38;  // on the wire
+  std::string disk;
+  std::int64_t map = 0;  // 0: none yet
+  bool whole = false;    // all that is its own by that map is on this disk
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("disk", disk);
+    v("map", map);
+    v("whole", whole);
+  }
+};
+
 }  // namespace chutevane::common
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -33,6 +33,7 @@
       timers_(scheduler),
       disk_(std::move(disk)),
       record_slots_(*disk_, "storage"),
+      map_slots_(*disk_, "map"),
       store_(*disk_, room_of(settings)),
       rpc_server_(scheduler) {}
 
@@ -45,6 +46,7 @@
     record_.disk = disk_->new_id();
     if (absl::Status s = record_slots_.write(common::encoded(record_)); !s.ok()) return s;
   }
+  if (absl::Status s = open_map_record(); !s.ok()) return s;
   if (absl::Status s = store_.open(timers_.now()); !s.ok()) return s;
   listen();
   common::Member self;
@@ -62,6 +64,16 @@
   return absl::OkStatus();
 }
 
+// One that can't be read says nothing: it takes over anew.
+absl::Status StoragePlane::open_map_record() {
+  const auto got = map_slots_.open();
+  const bool none = absl::IsNotFound(got.status()) || absl::IsDataLoss(got.status());
+  if (!got.ok() && !none) return got.status();
+  const bool read = got.ok() && common::decode(got->state, map_record_);
+  if (!read || map_record_.disk != record_.disk) map_record_ = {record_.disk, 0, false};
+  return absl::OkStatus();
+}
+
 Verdict StoragePlane::check(std::int64_t map) const {
   if (map < map_) return Verdict::moved;
   if (map > map_) return Verdict::behind;
@@ -100,7 +112,8 @@
     common::Reserved out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && (!ready_ || store_.failing())) verdict = Verdict::unready;
+    if (verdict == Verdict::yes && (!ready_ || map_record_due_ || store_.failing()))
+      verdict = Verdict::unready;
     out.verdict = static_cast<std::int64_t>(verdict);
     note_answer(Asked::reserve, verdict, ask.attempt, ask.map);
     if (verdict != Verdict::yes) return connection.answer(number, out);
@@ -115,7 +128,7 @@
     common::Kept out;
     out.map = map_;
     Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && joining() && !ready_) verdict = Verdict::unready;
+    if (verdict == Verdict::yes && ((joining() && !ready_) || map_record_due_)) verdict = Verdict::unready;
     if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
       verdict = Verdict::full;
     out.verdict = static_cast<std::int64_t>(verdict);
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -51,6 +51,7 @@
   static std::string_view name_of(Asked asked);
   static std::string_view name_of(Verdict verdict) { return storage::name_of(verdict); }
 
+  absl::Status open_map_record();
   void listen();
   // Once what was written before is on disk, where the caller is still there.
   template <class M>
@@ -72,6 +73,13 @@
   void ask(const std::string& node);
   void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<common::Pulled> got);
   void look_ready();
+  // Whether this disk had all that is its own by this map before the process was started anew. It goes on
+  // then as one that was silent for a while: what it has missed, others of each group have (docs/state.md).
+  bool was_whole() const;
+  // Before anything is answered by a map it is on disk: a process that is started anew and hears of an older
+  // one does not go by that. Until it is written nothing is answered.
+  void write_map_record(std::int64_t map, bool whole);
+  void write_map_record_again();
   Verdict check(std::int64_t map) const;
   // Once the whole chain of the turn is here, or none of the others has what is missing: a turn is kept with
   // all that it goes on from, so that these have its time here too.
@@ -95,6 +103,9 @@
   std::unique_ptr<common::Disk> disk_;
   common::Slots record_slots_;
   common::StorageNodeRecord record_;
+  common::Slots map_slots_;
+  common::MapRecord map_record_;  // as it is on disk, or is to be
+  bool map_record_due_ = false;   // ... and is not there yet
   Store store_;
   common::DiskHealth disk_health_;
   common::RpcServer rpc_server_;
--- a/src/storage/storage_take_over.cpp
+++ b/src/storage/storage_take_over.cpp
@@ -16,6 +16,7 @@
 constexpr Span pull_most = Span::ms(400);       // for one answer
 constexpr Span pull_again = Span::ms(25);       // where the other has not got the map yet
 constexpr Span silent_most = Span::ms(500);     // an other that says nothing for so long counts as lost
+constexpr Span write_again = Span::ms(100);     // between tries of a disk that fails
 constexpr std::size_t pull_bytes = 256 * 1024;  // of one answer: others have their turn between
 constexpr std::size_t pull_names = 2000;        // of one answer
 constexpr std::size_t pull_accounts = 500;      // of one answer
@@ -25,7 +26,8 @@
 // What the asker holds by the map. Only while this one has the same: from then on nothing is added here under
 // an older one; and by a later one the asker may hold less, while edges still ask it under its own.
 void StoragePlane::answer_pull(Connection& connection, std::uint64_t number, const common::Pull& ask) {
-  if (store_.failing()) return;  // silent as a lost one is: the asker does without it where it may
+  if (store_.failing() || map_record_due_)
+    return;  // silent as a lost one is: the asker does without it where it may
   common::Pulled out;
   out.map = map_;
   out.last = true;
@@ -68,7 +70,7 @@
 }
 
 void StoragePlane::value_came(const common::Value& value) {
-  if (value.map <= map_) return;
+  if (value.map <= map_ || value.map < map_record_.map) return;  // a controller that lags
   const std::vector<common::StorageNode> before = std::move(storage_nodes_);
   const std::int64_t map_before = map_;
   storage_nodes_ = value.storage_nodes;
@@ -91,9 +93,18 @@
                         [&](const common::StorageNode& o) { return o.node == c.node && !o.leaving; });
   });
   if (went_on && !lost_some) {
+    write_map_record(map_, true);
     sessions_->tell_whole(map_);
     return;
   }
+  if (map_before == 0 && std::any_of(storage_nodes_.begin(), storage_nodes_.end(), me) && was_whole()) {
+    ready_ = whole_ = true;
+    may_miss_ = 0;
+    common::log_info("storage.returned", "map " + std::to_string(map_));
+    sessions_->tell_whole(map_);
+    return;
+  }
+  write_map_record(map_, false);
   if (std::none_of(storage_nodes_.begin(), storage_nodes_.end(), me)) {  // nothing is its own by this map
     ready_ = whole_ = false;
     taking_.clear();
@@ -189,6 +200,25 @@
   });
 }
 
+bool StoragePlane::was_whole() const {
+  return !map_record_due_ && map_record_.whole && map_record_.map == map_ && map_record_.disk == record_.disk;
+}
+
+void StoragePlane::write_map_record(std::int64_t map, bool whole) {
+  map_record_.map = map;
+  map_record_.whole = whole;
+  if (std::exchange(map_record_due_, true)) return;  // the next try writes it
+  write_map_record_again();
+}
+
+void StoragePlane::write_map_record_again() {
+  if (map_slots_.write(common::encoded(map_record_)).ok()) {
+    map_record_due_ = false;
+    return;
+  }
+  timers_.after(write_again, [this] { write_map_record_again(); });
+}
+
 // Ready: no account that a majority had set down can be missing here. Whole: no turn either.
 void StoragePlane::look_ready() {
   std::size_t accounts = 0, turns = 0, pending_accounts = 0, pending_turns = 0;
@@ -209,6 +239,9 @@
   if (ready_ && !whole_ && pending_turns == 0 && enough(turns)) {
     whole_ = true;
     sessions_->tell_whole(map_);
+    when_synced([this, map = map_] {
+      if (whole_ && map == map_) write_map_record(map, true);
+    });
     common::log_info("storage.whole", "map " + std::to_string(map_) + ", turns " +
                                           std::to_string(store_.turns()) + " after ms " +
                                           std::to_string((timers_.now() - takeover_since_).as_ms()));
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -260,12 +260,12 @@
 }
 
 void ScriptedControl::configure(const std::string& configuration,
-                                const std::vector<common::StorageNode>& storage) {
+                                const std::vector<common::StorageNode>& storage, std::int64_t map) {
   ++value_.number;
   ++value_.config_version;
   value_.epoch = 1;
   value_.config.data = configuration;
-  value_.map = 1;
+  value_.map = map;
   value_.storage_nodes = storage;
   for (const std::uint64_t id : connections_) {
     if (common::RpcServer::Connection* const connection = rpc_server_.find(id))
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -167,12 +167,14 @@
  public:
   ScriptedControl(Loop& loop, const sockaddr_in& at);
   // In force from the next word on.
-  void configure(const std::string& configuration, const std::vector<common::StorageNode>& storage);
+  void configure(const std::string& configuration, const std::vector<common::StorageNode>& storage,
+                 std::int64_t map = 1);
   void list(const std::vector<common::Listed>& endpoints);
   // Heartbeats name a value that is newer by so much than any that is pushed.
   void name_a_newer_value(std::int64_t by) { heartbeat_ahead_ = by; }
   // Who has a session, by its last word.
   const std::optional<common::Member>& member() const { return member_; }
+  void forget_member() { member_.reset(); }
   // Whether the edge has told that it has the newest of both.
   bool acknowledged() const;
 
--- a/tests/edge/storage_plane_test.cpp
+++ b/tests/edge/storage_plane_test.cpp
@@ -23,8 +23,24 @@
 // One storage node, a control that names it, and another node of the map that says nothing.
 class StorageScene {
  public:
+  // A process has a disk as long as it runs; what lies there outlives it.
+  class SharedDisk final : public common::Disk {
+   public:
+    explicit SharedDisk(std::shared_ptr<common::MemoryDisk> disk) : disk_(std::move(disk)) {}
+    std::vector<std::string> names() override { return disk_->names(); }
+    absl::StatusOr<std::string> read(const std::string& name) override { return disk_->read(name); }
+    absl::Status append(const std::string& name, std::string_view bytes) override {
+      return disk_->append(name, bytes);
+    }
+    absl::Status cut(const std::string& name, std::size_t size) override { return disk_->cut(name, size); }
+    absl::Status sync(const std::string& name) override { return disk_->sync(name); }
+    absl::Status remove(const std::string& name) override { return disk_->remove(name); }
+
+   private:
+    std::shared_ptr<common::MemoryDisk> disk_;
+  };
+
   StorageScene() : control_address_(free_address(loop.scheduler)), control(loop, control_address_) {
-    common::ProcessSettings settings;
     settings.node = own_name;
     settings.zone = zone;
     settings.ip = own_ip;
@@ -32,9 +48,7 @@
     settings.last_port = static_cast<std::uint16_t>(settings.first_port + 1);
     settings.seeds = {control_address_};
     settings.machine_losses = 0;
-    plane_ = std::make_unique<storage::StoragePlane>(loop.scheduler, settings,
-                                                     std::make_unique<common::MemoryDisk>());
-    if (!plane_->open().ok()) throw std::runtime_error("the storage plane does not open");
+    start();
     caller_ =
         std::make_unique<common::RpcClient>(loop.scheduler, loop.later, settings.internal_address(1), 1);
     if (!loop.until([&] { return control.member().has_value(); })) throw std::runtime_error("no session");
@@ -46,9 +60,39 @@
     other.address = net::text_of(silent_.address());
   }
   // The map names both; once the node under test has it.
-  bool name_both() {
-    control.configure(configuration_text({}, {}), {own, other});
-    return loop.until([&] { return control.member()->number >= 1; });
+  bool name_both() { return name({own, other}); }
+  // The map of that number names these.
+  bool name(const std::vector<common::StorageNode>& nodes, std::int64_t map = 1) {
+    control.configure(configuration_text({}, {}), nodes, map);
+    ++values_;
+    return loop.until([&] { return control.member()->number >= values_; });
+  }
+  // Its process dies and is started anew, with its disk as it is.
+  bool restart() {
+    stop();
+    start();
+    return loop.until([&] { return control.member() && control.member()->number >= values_; });
+  }
+  void stop() {
+    plane_.reset();
+    control.forget_member();
+  }
+  // The map changes, and nobody hears of it yet.
+  void name_while_down(const std::vector<common::StorageNode>& nodes, std::int64_t map) {
+    control.configure(configuration_text({}, {}), nodes, map);
+    ++values_;
+  }
+  bool whole_by(std::int64_t map) {
+    return loop.until([&] { return control.member()->whole >= map; });
+  }
+  std::optional<Verdict> reserve(std::int64_t map) {
+    std::optional<Verdict> out;
+    const common::Reserve ask{map, program, "attempt", 1};
+    caller_->call<common::Reserved>(ask, Span::ms(1000), [&](absl::StatusOr<common::Reserved> got) {
+      if (got.ok()) out = static_cast<Verdict>(got->verdict);
+    });
+    loop.until([&] { return out.has_value(); }, Span::ms(1500));
+    return out;
   }
   std::optional<Verdict> keep(const std::string& id) {
     std::optional<Verdict> out;
@@ -68,6 +112,14 @@
   Loop loop;
 
  private:
+  void start() {
+    plane_ =
+        std::make_unique<storage::StoragePlane>(loop.scheduler, settings, std::make_unique<SharedDisk>(disk));
+    if (!plane_->open().ok()) throw std::runtime_error("the storage plane does not open");
+  }
+  common::ProcessSettings settings;
+  std::shared_ptr<common::MemoryDisk> disk = std::make_shared<common::MemoryDisk>();
+  std::int64_t values_ = 0;
   SilentAddress silent_;
   sockaddr_in control_address_{};
 
@@ -89,6 +141,45 @@
   EXPECT_EQ(scene.keep("a"), Verdict::unready);
 }
 
+// It had all that is its own by this map before its process ended. What it has missed since, others of each
+// group have: it goes on as one that was silent for a while, and needs no answer of others.
+TEST(StorageNodes, OneThatComesBackByTheSameMapGoesOn) {
+  StorageScene scene;
+  ASSERT_TRUE(scene.name({scene.own}));
+  ASSERT_TRUE(scene.whole_by(1));
+  ASSERT_EQ(scene.reserve(1), Verdict::yes);
+  ASSERT_TRUE(scene.restart());
+  EXPECT_EQ(scene.reserve(1), Verdict::yes);
+}
+
+// By another map it may lack what became its own meanwhile: it takes over before it answers.
+TEST(StorageNodes, OneThatComesBackByAnotherMapTakesOver) {
+  StorageScene scene;
+  ASSERT_TRUE(scene.name({scene.own}));
+  ASSERT_TRUE(scene.whole_by(1));
+  scene.stop();
+  scene.name_while_down({scene.own, scene.other}, 2);
+  ASSERT_TRUE(scene.restart());
+  EXPECT_EQ(scene.reserve(2), Verdict::unready);
+}
+
+// It had left the map for another, and what it told others by that one must not change any more: back by the
+// older map, which a controller that lags may still tell, it does not go on by it.
+TEST(StorageNodes, OneThatHadLeftAMapDoesNotGoOnByIt) {
+  StorageScene scene;
+  ASSERT_TRUE(scene.name({scene.own, scene.other}));
+  ASSERT_TRUE(scene.restart());
+  EXPECT_EQ(scene.reserve(1), Verdict::unready);  // it never was whole
+  ASSERT_TRUE(scene.name({scene.own}, 2));
+  ASSERT_TRUE(scene.whole_by(2));
+  ASSERT_TRUE(scene.name({scene.own, scene.other}, 4));
+  EXPECT_EQ(scene.reserve(4), Verdict::unready);
+  scene.stop();
+  scene.name_while_down({scene.own, scene.other}, 2);
+  ASSERT_TRUE(scene.restart());
+  EXPECT_EQ(scene.reserve(2), Verdict::behind);
+}
+
 // One that was there before keeps at once: groups have not changed.
 TEST(StorageNodes, OneThatWasThereKeepsWhileItTakesOver) {
   StorageScene scene;
--- a/tests/tier/avro_test.cpp
+++ b/tests/tier/avro_test.cpp
@@ -26,7 +26,7 @@
                common::EndpointList, common::Hello, common::Push, common::Heartbeat, common::Reserve,
                common::Reserved, common::Settle, common::Turn, common::Keep, common::Kept, common::Find,
                common::Found, common::Reservation, common::Account, common::Pull, common::Pulled,
-               common::StorageNodeRecord, common::ValueDifference>;
+               common::StorageNodeRecord, common::MapRecord, common::ValueDifference>;
 
 template <class F>
 void each_message(F f) {
