--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -15,10 +15,11 @@
 constexpr http::Limits anything{.head = 64 * 1024, .body = 256U << 20U, .fields = 100};
 
 sockaddr_in loopback(std::uint16_t port) {
+  static const std::uint32_t own_address = own_loopback(64);
   sockaddr_in out{};
   out.sin_family = AF_INET;
   out.sin_port = htons(port);
-  out.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  out.sin_addr.s_addr = htonl(own_address);
   return out;
 }
 
@@ -30,6 +31,11 @@
 
 }  // namespace
 
+std::uint32_t own_loopback(std::uint8_t network) {
+  const std::uint32_t process = static_cast<std::uint32_t>(::getpid()) & 0x3fffU;
+  return (127U << 24U) | (static_cast<std::uint32_t>(network) << 16U) | (process << 2U) | 1U;
+}
+
 std::string numbered(const char* word, std::size_t number) {
   std::string out = word;
   out += std::to_string(number);
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -29,6 +29,9 @@
 
 constexpr Span wait_limit = Span::ms(5000);  // for anything that is expected to happen
 
+// An address of 127.`network`.0.0/16 that is this process's own: a port that was free there a moment ago is
+// not taken by a test beside it.
+std::uint32_t own_loopback(std::uint8_t network);
 // A word and its number.
 std::string numbered(const char* word, std::size_t number);
 // An address on loopback whose port nobody had a moment ago.
--- a/tests/edge/storage_plane_test.cpp
+++ b/tests/edge/storage_plane_test.cpp
@@ -2,8 +2,10 @@
 // answers before it has taken over what is its own.
 #include "storage/storage_plane.hpp"
 
+#include <arpa/inet.h>
 #include <gtest/gtest.h>
 
+#include <array>
 #include <memory>
 #include <optional>
 #include <string>
@@ -16,9 +18,15 @@
 using storage::Verdict;
 
 const std::string own_name = numbered("storage-", 1), other_name = numbered("storage-", 2),
-                  zone = numbered("z", 1), program = numbered("p", 1), other_disk = numbered("d", 2),
-                  own_ip = numbered("127.77.0.",
-                                    1);  // its port is next to control's, and may be taken at another address
+                  zone = numbered("z", 1), program = numbered("p", 1), other_disk = numbered("d", 2);
+
+// Its port is next to control's, and may be taken at another address.
+std::string own_ip() {
+  in_addr address{};
+  address.s_addr = htonl(own_loopback(77));
+  std::array<char, INET_ADDRSTRLEN> text{};
+  return ::inet_ntop(AF_INET, &address, text.data(), text.size());
+}
 
 // One storage node, a control that names it, and another node of the map that says nothing.
 class StorageScene {
@@ -43,7 +51,7 @@
   StorageScene() : control_address_(free_address(loop.scheduler)), control(loop, control_address_) {
     settings.node = own_name;
     settings.zone = zone;
-    settings.ip = own_ip;
+    settings.ip = own_ip();
     settings.first_port = ntohs(control_address_.sin_port);
     settings.last_port = static_cast<std::uint16_t>(settings.first_port + 1);
     settings.seeds = {control_address_};
