--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -10,8 +10,8 @@
 
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
-#include "net/crew.hpp"
 #include "net/socket.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::admin {
 
@@ -34,7 +34,7 @@
 class Visit {
  public:
   Visit(net::Scheduler& scheduler, Server& server, int fd);
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Server;
@@ -74,7 +74,7 @@
   net::Waker waker_;
   net::Timer timer_;
   net::Socket socket_;
-  net::Crew<Visit> visits_;
+  net::TaskGroup<Visit> visits_;
   net::Task task_;
 };
 
--- a/src/common/endpoint_book.cpp
+++ b/src/common/endpoint_table.cpp
@@ -1,15 +1,15 @@
-#include "common/endpoint_book.hpp"
+#include "common/endpoint_table.hpp"
 
 namespace chutevane::common {
 
-void EndpointBook::note(EndpointList change) {
+void EndpointTable::note(EndpointList change) {
   changes_.push_back(std::move(change));
   if (changes_.size() > changes_most) changes_.pop_front();
 }
 
-bool EndpointBook::update(std::int64_t term, const std::vector<Listed>& all) {
-  std::map<std::string, Listed> next;
-  for (const Listed& e : all) next[e.id] = e;
+bool EndpointTable::update(std::int64_t term, const std::vector<EndpointEntry>& all) {
+  std::map<std::string, EndpointEntry> next;
+  for (const EndpointEntry& e : all) next[e.id] = e;
   if (term != term_) {
     if (term < term_) return false;
     term_ = term;
@@ -24,9 +24,9 @@
     if (had == entries_.end() || !(had->second == e)) change.entries.push_back(e);
   }
   for (const auto& [id, e] : entries_) {
-    if (!next.contains(id)) change.gone.push_back(id);
+    if (!next.contains(id)) change.removed_ids.push_back(id);
   }
-  if (change.entries.empty() && change.gone.empty()) return false;
+  if (change.entries.empty() && change.removed_ids.empty()) return false;
   change.term = term_;
   change.base = number_;
   change.number = ++number_;
@@ -35,25 +35,25 @@
   return true;
 }
 
-bool EndpointBook::apply(const EndpointList& told) {
+bool EndpointTable::apply(const EndpointList& told) {
   if (told.term < term_ || (told.term == term_ && told.number <= number_)) return false;
   if (told.base == 0) {
     term_ = told.term;
     number_ = told.number;
     entries_.clear();
-    for (const Listed& e : told.entries) entries_[e.id] = e;
+    for (const EndpointEntry& e : told.entries) entries_[e.id] = e;
     changes_.clear();
     return true;
   }
   if (told.term != term_ || told.base != number_) return false;
-  for (const Listed& e : told.entries) entries_[e.id] = e;
-  for (const std::string& id : told.gone) entries_.erase(id);
+  for (const EndpointEntry& e : told.entries) entries_[e.id] = e;
+  for (const std::string& id : told.removed_ids) entries_.erase(id);
   number_ = told.number;
   note(told);
   return true;
 }
 
-EndpointList EndpointBook::whole() const {
+EndpointList EndpointTable::whole() const {
   EndpointList out;
   out.term = term_;
   out.number = number_;
@@ -61,7 +61,7 @@
   return out;
 }
 
-std::vector<EndpointList> EndpointBook::since(std::int64_t term, std::int64_t number) const {
+std::vector<EndpointList> EndpointTable::since(std::int64_t term, std::int64_t number) const {
   if (!newer_than(term, number)) return {};
   const bool kept = term == term_ && !changes_.empty() && changes_.front().base <= number;
   if (!kept) return {whole()};
--- a/src/common/http_port.cpp
+++ b/src/common/http_server.cpp
@@ -1,31 +1,31 @@
-#include "common/http_port.hpp"
+#include "common/http_server.hpp"
 
 #include "http/writer.hpp"
 
 namespace chutevane::common {
 
-HttpPort::HttpPort(net::Scheduler& scheduler, std::size_t body_most, Handler handler)
+HttpServer::HttpServer(net::Scheduler& scheduler, std::size_t body_most, Handler handler)
     : scheduler_(scheduler),
       body_most_(body_most),
       handler_(std::move(handler)),
       listener_(scheduler,
-                [this](int fd) { crew_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd); }),
-      crew_(scheduler) {}
+                [this](int fd) { tasks_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd); }),
+      tasks_(scheduler) {}
 
-HttpPort::Connection::Connection(HttpPort& port)
+HttpServer::Connection::Connection(HttpServer& port)
     : port_(port),
-      channel_(port.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      channel_(port.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::request, {.head = 16 * 1024, .body = port.body_most_, .fields = 100}),
       id_(++port.last_) {
   port.connections_.emplace(id_, this);
 }
 
-void HttpPort::Connection::channel_gone(net::Channel&) {
+void HttpServer::Connection::on_channel_closed(net::Channel&) {
   port_.connections_.erase(id_);
-  port_.crew_.retire(*this);
+  port_.tasks_.retire(*this);
 }
 
-void HttpPort::Connection::look() {
+void HttpServer::Connection::look() {
   if (looking_) return;  // an answer that is given at once comes back here: the loop below goes on
   looking_ = true;
   while (!asked_ && channel_.open() && !channel_.in().empty() && take_request()) {
@@ -34,7 +34,7 @@
 }
 
 // False: it has not come whole yet.
-bool HttpPort::Connection::take_request() {
+bool HttpServer::Connection::take_request() {
   const http::Progress progress = parser_.feed(channel_.in().bytes());
   if (progress == http::Progress::more) return false;
   asked_ = true;
@@ -45,7 +45,7 @@
     return true;
   }
   keep_ = parser_.keep_alive();
-  port_.handler_(parser_, [port = &port_, id = id_, number = asked_number_](HttpAnswer reply) {
+  port_.handler_(parser_, [port = &port_, id = id_, number = asked_number_](HttpResponse reply) {
     const auto found = port->connections_.find(id);
     if (found != port->connections_.end() && found->second->asked_number_ == number)
       found->second->answer(reply);
@@ -53,7 +53,7 @@
   return true;
 }
 
-void HttpPort::Connection::answer(const HttpAnswer& reply) {
+void HttpServer::Connection::answer(const HttpResponse& reply) {
   if (!asked_ || !channel_.open()) return;
   http::Writer out(channel_.out());
   out.status_line(reply.status);
@@ -67,7 +67,7 @@
   asked_ = false;
   channel_.flush();
   if (!keep_) {
-    channel_.end_when_written();
+    channel_.close_when_flushed();
   } else {
     look();
   }
--- a/src/common/http_port.hpp
+++ b/src/common/http_server.hpp
@@ -11,41 +11,41 @@
 
 #include "http/parser.hpp"
 #include "net/channel.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::common {
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 200;
   std::string body;
   std::vector<std::pair<std::string, std::string>> fields = {};
 };
 
-class HttpPort {
+class HttpServer {
  public:
   // The answer to one request: may be called later, once. Nothing happens where the caller has gone. Requests
   // of one connection are handled one after the other.
-  using Reply = std::function<void(HttpAnswer)>;
+  using Reply = std::function<void(HttpResponse)>;
   using Handler = std::function<void(const http::Parser& request, Reply reply)>;
 
-  HttpPort(net::Scheduler& scheduler, std::size_t body_most, Handler handler);
+  HttpServer(net::Scheduler& scheduler, std::size_t body_most, Handler handler);
   void listen(const sockaddr_in& at) { listener_.listen(at); }
   std::optional<sockaddr_in> address() const { return listener_.address(); }
 
  private:
-  class Connection final : net::Channel::Sink {
+  class Connection final : net::Channel::Observer {
    public:
-    explicit Connection(HttpPort& port);
-    std::size_t crew_place = 0;
+    explicit Connection(HttpServer& port);
+    std::size_t group_index = 0;
 
    private:
-    friend class HttpPort;
+    friend class HttpServer;
     void look();
     bool take_request();
-    void answer(const HttpAnswer& answer);
-    void channel_came(net::Channel&) override { look(); }
-    void channel_gone(net::Channel&) override;
-    HttpPort& port_;
+    void answer(const HttpResponse& answer);
+    void on_channel_data(net::Channel&) override { look(); }
+    void on_channel_closed(net::Channel&) override;
+    HttpServer& port_;
     net::Channel channel_;
     http::Parser parser_;
     std::uint64_t id_;
@@ -58,7 +58,7 @@
   net::Listener listener_;
   std::uint64_t last_ = 0;
   std::unordered_map<std::uint64_t, Connection*> connections_;
-  net::Crew<Connection> crew_;
+  net::TaskGroup<Connection> tasks_;
 };
 
 }  // namespace chutevane::common
--- a/src/common/messages.hpp
+++ b/src/common/messages.hpp
@@ -27,23 +27,23 @@
   std::string disk;
   std::string address;
   std::string zone;
-  bool leaving = false;
-  bool lost = false;     // its disk took the place of one that was lost, and is not made up for yet
-  bool joining = false;  // it has come in, and has not been whole since
+  bool draining = false;
+  bool disk_replaced = false;  // its disk took the place of one that was lost, and is not made up for yet
+  bool bootstrapping = false;  // it has come in, and has not been whole since
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
     v("disk", disk);
     v("address", address);
     v("zone", zone);
-    v("leaving", leaving);
-    v("lost", lost);
-    v("joining", joining);
+    v("leaving", draining);
+    v("lost", disk_replaced);
+    v("joining", bootstrapping);
   }
   bool operator==(const StorageNode&) const = default;
 };
 
-struct Retired {
+struct RetiredNode {
   static constexpr const char* record = "Retired";
   static constexpr std::uint8_t kind = 3;  // on the wire
   std::string node;
@@ -53,11 +53,11 @@
     v("node", node);
     v("completed", completed);
   }
-  bool operator==(const Retired&) const = default;
+  bool operator==(const RetiredNode&) const = default;
 };
 
 // A configuration that was taken, so that a repeat of it is known.
-struct Taken {
+struct AppliedConfiguration {
   static constexpr const char* record = "Taken";
   static constexpr std::uint8_t kind = 4;  // on the wire
   std::int64_t version = 0;
@@ -67,39 +67,40 @@
     v("version", version);
     v("hash", hash);
   }
-  bool operator==(const Taken&) const = default;
+  bool operator==(const AppliedConfiguration&) const = default;
 };
 
 // What the register holds.
-struct Value {
+struct RegisterValue {
   static constexpr const char* record = "Value";
   static constexpr std::uint8_t kind = 5;  // on the wire
   std::int64_t number = 0;
   std::int64_t epoch = 0;
   std::vector<Acceptor> acceptors;
-  std::vector<Acceptor> next;
+  std::vector<Acceptor> next_acceptors;
   std::int64_t config_version = 0;
   Bytes config;
-  std::vector<Taken> taken;
-  std::int64_t map = 0;
+  std::vector<AppliedConfiguration> applied_configurations;
+  std::int64_t map_version = 0;
   std::vector<StorageNode> storage_nodes;
-  std::vector<StorageNode> absent;  // given up while silent: the others have not made up for their copies yet
-  std::vector<Retired> retired;
+  std::vector<StorageNode>
+      absent_nodes;  // given up while silent: the others have not made up for their copies yet
+  std::vector<RetiredNode> retired_nodes;
   template <class Visitor>
   void each(Visitor& v) {
     v("number", number);
     v("epoch", epoch);
     v("acceptors", acceptors);
-    v("next", next);
+    v("next", next_acceptors);
     v("config_version", config_version);
     v("config", config);
-    v("taken", taken);
-    v("map", map);
+    v("taken", applied_configurations);
+    v("map", map_version);
     v("storage_nodes", storage_nodes);
-    v("absent", absent);
-    v("retired", retired);
+    v("absent", absent_nodes);
+    v("retired", retired_nodes);
   }
-  bool operator==(const Value&) const = default;
+  bool operator==(const RegisterValue&) const = default;
 };
 
 // What makes one value's record out of another's (common/value_difference.hpp); empty: the message that it
@@ -140,16 +141,16 @@
   static constexpr std::uint8_t kind = 7;  // on the wire
   std::int64_t epoch = 0;
   Ballot ballot;
-  Value initial;  // empty: for an acceptor that is in that epoch already
-  bool look_only = false;
-  Ballot known{};  // the asker has the value that was accepted under it; round 0: none
+  RegisterValue initial;  // empty: for an acceptor that is in that epoch already
+  bool read_only = false;
+  Ballot known_ballot{};  // the asker has the value that was accepted under it; round 0: none
   template <class Visitor>
   void each(Visitor& v) {
     v("epoch", epoch);
     v("ballot", ballot);
     v("initial", initial);
-    v("look_only", look_only);
-    v("known", known);
+    v("look_only", read_only);
+    v("known", known_ballot);
   }
 };
 
@@ -160,8 +161,8 @@
   std::int64_t epoch = 0;
   Ballot promised;
   Ballot accepted;
-  Value value;    // empty: the asker has it, `accepted` being what it named
-  Value initial;  // of an epoch that the asker does not know; empty otherwise
+  RegisterValue value;    // empty: the asker has it, `accepted` being what it named
+  RegisterValue initial;  // of an epoch that the asker does not know; empty otherwise
   bool value_known = false;
   template <class Visitor>
   void each(Visitor& v) {
@@ -180,7 +181,7 @@
   static constexpr std::uint8_t kind = 9;  // on the wire
   std::int64_t epoch = 0;
   Ballot ballot;
-  Value value;                   // empty: it comes as a difference
+  RegisterValue value;           // empty: it comes as a difference
   ValueDifference difference{};  // from the value that the acceptor has accepted last
   template <class Visitor>
   void each(Visitor& v) {
@@ -208,8 +209,8 @@
 struct Chosen {
   static constexpr const char* record = "Chosen";
   static constexpr std::uint8_t kind = 11;  // on the wire
-  Value value;                              // empty: it comes as a difference
-  Value initial;                            // empty: for a receiver that is in that epoch already
+  RegisterValue value;                      // empty: it comes as a difference
+  RegisterValue initial;                    // empty: for a receiver that is in that epoch already
   ValueDifference difference{};
   std::int64_t epoch = 0;
   Ballot ballot{};  // under which the value was accepted; round 0: not known
@@ -230,8 +231,8 @@
   std::int64_t epoch = 0;
   Ballot promised;
   Ballot accepted;
-  Value value;
-  Value initial;
+  RegisterValue value;
+  RegisterValue initial;
   template <class Visitor>
   void each(Visitor& v) {
     v("epoch", epoch);
@@ -248,8 +249,8 @@
   static constexpr std::uint8_t kind = 13;  // on the wire
   std::string disk;
   bool first = false;
-  Value known;
-  Value initial;
+  RegisterValue known;
+  RegisterValue initial;
   std::vector<std::string> controllers;
   template <class Visitor>
   void each(Visitor& v) {
@@ -271,9 +272,9 @@
   std::string address;
   std::string zone;
   std::int64_t number = 0;
-  std::int64_t whole = 0;
+  std::int64_t complete_map_version = 0;
   bool counted = false;
-  bool leaving = false;
+  bool draining = false;
   bool disk_failing = false;
   template <class Visitor>
   void each(Visitor& v) {
@@ -283,14 +284,14 @@
     v("address", address);
     v("zone", zone);
     v("number", number);
-    v("whole", whole);
+    v("whole", complete_map_version);
     v("counted", counted);
-    v("leaving", leaving);
+    v("leaving", draining);
     v("disk_failing", disk_failing);
   }
 };
 
-struct HeldDuty {
+struct HeldRole {
   static constexpr const char* record = "Held_duty";
   static constexpr std::uint8_t kind = 15;  // on the wire
   std::string name;
@@ -311,23 +312,23 @@
   std::string control;
   std::string disk;
   std::string zone;
-  bool leaving = false;
+  bool draining = false;
   bool full = false;
   std::int64_t epoch = 0;
-  std::int64_t known = 0;
+  std::int64_t known_number = 0;
   std::int64_t accepted = 0;
   bool voting = false;
   bool first = false;
   bool disk_failing = false;
-  Value initial;
+  RegisterValue initial;
   std::int64_t list_term = 0;
   std::int64_t list_number = 0;
-  std::int64_t life = 0;        // of the sender's process
-  std::int64_t stamp = 0;       // the sender's steady clock at sending, in microseconds
-  std::int64_t echo_life = 0;   // of the receiver's process, as the sender heard last
-  std::int64_t echo_stamp = 0;  // the newest stamp that the sender has received from the receiver
+  std::int64_t incarnation = 0;       // of the sender's process
+  std::int64_t stamp = 0;             // the sender's steady clock at sending, in microseconds
+  std::int64_t echo_incarnation = 0;  // of the receiver's process, as the sender heard last
+  std::int64_t echo_stamp = 0;        // the newest stamp that the sender has received from the receiver
   std::vector<std::string> controllers;
-  std::vector<HeldDuty> duties;
+  std::vector<HeldRole> held_roles;
   std::vector<Member> members;
   template <class Visitor>
   void each(Visitor& v) {
@@ -336,10 +337,10 @@
     v("control", control);
     v("disk", disk);
     v("zone", zone);
-    v("leaving", leaving);
+    v("leaving", draining);
     v("full", full);
     v("epoch", epoch);
-    v("known", known);
+    v("known", known_number);
     v("accepted", accepted);
     v("voting", voting);
     v("first", first);
@@ -347,31 +348,31 @@
     v("initial", initial);
     v("list_term", list_term);
     v("list_number", list_number);
-    v("life", life);
+    v("life", incarnation);
     v("stamp", stamp);
-    v("echo_life", echo_life);
+    v("echo_life", echo_incarnation);
     v("echo_stamp", echo_stamp);
     v("controllers", controllers);
-    v("duties", duties);
+    v("duties", held_roles);
     v("members", members);
   }
 };
 
-struct Vote {
+struct VoteRequest {
   static constexpr const char* record = "Vote";
   static constexpr std::uint8_t kind = 17;  // on the wire
-  std::string duty;
+  std::string role;
   std::int64_t term = 0;
   std::string node;
   template <class Visitor>
   void each(Visitor& v) {
-    v("duty", duty);
+    v("duty", role);
     v("term", term);
     v("node", node);
   }
 };
 
-struct Voted {
+struct VoteReply {
   static constexpr const char* record = "Voted";
   static constexpr std::uint8_t kind = 18;  // on the wire
   bool granted = false;
@@ -384,7 +385,7 @@
 };
 
 // An endpoint as the platform lists it.
-struct Listed {
+struct EndpointEntry {
   static constexpr const char* record = "Listed";
   static constexpr std::uint8_t kind = 19;  // on the wire
   std::string id;
@@ -393,7 +394,7 @@
   std::string zone;
   std::int64_t capacity = 0;
   bool draining = false;
-  std::int64_t cold_ms = 0;
+  std::int64_t slow_start_ms = 0;
   template <class Visitor>
   void each(Visitor& v) {
     v("id", id);
@@ -402,9 +403,9 @@
     v("zone", zone);
     v("capacity", capacity);
     v("draining", draining);
-    v("cold_ms", cold_ms);
+    v("cold_ms", slow_start_ms);
   }
-  bool operator==(const Listed&) const = default;
+  bool operator==(const EndpointEntry&) const = default;
 };
 
 // The change from number base to number, or the whole list where base is 0.
@@ -414,47 +415,48 @@
   std::int64_t term = 0;
   std::int64_t number = 0;
   std::int64_t base = 0;
-  std::vector<Listed> entries;
-  std::vector<std::string> gone;
+  std::vector<EndpointEntry> entries;
+  std::vector<std::string> removed_ids;
   template <class Visitor>
   void each(Visitor& v) {
     v("term", term);
     v("number", number);
     v("base", base);
     v("entries", entries);
-    v("gone", gone);
+    v("gone", removed_ids);
   }
 };
 
 // A sidecar's word when it opens its session, and with each heartbeat.
-struct Hello {
+struct MemberHeartbeat {
   static constexpr const char* record = "Hello";
   static constexpr std::uint8_t kind = 21;  // on the wire
   Member member;
   std::int64_t list_term = 0;
   std::int64_t list_number = 0;
-  bool first = false;
-  bool ending = false;
-  std::int64_t stamp = 0;    // the sender's steady clock at sending, in microseconds
-  std::int64_t refused = 0;  // the newest push that could not be applied, where no later one was; 0: none
+  bool primary = false;
+  bool closing = false;
+  std::int64_t stamp = 0;  // the sender's steady clock at sending, in microseconds
+  std::int64_t rejected_push =
+      0;  // the newest push that could not be applied, where no later one was; 0: none
   template <class Visitor>
   void each(Visitor& v) {
     v("member", member);
     v("list_term", list_term);
     v("list_number", list_number);
-    v("first", first);
-    v("ending", ending);
+    v("first", primary);
+    v("ending", closing);
     v("stamp", stamp);
-    v("refused", refused);
+    v("refused", rejected_push);
   }
 };
 
 // A newer value of the register, down a session: whole, or as the difference from one that the receiver has.
-struct Push {
+struct ValuePush {
   static constexpr const char* record = "Push";
   static constexpr std::uint8_t kind = 22;  // on the wire
   std::int64_t number = 0;
-  Value value;
+  RegisterValue value;
   ValueDifference difference;
   template <class Visitor>
   void each(Visitor& v) {
@@ -465,38 +467,38 @@
 };
 
 // From control down a session, four times a second.
-struct Heartbeat {
+struct ControlHeartbeat {
   static constexpr const char* record = "Heartbeat";
   static constexpr std::uint8_t kind = 23;  // on the wire
-  std::int64_t fresh_ms = 0;                // age of the sender's knowledge of the register
-  std::int64_t echo_stamp = 0;              // of the newest Hello received down this session
+  std::int64_t knowledge_age_ms = 0;        // age of the sender's knowledge of the register
+  std::int64_t echo_stamp = 0;              // of the newest MemberHeartbeat received down this session
   std::int64_t number = 0;
-  std::int64_t edges = 0;
+  std::int64_t edge_count = 0;
   std::vector<std::string> controllers;
   template <class Visitor>
   void each(Visitor& v) {
-    v("fresh_ms", fresh_ms);
+    v("fresh_ms", knowledge_age_ms);
     v("echo_stamp", echo_stamp);
     v("number", number);
-    v("edges", edges);
+    v("edges", edge_count);
     v("controllers", controllers);
   }
 };
 
 // Before a turn runs: its most is set aside.
-struct Reserve {
+struct ReserveRequest {
   static constexpr const char* record = "Reserve";
   static constexpr std::uint8_t kind = 24;  // on the wire
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   std::string program;
   std::string attempt;
-  std::int64_t most = 0;
+  std::int64_t max_tokens = 0;
   template <class Visitor>
   void each(Visitor& v) {
-    v("map", map);
+    v("map", map_version);
     v("program", program);
     v("attempt", attempt);
-    v("most", most);
+    v("most", max_tokens);
   }
 };
 
@@ -505,43 +507,43 @@
   static constexpr std::uint8_t kind = 32;  // on the wire
   std::string attempt;
   std::int64_t tokens = 0;
-  bool settled = false;
+  bool committed = false;
   template <class Visitor>
   void each(Visitor& v) {
     v("attempt", attempt);
     v("tokens", tokens);
-    v("settled", settled);
+    v("settled", committed);
   }
   bool operator==(const Reservation&) const = default;
 };
 
 // With all that this one knows of the program's other attempts.
-struct Reserved {
+struct ReserveReply {
   static constexpr const char* record = "Reserved";
   static constexpr std::uint8_t kind = 25;  // on the wire
   std::int64_t verdict = 0;
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   std::vector<Reservation> others;
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
-    v("map", map);
+    v("map", map_version);
     v("others", others);
   }
 };
 
 // What a reservation came to.
-struct Settle {
+struct CommitUsage {
   static constexpr const char* record = "Settle";
   static constexpr std::uint8_t kind = 26;  // on the wire
   std::string program;
   std::string attempt;
-  std::int64_t used = 0;
+  std::int64_t used_tokens = 0;
   template <class Visitor>
   void each(Visitor& v) {
     v("program", program);
     v("attempt", attempt);
-    v("used", used);
+    v("used", used_tokens);
   }
 };
 
@@ -554,7 +556,7 @@
   std::string program;
   Bytes input;
   Bytes output;
-  std::int64_t keep_ms = 0;
+  std::int64_t retention_ms = 0;
   template <class Visitor>
   void each(Visitor& v) {
     v("id", id);
@@ -562,62 +564,62 @@
     v("program", program);
     v("input", input);
     v("output", output);
-    v("keep_ms", keep_ms);
+    v("keep_ms", retention_ms);
   }
   bool operator==(const Turn&) const = default;
 };
 
-struct Keep {
+struct StoreTurnRequest {
   static constexpr const char* record = "Keep";
   static constexpr std::uint8_t kind = 28;  // on the wire
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   Turn turn;
-  std::int64_t used = 0;
+  std::int64_t used_tokens = 0;
   template <class Visitor>
   void each(Visitor& v) {
-    v("map", map);
+    v("map", map_version);
     v("turn", turn);
-    v("used", used);
+    v("used", used_tokens);
   }
 };
 
-struct Kept {
+struct StoreTurnReply {
   static constexpr const char* record = "Kept";
   static constexpr std::uint8_t kind = 29;  // on the wire
   std::int64_t verdict = 0;
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
-    v("map", map);
+    v("map", map_version);
   }
 };
 
-struct Find {
+struct FindTurnRequest {
   static constexpr const char* record = "Find";
   static constexpr std::uint8_t kind = 30;  // on the wire
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   std::string id;
   std::string attempt;  // of the request that asks, for logs; empty: no request does
   template <class Visitor>
   void each(Visitor& v) {
-    v("map", map);
+    v("map", map_version);
     v("id", id);
     v("attempt", attempt);
   }
 };
 
 // The turn and what it goes on from, the newest first.
-struct Found {
+struct FindTurnReply {
   static constexpr const char* record = "Found";
   static constexpr std::uint8_t kind = 31;  // on the wire
   std::int64_t verdict = 0;
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   std::vector<Turn> turns;
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
-    v("map", map);
+    v("map", map_version);
     v("turns", turns);
   }
 };
@@ -637,29 +639,29 @@
 };
 
 // From one storage sidecar to another: what is mine by this map.
-struct Pull {
+struct PullRequest {
   static constexpr const char* record = "Pull";
   static constexpr std::uint8_t kind = 34;  // on the wire
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   std::string node;
   bool turns = false;
-  std::string after;
-  std::vector<std::string> wanted;
+  std::string after_id;
+  std::vector<std::string> wanted_ids;
   template <class Visitor>
   void each(Visitor& v) {
-    v("map", map);
+    v("map", map_version);
     v("node", node);
     v("turns", turns);
-    v("after", after);
-    v("wanted", wanted);
+    v("after", after_id);
+    v("wanted", wanted_ids);
   }
 };
 
-struct Pulled {
+struct PullReply {
   static constexpr const char* record = "Pulled";
   static constexpr std::uint8_t kind = 35;  // on the wire
   std::int64_t verdict = 0;
-  std::int64_t map = 0;
+  std::int64_t map_version = 0;
   bool last = false;
   std::vector<Account> accounts;
   std::vector<std::string> ids;
@@ -667,7 +669,7 @@
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
-    v("map", map);
+    v("map", map_version);
     v("last", last);
     v("accounts", accounts);
     v("ids", ids);
@@ -693,13 +695,13 @@
   static constexpr const char* record = "Map_record";
   static constexpr std::uint8_t kind = 38;  // on the wire
   std::string disk;
-  std::int64_t map = 0;  // 0: none yet
-  bool whole = false;    // all that is its own by that map is on this disk
+  std::int64_t map_version = 0;  // 0: none yet
+  bool complete = false;         // all that is its own by that map is on this disk
   template <class Visitor>
   void each(Visitor& v) {
     v("disk", disk);
-    v("map", map);
-    v("whole", whole);
+    v("map", map_version);
+    v("whole", complete);
   }
 };
 
--- a/src/common/process.cpp
+++ b/src/common/process.cpp
@@ -10,7 +10,7 @@
 #include <exception>
 #include <system_error>
 
-#include "common/http_port.hpp"
+#include "common/http_server.hpp"
 #include "common/log.hpp"
 #include "net/signals.hpp"
 #include "net/timer_queue.hpp"
@@ -34,7 +34,7 @@
  public:
   MetricsPort(net::Scheduler& scheduler, Plane& plane, const sockaddr_in& at)
       : plane_(plane),
-        port_(scheduler, metrics_body_most, [this](const http::Parser& request, HttpPort::Reply reply) {
+        port_(scheduler, metrics_body_most, [this](const http::Parser& request, HttpServer::Reply reply) {
           serve(request, std::move(reply));
         }) {
     try {
@@ -45,7 +45,7 @@
   }
 
  private:
-  void serve(const http::Parser& request, HttpPort::Reply reply) {
+  void serve(const http::Parser& request, HttpServer::Reply reply) {
     const std::string_view path = request.target().substr(0, request.target().find('?'));
     if (path != "/metrics") return reply({404, "", {}});
     if (request.method() != "GET") return reply({405, "", {}});
@@ -55,7 +55,7 @@
     reply({200, std::move(out).finish(), {{"Content-Type", std::string(metrics_content_type)}}});
   }
   Plane& plane_;
-  HttpPort port_;
+  HttpServer port_;
 };
 
 sockaddr_in metrics_address(const Program& program, const ProcessSettings& settings) {
@@ -85,21 +85,21 @@
     while (true) {
       for (int n = signals_.next(); n != 0; n = signals_.next()) {
         if (n == SIGHUP) {
-          reread();
+          reload();
         } else {
           log_info("process.leaving", n == SIGTERM ? "SIGTERM" : "SIGINT");
-          plane_.leave();
+          plane_.begin_shutdown();
         }
       }
       co_await waker_.wait(net::Waker::readable);
     }
   }
   void look() {
-    if (stamp_of(path_) != stamp_) reread();
+    if (stamp_of(path_) != stamp_) reload();
     timers_.after(look_every, [this] { look(); });
   }
   // A bad file changes nothing: what runs stays.
-  void reread() {
+  void reload() {
     stamp_ = stamp_of(path_);
     const auto settings = load_settings(path_);
     if (!settings.ok()) {
@@ -107,7 +107,7 @@
     } else if (settings->node != node_) {
       log_warning("settings.refused", "nodeName has changed: that needs a new start");
     } else {
-      plane_.reread(*settings);
+      plane_.reload(*settings);
       log_info("settings.read", path_);
     }
   }
--- a/src/common/process.hpp
+++ b/src/common/process.hpp
@@ -17,9 +17,9 @@
  public:
   virtual ~Plane() = default;
   virtual absl::Status open() = 0;
-  virtual void leave() = 0;  // SIGTERM: come to an end within the grace
+  virtual void begin_shutdown() = 0;  // SIGTERM: come to an end within the grace
   virtual bool finished() const = 0;
-  virtual void reread(const ProcessSettings&) {}  // the settings file has changed
+  virtual void reload(const ProcessSettings&) {}  // the settings file has changed
   virtual void write_metrics(MetricsWriter&) {}   // the plane's own figures
 };
 
--- a/src/common/bounded_log.hpp
+++ b/src/common/rate_limited_log.hpp
@@ -11,10 +11,10 @@
 
 namespace chutevane::common {
 
-class BoundedLog {
+class RateLimitedLog {
  public:
   // `event`: a stable name, which outlives this. `lines_most`: in one second.
-  BoundedLog(std::string_view event, int lines_most) : event_(event), lines_most_(lines_most) {}
+  RateLimitedLog(std::string_view event, int lines_most) : event_(event), lines_most_(lines_most) {}
 
   // Whether a line may go out now. Where not, it counts as left out: no text has to be made for it.
   bool admits(TimePoint now) {
--- a/src/common/rpc.cpp
+++ b/src/common/rpc.cpp
@@ -2,207 +2,191 @@
 
 #include <xxhash.h>
 
-#include <cstring>
-
 #include "common/log.hpp"
 
 namespace chutevane::common {
 namespace {
 
-constexpr Span connect_most = Span::ms(500);  // a machine that is there answers within some ms
-constexpr Span pause_first = Span::ms(20), pause_most = Span::ms(200);  // between tries to connect
+constexpr Span connect_timeout = Span::ms(500);  // a machine that is there answers within some ms
+constexpr Span initial_backoff = Span::ms(20), max_backoff = Span::ms(200);
 
 }  // namespace
 
-namespace frame {
-
-void put(net::Buffer& out, std::uint8_t kind, Sort sort, std::uint64_t number, std::string_view record) {
-  char head[head_size];
-  const auto size = static_cast<std::uint32_t>(record.size());
-  std::memcpy(head, &size, 4);
-  head[4] = static_cast<char>(kind);
-  head[5] = static_cast<char>(sort);
-  std::memcpy(head + 6, &number, 8);
-  out.append({head, head_size});
-  out.append(record);
-}
-
-Progress look(std::span<const char> bytes, Head& head) {
-  if (bytes.size() < head_size) return Progress::more;
-  std::memcpy(&head.size, bytes.data(), 4);
-  head.kind = static_cast<std::uint8_t>(bytes[4]);
-  head.sort = static_cast<Sort>(bytes[5]);
-  std::memcpy(&head.number, bytes.data() + 6, 8);
-  if (head.size > record_most || head.sort > Sort::answer) return Progress::broken;
-  return bytes.size() < head_size + head.size ? Progress::more : Progress::whole;
-}
-
-}  // namespace frame
-
-RpcClient::RpcClient(net::Scheduler& scheduler, net::TimerQueue& later, const sockaddr_in& to,
+RpcClient::RpcClient(net::Scheduler& scheduler, net::TimerQueue& timers, const sockaddr_in& to,
                      std::uint64_t seed)
-    : scheduler_(scheduler), timers_(later), to_(to), pause_(pause_first), random_(seed) {
+    : scheduler_(scheduler), timers_(timers), to_(to), backoff_(initial_backoff), random_(seed) {
   connect();
 }
 
 RpcClient::~RpcClient() {
-  timers_.cancel(retry_);
-  timers_.cancel(rising_);
-  for (auto& [number, call] : calls_) timers_.cancel(call.due);
+  timers_.cancel(retry_timer_);
+  timers_.cancel(connect_timeout_timer_);
+  for (auto& [number, call] : calls_) timers_.cancel(call.timeout);
 }
 
 void RpcClient::connect() {
-  old_.reset();
-  channel_ = std::make_unique<net::Channel>(scheduler_, static_cast<net::Channel::Sink&>(*this));
-  heard_ = timers_.now();
+  closed_channel_.reset();
+  channel_ = std::make_unique<net::Channel>(scheduler_, static_cast<net::Channel::Observer&>(*this));
+  received_at_ = timers_.now();
   if (!channel_->connect(to_)) {
     channel_.reset();
-    again();
+    schedule_reconnect();
     return;
   }
-  rising_ = timers_.after(connect_most, [this] {
-    if (channel_ && !channel_->up()) restart();
+  connect_timeout_timer_ = timers_.after(connect_timeout, [this] {
+    if (channel_ && !channel_->up()) reconnect();
   });
 }
 
-void RpcClient::again() {
-  timers_.cancel(retry_);
+void RpcClient::schedule_reconnect() {
+  timers_.cancel(retry_timer_);
   random_ = XXH3_64bits(&random_, sizeof random_);
   const double jitter = 0.5 + static_cast<double>(random_ >> 11U) * 0x1p-53;
-  retry_ = timers_.after(pause_ * jitter, [this] { connect(); });
-  pause_ = std::min(pause_ * 2, pause_most);
+  retry_timer_ = timers_.after(backoff_ * jitter, [this] { connect(); });
+  backoff_ = std::min(backoff_ * 2, max_backoff);
 }
 
-void RpcClient::restart() {
-  timers_.cancel(rising_);
+void RpcClient::reconnect() {
+  timers_.cancel(connect_timeout_timer_);
   const bool was_up = up();
   if (channel_) {
     channel_->reset();
-    old_ = std::move(channel_);  // its coroutine may be running
+    closed_channel_ = std::move(channel_);
   }
-  again();
-  fail_all();
-  if (was_up && told_down_) told_down_();
+  schedule_reconnect();
+  fail_pending_calls();
+  if (was_up && on_down_) on_down_();
 }
 
-void RpcClient::fail_all() {
+void RpcClient::fail_pending_calls() {
   std::map<std::uint64_t, Call> calls;
   calls.swap(calls_);
   for (auto& [number, call] : calls) {
-    timers_.cancel(call.due);
-    call.answered(absl::UnavailableError("connection lost"));
+    timers_.cancel(call.timeout);
+    call.done(absl::UnavailableError("connection lost"));
   }
 }
 
-void RpcClient::channel_up(net::Channel&) {
-  timers_.cancel(rising_);
-  pause_ = pause_first;
-  heard_ = timers_.now();
-  for (auto& [number, call] : calls_)
-    put(call.kind, frame::Sort::call, number, call.record), call.record.clear();
-  if (told_up_) told_up_();
+void RpcClient::on_channel_open(net::Channel&) {
+  timers_.cancel(connect_timeout_timer_);
+  backoff_ = initial_backoff;
+  received_at_ = timers_.now();
+  for (auto& [number, call] : calls_) {
+    write_frame(call.kind, frame::MessageType::request, number, call.record);
+    call.record.clear();
+  }
+  if (on_up_) on_up_();
 }
 
-void RpcClient::channel_gone(net::Channel&) {
-  timers_.cancel(rising_);
-  old_ = std::move(channel_);
-  again();
-  fail_all();
-  if (told_down_) told_down_();
+void RpcClient::on_channel_closed(net::Channel&) {
+  timers_.cancel(connect_timeout_timer_);
+  closed_channel_ = std::move(channel_);
+  schedule_reconnect();
+  fail_pending_calls();
+  if (on_down_) on_down_();
 }
 
-void RpcClient::call_raw(std::uint8_t kind, std::string record, Span most, Answered answered) {
-  const std::uint64_t number = ++last_;
+void RpcClient::call_raw(std::uint8_t kind, std::string record, Span timeout, ReplyCallback done) {
+  const std::uint64_t number = ++last_number_;
   Call& call = calls_[number];
   call.kind = kind;
-  call.answered = std::move(answered);
-  call.since = timers_.now();
-  call.due = timers_.after(most, [this, number] {
-    const auto found = calls_.find(number);
-    if (found == calls_.end()) return;
-    const Answered told = std::move(found->second.answered);
-    const bool deaf = up() && heard_ < found->second.since;
-    calls_.erase(found);
-    told(absl::DeadlineExceededError("no answer in time"));
-    if (deaf) restart();  // nothing has come since it was asked: the way may be gone without a word
-  });
+  call.done = std::move(done);
+  call.started_at = timers_.now();
+  call.timeout = timers_.after(timeout, [this, number] { on_timeout(number); });
   if (up()) {
-    put(kind, frame::Sort::call, number, record);
+    write_frame(kind, frame::MessageType::request, number, record);
   } else {
     call.record = std::move(record);
   }
 }
 
-void RpcClient::put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record) {
-  frame::put(channel_->out(), kind, sort, number, record);
+void RpcClient::on_timeout(std::uint64_t number) {
+  const auto found = calls_.find(number);
+  if (found == calls_.end()) return;
+  const ReplyCallback done = std::move(found->second.done);
+  const bool nothing_received = up() && received_at_ < found->second.started_at;
+  calls_.erase(found);
+  done(absl::DeadlineExceededError("no answer in time"));
+  if (nothing_received) reconnect();  // the connection may be dead without having been closed
+}
+
+void RpcClient::on_reply(std::uint64_t number, const std::string& record) {
+  const auto found = calls_.find(number);
+  if (found == calls_.end()) return;
+  const ReplyCallback done = std::move(found->second.done);
+  timers_.cancel(found->second.timeout);
+  calls_.erase(found);
+  done(record);
+}
+
+void RpcClient::write_frame(std::uint8_t kind, frame::MessageType type, std::uint64_t number,
+                            std::string_view record) {
+  frame::append(channel_->out(), kind, type, number, record);
   channel_->flush();
 }
 
-void RpcClient::channel_came(net::Channel& channel) {
-  heard_ = timers_.now();
-  frame::Head head;
+void RpcClient::on_channel_data(net::Channel& channel) {
+  received_at_ = timers_.now();
+  frame::Header header;
+  // A callback may have replaced or closed the channel.
   while (channel_.get() == &channel && channel.open()) {
     const std::span<char> bytes = channel.in().bytes();
-    const frame::Progress progress = frame::look(bytes, head);
-    if (progress == frame::Progress::broken) return restart();
-    if (progress == frame::Progress::more) return;
-    const std::string record(bytes.data() + frame::head_size, head.size);
-    channel.in().consume(frame::head_size + head.size);
-    if (head.sort == frame::Sort::answer) {
-      const auto found = calls_.find(head.number);
-      if (found == calls_.end()) continue;
-      const Answered told = std::move(found->second.answered);
-      timers_.cancel(found->second.due);
-      calls_.erase(found);
-      told(record);
-    } else if (word_) {
-      word_(head.kind, record);
+    const frame::ParseResult result = frame::parse_header(bytes, header);
+    if (result == frame::ParseResult::malformed) return reconnect();
+    if (result == frame::ParseResult::incomplete) return;
+    const std::string record(bytes.data() + frame::header_size, header.size);
+    channel.in().consume(frame::header_size + header.size);
+    if (header.type == frame::MessageType::reply) {
+      on_reply(header.number, record);
+    } else if (on_message_) {
+      on_message_(header.kind, record);
     }
   }
 }
 
-RpcServer::Connection::Connection(RpcServer& desk)
-    : rpc_server_(desk),
-      channel_(desk.scheduler_, static_cast<net::Channel::Sink&>(*this)),
-      id_(++desk.last_) {
-  desk.connections_.emplace(id_, this);
+RpcServer::Connection::Connection(RpcServer& server)
+    : rpc_server_(server),
+      channel_(server.scheduler_, static_cast<net::Channel::Observer&>(*this)),
+      id_(++server.last_id_) {
+  server.connections_.emplace(id_, this);
 }
 
-void RpcServer::Connection::put(std::uint8_t kind, frame::Sort sort, std::uint64_t number,
-                                std::string_view record) {
+void RpcServer::Connection::write_frame(std::uint8_t kind, frame::MessageType type, std::uint64_t number,
+                                        std::string_view record) {
   if (!channel_.open()) return;
-  frame::put(channel_.out(), kind, sort, number, record);
+  frame::append(channel_.out(), kind, type, number, record);
   channel_.flush();
 }
 
 void RpcServer::Connection::close() {
   if (!channel_.open()) return;
   channel_.close();
-  channel_gone(channel_);
+  on_channel_closed(channel_);
 }
 
-void RpcServer::Connection::channel_gone(net::Channel&) {
+void RpcServer::Connection::on_channel_closed(net::Channel&) {
   rpc_server_.connections_.erase(id_);
-  if (rpc_server_.gone_) rpc_server_.gone_(*this);
-  rpc_server_.crew_.retire(*this);
+  if (rpc_server_.on_close_) rpc_server_.on_close_(*this);
+  rpc_server_.tasks_.retire(*this);
 }
 
-void RpcServer::Connection::channel_came(net::Channel& channel) {
-  frame::Head head;
-  while (channel.open()) {
+void RpcServer::Connection::on_channel_data(net::Channel& channel) {
+  frame::Header header;
+  while (channel.open()) {  // a handler may close it
     const std::span<char> bytes = channel.in().bytes();
-    const frame::Progress progress = frame::look(bytes, head);
-    if (progress == frame::Progress::more) return;
-    if (progress == frame::Progress::broken) {
-      log_warning("desk.broken_frame", "a peer sent what is no frame");
+    const frame::ParseResult result = frame::parse_header(bytes, header);
+    if (result == frame::ParseResult::incomplete) return;
+    if (result == frame::ParseResult::malformed) {
+      log_warning("rpc.malformed_frame", "a peer sent what is no frame");
       close();
       return;
     }
-    const std::string record(bytes.data() + frame::head_size, head.size);
-    channel.in().consume(frame::head_size + head.size);
-    const auto handler = rpc_server_.handlers_.find(head.kind);
-    if (handler != rpc_server_.handlers_.end())
-      handler->second(*this, head.sort == frame::Sort::call ? head.number : 0, record);
+    const std::string record(bytes.data() + frame::header_size, header.size);
+    channel.in().consume(frame::header_size + header.size);
+    const auto handler = rpc_server_.handlers_.find(header.kind);
+    if (handler == rpc_server_.handlers_.end()) continue;
+    const bool is_request = header.type == frame::MessageType::request;
+    handler->second(*this, is_request ? header.number : 0, record);
   }
 }
 
@@ -210,10 +194,10 @@
     : scheduler_(scheduler),
       listener_(scheduler,
                 [this](int fd) {
-                  // Its place first: what has come already may end it at once.
-                  crew_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd);
+                  // Added before it adopts the socket: what has arrived already may end it at once.
+                  tasks_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd);
                 }),
-      crew_(scheduler) {}
+      tasks_(scheduler) {}
 
 void RpcServer::listen(const sockaddr_in& at) { listener_.listen(at); }
 
--- a/src/common/rpc.hpp
+++ b/src/common/rpc.hpp
@@ -1,5 +1,11 @@
-// Held connections between the system's own processes: framed Avro records, calls with answers, and words
-// without. RpcClient is the end that connects, and connects again; RpcServer the end that is connected to.
+/// Remote calls between the system's own processes over long-lived TCP connections.
+///
+/// RpcClient is the end that connects, and reconnects with backoff; RpcServer is the end that is connected
+/// to. Both exchange frames (common/frame.hpp): requests with one reply each, and notifications without.
+/// There is no retry here: a call whose reply is missing may have been executed.
+///
+/// All of it runs on the thread of its scheduler. Callbacks run inside the scheduler's turn; they may start
+/// calls and close connections, but must not destroy the RpcClient or RpcServer that calls them.
 #pragma once
 
 #include <functional>
@@ -10,131 +16,141 @@
 
 #include "absl/status/statusor.h"
 #include "common/avro.hpp"
+#include "common/frame.hpp"
 #include "net/channel.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 #include "net/timer_queue.hpp"
 
 namespace chutevane::common {
 
-namespace frame {
-
-enum class Sort : std::uint8_t { word, call, answer };
-struct Head {
-  std::uint32_t size = 0;  // of the record behind it
-  std::uint8_t kind = 0;
-  Sort sort = Sort::word;
-  std::uint64_t number = 0;  // of a call, repeated in its answer
-};
-constexpr std::size_t head_size = 14;              // bytes
-constexpr std::uint32_t record_most = 64U << 20U;  // bytes: a configuration of 4 MB many times over
-
-void put(net::Buffer& out, std::uint8_t kind, Sort sort, std::uint64_t number, std::string_view record);
-enum class Progress : std::uint8_t { more, whole, broken };
-// The frame at the front, if it is whole; its record is at bytes + head_size.
-Progress look(std::span<const char> bytes, Head& head);
-
-}  // namespace frame
-
-class RpcClient final : net::Channel::Sink {
+class RpcClient final : net::Channel::Observer {
  public:
-  using Answered = std::function<void(absl::StatusOr<std::string>)>;
-  using Word = std::function<void(std::uint8_t kind, std::string_view record)>;
+  /// The encoded reply, or why there is none.
+  using ReplyCallback = std::function<void(absl::StatusOr<std::string>)>;
+  using MessageCallback = std::function<void(std::uint8_t kind, std::string_view record)>;
 
-  RpcClient(net::Scheduler& scheduler, net::TimerQueue& later, const sockaddr_in& to, std::uint64_t seed);
+  /// Begins to connect at once. `seed` makes the jitter of the backoff differ between clients. `scheduler`
+  /// and `timers` must outlive this.
+  RpcClient(net::Scheduler& scheduler, net::TimerQueue& timers, const sockaddr_in& to, std::uint64_t seed);
   ~RpcClient();
   RpcClient(const RpcClient&) = delete;
   RpcClient& operator=(const RpcClient&) = delete;
 
   const sockaddr_in& to() const { return to_; }
   bool up() const { return channel_ && channel_->up(); }
+  /// Bytes that were written and have not gone out yet.
   std::size_t unsent() const { return channel_ ? channel_->unsent() : 0; }
-  void on_up(std::function<void()> told) { told_up_ = std::move(told); }
-  void on_down(std::function<void()> told) { told_down_ = std::move(told); }
-  void on_word(Word word) { word_ = std::move(word); }
-  // Exactly one answer: the record, or why there is none. A call may have been done all the same.
-  // What is asked while the connection is coming up goes out with it, while its time lasts.
+  /// Called each time that a connection has been established.
+  void on_up(std::function<void()> callback) { on_up_ = std::move(callback); }
+  /// Called each time that an established connection was lost, after its calls have failed.
+  void on_down(std::function<void()> callback) { on_down_ = std::move(callback); }
+  /// Called for each notification that the server sends.
+  void on_message(MessageCallback callback) { on_message_ = std::move(callback); }
+
+  /// Sends a request. `done` is called exactly once, unless the client is destroyed before: with the reply,
+  /// or with Unavailable (the connection was lost), DeadlineExceeded (no reply within `timeout`) or DataLoss
+  /// (a reply that cannot be decoded). A call that failed may have been executed all the same. A request that
+  /// is made while the connection is being established is sent with it, within its timeout.
   template <class Reply, class M>
-  void call(const M& message, Span most, std::function<void(absl::StatusOr<Reply>)> answered) {
-    call_raw(M::kind, encoded(message), most,
-             [answered = std::move(answered)](absl::StatusOr<std::string> record) {
-               if (!record.ok()) return answered(record.status());
+  void call(const M& message, Span timeout, std::function<void(absl::StatusOr<Reply>)> done) {
+    call_raw(M::kind, encoded(message), timeout,
+             [done = std::move(done)](absl::StatusOr<std::string> record) {
+               if (!record.ok()) return done(record.status());
                Reply reply;
-               if (!decode(*record, reply)) return answered(absl::DataLossError("answer not read"));
-               answered(std::move(reply));
+               if (!decode(*record, reply)) return done(absl::DataLossError("answer not read"));
+               done(std::move(reply));
              });
   }
+  /// Sends a notification, or drops it where no connection is up.
   template <class M>
-  void tell(const M& message) {
-    if (up()) put(M::kind, frame::Sort::word, 0, encoded(message));
+  void send(const M& message) {
+    if (up()) write_frame(M::kind, frame::MessageType::notification, 0, encoded(message));
   }
-  // Heard of within so long: guards against a peer that is there no more and says nothing.
-  Span silent() const { return timers_.now() - heard_; }
-  void restart();  // closes and connects anew
+  /// Since bytes came last, or since the connection attempt began. Guards against a peer that is gone without
+  /// having closed the connection.
+  Span time_since_receive() const { return timers_.now() - received_at_; }
+  /// Resets the connection, fails its calls and connects anew after the backoff.
+  void reconnect();
 
  private:
-  void call_raw(std::uint8_t kind, std::string record, Span most, Answered answered);
-  void put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record);
-  void connect();
-  void again();
-  void fail_all();
-  void channel_up(net::Channel&) override;
-  void channel_came(net::Channel&) override;
-  void channel_gone(net::Channel&) override;
-
   struct Call {
     std::uint8_t kind = 0;
-    std::string record;  // until it has gone out
-    Answered answered;
-    net::TimerQueue::Ticket due;
-    TimePoint since;
+    std::string record;  // empty once it has been sent
+    ReplyCallback done;
+    net::TimerQueue::Handle timeout;
+    TimePoint started_at;
   };
+
+  void call_raw(std::uint8_t kind, std::string record, Span timeout, ReplyCallback done);
+  void on_timeout(std::uint64_t number);
+  void on_reply(std::uint64_t number, const std::string& record);
+  void write_frame(std::uint8_t kind, frame::MessageType type, std::uint64_t number, std::string_view record);
+  void connect();
+  void schedule_reconnect();
+  void fail_pending_calls();
+  void on_channel_open(net::Channel&) override;
+  void on_channel_data(net::Channel&) override;
+  void on_channel_closed(net::Channel&) override;
+
   net::Scheduler& scheduler_;
   net::TimerQueue& timers_;
   const sockaddr_in to_;
-  std::unique_ptr<net::Channel> channel_, old_;
-  net::TimerQueue::Ticket retry_, rising_;
-  Span pause_;
-  std::uint64_t random_, last_ = 0;
-  TimePoint heard_;
-  std::map<std::uint64_t, Call> calls_;
-  std::function<void()> told_up_, told_down_;
-  Word word_;
+  std::unique_ptr<net::Channel> channel_;
+  // Closed, destroyed with the next connection attempt: its coroutine may be running.
+  std::unique_ptr<net::Channel> closed_channel_;
+  net::TimerQueue::Handle retry_timer_, connect_timeout_timer_;
+  Span backoff_;
+  std::uint64_t random_, last_number_ = 0;
+  TimePoint received_at_;
+  std::map<std::uint64_t, Call> calls_;  // by call number
+  std::function<void()> on_up_, on_down_;
+  MessageCallback on_message_;
 };
 
 class RpcServer {
  public:
-  class Connection final : net::Channel::Sink {
+  /// One accepted connection, owned by the server. It is destroyed soon after it was closed: keep its id()
+  /// and use find() for a reply that comes later.
+  class Connection final : net::Channel::Observer {
    public:
-    explicit Connection(RpcServer& desk);
+    explicit Connection(RpcServer& server);
+    /// `number`: as the handler of the request got it.
     template <class M>
-    void answer(std::uint64_t number, const M& message) {
-      put(M::kind, frame::Sort::answer, number, encoded(message));
+    void reply(std::uint64_t number, const M& message) {
+      write_frame(M::kind, frame::MessageType::reply, number, encoded(message));
     }
     template <class M>
-    void tell(const M& message) {
-      put(M::kind, frame::Sort::word, 0, encoded(message));
+    void send(const M& message) {
+      send_record(M::kind, encoded(message));
+    }
+    /// A notification that is encoded already, for sending one to many.
+    void send_record(std::uint8_t kind, std::string_view record) {
+      write_frame(kind, frame::MessageType::notification, 0, record);
     }
-    // One that was written before, for many.
-    void tell_record(std::uint8_t kind, std::string_view record) { put(kind, frame::Sort::word, 0, record); }
     void close();
     std::uint64_t id() const { return id_; }
+    /// Bytes that were written and have not gone out yet.
     std::size_t unsent() const { return channel_.unsent(); }
-    std::size_t crew_place = 0;
+    std::size_t group_index = 0;  ///< belongs to the server's TaskGroup
 
    private:
     friend class RpcServer;
-    void put(std::uint8_t kind, frame::Sort sort, std::uint64_t number, std::string_view record);
-    void channel_came(net::Channel&) override;
-    void channel_gone(net::Channel&) override;
+    void write_frame(std::uint8_t kind, frame::MessageType type, std::uint64_t number,
+                     std::string_view record);
+    void on_channel_data(net::Channel&) override;
+    void on_channel_closed(net::Channel&) override;
     RpcServer& rpc_server_;
     net::Channel channel_;
     std::uint64_t id_;
   };
-  // `number`: of a call, to be answered by it; 0: a word.
+  /// `number`: of the call that is to be replied to; 0 for a notification.
   using Handler = std::function<void(Connection&, std::uint64_t number, std::string_view record)>;
 
   explicit RpcServer(net::Scheduler& scheduler);
+  /// Throws std::system_error where the address cannot be bound.
   void listen(const sockaddr_in& at);
+  /// The handler of requests and notifications of type M, at most one a type. Records that cannot be decoded,
+  /// and kinds without a handler, are dropped: the caller's timeout tells it.
   template <class M>
   void on(std::function<void(Connection&, std::uint64_t number, M& message)> handler) {
     handlers_[M::kind] = [handler = std::move(handler)](Connection& connection, std::uint64_t number,
@@ -143,8 +159,9 @@
       if (decode(record, message)) handler(connection, number, message);
     };
   }
-  void on_gone(std::function<void(Connection&)> gone) { gone_ = std::move(gone); }
-  // The connection of that id, while it is there: for answers that come later.
+  /// Called once for each connection that has ended.
+  void on_close(std::function<void(Connection&)> callback) { on_close_ = std::move(callback); }
+  /// The connection of that id, or nullptr once it has ended.
   Connection* find(std::uint64_t id) {
     const auto found = connections_.find(id);
     return found == connections_.end() ? nullptr : found->second;
@@ -153,11 +170,11 @@
  private:
   net::Scheduler& scheduler_;
   net::Listener listener_;
-  std::unordered_map<std::uint8_t, Handler> handlers_;
-  std::function<void(Connection&)> gone_;
-  std::uint64_t last_ = 0;
-  std::unordered_map<std::uint64_t, Connection*> connections_;
-  net::Crew<Connection> crew_;
+  std::unordered_map<std::uint8_t, Handler> handlers_;  // by record kind
+  std::function<void(Connection&)> on_close_;
+  std::uint64_t last_id_ = 0;
+  std::unordered_map<std::uint64_t, Connection*> connections_;  // by id
+  net::TaskGroup<Connection> tasks_;
 };
 
 }  // namespace chutevane::common
--- a/src/common/storage_map.hpp
+++ b/src/common/storage_map.hpp
@@ -15,13 +15,15 @@
 namespace chutevane::common {
 
 // Nodes of the map whose disk was lost and not made up for yet.
-inline std::size_t lost_disks(const Value& value) {
+inline std::size_t replaced_disks(const RegisterValue& value) {
   return static_cast<std::size_t>(std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(),
-                                                [](const StorageNode& node) { return node.lost; }));
+                                                [](const StorageNode& node) { return node.disk_replaced; }));
 }
 
 // Copies of a turn that may be missing at the nodes of the map: of lost disks, and of nodes that were given
 // up while they were silent and may come back.
-inline std::size_t copies_missing(const Value& value) { return lost_disks(value) + value.absent.size(); }
+inline std::size_t missing_replicas(const RegisterValue& value) {
+  return replaced_disks(value) + value.absent_nodes.size();
+}
 
 }  // namespace chutevane::common
--- a/src/common/value_update.cpp
+++ b/src/common/value_update.cpp
@@ -7,12 +7,12 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::size_t record_most = 64U << 20U;  // bytes: as much as a frame of a connection holds
+constexpr std::size_t max_record_size = 64U << 20U;  // bytes: as much as a frame of a connection holds
 // Held for differences: at twenty changes a second, those of three seconds.
-constexpr std::size_t held_most = 64;               // values
-constexpr std::size_t held_bytes_most = 4U << 20U;  // of all but the newest
-constexpr std::size_t least_held = 2;               // values: the newest, and one to change it from
-constexpr std::size_t saving = 2;                   // a difference is sent at a half of the whole or less
+constexpr std::size_t max_recent_values = 64;        // values
+constexpr std::size_t max_recent_bytes = 4U << 20U;  // of all but the newest
+constexpr std::size_t min_recent_values = 2;         // values: the newest, and one to change it from
+constexpr std::size_t min_saving_factor = 2;         // a difference is sent at a half of the whole or less
 constexpr std::int64_t no_base = -1;
 
 }  // namespace
@@ -27,24 +27,25 @@
   return out;
 }
 
-absl::StatusOr<Value> changed_value(const ValueDifference& difference, std::string_view base_record) {
+absl::StatusOr<RegisterValue> apply_value_difference(const ValueDifference& difference,
+                                                     std::string_view base_record) {
   if (static_cast<std::int64_t>(content_hash(base_record)) != difference.base_hash)
     return absl::FailedPreconditionError("another base");
-  const auto record = apply_difference(base_record, difference.content.data, record_most);
-  Value out;
+  const auto record = apply_difference(base_record, difference.content.data, max_record_size);
+  RegisterValue out;
   if (!record || static_cast<std::int64_t>(content_hash(*record)) != difference.hash || !decode(*record, out))
     return absl::DataLossError("the difference makes another value");
   return out;
 }
 
-void RecentValues::add(const Value& value) {
+void RecentValues::add(const RegisterValue& value) {
   if (!held_.empty() && value.number <= number()) return;
   held_.push_back({value.number, encoded(value)});
   bytes_ += held_.back().record.size();
   differences_.clear();
   pushes_.clear();
-  while (held_.size() > least_held &&
-         (held_.size() > held_most || bytes_ - held_.back().record.size() > held_bytes_most)) {
+  while (held_.size() > min_recent_values &&
+         (held_.size() > max_recent_values || bytes_ - held_.back().record.size() > max_recent_bytes)) {
     bytes_ -= held_.front().record.size();
     held_.pop_front();
   }
@@ -62,7 +63,7 @@
   auto known = differences_.find(number);
   if (known == differences_.end()) {
     ValueDifference made = value_difference(number, *base, record());
-    if (made.content.data.size() > record().size() / saving) made.content.data.clear();
+    if (made.content.data.size() > record().size() / min_saving_factor) made.content.data.clear();
     known = differences_.emplace(number, std::move(made)).first;
   }
   return is_difference(known->second) ? &known->second : nullptr;
@@ -72,7 +73,7 @@
   const ValueDifference* const change = difference_from(base);
   const auto [at, fresh] = pushes_.try_emplace(change != nullptr ? base : no_base);
   if (!fresh) return at->second;
-  Push push;
+  ValuePush push;
   push.number = number();
   if (change != nullptr) {
     push.difference = *change;
@@ -83,56 +84,56 @@
   return at->second;
 }
 
-absl::StatusOr<Value> received_value(const Value& whole, const ValueDifference& difference,
-                                     const RecentValues& held) {
+absl::StatusOr<RegisterValue> received_value(const RegisterValue& whole, const ValueDifference& difference,
+                                             const RecentValues& held) {
   if (!is_difference(difference)) return whole;
   const std::string* const base = held.record_of(difference.base);
   if (base == nullptr) return absl::FailedPreconditionError("the base is not held");
-  return changed_value(difference, *base);
+  return apply_value_difference(difference, *base);
 }
 
-void PushCursor::acknowledged(std::int64_t number, std::int64_t refused) {
+void PushCursor::acknowledged(std::int64_t number, std::int64_t rejected) {
   held_ = std::max(held_, number);
   sent(number);
   // What it refused before a whole value that is on its way needs no other.
-  if (refused > number && refused > sent_whole_) needs_whole_ = true;
+  if (rejected > number && rejected > sent_full_) needs_full_value_ = true;
 }
 
 void PushCursor::sent(std::int64_t number) {
   if (number <= sent_) return;
   sent_ = number;
   bases_.push_back(number);
-  if (bases_.size() > bases_most) bases_.pop_front();
+  if (bases_.size() > max_bases) bases_.pop_front();
 }
 
 // The newest of what the receiver has that is held here too: other sessions bring it values that are not.
 std::int64_t PushCursor::base(const RecentValues& values) const {
   const auto at = std::find_if(bases_.rbegin(), bases_.rend(),
                                [&](std::int64_t number) { return values.record_of(number) != nullptr; });
-  return needs_whole_ || at == bases_.rend() ? no_base : *at;
+  return needs_full_value_ || at == bases_.rend() ? no_base : *at;
 }
 
-bool PushCursor::needs_whole(RecentValues& values) const {
+bool PushCursor::needs_full_value(RecentValues& values) const {
   return !values.empty() && values.difference_from(base(values)) == nullptr;
 }
 
 const std::string* PushCursor::next(RecentValues& values, std::size_t unsent) {
-  if (values.empty() || unsent > unsent_most) return nullptr;
-  if (values.number() <= (needs_whole_ ? held_ : sent_)) return nullptr;
+  if (values.empty() || unsent > max_unsent_bytes) return nullptr;
+  if (values.number() <= (needs_full_value_ ? held_ : sent_)) return nullptr;
   const std::int64_t from = base(values);
-  if (values.difference_from(from) == nullptr) sent_whole_ = values.number();
+  if (values.difference_from(from) == nullptr) sent_full_ = values.number();
   sent(values.number());
-  needs_whole_ = false;
+  needs_full_value_ = false;
   return &values.push_record(from);
 }
 
-ValueReceiver::Came ValueReceiver::take(Push push) {
-  if (value_ && push.number <= value_->number) return Came::old;
+ValueReceiver::Result ValueReceiver::receive(ValuePush push) {
+  if (value_ && push.number <= value_->number) return Result::stale;
   auto value = received_value(push.value, push.difference, recent_);
-  if (!value.ok() || value->number != push.number) return Came::refused;
+  if (!value.ok() || value->number != push.number) return Result::rejected;
   value_ = std::move(*value);
   recent_.add(*value_);
-  return Came::newer;
+  return Result::newer;
 }
 
 }  // namespace chutevane::common
--- a/src/common/value_update.hpp
+++ b/src/common/value_update.hpp
@@ -27,14 +27,15 @@
 
 // The value that a difference makes of the receiver's record of the value `difference.base`.
 // FailedPrecondition: that record is another than the sender's. DataLoss: the difference makes another value.
-absl::StatusOr<Value> changed_value(const ValueDifference& difference, std::string_view base_record);
+absl::StatusOr<RegisterValue> apply_value_difference(const ValueDifference& difference,
+                                                     std::string_view base_record);
 
 // The newest values that a process knows, as records. Bounded in number and in bytes; the newest two are
 // always there.
 class RecentValues {
  public:
   // Numbers rise; one that does not is left out.
-  void add(const Value& value);
+  void add(const RegisterValue& value);
   bool empty() const { return held_.empty(); }
   std::int64_t number() const { return held_.empty() ? -1 : held_.back().number; }  // of the newest
   const std::string& record() const { return held_.back().record; }                 // of the newest
@@ -60,47 +61,47 @@
 };
 
 // The value that a message brings, whole or as a difference from one of the receiver's recent values. Errors
-// as those of changed_value; FailedPrecondition too where the base is not held.
-absl::StatusOr<Value> received_value(const Value& whole, const ValueDifference& difference,
-                                     const RecentValues& held);
+// as those of apply_value_difference; FailedPrecondition too where the base is not held.
+absl::StatusOr<RegisterValue> received_value(const RegisterValue& whole, const ValueDifference& difference,
+                                             const RecentValues& held);
 
 // The sender's side of a session: what was sent down it, and so what the next difference may rest on.
 class PushCursor {
  public:
   // More than this lies unsent: the receiver does not read, and gets no more until it does.
-  static constexpr std::size_t unsent_most = 256 * 1024;  // bytes
+  static constexpr std::size_t max_unsent_bytes = 256 * 1024;  // bytes
   // The receiver told which number it holds, and which push it could not apply (0: none).
-  void acknowledged(std::int64_t number, std::int64_t refused);
+  void acknowledged(std::int64_t number, std::int64_t rejected);
   // Whether the next push has the value whole.
-  bool needs_whole(RecentValues& values) const;
+  bool needs_full_value(RecentValues& values) const;
   // The record of the next push, if there is one to be sent now; it counts as sent.
   const std::string* next(RecentValues& values, std::size_t unsent);
 
  private:
-  static constexpr std::size_t bases_most = 16;
+  static constexpr std::size_t max_bases = 16;
   void sent(std::int64_t number);
   std::int64_t base(const RecentValues& values) const;
   std::int64_t held_ = 0;           // the newest number that the receiver told; 0: it holds nothing
   std::int64_t sent_ = 0;           // the receiver has this number, or it is on its way
   std::deque<std::int64_t> bases_;  // numbers that it was sent or told of, rising
-  std::int64_t sent_whole_ = 0;     // the newest number that went whole: what was refused before it is mended
-  bool needs_whole_ = false;
+  std::int64_t sent_full_ = 0;      // the newest number that went whole: what was refused before it is mended
+  bool needs_full_value_ = false;
 };
 
 // The receiver's side, of all its sessions together.
 class ValueReceiver {
  public:
-  enum class Came : std::uint8_t {
-    newer,    // value() is this one now
-    old,      // no news
-    refused,  // it can't be applied: to be sent whole
+  enum class Result : std::uint8_t {
+    newer,     // value() is this one now
+    stale,     // no news
+    rejected,  // it can't be applied: to be sent whole
   };
-  Came take(Push push);
-  const std::optional<Value>& value() const { return value_; }
+  Result receive(ValuePush push);
+  const std::optional<RegisterValue>& value() const { return value_; }
   std::int64_t number() const { return value_ ? value_->number : 0; }
 
  private:
-  std::optional<Value> value_;
+  std::optional<RegisterValue> value_;
   RecentValues recent_;  // bases: sessions bring the same values, one sooner than another
 };
 
--- a/src/control/chosen_word.cpp
+++ b/src/control/chosen_word.cpp
@@ -21,7 +21,7 @@
 bool take_chosen(Register& reg, const common::RecentValues& recent, const common::Chosen& word) {
   // Without the first value of its epoch the word is for those who are in that epoch.
   if (word.initial.epoch == 0 && word.epoch != reg.initial().epoch) return false;
-  const absl::StatusOr<Value> value = common::received_value(word.value, word.difference, recent);
+  const absl::StatusOr<RegisterValue> value = common::received_value(word.value, word.difference, recent);
   if (!value.ok()) return false;
   reg.learn_chosen(*value, word.initial);
   if (word.ballot.round > 0) reg.learn_accepted(word.epoch, word.ballot, *value);
--- a/src/control/configuration_order.cpp
+++ b/src/control/configuration_order.cpp
@@ -6,17 +6,18 @@
 namespace chutevane::control {
 namespace {
 
-using common::Taken;
+using common::AppliedConfiguration;
 
 // Of a version that is not above the current one. Each configuration was taken on the version before it: the
 // record holds the bases too.
-OrderVerdict judge_by_record(const std::vector<Taken>& record, const ConfigurationOrder& order,
+OrderVerdict judge_by_record(const std::vector<AppliedConfiguration>& record, const ConfigurationOrder& order,
                              std::size_t remembered) {
   const bool reaches_the_first = record.size() < remembered;
   if (record.empty() || (!reaches_the_first && order.version <= record.front().version))
     return OrderVerdict::unclear;
-  const auto at = std::lower_bound(record.begin(), record.end(), order.version,
-                                   [](const Taken& t, std::int64_t version) { return t.version < version; });
+  const auto at = std::lower_bound(
+      record.begin(), record.end(), order.version,
+      [](const AppliedConfiguration& t, std::int64_t version) { return t.version < version; });
   if (at == record.end() || at->version != order.version || at->hash != order.hash)
     return OrderVerdict::superseded;
   const std::int64_t base = at == record.begin() ? 0 : std::prev(at)->version;
@@ -25,22 +26,26 @@
 
 }  // namespace
 
-OrderVerdict judge(const common::Value& current, const ConfigurationOrder& order, std::size_t remembered) {
+OrderVerdict judge(const common::RegisterValue& current, const ConfigurationOrder& order,
+                   std::size_t remembered) {
   if (order.version <= order.base) return OrderVerdict::not_above_base;
-  if (order.version <= current.config_version) return judge_by_record(current.taken, order, remembered);
+  if (order.version <= current.config_version)
+    return judge_by_record(current.applied_configurations, order, remembered);
   if (order.base == current.config_version) return OrderVerdict::applicable;
   // A base that is passed never comes back. One that is still ahead may come, and another try of the same
   // order may meet it there: a refusal now could be of a configuration that is in force later.
   return order.base < current.config_version ? OrderVerdict::superseded : OrderVerdict::unclear;
 }
 
-common::Value applied(const common::Value& current, const ConfigurationOrder& order, std::size_t remembered) {
+common::RegisterValue applied(const common::RegisterValue& current, const ConfigurationOrder& order,
+                              std::size_t remembered) {
   assert(judge(current, order, remembered) == OrderVerdict::applicable);
-  common::Value out = current;
+  common::RegisterValue out = current;
   out.config_version = order.version;
   out.config.data = order.body;
-  out.taken.push_back({order.version, order.hash});
-  if (out.taken.size() > remembered) out.taken.erase(out.taken.begin());
+  out.applied_configurations.push_back({order.version, order.hash});
+  if (out.applied_configurations.size() > remembered)
+    out.applied_configurations.erase(out.applied_configurations.begin());
   return out;
 }
 
--- a/src/control/configuration_order.hpp
+++ b/src/control/configuration_order.hpp
@@ -34,10 +34,10 @@
 };
 
 // `remembered`: entries that the record holds at most, the same at all who judge.
-OrderVerdict judge(const common::Value& current, const ConfigurationOrder& order,
+OrderVerdict judge(const common::RegisterValue& current, const ConfigurationOrder& order,
                    std::size_t remembered = remembered_configurations);
 // The value with the order applied. Only for one that is applicable.
-common::Value applied(const common::Value& current, const ConfigurationOrder& order,
-                      std::size_t remembered = remembered_configurations);
+common::RegisterValue applied(const common::RegisterValue& current, const ConfigurationOrder& order,
+                              std::size_t remembered = remembered_configurations);
 
 }  // namespace chutevane::control
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -27,7 +27,7 @@
       rpc_server_(scheduler),
       operator_api_(register_, *this, settings.machine_losses),
       operator_port_(scheduler, body_most,
-                     [this](const http::Parser& request, common::HttpPort::Reply reply) {
+                     [this](const http::Parser& request, common::HttpServer::Reply reply) {
                        operator_api_.serve(request, std::move(reply));
                      }),
       list_duty_("list", seed_of(settings.node + "list", scheduler.now())),
@@ -50,7 +50,7 @@
       std::vector<common::Acceptor> seeds;
       for (const sockaddr_in& seed : settings_.seeds) {
         const auto port = static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port);
-        seeds.push_back({common::inner_address(seed, port), ""});
+        seeds.push_back({common::internal_control_address(seed, port), ""});
       }
       record_.initial = first_value(std::move(seeds));
     }
@@ -67,12 +67,12 @@
   } else if (!s.ok()) {
     return s;
   }
-  acceptor_->on_entered([this](const common::Value& initial) { register_.learn_epoch(initial); });
+  acceptor_->on_entered([this](const common::RegisterValue& initial) { register_.learn_epoch(initial); });
   register_.learn_epoch(record_.initial);
   register_.learn_epoch(acceptor_->initial());
-  register_.on_chosen([this](const common::Value& value) { chosen(value); });
+  register_.on_chosen([this](const common::RegisterValue& value) { chosen(value); });
   for (const sockaddr_in& seed : settings_.seeds)
-    know(common::inner_address(
+    know(common::internal_control_address(
         seed, static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port)));
   for (const std::string& one : record_.controllers) know(one);
   in_contact_since_ = timers_.now();
@@ -89,32 +89,34 @@
       [this](common::RpcServer::Connection& connection, std::uint64_t number, common::Prepare& ask) {
         const auto got = acceptor_->prepare(ask);
         note_disk(got.status());
-        if (got.ok() && number != 0) connection.answer(number, *got);
+        if (got.ok() && number != 0) connection.reply(number, *got);
       });
   rpc_server_.on<common::Accept>(
       [this](common::RpcServer::Connection& connection, std::uint64_t number, common::Accept& ask) {
         const auto got = accept_here(ask);
         note_disk(got.status());
-        if (got.ok() && number != 0) connection.answer(number, *got);
+        if (got.ok() && number != 0) connection.reply(number, *got);
       });
   rpc_server_.on<common::Chosen>([this](common::RpcServer::Connection&, std::uint64_t, common::Chosen& word) {
     take_chosen(register_, recent_, word);
   });
   rpc_server_.on<common::Gossip>(
       [this](common::RpcServer::Connection&, std::uint64_t, common::Gossip& word) { on_gossip(word); });
-  rpc_server_.on<common::Vote>(
-      [this](common::RpcServer::Connection& connection, std::uint64_t number, common::Vote& ask) {
-        Duty& duty = ask.duty == list_duty_.name() ? list_duty_ : roster_duty_;
-        common::Voted out;
+  rpc_server_.on<common::VoteRequest>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t number, common::VoteRequest& ask) {
+        Duty& duty = ask.role == list_duty_.name() ? list_duty_ : roster_duty_;
+        common::VoteReply out;
         out.granted = !leaving_ && duty.vote(ask.term, timers_.now());
         out.term = duty.term();
-        connection.answer(number, out);
+        connection.reply(number, out);
       });
   rpc_server_.on<common::EndpointList>(
       [this](common::RpcServer::Connection&, std::uint64_t, common::EndpointList& list) { take_list(list); });
-  rpc_server_.on<common::Hello>([this](common::RpcServer::Connection& connection, std::uint64_t,
-                                       common::Hello& hello) { on_hello(connection, hello); });
-  rpc_server_.on_gone([this](common::RpcServer::Connection& connection) {
+  rpc_server_.on<common::MemberHeartbeat>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t, common::MemberHeartbeat& hello) {
+        on_hello(connection, hello);
+      });
+  rpc_server_.on_close([this](common::RpcServer::Connection& connection) {
     sessions_.erase(connection.id());
     acknowledged();
   });
@@ -158,10 +160,10 @@
 
 // ---- what is chosen
 
-void ControlPlane::chosen(const common::Value& value) {
+void ControlPlane::chosen(const common::RegisterValue& value) {
   recent_.add(value);
-  common::Value pushed = value;
-  pushed.taken.clear();
+  common::RegisterValue pushed = value;
+  pushed.applied_configurations.clear();
   pushed_.add(pushed);
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
@@ -171,17 +173,17 @@
 
 // The others hear of a change from who made it, not only by asking: of the newest value known here, which is
 // that one or a later one.
-void ControlPlane::announce(const common::Value&) {
+void ControlPlane::announce(const common::RegisterValue&) {
   if (!register_.known()) return;
   const std::int64_t number = register_.known()->number;
   for (auto& [address, peer] : peers_) {
     // A peer that does not read gets no more: it reads the register when it is there again.
-    if (!peer.link->up() || peer.link->unsent() > common::PushCursor::unsent_most) continue;
+    if (!peer.link->up() || peer.link->unsent() > common::PushCursor::max_unsent_bytes) continue;
     PeerState state;
-    if (peer.last) state = {peer.last->epoch, peer.last->known};
+    if (peer.last) state = {peer.last->epoch, peer.last->known_number};
     state.number = std::max(state.number, peer.told);
     if (state.number >= number) continue;
-    peer.link->tell(chosen_word(recent_, register_, state));
+    peer.link->send(chosen_word(recent_, register_, state));
     peer.told = number;
   }
 }
@@ -220,7 +222,7 @@
   timers_.after(tick_every, [this] { tick(); });
 }
 
-void ControlPlane::leave() {
+void ControlPlane::begin_shutdown() {
   if (leaving_) return;
   leaving_ = true;
   list_duty_.give_up(timers_.now());
@@ -238,7 +240,7 @@
   if (!names(set, address_)) return register_.released(address_) || set.empty();
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& one) {
     const auto& [address, peer] = one;
-    return peer.last && !peer.last->leaving && timers_.now() - peer.heard < peer_heard &&
+    return peer.last && !peer.last->draining && timers_.now() - peer.heard < peer_heard &&
            !names(set, address);
   });
 }
@@ -251,9 +253,9 @@
   timers_.after(leave_again, [this, latest] { go_when_released(latest); });
 }
 
-void ControlPlane::reread(const common::ProcessSettings& settings) {
+void ControlPlane::reload(const common::ProcessSettings& settings) {
   for (const sockaddr_in& seed : settings.seeds)
-    know(common::inner_address(
+    know(common::internal_control_address(
         seed, static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port)));
 }
 
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "common/configuration.hpp"
+#include "common/control_sessions.hpp"
 #include "common/disk_health.hpp"
-#include "common/http_port.hpp"
+#include "common/http_server.hpp"
 #include "common/process.hpp"
 #include "common/rpc.hpp"
-#include "common/session.hpp"
 #include "common/settings.hpp"
 #include "common/value_update.hpp"
 #include "control/chosen_word.hpp"
@@ -34,9 +34,9 @@
   // Reads its disk and begins to listen. An error: the process cannot serve.
   absl::Status open() override;
   // The last word to the others, then the end.
-  void leave() override;
+  void begin_shutdown() override;
   bool finished() const override { return finished_; }
-  void reread(const common::ProcessSettings& settings) override;
+  void reload(const common::ProcessSettings& settings) override;
   void write_metrics(common::MetricsWriter& out) override;
 
  private:
@@ -49,7 +49,7 @@
   struct Session {
     common::Member member;
     TimePoint since, heard;
-    std::int64_t stamp = 0;  // of the newest Hello: returned with each heartbeat
+    std::int64_t stamp = 0;  // of the newest MemberHeartbeat: returned with each heartbeat
     std::int64_t list_term = 0, list_number = 0;
     common::PushCursor values;
     bool first = false;  // changes go down it at once; down others with the next heartbeat, if still needed
@@ -84,11 +84,11 @@
   Span fresh_age() const;
   std::vector<std::string> controller_addresses() const;
 
-  void chosen(const common::Value& value);
+  void chosen(const common::RegisterValue& value);
   void store_known();
   void note_disk(const absl::Status& outcome);
   void try_disk_again();
-  void on_hello(common::RpcServer::Connection& connection, const common::Hello& hello);
+  void on_hello(common::RpcServer::Connection& connection, const common::MemberHeartbeat& hello);
   void push(std::uint64_t connection, Session& session);
   void heartbeat();
   void acknowledged();
@@ -98,15 +98,15 @@
   void ballot(Duty& duty, std::int64_t term);
   void read_list();
   void read_list_now();  // where the duty is this one's
-  void list_was_read(std::vector<common::Listed> entries);
+  void list_was_read(std::vector<common::EndpointEntry> entries);
   void take_list(const common::EndpointList& told);
   void step_down_if_overtaken(std::int64_t told);
   void list_changed();
   void keep_roster();
-  Span longest_retention(const common::Value& value);
+  Span longest_retention(const common::RegisterValue& value);
 
   // What the operators' API asks for.
-  void announce(const common::Value& value) override;
+  void announce(const common::RegisterValue& value) override;
   void when_acknowledged(std::int64_t number, std::function<void()> then) override;
   std::vector<common::Member> members() const override;
   bool members_complete() const override;
@@ -124,7 +124,7 @@
   Register register_;
   common::RpcServer rpc_server_;
   OperatorApi operator_api_;
-  common::HttpPort operator_port_;
+  common::HttpServer operator_port_;
   std::map<std::string, Peer> peers_;
   std::vector<std::unique_ptr<common::RpcClient>> parted_;
   std::map<std::uint64_t, Session> sessions_;
@@ -142,7 +142,7 @@
   Platform platform_;
   const std::uint64_t holder_;  // of duties: this process, told from all others
   QuorumContact contact_;
-  common::EndpointBook list_;
+  common::EndpointTable list_;
   std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
   bool changing_roster_ = false;
   bool had_roster_ = false;
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -48,8 +48,9 @@
       hear(false);
       continue;
     }
-    to->call<common::Voted>(common::Vote{duty.name(), term, settings_.node}, vote_most,
-                            [hear](absl::StatusOr<common::Voted> got) { hear(got.ok() && got->granted); });
+    to->call<common::VoteReply>(
+        common::VoteRequest{duty.name(), term, settings_.node}, vote_most,
+        [hear](absl::StatusOr<common::VoteReply> got) { hear(got.ok() && got->granted); });
   }
 }
 
@@ -88,17 +89,18 @@
 
 void ControlPlane::read_list_now() {
   if (!list_duty_.mine() || platform_.reading()) return;
-  platform_.read([this](std::optional<std::vector<common::Listed>> entries) {
+  platform_.read([this](std::optional<std::vector<common::EndpointEntry>> entries) {
     if (entries && list_duty_.mine()) list_was_read(std::move(*entries));
   });
 }
 
-void ControlPlane::list_was_read(std::vector<common::Listed> entries) {
-  for (common::Listed& e : entries) e.cold_ms = e.cold_ms > 0 ? 1 : 0;  // falls with time: no news by itself
+void ControlPlane::list_was_read(std::vector<common::EndpointEntry> entries) {
+  for (common::EndpointEntry& e : entries)
+    e.slow_start_ms = e.slow_start_ms > 0 ? 1 : 0;  // falls with time: no news by itself
   const std::int64_t term = list_.term(), number = list_.number();
   if (!list_.update(told_term(list_duty_.term(), holder_), entries)) return;
   for (auto& [address, peer] : peers_) {
-    for (const common::EndpointList& change : list_.since(term, number)) peer.link->tell(change);
+    for (const common::EndpointList& change : list_.since(term, number)) peer.link->send(change);
   }
   list_changed();
 }
@@ -122,8 +124,8 @@
 namespace {
 
 // Whether the roster may have to know how long a disk that is away is waited for.
-bool copies_may_outlive(const common::Value& value, const std::vector<common::Member>& members) {
-  return common::copies_missing(value) > 0 ||
+bool copies_may_outlive(const common::RegisterValue& value, const std::vector<common::Member>& members) {
+  return common::missing_replicas(value) > 0 ||
          std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
                      [&](const common::StorageNode& c) {
                        return std::none_of(members.begin(), members.end(),
@@ -134,7 +136,7 @@
 }  // namespace
 
 // By the configuration that is chosen, which is read once for each version.
-Span ControlPlane::longest_retention(const common::Value& value) {
+Span ControlPlane::longest_retention(const common::RegisterValue& value) {
   if (retention_version_ == value.config_version) return longest_retention_;
   common::Findings findings;
   const auto read = common::read_configuration(value.config.data, findings);
@@ -150,13 +152,13 @@
 void ControlPlane::keep_roster() {
   if (changing_roster_ || !register_.known() || !quorum_reached(duty_vacant_after)) return;
   const TimePoint now = timers_.now();
-  const common::Value& value = *register_.known();
+  const common::RegisterValue& value = *register_.known();
   // One whose disk fails can't vote: it is counted as gone, so that another takes its place.
   std::vector<LiveController> live;
   if (!acceptor_->disk_failing()) live.push_back({address_, record_.disk, record_.first, !leaving_});
   for (const auto& [address, peer] : peers_) {
     if (peer.last && !peer.last->disk_failing && now - peer.heard < peer_heard)
-      live.push_back({address, peer.last->disk, peer.last->first, !peer.last->leaving});
+      live.push_back({address, peer.last->disk, peer.last->first, !peer.last->draining});
   }
   const auto next = roster_.acceptors(value, live, now);
   const std::vector<common::Member> all = members();
@@ -166,21 +168,21 @@
   changing_roster_ = true;
   const std::int64_t number = value.number;
   register_.change(
-      [number, next, wanted](const common::Value& current) -> std::optional<common::Value> {
+      [number, next, wanted](const common::RegisterValue& current) -> std::optional<common::RegisterValue> {
         if (current.number != number) return std::nullopt;  // decided on another value: look again
         if (wanted) return wanted;
-        common::Value out = current;
-        out.next = *next;
+        common::RegisterValue out = current;
+        out.next_acceptors = *next;
         return out;
       },
       Span::ms(1500),
-      [this, changed = next.has_value()](absl::StatusOr<common::Value> got) {
+      [this, changed = next.has_value()](absl::StatusOr<common::RegisterValue> got) {
         changing_roster_ = false;
         if (!got.ok()) return;
         announce(*got);
         common::log_info(changed ? "roster.acceptors" : "roster.storage_nodes",
                          "number " + std::to_string(got->number) + ", epoch " + std::to_string(got->epoch) +
-                             ", map " + std::to_string(got->map) + " of " +
+                             ", map " + std::to_string(got->map_version) + " of " +
                              std::to_string(got->storage_nodes.size()));
         if (changed) gossip();
       });
--- a/src/control/control_plane_peers.cpp
+++ b/src/control/control_plane_peers.cpp
@@ -42,14 +42,14 @@
     const auto at = peers_.find(address);  // it may have been parted with
     if (at == peers_.end()) return;
     at->second.told = 0;
-    at->second.link->tell(addressed(full_word(), at->second));
+    at->second.link->send(addressed(full_word(), at->second));
   });
 }
 
 void ControlPlane::forget_lost() {
   parted_.clear();
   const TimePoint now = timers_.now();
-  const common::Value& initial = register_.initial();
+  const common::RegisterValue& initial = register_.initial();
   for (auto it = peers_.begin(); it != peers_.end();) {
     const bool votes = std::any_of(initial.acceptors.begin(), initial.acceptors.end(),
                                    [&](const common::Acceptor& a) { return a.address == it->first; });
@@ -68,7 +68,7 @@
   std::vector<std::string> out;
   if (!leaving_) out.push_back(address_);
   for (const auto& [address, peer] : peers_) {
-    if (peer.last && !peer.last->leaving && timers_.now() - peer.heard < peer_heard * 4)
+    if (peer.last && !peer.last->draining && timers_.now() - peer.heard < peer_heard * 4)
       out.push_back(address);
   }
   return out;
@@ -83,9 +83,9 @@
   out.control = settings_.control ? net::text_of(*settings_.control) : "";
   out.disk = record_.disk;
   out.zone = settings_.zone;
-  out.leaving = leaving_;
+  out.draining = leaving_;
   out.epoch = register_.initial().epoch;
-  out.known = register_.known() ? register_.known()->number : 0;
+  out.known_number = register_.known() ? register_.known()->number : 0;
   out.accepted = acceptor_->voting() && acceptor_->epoch() == out.epoch ? acceptor_->accepted_number() : 0;
   out.voting = acceptor_->voting();
   out.first = record_.first;
@@ -94,10 +94,10 @@
   const bool later_followed = followed_list_term_ > list_.term();
   out.list_term = later_followed ? followed_list_term_ : list_.term();
   out.list_number = later_followed ? 0 : list_.number();
-  out.life = contact_.life();
+  out.incarnation = contact_.life();
   out.stamp = (timers_.now() - TimePoint()).as_us();
   for (const Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine() && !leaving_) out.duties.push_back({duty->name(), duty->term()});
+    if (duty->mine() && !leaving_) out.held_roles.push_back({duty->name(), duty->term()});
   }
   return out;
 }
@@ -125,19 +125,19 @@
     full_since_ = timers_.now();
   }
   for (auto& [address, peer] : peers_) {
-    if (peer.link->up() && peer.link->silent() > Span::ms(3000) &&
+    if (peer.link->up() && peer.link->time_since_receive() > Span::ms(3000) &&
         timers_.now() - peer.heard > Span::ms(1500)) {
-      peer.link->restart();  // nothing has come over either way: it may be gone without a word
+      peer.link->reconnect();  // nothing has come over either way: it may be gone without a word
       continue;
     }
-    peer.link->tell(addressed(word, peer));
+    peer.link->send(addressed(word, peer));
   }
 }
 
 // With the stamp of the peer's that it echoes.
 Gossip ControlPlane::addressed(Gossip word, const Peer& peer) const {
   if (peer.last) {
-    word.echo_life = peer.last->life;
+    word.echo_incarnation = peer.last->incarnation;
     word.echo_stamp = peer.last->stamp;
   }
   return word;
@@ -156,18 +156,19 @@
     last.members = std::move(peer.last->members);
   }
   peer.last = std::move(last);
-  contact_.received({{word.address, word.disk}, word.first, word.epoch, word.accepted}, word.echo_life,
+  contact_.received({{word.address, word.disk}, word.first, word.epoch, word.accepted}, word.echo_incarnation,
                     TimePoint() + Span::us(word.echo_stamp));
   for (const std::string& one : word.controllers) know(one);
   for (Duty* duty : {&list_duty_, &roster_duty_}) {
-    const auto held = std::find_if(word.duties.begin(), word.duties.end(),
-                                   [&](const common::HeldDuty& d) { return d.name == duty->name(); });
-    duty->heard(word.node, held != word.duties.end(), held != word.duties.end() ? held->term : 0, now);
+    const auto held = std::find_if(word.held_roles.begin(), word.held_roles.end(),
+                                   [&](const common::HeldRole& d) { return d.name == duty->name(); });
+    duty->heard(word.node, held != word.held_roles.end(), held != word.held_roles.end() ? held->term : 0,
+                now);
   }
   step_down_if_overtaken(word.list_term);
   if (list_duty_.mine()) {
     for (const common::EndpointList& change : list_.since(word.list_term, word.list_number))
-      peer.link->tell(change);
+      peer.link->send(change);
   }
   catch_up();
 }
@@ -206,7 +207,7 @@
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& one) {
     const Peer& peer = one.second;
     if (!peer.last || now - peer.heard > peer_heard) return false;
-    return peer.last->known > known || peer.last->accepted > known ||
+    return peer.last->known_number > known || peer.last->accepted > known ||
            peer.last->epoch > register_.initial().epoch;
   });
 }
@@ -222,7 +223,7 @@
   if (later == peers_.end()) return false;
   catching_up_ = true;
   common::Prepare ask;
-  ask.look_only = true;  // of epoch 0, which all have left: the answer names the newest
+  ask.read_only = true;  // of epoch 0, which all have left: the answer names the newest
   const std::vector<common::Acceptor> acceptors = later->second.last->initial.acceptors;
   for (const common::Acceptor& a : acceptors) {
     prepare(a.address, ask, [this](absl::StatusOr<common::Promise> got) {
@@ -252,7 +253,7 @@
   if (learn_later_epoch() || register_.initial().epoch == 0) return;
   catching_up_ = true;
   // What it finds was chosen at some time after its beginning.
-  register_.read(Span::ms(1500), [this, now](absl::StatusOr<common::Value> got) {
+  register_.read(Span::ms(1500), [this, now](absl::StatusOr<common::RegisterValue> got) {
     catching_up_ = false;
     if (got.ok()) fresh_at_ = std::max(fresh_at_, now);
   });
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-void ControlPlane::on_hello(common::RpcServer::Connection& connection, const common::Hello& hello) {
-  if (hello.ending) {
+void ControlPlane::on_hello(common::RpcServer::Connection& connection, const common::MemberHeartbeat& hello) {
+  if (hello.closing) {
     sessions_.erase(connection.id());
     return;
   }
@@ -24,8 +24,8 @@
   session.member = hello.member;
   session.heard = timers_.now();
   session.stamp = hello.stamp;
-  session.first = hello.first;
-  session.values.acknowledged(hello.member.number, hello.refused);
+  session.first = hello.primary;
+  session.values.acknowledged(hello.member.number, hello.rejected_push);
   // What was sent since this word was written stays sent.
   if (std::pair(hello.list_term, hello.list_number) > std::pair(session.list_term, session.list_number)) {
     session.list_term = hello.list_term;
@@ -35,12 +35,12 @@
   followed_list_term_ = std::max(followed_list_term_, hello.list_term);
   if (fresh || session.first) push(connection.id(), session);
   if (fresh) {
-    common::Heartbeat word;
-    word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+    common::ControlHeartbeat word;
+    word.knowledge_age_ms = static_cast<std::int64_t>(fresh_age().as_ms());
     word.number = register_.known() ? register_.known()->number : 0;
     word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
-    connection.tell(word);
+    connection.send(word);
   }
   acknowledged();
 }
@@ -51,25 +51,25 @@
   // A whole value is large, and each member has several sessions: it goes down the first alone, unless that
   // one does not bring it.
   const bool leave_to_first = !session.first && timers_.now() - session.since < whole_elsewhere &&
-                              session.values.needs_whole(pushed_);
+                              session.values.needs_full_value(pushed_);
   if (!leave_to_first) {
     if (const std::string* const record = session.values.next(pushed_, connection->unsent()))
-      connection->tell_record(common::Push::kind, *record);
+      connection->send_record(common::ValuePush::kind, *record);
   }
   if (!list_.newer_than(session.list_term, session.list_number)) return;
   for (const common::EndpointList& change : list_.since(session.list_term, session.list_number))
-    connection->tell(change);
+    connection->send(change);
   session.list_term = list_.term();
   session.list_number = list_.number();
 }
 
 void ControlPlane::heartbeat() {
-  common::Heartbeat word;
-  word.fresh_ms = static_cast<std::int64_t>(fresh_age().as_ms());
+  common::ControlHeartbeat word;
+  word.knowledge_age_ms = static_cast<std::int64_t>(fresh_age().as_ms());
   word.number = register_.known() ? register_.known()->number : 0;
   const TimePoint now = timers_.now();
   const std::vector<Member> all = members();
-  word.edges = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
+  word.edge_count = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
   const std::vector<std::string> controllers = controller_addresses();
   if (controllers != told_controllers_ || now - told_since_ > full_every) {
     word.controllers = told_controllers_ = controllers;
@@ -84,7 +84,7 @@
     }
     push(id, session);  // before the heartbeat, which confirms what has come
     word.echo_stamp = session.stamp;
-    connection->tell(word);
+    connection->send(word);
   }
   for (const std::uint64_t id : silent) {
     sessions_.erase(id);
@@ -138,7 +138,7 @@
   const auto gauge = [&](std::string_view name, std::string_view unit, std::string_view help, double value) {
     out.gauge(name, unit, help, value);
   };
-  const std::optional<common::Value>& known = register_.known();
+  const std::optional<common::RegisterValue>& known = register_.known();
   const auto number = [](std::int64_t value) { return static_cast<double>(value); };
   operator_api_.write_metrics(out);
   gauge("chutevane_register_number", "", "Number of the newest value known to be chosen.",
@@ -151,12 +151,12 @@
   gauge("chutevane_configuration_version", "", "Newest configuration known to be chosen.",
         known ? number(known->config_version) : 0);
   gauge("chutevane_storage_map", "", "Number of the newest map of storage nodes known to be chosen.",
-        known ? number(known->map) : 0);
+        known ? number(known->map_version) : 0);
   gauge("chutevane_storage_nodes", "", "Storage nodes in that map.",
         known ? static_cast<double>(known->storage_nodes.size()) : 0);
   gauge("chutevane_storage_copies_missing", "",
         "Lost disks and absent storage nodes that are not made up for yet.",
-        known ? static_cast<double>(common::copies_missing(*known)) : 0);
+        known ? static_cast<double>(common::missing_replicas(*known)) : 0);
   gauge("chutevane_knowledge_age_seconds", "seconds",
         "Since a quorum of acceptors last proved that nothing newer was chosen.", fresh_age().as_ms() / 1000);
   gauge("chutevane_control_peers", "", "Other controllers known.", static_cast<double>(peers_.size()));
@@ -181,7 +181,7 @@
   std::map<std::string, Member> all;
   const auto take = [&](const Member& m) {
     Member& at = all[m.node];
-    if (at.node.empty() || at.disk != m.disk || at.whole < m.whole) at = m;
+    if (at.node.empty() || at.disk != m.disk || at.complete_map_version < m.complete_map_version) at = m;
   };
   for (const auto& [address, peer] : peers_) {
     if (!peer.last || timers_.now() - peer.heard > peer_heard) continue;
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -16,20 +16,20 @@
 constexpr Span change_most = Span::ms(3000);  // told as unclear well before `ackMs`
 constexpr Span order_most = Span::ms(2500);   // ... and so with all other calls
 
-common::HttpAnswer problem(int status, const std::string& cause) {
+common::HttpResponse problem(int status, const std::string& cause) {
   json::Writer out;
   out.open('{').key("cause").text(cause).close('}');
   return {status, out.result(), {}};
 }
 
-common::HttpAnswer unclear() {
-  common::HttpAnswer out = problem(503, "not known yet whether it is taken: send it again unchanged");
+common::HttpResponse unclear() {
+  common::HttpResponse out = problem(503, "not known yet whether it is taken: send it again unchanged");
   out.fields.emplace_back("Retry-After", "0.2");
   return out;
 }
 
 // All findings, each with its place.
-common::HttpAnswer invalid(const common::Findings& findings) {
+common::HttpResponse invalid(const common::Findings& findings) {
   json::Writer out;
   out.open('{').key("cause").text(findings.text()).key("findings").open('[');
   for (const common::Finding& f : findings.list())
@@ -54,9 +54,9 @@
   return -1;
 }
 
-bool is_retired(const common::Value& value, const std::string& node) {
-  return std::any_of(value.retired.begin(), value.retired.end(),
-                     [&](const common::Retired& r) { return r.node == node; });
+bool is_retired(const common::RegisterValue& value, const std::string& node) {
+  return std::any_of(value.retired_nodes.begin(), value.retired_nodes.end(),
+                     [&](const common::RetiredNode& r) { return r.node == node; });
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
                          std::size_t remembered)
     : register_(control_register), host_(host), machine_losses_(machine_losses), remembered_(remembered) {}
 
-void OperatorApi::serve(const http::Parser& request, common::HttpPort::Reply reply) {
+void OperatorApi::serve(const http::Parser& request, common::HttpServer::Reply reply) {
   const std::string_view target = request.target();
   const std::string_view path = target.substr(0, target.find('?'));
   const auto node_of = [&](std::string_view prefix) { return std::string(path.substr(prefix.size())); };
@@ -80,7 +80,7 @@
   reply(problem(404, "no such call"));
 }
 
-void OperatorApi::replace(const http::Parser& request, common::HttpPort::Reply reply) {
+void OperatorApi::replace(const http::Parser& request, common::HttpServer::Reply reply) {
   common::Findings findings;
   ConfigurationOrder order;
   order.base = base_version(request, findings);
@@ -96,12 +96,13 @@
   order.version = read->version;
   const auto shared = std::make_shared<const ConfigurationOrder>(std::move(order));
   register_.change(
-      [shared, remembered = remembered_](const common::Value& current) -> std::optional<common::Value> {
+      [shared, remembered = remembered_](
+          const common::RegisterValue& current) -> std::optional<common::RegisterValue> {
         if (judge(current, *shared, remembered) != OrderVerdict::applicable) return std::nullopt;
         return applied(current, *shared, remembered);
       },
       change_most,
-      [this, reply, shared](absl::StatusOr<common::Value> got) {
+      [this, reply, shared](absl::StatusOr<common::RegisterValue> got) {
         if (!got.ok()) {
           note(Outcome::unclear, *shared, got.status().ToString());
           return reply(unclear());
@@ -157,8 +158,8 @@
     out.sample(static_cast<double>(counts_[i]), {{"outcome", name_of(static_cast<Outcome>(i))}});
 }
 
-void OperatorApi::acknowledge(const common::Value& chosen, std::int64_t version,
-                              common::HttpPort::Reply reply) {
+void OperatorApi::acknowledge(const common::RegisterValue& chosen, std::int64_t version,
+                              common::HttpServer::Reply reply) {
   common::log_info("config.taken",
                    "version " + std::to_string(version) + ", number " + std::to_string(chosen.number));
   host_.announce(chosen);
@@ -169,8 +170,8 @@
   });
 }
 
-void OperatorApi::retrieve(common::HttpPort::Reply reply) {
-  register_.read(order_most, [this, reply](absl::StatusOr<common::Value> got) {
+void OperatorApi::retrieve(common::HttpServer::Reply reply) {
+  register_.read(order_most, [this, reply](absl::StatusOr<common::RegisterValue> got) {
     if (!got.ok()) {
       note(Outcome::read_unclear, {}, got.status().ToString());
       return reply(unclear());
@@ -182,8 +183,8 @@
 }
 
 // What was taken, the oldest first; hashes as texts, since a number in JSON may lose their last digits.
-void OperatorApi::history(common::HttpPort::Reply reply) {
-  register_.read(order_most, [reply](absl::StatusOr<common::Value> got) {
+void OperatorApi::history(common::HttpServer::Reply reply) {
+  register_.read(order_most, [reply](absl::StatusOr<common::RegisterValue> got) {
     if (!got.ok()) return reply(unclear());
     json::Writer out;
     out.open('{')
@@ -191,7 +192,7 @@
         .number(static_cast<std::uint64_t>(got->config_version))
         .key("taken")
         .open('[');
-    for (const common::Taken& t : got->taken)
+    for (const common::AppliedConfiguration& t : got->applied_configurations)
       out.open('{')
           .key("version")
           .number(static_cast<std::uint64_t>(t.version))
@@ -204,15 +205,15 @@
 }
 
 // An order that was taken is in the value's list for good: the list is looked at before anything else.
-void OperatorApi::initiate_retire(const std::string& node, common::HttpPort::Reply reply) {
+void OperatorApi::initiate_retire(const std::string& node, common::HttpServer::Reply reply) {
   register_.change(
-      [this, node](const common::Value& current) -> std::optional<common::Value> {
-        common::Value out = current;
+      [this, node](const common::RegisterValue& current) -> std::optional<common::RegisterValue> {
+        common::RegisterValue out = current;
         if (retire(out, node, machine_losses_) != RetireVerdict::taken) return std::nullopt;
         return out;
       },
       order_most,
-      [this, reply, node](absl::StatusOr<common::Value> got) {
+      [this, reply, node](absl::StatusOr<common::RegisterValue> got) {
         if (!got.ok()) return reply(unclear());
         if (is_retired(*got, node)) {
           host_.announce(*got);
@@ -224,10 +225,10 @@
       });
 }
 
-void OperatorApi::retrieve_retire(const std::string& node, common::HttpPort::Reply reply) {
-  register_.read(order_most, [this, reply, node](absl::StatusOr<common::Value> got) {
+void OperatorApi::retrieve_retire(const std::string& node, common::HttpServer::Reply reply) {
+  register_.read(order_most, [this, reply, node](absl::StatusOr<common::RegisterValue> got) {
     if (!got.ok()) return reply(unclear());
-    for (const common::Retired& r : got->retired) {
+    for (const common::RetiredNode& r : got->retired_nodes) {
       if (r.node != node) continue;
       return reply({200, r.completed ? "{\"state\":\"completed\"}" : "{\"state\":\"active\"}", {}});
     }
@@ -239,7 +240,7 @@
 }
 
 // Of one that the map does not name: it may be there and not be taken into the map yet.
-common::HttpAnswer OperatorApi::no_such_storage_machine(const std::string& node) const {
+common::HttpResponse OperatorApi::no_such_storage_machine(const std::string& node) const {
   if (!host_.members_complete()) return unclear();
   const std::vector<common::Member> all = host_.members();
   const bool there = std::any_of(all.begin(), all.end(), [&](const common::Member& m) {
@@ -248,15 +249,18 @@
   return there ? unclear() : problem(404, "no storage machine of that name");
 }
 
-void OperatorApi::status(common::HttpPort::Reply reply) {
+void OperatorApi::status(common::HttpServer::Reply reply) {
   const ControlStatus own = host_.status();
   json::Writer out;
   const auto count = [](std::int64_t n) { return static_cast<std::uint64_t>(std::max<std::int64_t>(n, 0)); };
-  const std::optional<common::Value>& v = register_.known();
+  const std::optional<common::RegisterValue>& v = register_.known();
   out.open('{').key("node").text(own.node);
   out.key("freshMs").number(count(static_cast<std::int64_t>(own.fresh_age.as_ms())));
   out.key("number").number(v ? count(v->number) : 0).key("epoch").number(count(register_.initial().epoch));
-  out.key("configVersion").number(v ? count(v->config_version) : 0).key("map").number(v ? count(v->map) : 0);
+  out.key("configVersion")
+      .number(v ? count(v->config_version) : 0)
+      .key("map")
+      .number(v ? count(v->map_version) : 0);
   out.key("acceptors").open('[');
   for (const common::Acceptor& a : register_.initial().acceptors)
     out.open('{').key("address").text(a.address).key("disk").text(a.disk).close('}');
@@ -269,18 +273,18 @@
           .key("zone")
           .text(c.zone)
           .key("leaving")
-          .truth(c.leaving)
+          .truth(c.draining)
           .key("lost")
-          .truth(c.lost)
+          .truth(c.disk_replaced)
           .close('}');
   }
   out.close(']').key("absentStorageNodes").open('[');
   if (v) {
-    for (const common::StorageNode& c : v->absent)
+    for (const common::StorageNode& c : v->absent_nodes)
       out.open('{').key("node").text(c.node).key("zone").text(c.zone).close('}');
   }
   out.close(']').key("duties").open('[');
-  for (const common::HeldDuty& duty : own.duties)
+  for (const common::HeldRole& duty : own.duties)
     out.open('{').key("name").text(duty.name).key("term").number(count(duty.term)).close('}');
   out.close(']').key("members").open('[');
   for (const common::Member& m : host_.members())
@@ -294,7 +298,7 @@
         .key("number")
         .number(count(m.number))
         .key("whole")
-        .number(count(m.whole))
+        .number(count(m.complete_map_version))
         .close('}');
   out.close(']').key("endpoints").number(own.endpoints).close('}');
   reply({200, out.result(), {}});
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -12,10 +12,10 @@
 #include <string_view>
 #include <vector>
 
-#include "common/bounded_log.hpp"
-#include "common/http_port.hpp"
+#include "common/http_server.hpp"
 #include "common/messages.hpp"
 #include "common/metrics.hpp"
+#include "common/rate_limited_log.hpp"
 #include "control/configuration_order.hpp"
 #include "control/register.hpp"
 #include "http/parser.hpp"
@@ -26,7 +26,7 @@
 struct ControlStatus {
   std::string node;
   Span fresh_age;                        // since its knowledge of the register was last confirmed
-  std::vector<common::HeldDuty> duties;  // its own
+  std::vector<common::HeldRole> duties;  // its own
   std::size_t endpoints = 0;             // in its list
   TimePoint now;                         // by its steady clock
 };
@@ -37,7 +37,7 @@
   class Host {
    public:
     // Tells the other control machines of a value that was chosen here.
-    virtual void announce(const common::Value& chosen) = 0;
+    virtual void announce(const common::RegisterValue& chosen) = 0;
     // Calls back once the edges with a session here have that value, or after a bounded time.
     virtual void when_acknowledged(std::int64_t number, std::function<void()> then) = 0;
     // Edges and storage machines with a session at this or another control machine.
@@ -54,7 +54,7 @@
   OperatorApi(Register& control_register, Host& host, std::size_t machine_losses,
               std::size_t remembered = remembered_configurations);
   // Answers one call: at once or later, exactly once.
-  void serve(const http::Parser& request, common::HttpPort::Reply reply);
+  void serve(const http::Parser& request, common::HttpServer::Reply reply);
   void write_metrics(common::MetricsWriter& out) const;
 
  private:
@@ -65,21 +65,22 @@
   // Counts it; what was refused or left unclear is told with all that the decision rested on.
   void note(Outcome outcome, const ConfigurationOrder& order, std::string_view cause);
 
-  void replace(const http::Parser& request, common::HttpPort::Reply reply);
-  void acknowledge(const common::Value& chosen, std::int64_t version, common::HttpPort::Reply reply);
-  void retrieve(common::HttpPort::Reply reply);
-  void history(common::HttpPort::Reply reply);
-  void initiate_retire(const std::string& node, common::HttpPort::Reply reply);
-  void retrieve_retire(const std::string& node, common::HttpPort::Reply reply);
-  common::HttpAnswer no_such_storage_machine(const std::string& node) const;
-  void status(common::HttpPort::Reply reply);
+  void replace(const http::Parser& request, common::HttpServer::Reply reply);
+  void acknowledge(const common::RegisterValue& chosen, std::int64_t version,
+                   common::HttpServer::Reply reply);
+  void retrieve(common::HttpServer::Reply reply);
+  void history(common::HttpServer::Reply reply);
+  void initiate_retire(const std::string& node, common::HttpServer::Reply reply);
+  void retrieve_retire(const std::string& node, common::HttpServer::Reply reply);
+  common::HttpResponse no_such_storage_machine(const std::string& node) const;
+  void status(common::HttpServer::Reply reply);
 
   Register& register_;
   Host& host_;
   const std::size_t machine_losses_, remembered_;
   static constexpr int lines_most = 10;  // a second
   std::array<std::uint64_t, outcomes> counts_{};
-  common::BoundedLog refusals_{"order.not_taken", lines_most};
+  common::RateLimitedLog refusals_{"order.not_taken", lines_most};
 };
 
 }  // namespace chutevane::control
--- a/src/control/platform.cpp
+++ b/src/control/platform.cpp
@@ -23,7 +23,7 @@
     return std::nullopt;
   Page out;
   for (const simdjson::dom::element e : instances) {
-    common::Listed one;
+    common::EndpointEntry one;
     std::string_view id, service, address, zone, state;
     if (e["id"].get(id) != simdjson::SUCCESS || e["service"].get(service) != simdjson::SUCCESS ||
         e["address"].get(address) != simdjson::SUCCESS || e["state"].get(state) != simdjson::SUCCESS)
@@ -31,7 +31,7 @@
     if (e["zone"].get(zone) == simdjson::SUCCESS) one.zone = zone;
     double capacity = 0, cold = 0;
     if (e["capacity"].get(capacity) == simdjson::SUCCESS) one.capacity = static_cast<std::int64_t>(capacity);
-    if (e["coldLeftMs"].get(cold) == simdjson::SUCCESS) one.cold_ms = static_cast<std::int64_t>(cold);
+    if (e["coldLeftMs"].get(cold) == simdjson::SUCCESS) one.slow_start_ms = static_cast<std::int64_t>(cold);
     one.id = id;
     one.service = service;
     one.address = address;
@@ -61,7 +61,7 @@
   }
   due_ = timers_.after(page_most, [this] { finish(false); });
   old_ = std::move(channel_);
-  channel_ = std::make_unique<net::Channel>(scheduler_, static_cast<net::Channel::Sink&>(*this));
+  channel_ = std::make_unique<net::Channel>(scheduler_, static_cast<net::Channel::Observer&>(*this));
   if (!channel_->connect(at_)) finish(false);
 }
 
@@ -93,7 +93,7 @@
   }
 }
 
-void Platform::channel_came(net::Channel& channel) {
+void Platform::on_channel_data(net::Channel& channel) {
   if (&channel != channel_.get()) return;
   const http::Progress progress = parser_.feed(channel.in().bytes());
   if (progress == http::Progress::more) return;
@@ -109,7 +109,7 @@
     finish(false);
     return;
   }
-  for (common::Listed& one : page->entries) entries_.push_back(std::move(one));
+  for (common::EndpointEntry& one : page->entries) entries_.push_back(std::move(one));
   token_ = page->next;
   if (token_.empty() || !keep) {
     const bool whole = token_.empty();
@@ -123,7 +123,7 @@
   next_ = timers_.after(page_pause_, [this] { ask(); });
 }
 
-void Platform::channel_gone(net::Channel& channel) {
+void Platform::on_channel_closed(net::Channel& channel) {
   if (&channel != channel_.get()) return;
   old_ = std::move(channel_);
   if (done_) finish(false);
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-Value first_value(std::vector<Acceptor> acceptors) {
-  Value out;
+RegisterValue first_value(std::vector<Acceptor> acceptors) {
+  RegisterValue out;
   out.epoch = 1;
   std::sort(acceptors.begin(), acceptors.end(),
             [](const Acceptor& a, const Acceptor& b) { return a.address < b.address; });
@@ -32,16 +32,16 @@
   return out;
 }
 
-Value opened(const Value& last) {
-  Value out = last;
+RegisterValue opened(const RegisterValue& last) {
+  RegisterValue out = last;
   ++out.number;
   ++out.epoch;
-  out.acceptors = last.next;
-  out.next.clear();
+  out.acceptors = last.next_acceptors;
+  out.next_acceptors.clear();
   return out;
 }
 
-std::size_t majority(const Value& initial) { return initial.acceptors.size() / 2 + 1; }
+std::size_t majority(const RegisterValue& initial) { return initial.acceptors.size() / 2 + 1; }
 
 AcceptorState::AcceptorState(common::Disk& disk, std::string address, std::string disk_id, bool first)
     : slots_(disk, "acceptor"), address_(std::move(address)), disk_id_(std::move(disk_id)), first_(first) {}
@@ -68,14 +68,14 @@
   return as_slot ? slots_.write(record) : slots_.append(record);
 }
 
-bool AcceptorState::named(const Value& initial) const {
+bool AcceptorState::named(const RegisterValue& initial) const {
   return std::any_of(initial.acceptors.begin(), initial.acceptors.end(), [&](const Acceptor& a) {
     return a.address == address_ && (a.disk == disk_id_ || (a.disk.empty() && first_ && initial.epoch == 1));
   });
 }
 
 // Begins a later epoch, where it is one of its acceptors. In memory: what follows stores it.
-bool AcceptorState::enter(std::int64_t epoch, const Value& initial) {
+bool AcceptorState::enter(std::int64_t epoch, const RegisterValue& initial) {
   if (epoch != initial.epoch || !named(initial)) return false;
   state_ = {};
   state_.epoch = epoch;
@@ -100,7 +100,7 @@
     out.verdict = static_cast<std::int64_t>(Verdict::moved);
     return out;
   }
-  if (!ask.look_only && state_.promised < ask.ballot) {
+  if (!ask.read_only && state_.promised < ask.ballot) {
     state_.promised = ask.ballot;
     if (absl::Status s = store(entered); !s.ok()) {
       state_ = before;
@@ -115,9 +115,9 @@
   if (entered && told_) told_(state_.initial);
   out.promised = state_.promised;
   out.accepted = state_.accepted;
-  const bool yes = ask.look_only || state_.promised == ask.ballot;
+  const bool yes = ask.read_only || state_.promised == ask.ballot;
   out.verdict = static_cast<std::int64_t>(yes ? Verdict::yes : Verdict::later);
-  out.value_known = ask.known.round > 0 && ask.known == state_.accepted;
+  out.value_known = ask.known_ballot.round > 0 && ask.known_ballot == state_.accepted;
   if (yes && !out.value_known) out.value = state_.value;
   return out;
 }
@@ -136,9 +136,9 @@
   }
   out.verdict = static_cast<std::int64_t>(Verdict::yes);
   if (ask.ballot.round > 0 && ask.ballot == state_.accepted) return out;  // a repeat: it is on disk
-  absl::StatusOr<Value> value = ask.value;
+  absl::StatusOr<RegisterValue> value = ask.value;
   if (common::is_difference(ask.difference))
-    value = common::changed_value(ask.difference, common::encoded(state_.value));
+    value = common::apply_value_difference(ask.difference, common::encoded(state_.value));
   if (!value.ok()) {
     out.verdict = static_cast<std::int64_t>(Verdict::whole);
     return out;
@@ -157,50 +157,50 @@
   Change change;
   Done done;
   TimePoint until;
-  net::TimerQueue::Ticket due;
+  net::TimerQueue::Handle due;
   bool over = false;
   int in_vain = 0;        // tries that met a later ballot or no majority
   std::int64_t turn = 0;  // answers to an earlier ballot are no answers to this one
   Ballot ballot;
-  Value initial;                               // of the epoch that it is in
+  RegisterValue initial;                       // of the epoch that it is in
   std::shared_ptr<const AcceptedValue> known;  // of this epoch: promises may leave its value out
   std::vector<Promise> promises;
   std::size_t yes = 0, no = 0;
   bool deciding = false, look_only = true;
-  Value value;                         // that is proposed
+  RegisterValue value;                 // that is proposed
   common::ValueDifference difference;  // from what was found; none: it would not be shorter
 };
 
 Register::Register(net::TimerQueue& later, Voters& voters, std::uint64_t proposer)
     : timers_(later), voters_(voters), proposer_(proposer), random_(proposer) {}
 
-void Register::learn_epoch(const Value& initial) {
+void Register::learn_epoch(const RegisterValue& initial) {
   if (initial.epoch <= initial_.epoch) return;
   initial_ = initial;
   accepted_.reset();
   entered_.clear();
 }
 
-void Register::learn_accepted(std::int64_t epoch, const Ballot& ballot, const Value& value) {
+void Register::learn_accepted(std::int64_t epoch, const Ballot& ballot, const RegisterValue& value) {
   if (epoch != initial_.epoch || (accepted_ && !(accepted_->ballot < ballot))) return;
   accepted_ = std::make_shared<const AcceptedValue>(AcceptedValue{epoch, ballot, value});
 }
 
-const Value& Register::value_of(const Round& round, const Promise& promise) {
+const RegisterValue& Register::value_of(const Round& round, const Promise& promise) {
   return promise.value_known ? round.known->value : promise.value;
 }
 
-void Register::learn_chosen(const Value& value, const Value& initial) {
+void Register::learn_chosen(const RegisterValue& value, const RegisterValue& initial) {
   learn_epoch(initial);
-  common::check_invariant(common::Invariant::one_value_under_a_number,
-                          !known_ || known_->number != value.number ||
-                              (known_->config_version == value.config_version && known_->map == value.map),
-                          [&] {
-                            return "number " + std::to_string(value.number) + ": version " +
-                                   std::to_string(value.config_version) + " and " +
-                                   std::to_string(known_->config_version) + ", map " +
-                                   std::to_string(value.map) + " and " + std::to_string(known_->map);
-                          });
+  common::check_invariant(
+      common::Invariant::one_value_under_a_number,
+      !known_ || known_->number != value.number ||
+          (known_->config_version == value.config_version && known_->map_version == value.map_version),
+      [&] {
+        return "number " + std::to_string(value.number) + ": version " +
+               std::to_string(value.config_version) + " and " + std::to_string(known_->config_version) +
+               ", map " + std::to_string(value.map_version) + " and " + std::to_string(known_->map_version);
+      });
   if (known_ && known_->number >= value.number) return;
   known_ = value;
   if (told_) told_(value);
@@ -214,7 +214,7 @@
   begin(round);
 }
 
-void Register::finish(const std::shared_ptr<Round>& round, absl::StatusOr<Value> result) {
+void Register::finish(const std::shared_ptr<Round>& round, absl::StatusOr<RegisterValue> result) {
   if (round->over) return;
   round->over = true;
   timers_.cancel(round->due);
@@ -265,10 +265,10 @@
       timers_.at(std::min(round->until, timers_.now() + round_most), [this, round] { again(round); });
   round->known = accepted_;
   Prepare ask{round->initial.epoch, round->ballot, {}, round->look_only, {}};
-  if (round->known) ask.known = round->known->ballot;
+  if (round->known) ask.known_ballot = round->known->ballot;
   for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
     const std::string to = round->initial.acceptors[i].address;
-    ask.initial = entered_.contains(to) ? Value{} : round->initial;
+    ask.initial = entered_.contains(to) ? RegisterValue{} : round->initial;
     voters_.prepare(to, ask, [this, round, i, turn](absl::StatusOr<Promise> got) {
       on_promise(round, i, turn, std::move(got));
     });
@@ -327,10 +327,10 @@
     }
     for (const Promise& p : round->promises) alike += p.accepted == newest->accepted ? 1 : 0;
     const bool quiet = alike >= majority(round->initial);
-    const Value& seen = value_of(*round, *newest);
+    const RegisterValue& seen = value_of(*round, *newest);
     if (quiet) learn_accepted(round->initial.epoch, newest->accepted, seen);
     if (quiet && !sealed(seen) && !round->change(seen)) {
-      const Value value = seen;
+      const RegisterValue value = seen;
       learn_chosen(value, round->initial);
       return finish(round, value);
     }
@@ -346,7 +346,7 @@
 }
 
 // An acceptor that has answered in an epoch has its first value on disk: it need not be sent again.
-void Register::note_entered(const Value& initial, std::size_t from, const Promise& got) {
+void Register::note_entered(const RegisterValue& initial, std::size_t from, const Promise& got) {
   const std::string& address = initial.acceptors[from].address;
   if (initial.epoch != initial_.epoch) return;
   if (got.epoch == initial.epoch && static_cast<Verdict>(got.verdict) != Verdict::stranger) {
@@ -361,10 +361,10 @@
   for (const Promise& p : round->promises) {
     if (newest->accepted < p.accepted) newest = &p;
   }
-  const Value current = value_of(*round, *newest);
+  const RegisterValue current = value_of(*round, *newest);
   learn_accepted(round->initial.epoch, newest->accepted, current);
   if (!sealed(current)) {
-    if (std::optional<Value> wanted = round->change(current)) {
+    if (std::optional<RegisterValue> wanted = round->change(current)) {
       wanted->number = current.number + 1;
       propose(round, current, std::move(*wanted));
       return;
@@ -374,7 +374,7 @@
   propose(round, current, current);
 }
 
-void Register::propose(const std::shared_ptr<Round>& round, const Value& found, Value value) {
+void Register::propose(const std::shared_ptr<Round>& round, const RegisterValue& found, RegisterValue value) {
   round->value = std::move(value);
   round->yes = round->no = 0;
   const std::string record = common::encoded(round->value);
@@ -418,7 +418,7 @@
     begin(round);
     return;
   }
-  const Value value = round->value;
+  const RegisterValue value = round->value;
   learn_accepted(round->initial.epoch, round->ballot, value);
   learn_chosen(value, round->initial);
   finish(round, value);
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -25,14 +25,14 @@
 
 using common::Acceptor;
 using common::Ballot;
-using common::Value;
+using common::RegisterValue;
 
 // The first epoch's value: alike at all who know the same acceptors.
-Value first_value(std::vector<Acceptor> acceptors);
+RegisterValue first_value(std::vector<Acceptor> acceptors);
 // What the next epoch begins with.
-Value opened(const Value& sealed);
-inline bool sealed(const Value& value) { return !value.next.empty(); }
-std::size_t majority(const Value& initial);
+RegisterValue opened(const RegisterValue& sealed);
+inline bool sealed(const RegisterValue& value) { return !value.next_acceptors.empty(); }
+std::size_t majority(const RegisterValue& initial);
 inline bool names(const std::vector<Acceptor>& set, const std::string& address) {
   return std::any_of(set.begin(), set.end(), [&](const Acceptor& a) { return a.address == address; });
 }
@@ -58,7 +58,7 @@
   absl::Status open();
   // Called with the first value of each epoch that it enters, once that is on disk. A new member of the set
   // may be the only one left that knows of the epoch: who proposes from its sidecar has to hear of it.
-  void on_entered(std::function<void(const Value& initial)> told) { told_ = std::move(told); }
+  void on_entered(std::function<void(const RegisterValue& initial)> told) { told_ = std::move(told); }
 
   // Errors are the disk's: nothing may be answered then.
   absl::StatusOr<common::Promise> prepare(const common::Prepare& ask);
@@ -73,18 +73,18 @@
   bool voting() const { return state_.epoch > 0; }
   std::int64_t accepted_number() const { return state_.value.number; }
   const Ballot& accepted() const { return state_.accepted; }
-  const Value& value() const { return state_.value; }  // under accepted()
-  const Value& initial() const { return state_.initial; }
+  const RegisterValue& value() const { return state_.value; }  // under accepted()
+  const RegisterValue& initial() const { return state_.initial; }
 
  private:
-  bool named(const Value& initial) const;
-  bool enter(std::int64_t epoch, const Value& initial);
+  bool named(const RegisterValue& initial) const;
+  bool enter(std::int64_t epoch, const RegisterValue& initial);
   absl::Status store(bool whole);
   common::Slots slots_;
   const std::string address_, disk_id_;
   const bool first_;  // its disk was new when the whole system was: it is the one that the first set names
   common::AcceptorRecord state_;
-  std::function<void(const Value&)> told_;
+  std::function<void(const RegisterValue&)> told_;
 };
 
 // The way to the acceptors, by address. Answers may come at once, later or never.
@@ -103,22 +103,22 @@
 class Register {
  public:
   // What a change makes of the chosen value: another value to be chosen, or nothing, where that one stands.
-  using Change = std::function<std::optional<Value>(const Value& current)>;
+  using Change = std::function<std::optional<RegisterValue>(const RegisterValue& current)>;
   // The value that is chosen after it, or why that is not known: the change may be chosen all the same, or
   // never.
-  using Done = std::function<void(absl::StatusOr<Value>)>;
+  using Done = std::function<void(absl::StatusOr<RegisterValue>)>;
 
   Register(net::TimerQueue& later, Voters& voters, std::uint64_t proposer);
 
   // The newest epoch that is known; older ones are no news.
-  void learn_epoch(const Value& initial);
-  const Value& initial() const { return initial_; }
+  void learn_epoch(const RegisterValue& initial);
+  const RegisterValue& initial() const { return initial_; }
   // Calls `chosen` with each value that this one knows to be chosen, numbers rising.
-  void on_chosen(std::function<void(const Value&)> told) { told_ = std::move(told); }
-  void learn_chosen(const Value& value, const Value& initial);
+  void on_chosen(std::function<void(const RegisterValue&)> told) { told_ = std::move(told); }
+  void learn_chosen(const RegisterValue& value, const RegisterValue& initial);
   // The value that was accepted under that ballot of that epoch: acceptors need not send it.
-  void learn_accepted(std::int64_t epoch, const Ballot& ballot, const Value& value);
-  const std::optional<Value>& known() const { return known_; }
+  void learn_accepted(std::int64_t epoch, const Ballot& ballot, const RegisterValue& value);
+  const std::optional<RegisterValue>& known() const { return known_; }
   // Whether the machine at that address may go with its disk: a majority of a set without it has the value.
   bool released(const std::string& address) const {
     return known_ && known_->epoch == initial_.epoch && !names(known_->acceptors, address);
@@ -131,7 +131,7 @@
   void change(Change change, Span most, Done done);
   // The chosen value as of now.
   void read(Span most, Done done) {
-    change([](const Value&) { return std::nullopt; }, most, std::move(done));
+    change([](const RegisterValue&) { return std::nullopt; }, most, std::move(done));
   }
 
  private:
@@ -140,33 +140,33 @@
   struct AcceptedValue {
     std::int64_t epoch = 0;
     Ballot ballot;
-    Value value;
+    RegisterValue value;
   };
-  static const Value& value_of(const Round& round, const common::Promise& promise);
+  static const RegisterValue& value_of(const Round& round, const common::Promise& promise);
   void begin(const std::shared_ptr<Round>& round);
   void on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
                   absl::StatusOr<common::Promise> got);
-  void note_entered(const Value& initial, std::size_t from, const common::Promise& got);
+  void note_entered(const RegisterValue& initial, std::size_t from, const common::Promise& got);
   void decide(const std::shared_ptr<Round>& round);
   // `found`: what the round has found accepted, so what most of its acceptors have.
-  void propose(const std::shared_ptr<Round>& round, const Value& found, Value value);
+  void propose(const std::shared_ptr<Round>& round, const RegisterValue& found, RegisterValue value);
   void ask_accept(const std::shared_ptr<Round>& round, std::size_t to, std::int64_t turn, bool whole);
   void chosen(const std::shared_ptr<Round>& round);
   void again(const std::shared_ptr<Round>& round);
   bool may_propose(const std::shared_ptr<Round>& round);
   void let_next_propose();
-  void finish(const std::shared_ptr<Round>& round, absl::StatusOr<Value> result);
+  void finish(const std::shared_ptr<Round>& round, absl::StatusOr<RegisterValue> result);
 
   net::TimerQueue& timers_;
   Voters& voters_;
   const std::uint64_t proposer_;
   std::uint64_t random_;
   std::int64_t highest_ = 0;  // round that was met
-  Value initial_;
+  RegisterValue initial_;
   std::shared_ptr<const AcceptedValue> accepted_;  // the newest that was seen, proposed or told of
   std::set<std::string> entered_;  // addresses of acceptors that have answered in initial_'s epoch
-  std::optional<Value> known_;
-  std::function<void(const Value&)> told_;
+  std::optional<RegisterValue> known_;
+  std::function<void(const RegisterValue&)> told_;
   // One round of this process proposes at a time, or they would outbid one another; the others wait, the
   // oldest first. Looks do not wait.
   std::shared_ptr<Round> proposing_;
--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -9,8 +9,8 @@
 
 using common::Acceptor;
 using common::Member;
+using common::RegisterValue;
 using common::StorageNode;
-using common::Value;
 
 bool Roster::lost(const std::string& key, bool seen, Span after, TimePoint now) {
   const auto [at, fresh] = last_seen_.emplace(key, now);
@@ -18,7 +18,7 @@
   return now - at->second > after;
 }
 
-std::optional<std::vector<Acceptor>> Roster::acceptors(const Value& chosen,
+std::optional<std::vector<Acceptor>> Roster::acceptors(const RegisterValue& chosen,
                                                        const std::vector<LiveController>& live,
                                                        TimePoint now) {
   std::vector<Acceptor> next = chosen.acceptors;
@@ -84,9 +84,9 @@
 
 namespace {
 
-bool stays(const StorageNode& c) { return !c.leaving; }
+bool stays(const StorageNode& c) { return !c.draining; }
 
-std::size_t staying_without(const Value& value, const std::string& node) {
+std::size_t staying_without(const RegisterValue& value, const std::string& node) {
   return static_cast<std::size_t>(
       std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                     [&](const StorageNode& c) { return stays(c) && c.node != node; }));
@@ -98,23 +98,23 @@
   return found == live.end() ? nullptr : &*found;
 }
 
-const common::Retired* order_to_empty(const Value& value, const std::string& node) {
-  const auto found = std::find_if(value.retired.begin(), value.retired.end(),
-                                  [&](const common::Retired& r) { return r.node == node; });
-  return found == value.retired.end() ? nullptr : &*found;
+const common::RetiredNode* order_to_empty(const RegisterValue& value, const std::string& node) {
+  const auto found = std::find_if(value.retired_nodes.begin(), value.retired_nodes.end(),
+                                  [&](const common::RetiredNode& r) { return r.node == node; });
+  return found == value.retired_nodes.end() ? nullptr : &*found;
 }
 
 // One that the map does not name comes in. An order to empty it stands, also where it was gone in between.
 // Where it was given up and its copies are still needed, it brings them back, or has lost them.
-bool join(Value& value, const Member& m) {
-  const common::Retired* const order = order_to_empty(value, m.node);
-  if (m.leaving || (order != nullptr && order->completed)) return false;
+bool join(RegisterValue& value, const Member& m) {
+  const common::RetiredNode* const order = order_to_empty(value, m.node);
+  if (m.draining || (order != nullptr && order->completed)) return false;
   StorageNode node{m.node, m.disk, m.address, m.zone, order != nullptr, false, true};
-  const auto absent = std::find_if(value.absent.begin(), value.absent.end(),
+  const auto absent = std::find_if(value.absent_nodes.begin(), value.absent_nodes.end(),
                                    [&](const StorageNode& c) { return c.node == m.node; });
-  if (absent != value.absent.end()) {
-    node.lost = absent->lost || absent->disk != m.disk;
-    value.absent.erase(absent);
+  if (absent != value.absent_nodes.end()) {
+    node.disk_replaced = absent->disk_replaced || absent->disk != m.disk;
+    value.absent_nodes.erase(absent);
   }
   value.storage_nodes.push_back(std::move(node));
   return true;
@@ -124,28 +124,28 @@
 bool rename(StorageNode& c, const Member& m) {
   if (c.disk == m.disk && c.address == m.address) return false;
   // Its copies went with the disk of before: whoever takes over has to know of that loss.
-  const bool lost = c.lost || c.disk != m.disk;
-  c = {m.node, m.disk, m.address, m.zone, c.leaving, lost, c.joining};
+  const bool lost = c.disk_replaced || c.disk != m.disk;
+  c = {m.node, m.disk, m.address, m.zone, c.draining, lost, c.bootstrapping};
   return true;
 }
 
 // One that got SIGTERM may take its disk with it: the others take over while it is there, as for an order to
 // empty it. One that was only started again is back in its place.
-bool follow_its_end(Value& value, StorageNode& c, const Member& m, std::size_t losses) {
+bool follow_its_end(RegisterValue& value, StorageNode& c, const Member& m, std::size_t losses) {
   const bool ordered = order_to_empty(value, c.node) != nullptr;
-  const bool leaving = ordered || (m.leaving && staying_without(value, c.node) >= copies_for(losses));
-  if (leaving == c.leaving) return false;
-  c.leaving = leaving;
+  const bool leaving = ordered || (m.draining && staying_without(value, c.node) >= copies_for(losses));
+  if (leaving == c.draining) return false;
+  c.draining = leaving;
   return true;
 }
 
-bool is_whole(const Value& value, const StorageNode& c, const std::vector<Member>& live) {
+bool is_whole(const RegisterValue& value, const StorageNode& c, const std::vector<Member>& live) {
   const Member* const m = storage_member(live, c.node);
-  return m != nullptr && m->disk == c.disk && m->whole >= value.map;
+  return m != nullptr && m->disk == c.disk && m->complete_map_version >= value.map_version;
 }
 
 // Whether all that stay have what the leaving ones hold, by this map and on the disks that it names.
-bool taken_over(const Value& value, const std::vector<Member>& live) {
+bool taken_over(const RegisterValue& value, const std::vector<Member>& live) {
   return std::all_of(value.storage_nodes.begin(), value.storage_nodes.end(),
                      [&](const StorageNode& c) { return !stays(c) || is_whole(value, c, live); });
 }
@@ -154,28 +154,28 @@
 // its turns. Before that a lost disk is made up for by its own node alone, where nobody is away whose copies
 // were needed, and nobody has come or leaves that has not got, or given, its part. True where a map without
 // it is worth its number.
-bool settle(Value& value, const std::vector<Member>& live) {
-  const std::size_t before = common::copies_missing(value);
+bool settle(RegisterValue& value, const std::vector<Member>& live) {
+  const std::size_t before = common::missing_replicas(value);
   if (taken_over(value, live)) {
-    value.absent.clear();
-    for (StorageNode& c : value.storage_nodes) c.lost = c.joining = false;
+    value.absent_nodes.clear();
+    for (StorageNode& c : value.storage_nodes) c.disk_replaced = c.bootstrapping = false;
     return before > 0;
   }
-  if (!value.absent.empty()) return false;
-  for (StorageNode& c : value.storage_nodes) c.joining = c.joining && !is_whole(value, c, live);
+  if (!value.absent_nodes.empty()) return false;
+  for (StorageNode& c : value.storage_nodes) c.bootstrapping = c.bootstrapping && !is_whole(value, c, live);
   const bool moving = std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
-                                  [](const StorageNode& c) { return c.joining || c.leaving; });
+                                  [](const StorageNode& c) { return c.bootstrapping || c.draining; });
   if (moving) return false;
-  for (StorageNode& c : value.storage_nodes) c.lost = c.lost && !is_whole(value, c, live);
-  return common::copies_missing(value) < before;
+  for (StorageNode& c : value.storage_nodes) c.disk_replaced = c.disk_replaced && !is_whole(value, c, live);
+  return common::missing_replicas(value) < before;
 }
 
 // The first that leaves is given up, and an order to empty it is completed.
-bool give_up_emptied(Value& value) {
+bool give_up_emptied(RegisterValue& value) {
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                                   [](const StorageNode& c) { return !stays(c); });
   if (found == value.storage_nodes.end()) return false;
-  for (common::Retired& r : value.retired) r.completed = r.completed || r.node == found->node;
+  for (common::RetiredNode& r : value.retired_nodes) r.completed = r.completed || r.node == found->node;
   value.storage_nodes.erase(found);
   return true;
 }
@@ -193,7 +193,7 @@
 // A silent node may come back with the only copies that are left, or never. It is given up only where those
 // who stay can make up for it without it: while fewer disks are lost, absent or silent than may be. It is
 // remembered as absent until they have; it may have to bring its copies back if a disk is lost meanwhile.
-bool Roster::drop_silent(Value& value, const std::vector<Member>& live, TimePoint now) {
+bool Roster::drop_silent(RegisterValue& value, const std::vector<Member>& live, TimePoint now) {
   const auto silent = [&](const StorageNode& c) { return storage_member(live, c.node) == nullptr; };
   std::vector<StorageNode> gone;
   for (const StorageNode& c : value.storage_nodes) {
@@ -204,26 +204,27 @@
   for (const StorageNode& c : gone) {
     const auto all_silent = static_cast<std::size_t>(
         std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(), silent));
-    if (common::copies_missing(value) + all_silent > losses_) break;
+    if (common::missing_replicas(value) + all_silent > losses_) break;
     if (staying_without(value, c.node) < copies_for(losses_)) continue;
     std::erase_if(value.storage_nodes, [&](const StorageNode& one) { return one.node == c.node; });
-    value.absent.push_back(c);
+    value.absent_nodes.push_back(c);
     changed = true;
   }
   return changed;
 }
 
-bool Roster::forget_outlived(Value& value, const std::vector<Member>& live, TimePoint now) {
+bool Roster::forget_outlived(RegisterValue& value, const std::vector<Member>& live, TimePoint now) {
   bool changed = false;
   const auto outlived = [&](const std::string& what, const StorageNode& c) {
     return lost(what + c.node + " " + c.disk, false, outlived_after_, now);
   };
-  changed |= std::erase_if(value.absent, [&](const StorageNode& c) { return outlived("absent ", c); }) > 0;
+  changed |=
+      std::erase_if(value.absent_nodes, [&](const StorageNode& c) { return outlived("absent ", c); }) > 0;
   for (std::size_t i = 0; i < value.storage_nodes.size();) {
     StorageNode& c = value.storage_nodes[i];
-    const bool was_lost = c.lost;
-    c.lost = c.lost && !outlived("lost disk ", c);
-    changed |= was_lost != c.lost;
+    const bool was_lost = c.disk_replaced;
+    c.disk_replaced = c.disk_replaced && !outlived("lost disk ", c);
+    changed |= was_lost != c.disk_replaced;
     const bool silent = storage_member(live, c.node) == nullptr;
     const bool away_for_long = lost("away " + c.node + " " + c.disk, !silent, outlived_after_, now);
     if (away_for_long && staying_without(value, c.node) >= copies_for(losses_)) {
@@ -236,13 +237,13 @@
   return changed;
 }
 
-std::optional<Value> Roster::storage_nodes(const Value& chosen, const std::vector<Member>& members,
-                                           TimePoint now) {
+std::optional<RegisterValue> Roster::storage_nodes(const RegisterValue& chosen,
+                                                   const std::vector<Member>& members, TimePoint now) {
   // One whose disk fails keeps nothing: it counts as gone.
   std::vector<Member> live;
   std::copy_if(members.begin(), members.end(), std::back_inserter(live),
                [](const Member& m) { return !m.disk_failing; });
-  Value next = chosen;
+  RegisterValue next = chosen;
   bool changed = settle(next, live);
   for (const Member& m : live) {
     if (m.plane != "storage") continue;
@@ -261,21 +262,21 @@
   changed |= forget_outlived(next, live, now);
   if (!changed) changed = taken_over(next, live) && give_up_emptied(next);
   if (!changed) return std::nullopt;
-  ++next.map;
+  ++next.map_version;
   return next;
 }
 
-RetireVerdict retire(Value& value, const std::string& node, std::size_t losses) {
-  for (const common::Retired& r : value.retired) {
+RetireVerdict retire(RegisterValue& value, const std::string& node, std::size_t losses) {
+  for (const common::RetiredNode& r : value.retired_nodes) {
     if (r.node == node) return RetireVerdict::known;
   }
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                                   [&](const StorageNode& c) { return c.node == node; });
   if (found == value.storage_nodes.end()) return RetireVerdict::unknown;
   if (staying_without(value, node) < copies_for(losses)) return RetireVerdict::too_few;
-  found->leaving = true;
-  value.retired.push_back({node, false});
-  ++value.map;
+  found->draining = true;
+  value.retired_nodes.push_back({node, false});
+  ++value.map_version;
   return RetireVerdict::taken;
 }
 
--- a/src/control/roster.hpp
+++ b/src/control/roster.hpp
@@ -45,19 +45,19 @@
   }
 
   // The next set of acceptors, where it should change.
-  std::optional<std::vector<common::Acceptor>> acceptors(const common::Value& now_chosen,
+  std::optional<std::vector<common::Acceptor>> acceptors(const common::RegisterValue& now_chosen,
                                                          const std::vector<LiveController>& live,
                                                          TimePoint now);
   // The value with another map of storage nodes, where it should change.
-  std::optional<common::Value> storage_nodes(const common::Value& now_chosen,
-                                             const std::vector<common::Member>& live, TimePoint now);
+  std::optional<common::RegisterValue> storage_nodes(const common::RegisterValue& now_chosen,
+                                                     const std::vector<common::Member>& live, TimePoint now);
 
  private:
   // Members that have not been heard of for their time, while enough are left and what they hold is not
   // needed to make up for others.
-  bool drop_silent(common::Value& value, const std::vector<common::Member>& live, TimePoint now);
+  bool drop_silent(common::RegisterValue& value, const std::vector<common::Member>& live, TimePoint now);
   // Copies that are past their time by now: they are not waited for any more.
-  bool forget_outlived(common::Value& value, const std::vector<common::Member>& live, TimePoint now);
+  bool forget_outlived(common::RegisterValue& value, const std::vector<common::Member>& live, TimePoint now);
   Span silent_most(std::size_t staying, TimePoint now) const;
   bool lost(const std::string& key, bool seen, Span after, TimePoint now);
   const std::size_t losses_;
@@ -71,6 +71,6 @@
 
 // What an order to empty a machine comes to.
 enum class RetireVerdict : std::uint8_t { taken, known, unknown, too_few };
-RetireVerdict retire(common::Value& value, const std::string& node, std::size_t losses);
+RetireVerdict retire(common::RegisterValue& value, const std::string& node, std::size_t losses);
 
 }  // namespace chutevane::control
--- a/src/ctl/run.cpp
+++ b/src/ctl/run.cpp
@@ -587,7 +587,7 @@
       rows.push_back({"acceptor accepted", text_of(a.accepted)});
       rows.push_back({"acceptor value", "number " + std::to_string(a.value.number) + ", configuration " +
                                             std::to_string(a.value.config_version) + ", map " +
-                                            std::to_string(a.value.map)});
+                                            std::to_string(a.value.map_version)});
       for (const common::Acceptor& one : a.initial.acceptors)
         rows.push_back({"acceptor of the epoch", one.address + (one.disk.empty() ? "" : " " + one.disk)});
     }
@@ -626,7 +626,10 @@
       const common::AcceptorRecord& a = held.acceptor;
       json.key("epoch").number(count(a.epoch)).key("promised").text(text_of(a.promised));
       json.key("accepted").text(text_of(a.accepted)).key("number").number(count(a.value.number));
-      json.key("configVersion").number(count(a.value.config_version)).key("map").number(count(a.value.map));
+      json.key("configVersion")
+          .number(count(a.value.config_version))
+          .key("map")
+          .number(count(a.value.map_version));
       json.key("acceptors").open('[');
       for (const common::Acceptor& one : a.initial.acceptors)
         json.open('{').key("address").text(one.address).key("disk").text(one.disk).close('}');
@@ -690,12 +693,12 @@
     for (const common::Turn* t : turns)
       rows.push_back({t->id, t->program.empty() ? "-" : t->program, t->previous.empty() ? "-" : t->previous,
                       std::to_string(t->input.data.size()), std::to_string(t->output.data.size()),
-                      std::to_string(t->keep_ms)});
+                      std::to_string(t->retention_ms)});
     print_rows(out_, rows);
     rows = {{"PROGRAM", "ATTEMPT", "TOKENS", "SETTLED"}};
     for (const common::Account* a : accounts) {
       for (const common::Reservation& r : a->entries)
-        rows.push_back({a->program, r.attempt, std::to_string(r.tokens), r.settled ? "yes" : "no"});
+        rows.push_back({a->program, r.attempt, std::to_string(r.tokens), r.committed ? "yes" : "no"});
     }
     print_table(rows);
   }
@@ -716,7 +719,7 @@
           .key("outputBytes")
           .number(t->output.data.size())
           .key("keepMs")
-          .number(count(t->keep_ms))
+          .number(count(t->retention_ms))
           .close('}');
     json.close(']').key("accounts").open('[');
     for (const common::Account* a : accounts) {
@@ -728,7 +731,7 @@
             .key("tokens")
             .number(count(r.tokens))
             .key("settled")
-            .truth(r.settled)
+            .truth(r.committed)
             .close('}');
       json.close(']').close('}');
     }
--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -22,7 +22,7 @@
 
 Client::Client(DataPlane& plane)
     : plane_(plane),
-      channel_(plane.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      channel_(plane.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::request),
       budget_(plane.ledger_) {
   set_request_timer();
@@ -95,18 +95,18 @@
   timer_ = plane_.timers_.after(unread_look, [this] { request_late(); });
 }
 
-void Client::channel_drained(net::Channel&) {
+void Client::on_channel_flushed(net::Channel&) {
   if (stage_ == Stage::ending) set_rest_timer(ending_most);
   if (stage_ == Stage::reading && !parser_.begun() && channel_.in_size() == 0) set_rest_timer(idle_limit());
 }
 
-void Client::channel_came(net::Channel&) {
+void Client::on_channel_data(net::Channel&) {
   if (stage_ == Stage::reading) {
     look();
   } else if (stage_ == Stage::ending) {
     channel_.in().consume(channel_.in_size());  // it is not answered any more
   } else if (channel_.in_size() > pipelined_most) {
-    channel_.hold(true);
+    channel_.set_reading_paused(true);
   }
 }
 
@@ -172,7 +172,7 @@
                                     std::string_view(request_.target).substr(0, request_.target.find('?')));
   if (route_ == nullptr) {
     // One that hears of no control may have missed the route.
-    if (plane_.sessions_->standing() == 0)
+    if (plane_.sessions_->usable_count() == 0)
       return answer_own(Cause::route_uncertain, 503, "no route known here yet", ComeBack::yes);
     return answer_own(Cause::no_route, 404, "no route");
   }
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -21,7 +21,7 @@
 
 class DataPlane;
 
-class Client final : net::Channel::Sink, AnswerSink {
+class Client final : net::Channel::Observer, AnswerSink {
  public:
   explicit Client(DataPlane& plane);
   ~Client();
@@ -32,7 +32,7 @@
   void close(Cause cause);
   // An attempt of it is charged to an endpoint.
   bool attempt_open() const { return attempt_open_; }
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class DataPlane;
@@ -48,9 +48,9 @@
     over
   };
 
-  void channel_came(net::Channel&) override;
-  void channel_drained(net::Channel&) override;
-  void channel_gone(net::Channel&) override;
+  void on_channel_data(net::Channel&) override;
+  void on_channel_flushed(net::Channel&) override;
+  void on_channel_closed(net::Channel&) override;
   void answer_head(const http::Parser& response) override;
   void answer_piece(std::string_view piece) override;
   void answer_whole() override;
@@ -120,7 +120,7 @@
   std::shared_ptr<int> alive_;  // of the exchange in hand
   bool keep_ = true, reading_timer_for_head_ = false, told_to_go_on_ = false;
   bool exchange_open_ = false;  // a request was read whole, and its exchange has not ended
-  net::TimerQueue::Ticket timer_;
+  net::TimerQueue::Handle timer_;
 
   // The exchange in hand.
   Request request_;
--- a/src/edge/client_answers.cpp
+++ b/src/edge/client_answers.cpp
@@ -97,12 +97,12 @@
   channel_.flush();
   if (!keep_) {
     stage_ = Stage::ending;
-    channel_.end_writing_when_written();
+    channel_.shutdown_write_when_flushed();
     set_rest_timer(channel_.unsent() > 0 ? idle_limit() : ending_most);
     return;
   }
   set_request_timer();
-  channel_.hold(false);
+  channel_.set_reading_paused(false);
   // What was sent ahead comes in the next turn.
   if (channel_.in_size() > 0) {
     plane_.timers_.cancel(timer_);
@@ -183,7 +183,7 @@
   turn.program = request_.program;
   turn.input.data = std::move(request_.body);
   turn.output.data = std::move(output_);
-  turn.keep_ms = static_cast<std::int64_t>(route_->retention.as_ms());
+  turn.retention_ms = static_cast<std::int64_t>(route_->retention.as_ms());
   const std::int64_t tokens = tokens_passed_on().value_or(static_cast<std::int64_t>(events_));
   const std::int64_t used = budget_.is_open() ? tokens : -1;
   plane_.ledger_.keep(turn, used, deadline_, guarded([this](bool kept) {
@@ -195,7 +195,7 @@
                       }));
 }
 
-void Client::channel_gone(net::Channel&) { leave(Cause::client_left); }
+void Client::on_channel_closed(net::Channel&) { leave(Cause::client_left); }
 
 void Client::leave(Cause cause) {
   common::check_invariant(common::Invariant::exchange_ends_once, stage_ != Stage::over,
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -37,7 +37,7 @@
               static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
               seed_of(settings, scheduler.now())),
       readiness_port_(scheduler, 64 * 1024,
-                      [this](const http::Parser& request, common::HttpPort::Reply reply) {
+                      [this](const http::Parser& request, common::HttpServer::Reply reply) {
                         readiness(request, std::move(reply));
                       }),
       front_(scheduler, [this](int fd) { clients_.add(std::make_unique<Client>(*this)).adopt(fd); }),
@@ -54,15 +54,15 @@
   self.address = net::text_of(*settings_.front);
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
-  sessions_ = std::make_unique<common::Sessions>(scheduler_, timers_, settings_, self);
-  sessions_->on_value([this](const common::Value& value) { value_came(value); });
-  sessions_->on_list([this](const common::EndpointBook& list) { list_came(list); });
+  sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
+  sessions_->on_value([this](const common::RegisterValue& value) { value_came(value); });
+  sessions_->on_endpoints([this](const common::EndpointTable& list) { list_came(list); });
   common::log_info("data.open", "front " + net::text_of(*settings_.front));
   return absl::OkStatus();
 }
 
-void DataPlane::value_came(const common::Value& value) {
-  ledger_.map_came(value.map, value.storage_nodes);
+void DataPlane::value_came(const common::RegisterValue& value) {
+  ledger_.map_came(value.map_version, value.storage_nodes);
   if (value.config_version == 0 || (configuration_ && configuration_->version >= value.config_version))
     return;
   common::Findings findings;
@@ -81,7 +81,7 @@
   common::log_info("config.in_force", "version " + std::to_string(configuration_->version));
 }
 
-void DataPlane::list_came(const common::EndpointBook& list) {
+void DataPlane::list_came(const common::EndpointTable& list) {
   std::vector<Endpoint> all;
   for (const auto& [id, l] : list.entries()) {
     const auto address = net::parse_address(l.address);
@@ -93,7 +93,7 @@
     e.address = *address;
     e.draining = l.draining;
     e.capacity = static_cast<std::size_t>(std::max<std::int64_t>(l.capacity, 0));
-    e.cold = l.cold_ms > 0;
+    e.cold = l.slow_start_ms > 0;
     all.push_back(std::move(e));
   }
   endpoints_.listed(all);
@@ -122,7 +122,7 @@
 }
 
 void DataPlane::describe_knowledge(FailureReport& report) const {
-  report.sessions = sessions_->standing();
+  report.sessions = sessions_->usable_count();
   report.session_age = sessions_->knowledge_age();
   report.configuration_version = configuration_ ? configuration_->version : 0;
   report.map = ledger_.map();
@@ -144,7 +144,7 @@
   const common::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
   if (service == nullptr || service->max_connections == 0) return true;
   const double part = connections_part * static_cast<double>(service->max_connections) /
-                      static_cast<double>(sessions_->edges());
+                      static_cast<double>(sessions_->edge_count());
   return static_cast<double>(endpoint.connections) < std::max(part, connections_least);
 }
 
@@ -170,7 +170,7 @@
          std::none_of(routes.begin(), routes.end(), [](const common::Route& r) { return r.retained; });
 }
 
-void DataPlane::readiness(const http::Parser& request, common::HttpPort::Reply reply) {
+void DataPlane::readiness(const http::Parser& request, common::HttpServer::Reply reply) {
   if (request.method() != "GET") return reply({405, "", {}});
   if (request.target() == "/v1/readiness") return reply({ready() ? 200 : 503, "", {}});
   if (request.target() != "/v1/figures") return reply({404, "", {}});
@@ -219,7 +219,7 @@
           endpoints_.opened());
   gauge("chutevane_endpoints", "", "Endpoints on the list.", static_cast<double>(endpoints_.size()));
   gauge("chutevane_control_sessions", "", "Sessions with control that stand.",
-        static_cast<double>(sessions_->standing()));
+        static_cast<double>(sessions_->usable_count()));
   gauge("chutevane_knowledge_age_seconds", "seconds", "Age of what is known from control.",
         sessions_->knowledge_age().as_ms() / 1000);
   gauge("chutevane_configuration_version", "", "Configuration in force; 0: none.",
@@ -237,7 +237,7 @@
 }
 
 // Serves on while new connections still come, then ends each connection with its next answer.
-void DataPlane::leave() {
+void DataPlane::begin_shutdown() {
   if (leaving_) return;
   leaving_ = true;
   leaving_since_ = timers_.now();
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -6,16 +6,16 @@
 #include <string>
 
 #include "base/pcg.hpp"
-#include "common/http_port.hpp"
+#include "common/control_sessions.hpp"
+#include "common/http_server.hpp"
 #include "common/process.hpp"
-#include "common/session.hpp"
 #include "edge/client.hpp"
 #include "edge/endpoints.hpp"
 #include "edge/failure.hpp"
 #include "edge/ledger.hpp"
 #include "edge/split_draw.hpp"
 #include "edge/tier.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::edge {
 
@@ -30,16 +30,16 @@
  public:
   DataPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings);
   absl::Status open() override;
-  void leave() override;
+  void begin_shutdown() override;
   bool finished() const override { return finished_; }
-  void reread(const common::ProcessSettings& settings) override { sessions_->reread(settings); }
+  void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
   void write_metrics(common::MetricsWriter& out) override;
   const FailureCounters& failures() const { return failures_; }
 
  private:
   friend class Client;
-  void value_came(const common::Value& value);
-  void list_came(const common::EndpointBook& list);
+  void value_came(const common::RegisterValue& value);
+  void list_came(const common::EndpointTable& list);
   void settle_tiers();
   Tier& tier(const std::string& service);
   // Whether this sidecar may open one more connection to it: an endpoint resets those over its bound, which
@@ -53,7 +53,7 @@
   void end_now();
   bool ready() const;
   bool knows_enough() const;  // to send any request on
-  void readiness(const http::Parser& request, common::HttpPort::Reply reply);
+  void readiness(const http::Parser& request, common::HttpServer::Reply reply);
   void look_finished();
   std::string come_back();  // seconds, spread so that those refused together do not return together
 
@@ -69,10 +69,10 @@
   Endpoints endpoints_;
   std::map<std::string, std::unique_ptr<Tier>> tiers_;
   Ledger ledger_;
-  common::HttpPort readiness_port_;
+  common::HttpServer readiness_port_;
   net::Listener front_;
-  net::Crew<Client> clients_;
-  std::unique_ptr<common::Sessions> sessions_;
+  net::TaskGroup<Client> clients_;
+  std::unique_ptr<common::ControlSessions> sessions_;
   bool leaving_ = false, closing_ = false, finished_ = false;
   TimePoint leaving_since_;
 };
--- a/src/edge/endpoints.cpp
+++ b/src/edge/endpoints.cpp
@@ -19,7 +19,7 @@
 EndpointConnection::EndpointConnection(Endpoints& all, std::shared_ptr<Endpoint> endpoint)
     : all_(all),
       endpoint_(std::move(endpoint)),
-      channel_(all.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      channel_(all.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::response, answer_limits),
       idle_most_(idle_unstated) {}
 
@@ -48,12 +48,12 @@
   request_.shrink_to_fit();
 }
 
-void EndpointConnection::channel_up(net::Channel&) {
+void EndpointConnection::on_channel_open(net::Channel&) {
   all_.timers_.cancel(due_);
   write_out();
 }
 
-void EndpointConnection::channel_came(net::Channel&) {
+void EndpointConnection::on_channel_data(net::Channel&) {
   if (sink_ == nullptr || !written_) {  // bytes that belong to no request
     if (sink_ != nullptr) return fail(Failure::unsent);
     drop();
@@ -177,7 +177,7 @@
   if (told != nullptr) told->answer_failed(how);
 }
 
-void EndpointConnection::channel_gone(net::Channel&) {
+void EndpointConnection::on_channel_closed(net::Channel&) {
   if (closed_) return;
   if (sink_ != nullptr && head_seen_ && !skipping_ &&
       parser_.ended(channel_.in().bytes()) == http::Progress::complete)
@@ -192,11 +192,11 @@
   std::erase(endpoint_->idle, this);
   --endpoint_->connections;
   channel_.close();
-  all_.crew_.retire(*this);
+  all_.tasks_.retire(*this);
 }
 
 Endpoints::Endpoints(net::Scheduler& scheduler, net::TimerQueue& later, std::size_t connections_most)
-    : scheduler_(scheduler), timers_(later), connections_most_(connections_most), crew_(scheduler) {}
+    : scheduler_(scheduler), timers_(later), connections_most_(connections_most), tasks_(scheduler) {}
 
 void Endpoints::listed(const std::vector<Endpoint>& list) {
   std::map<std::string, std::shared_ptr<Endpoint>> next;
@@ -244,13 +244,13 @@
     c.begin(sink, std::move(request));
     return c.sink_ == &sink ? &c : nullptr;
   }
-  if (to->draining || to->gone || crew_.size() >= connections_most_) {
+  if (to->draining || to->gone || tasks_.size() >= connections_most_) {
     sink.answer_failed(Failure::unsent);
     return nullptr;
   }
   ++to->connections;
   ++opened_;
-  EndpointConnection& c = crew_.add(std::make_unique<EndpointConnection>(*this, to));
+  EndpointConnection& c = tasks_.add(std::make_unique<EndpointConnection>(*this, to));
   c.begin(sink, std::move(request));
   c.due_ = timers_.after(connect_most, [&c] {
     if (!c.written_ && c.sink_ != nullptr) c.fail(Failure::unsent);
@@ -271,8 +271,8 @@
 
 void Endpoints::check_connections() {
   std::map<const Endpoint*, std::size_t> open;
-  for (std::size_t i = 0; i < crew_.size(); ++i) {
-    const EndpointConnection& c = crew_[i];
+  for (std::size_t i = 0; i < tasks_.size(); ++i) {
+    const EndpointConnection& c = tasks_[i];
     if (!c.closed_) ++open[c.endpoint_.get()];
   }
   for (const auto& [id, endpoint] : endpoints_) {
--- a/src/edge/endpoints.hpp
+++ b/src/edge/endpoints.hpp
@@ -9,7 +9,7 @@
 
 #include "http/parser.hpp"
 #include "net/channel.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 #include "net/timer_queue.hpp"
 
 namespace chutevane::edge {
@@ -52,17 +52,17 @@
   std::vector<EndpointConnection*> idle;
 };
 
-class EndpointConnection final : net::Channel::Sink {
+class EndpointConnection final : net::Channel::Observer {
  public:
   EndpointConnection(Endpoints& all, std::shared_ptr<Endpoint> endpoint);
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Endpoints;
   void begin(AnswerSink& sink, OutgoingRequest request);
-  void channel_up(net::Channel&) override;
-  void channel_came(net::Channel&) override;
-  void channel_gone(net::Channel&) override;
+  void on_channel_open(net::Channel&) override;
+  void on_channel_data(net::Channel&) override;
+  void on_channel_closed(net::Channel&) override;
   void write_out();
   void look();
   bool take_interim(http::Progress progress);
@@ -84,7 +84,7 @@
   bool written_ = false, head_seen_ = false, skipping_ = false, keep_ = true, closed_ = false;
   std::size_t passes_ = 0;  // answers to requests of before, in the place of this one's
   Span idle_most_;
-  net::TimerQueue::Ticket due_;
+  net::TimerQueue::Handle due_;
   TimePoint idle_since_;
 };
 
@@ -104,7 +104,7 @@
   // Closes the connection: nothing more is told of it. Whether any of the request may have gone out.
   bool give_up(EndpointConnection& connection);
   std::size_t opened() const { return opened_; }
-  std::size_t open_connections() const { return crew_.size(); }
+  std::size_t open_connections() const { return tasks_.size(); }
   // Connections that endpoints are charged with, those that have gone from the list too, equal those open.
   void check_connections();
 
@@ -115,7 +115,7 @@
   const std::size_t connections_most_;
   std::map<std::string, std::shared_ptr<Endpoint>> endpoints_;
   std::size_t opened_ = 0;
-  net::Crew<EndpointConnection> crew_;
+  net::TaskGroup<EndpointConnection> tasks_;
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/failure.hpp
+++ b/src/edge/failure.hpp
@@ -8,8 +8,8 @@
 #include <string_view>
 
 #include "chutevane/types.hpp"
-#include "common/bounded_log.hpp"
 #include "common/metrics.hpp"
+#include "common/rate_limited_log.hpp"
 
 namespace chutevane::edge {
 
@@ -79,7 +79,7 @@
  private:
   static constexpr int lines_most = 20;  // a second
   std::array<std::uint64_t, causes> counts_{};
-  common::BoundedLog log_{"request.failed", lines_most};
+  common::RateLimitedLog log_{"request.failed", lines_most};
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/ledger.cpp
+++ b/src/edge/ledger.cpp
@@ -33,7 +33,7 @@
   std::map<std::string, common::Reservation> others;  // by attempt: no one of the group need know of all
   std::int64_t map = 0;
   bool over = false, again = false;  // again: a majority has it already, and is asked a second time
-  net::TimerQueue::Ticket rest;
+  net::TimerQueue::Handle rest;
   std::int64_t sum() const {
     std::int64_t out = 0;
     for (const auto& [id, r] : others) out += r.tokens;
@@ -51,7 +51,7 @@
   std::vector<std::size_t> group;
   std::size_t asked = 0, yes = 0, needed = 0;
   std::set<std::size_t> disks;  // places in the map of those that have it
-  net::TimerQueue::Ticket hedge;
+  net::TimerQueue::Handle hedge;
   bool over = false, again_due = false;
 };
 
@@ -64,7 +64,7 @@
   std::uint64_t turn = 0;
   std::size_t asked = 0, answered = 0, unknown = 0;
   std::int64_t map = 0;
-  net::TimerQueue::Ticket hedge;
+  net::TimerQueue::Handle hedge;
   bool over = false;
 };
 
@@ -86,7 +86,7 @@
 
 bool Ledger::usable() const {
   const auto staying = std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
-                                     [](const common::StorageNode& c) { return !c.leaving; });
+                                     [](const common::StorageNode& c) { return !c.draining; });
   return static_cast<std::size_t>(staying) > losses_;
 }
 
@@ -148,16 +148,16 @@
   };
   if (places.size() <= losses_) return anew();
   const std::size_t needed = std::max(storage::quorum(places.size()), losses_ + 1);
-  const common::Reserve ask{map_, asked->program, asked->attempt, asked->most};
+  const common::ReserveRequest ask{map_, asked->program, asked->attempt, asked->most};
   const Span most = std::min(ask_most, asked->until - timers_.now());
-  const auto answered = [this, asked, turn, needed, anew](absl::StatusOr<common::Reserved> got) {
+  const auto answered = [this, asked, turn, needed, anew](absl::StatusOr<common::ReserveReply> got) {
     if (asked->over || asked->turn != turn) return;
     const bool yes = got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes;
     ++(yes ? asked->yes : asked->no);
     if (yes) {
       for (common::Reservation& r : got->others) {
         const auto [at, fresh] = asked->others.emplace(r.attempt, r);
-        if (!fresh && r.settled && !at->second.settled) at->second = r;
+        if (!fresh && r.committed && !at->second.committed) at->second = r;
       }
     }
     if (asked->yes == asked->all || (asked->again && asked->yes == needed)) {
@@ -179,12 +179,12 @@
     }
   };
   for (const std::size_t i : places)
-    link(storage_nodes_[i].address).call<common::Reserved>(ask, most, answered);
+    link(storage_nodes_[i].address).call<common::ReserveReply>(ask, most, answered);
 }
 
 void Ledger::settle(const std::string& program, const std::string& attempt, std::int64_t used) {
   for (const std::size_t i : group(program))
-    link(storage_nodes_[i].address).tell(common::Settle{program, attempt, used});
+    link(storage_nodes_[i].address).send(common::CommitUsage{program, attempt, used});
 }
 
 // ---- turns
@@ -228,7 +228,7 @@
   for (std::size_t n = keeping->needed; n < keeping->group.size(); ++n) {
     if (keeping->used >= 0)
       link(storage_nodes_[keeping->group[n]].address)
-          .tell(common::Settle{keeping->turn.program, keeping->turn.id, keeping->used});
+          .send(common::CommitUsage{keeping->turn.program, keeping->turn.id, keeping->used});
   }
   const auto hedge = [this, keeping] {
     if (!keeping->over && keeping->map != map_) return ask_keep(keeping);
@@ -242,25 +242,25 @@
   const std::uint64_t turn = keeping->turn_number;
   const Span most = std::min(ask_most, std::max(keeping->until - timers_.now(), Span::ms(1)));
   link(storage_nodes_[place].address)
-      .call<common::Kept>(common::Keep{map_, keeping->turn, keeping->used}, most,
-                          [this, keeping, turn, place](absl::StatusOr<common::Kept> got) {
-                            if (keeping->over || keeping->turn_number != turn) return;
-                            if (keeping->map != map_) return ask_keep(keeping);
-                            if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes) {
-                              keeping->disks.insert(place);
-                              if (++keeping->yes < keeping->needed) return;
-                              check_kept(*keeping);
-                              keeping->over = true;
-                              timers_.cancel(keeping->hedge);
-                              remember(keeping->turn);
-                              return keeping->done(true);
-                            }
-                            if (keeping->asked < keeping->group.size()) {
-                              keep_at(keeping, keeping->group[keeping->asked++]);
-                            } else if (!std::exchange(keeping->again_due, true)) {
-                              timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
-                            }
-                          });
+      .call<common::StoreTurnReply>(common::StoreTurnRequest{map_, keeping->turn, keeping->used}, most,
+                                    [this, keeping, turn, place](absl::StatusOr<common::StoreTurnReply> got) {
+                                      if (keeping->over || keeping->turn_number != turn) return;
+                                      if (keeping->map != map_) return ask_keep(keeping);
+                                      if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes) {
+                                        keeping->disks.insert(place);
+                                        if (++keeping->yes < keeping->needed) return;
+                                        check_kept(*keeping);
+                                        keeping->over = true;
+                                        timers_.cancel(keeping->hedge);
+                                        remember(keeping->turn);
+                                        return keeping->done(true);
+                                      }
+                                      if (keeping->asked < keeping->group.size()) {
+                                        keep_at(keeping, keeping->group[keeping->asked++]);
+                                      } else if (!std::exchange(keeping->again_due, true)) {
+                                        timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
+                                      }
+                                    });
 }
 
 void Ledger::check_kept(const Keeping& keeping) const {
@@ -276,7 +276,7 @@
   if (cache_.contains(id)) return;
   cached_bytes_ += weight(turn);
   order_.push_front(id);
-  const TimePoint until = timers_.now() + Span::ms(static_cast<double>(turn.keep_ms));
+  const TimePoint until = timers_.now() + Span::ms(static_cast<double>(turn.retention_ms));
   cache_[id] = {std::make_shared<const Turn>(std::move(turn)), until, order_.begin()};
   while (cached_bytes_ > cache_most_ && order_.size() > 1) {
     const auto last = cache_.find(order_.back());
@@ -355,14 +355,14 @@
     if (seeking->turn == turn) seek_at(seeking, which + 1);
   });
   link(storage_nodes_[seeking->order[which]].address)
-      .call<common::Found>(common::Find{seeking->map, seeking->want, seeking->attempt}, most,
-                           [this, seeking, turn](absl::StatusOr<common::Found> got) {
-                             sought(seeking, turn, std::move(got));
-                           });
+      .call<common::FindTurnReply>(common::FindTurnRequest{seeking->map, seeking->want, seeking->attempt},
+                                   most, [this, seeking, turn](absl::StatusOr<common::FindTurnReply> got) {
+                                     sought(seeking, turn, std::move(got));
+                                   });
 }
 
 void Ledger::sought(const std::shared_ptr<Seeking>& seeking, std::uint64_t turn,
-                    absl::StatusOr<common::Found> got) {
+                    absl::StatusOr<common::FindTurnReply> got) {
   if (seeking->over || seeking->turn != turn) return;
   ++seeking->answered;
   if (got.ok() && !got->turns.empty()) {
--- a/src/edge/ledger.hpp
+++ b/src/edge/ledger.hpp
@@ -57,7 +57,8 @@
   void check_kept(const Keeping& keeping) const;
   void seek(const std::shared_ptr<Seeking>& seeking);
   void seek_at(const std::shared_ptr<Seeking>& seeking, std::size_t which);
-  void sought(const std::shared_ptr<Seeking>& seeking, std::uint64_t turn, absl::StatusOr<common::Found> got);
+  void sought(const std::shared_ptr<Seeking>& seeking, std::uint64_t turn,
+              absl::StatusOr<common::FindTurnReply> got);
   std::vector<std::size_t> group(const std::string& program) const;
   common::RpcClient& link(const std::string& address);
   void remember(common::Turn turn);
--- a/src/lab/client.hpp
+++ b/src/lab/client.hpp
@@ -12,8 +12,8 @@
 
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
-#include "net/crew.hpp"
 #include "net/socket.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::lab {
 
@@ -56,7 +56,7 @@
 class ClientConnection {
  public:
   ClientConnection(net::Scheduler& scheduler, Client& all, const Destination& to);
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Client;
@@ -117,7 +117,7 @@
   std::uint64_t opened_ = 0;
   std::deque<ClientConnection*> idle_;  // the one that has rested longest first
   std::unordered_map<std::uint64_t, ClientConnection*> busy_;
-  net::Crew<ClientConnection> connections_;
+  net::TaskGroup<ClientConnection> connections_;
 };
 
 // The request of an API call, in the platform's form. `reference`: for tracks that have one.
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -12,7 +12,7 @@
 #include "lab/endpoint.hpp"
 #include "lab/listener.hpp"
 #include "lab/timeline.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::lab {
 
@@ -66,7 +66,7 @@
 class AgentConnection {
  public:
   AgentConnection(net::Scheduler& scheduler, DiscoveryAgent& owner, int fd);
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class DiscoveryAgent;
@@ -112,7 +112,7 @@
   Shared& shared_;
   ListIlls ills_;
   Listener listener_;
-  net::Crew<AgentConnection> connections_;
+  net::TaskGroup<AgentConnection> connections_;
   net::Waker waker_;
   net::Timer timer_;
   net::Task timekeeper_;
--- a/src/lab/endpoint.hpp
+++ b/src/lab/endpoint.hpp
@@ -17,7 +17,7 @@
 #include "lab/machine.hpp"
 #include "lab/memory.hpp"
 #include "lab/timeline.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::lab {
 
@@ -67,7 +67,7 @@
 class ServedConnection {
  public:
   ServedConnection(net::Scheduler& scheduler, EndpointStandIn& owner, int fd);
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class EndpointStandIn;
@@ -155,7 +155,7 @@
   std::unordered_map<std::uint64_t, ServedConnection*> calling_;  // by the call made for it
   Listener listener_;
   Client client_;
-  net::Crew<ServedConnection> served_;
+  net::TaskGroup<ServedConnection> served_;
   net::Waker waker_;
   net::Timer timer_;
   net::Task timekeeper_;
--- a/src/lab/front.hpp
+++ b/src/lab/front.hpp
@@ -7,7 +7,7 @@
 
 #include "http/parser.hpp"
 #include "lab/client.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::lab {
 
@@ -24,7 +24,7 @@
   class Check {
    public:
     Check(net::Scheduler& scheduler, ReadyChecks& all, std::size_t sidecar, const sockaddr_in& address);
-    std::size_t crew_place = 0;
+    std::size_t group_index = 0;
 
    private:
     friend class ReadyChecks;
@@ -43,7 +43,7 @@
   };
   net::Scheduler& scheduler_;
   Heard heard_;
-  net::Crew<Check> checks_;
+  net::TaskGroup<Check> checks_;
 };
 
 class Front final : public Dealer {
--- a/src/lab/relay.hpp
+++ b/src/lab/relay.hpp
@@ -13,7 +13,7 @@
 #include "lab/listener.hpp"
 #include "lab/timeline.hpp"
 #include "net/buffer.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 
 namespace chutevane::lab {
 
@@ -22,7 +22,7 @@
 class RelayedConnection {
  public:
   RelayedConnection(net::Scheduler& scheduler, Relay& owner, int fd, const sockaddr_in& to);
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Relay;
@@ -75,7 +75,7 @@
   bool block_there_ = false, block_back_ = false;
   Chance chance_;
   Listener listener_;
-  net::Crew<RelayedConnection> connections_;
+  net::TaskGroup<RelayedConnection> connections_;
 };
 
 }  // namespace chutevane::lab
--- a/src/lab/tier/endpoint.hpp
+++ b/src/lab/tier/endpoint.hpp
@@ -48,7 +48,7 @@
     std::size_t events = 0, told = 0;  // events in all, and so far
     std::int64_t last_id = 0;
     TimePoint until;
-    net::TimerQueue::Ticket next;
+    net::TimerQueue::Handle next;
   };
   void take(Port::Visit& visit);
   void left(Port::Visit& visit);
--- a/src/lab/tier/load.cpp
+++ b/src/lab/tier/load.cpp
@@ -179,7 +179,7 @@
   Span retry_after_;
   bool heard_ = false;
   Line* line_ = nullptr;
-  net::TimerQueue::Ticket due_, again_, leaves_;
+  net::TimerQueue::Handle due_, again_, leaves_;
 };
 
 // ---- one program
--- a/src/lab/tier/web.cpp
+++ b/src/lab/tier/web.cpp
@@ -46,8 +46,8 @@
     : scheduler_(scheduler),
       handler_(std::move(handler)),
       gone_(std::move(gone)),
-      listener_(scheduler, [this](int fd) { crew_.add(std::make_unique<Visit>(*this)).channel_.adopt(fd); }),
-      crew_(scheduler) {}
+      listener_(scheduler, [this](int fd) { tasks_.add(std::make_unique<Visit>(*this)).channel_.adopt(fd); }),
+      tasks_(scheduler) {}
 
 Port::Visit* Port::find(std::uint64_t id) {
   const auto found = visits_.find(id);
@@ -56,12 +56,12 @@
 
 void Port::close() {
   listener_.close();
-  while (crew_.size() > 0) crew_[crew_.size() - 1].reset();
+  while (tasks_.size() > 0) tasks_[tasks_.size() - 1].reset();
 }
 
 Port::Visit::Visit(Port& port)
     : port_(port),
-      channel_(port.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      channel_(port.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::request, bounds),
       id_(++port.last_) {
   port.visits_.emplace(id_, this);
@@ -71,7 +71,7 @@
   if (std::exchange(left_, true)) return;
   port_.visits_.erase(id_);
   if (std::exchange(in_hand_, false) && port_.gone_) port_.gone_(*this);
-  port_.crew_.retire(*this);
+  port_.tasks_.retire(*this);
 }
 
 void Port::Visit::reset() {
@@ -138,7 +138,7 @@
   channel_.out().append(std::exchange(behind_, {}));
   channel_.flush();
   if (!keep_) {
-    channel_.end_when_written();
+    channel_.close_when_flushed();
   } else {
     look();
   }
@@ -148,11 +148,11 @@
 
 Line::Line(Lines& all)
     : all_(all),
-      channel_(all.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      channel_(all.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::response, bounds) {}
 
 Line& Lines::open(const sockaddr_in& to) {
-  Line& line = crew_.add(std::make_unique<Line>(*this));
+  Line& line = tasks_.add(std::make_unique<Line>(*this));
   const bool begun = line.channel_.connect(to);
   // Not from inside the call that opens it.
   line.due_ = timers_.after(begun ? comes_up : Span(), [&line] {
@@ -170,12 +170,12 @@
   channel_.write(request_);
 }
 
-void Line::channel_up(net::Channel&) {
+void Line::on_channel_open(net::Channel&) {
   came_up_ = true;
   all_.timers_.cancel(due_);
   if (sink_ == nullptr) return;
   channel_.write(request_);
-  if (ends_writing_) channel_.end_writing_when_written();
+  if (ends_writing_) channel_.shutdown_write_when_flushed();
 }
 
 void Line::ask_slowly(Sink& sink, const std::string& request, std::size_t first_part, Span pause) {
@@ -192,7 +192,7 @@
   all_.timers_.cancel(rest_due_);
   channel_.close();
   if (const auto told = std::exchange(told_gone_, nullptr)) told(*this);
-  all_.crew_.retire(*this);
+  all_.tasks_.retire(*this);
 }
 
 void Line::fail(bool unsent) {
@@ -201,7 +201,7 @@
   if (told != nullptr) told->line_failed(unsent);
 }
 
-void Line::channel_gone(net::Channel&) { fail(!came_up_); }
+void Line::on_channel_closed(net::Channel&) { fail(!came_up_); }
 
 void Line::done() {
   Sink* const told = std::exchange(sink_, nullptr);
--- a/src/lab/tier/web.hpp
+++ b/src/lab/tier/web.hpp
@@ -12,7 +12,7 @@
 
 #include "http/parser.hpp"
 #include "net/channel.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 #include "net/timer_queue.hpp"
 
 namespace chutevane::lab::tier {
@@ -31,7 +31,7 @@
 
 class Port {
  public:
-  class Visit final : net::Channel::Sink {
+  class Visit final : net::Channel::Observer {
    public:
     explicit Visit(Port& port);
     std::uint64_t id() const { return id_; }
@@ -45,15 +45,15 @@
     }                                           // the answer, in one piece with its end
     void reset();                               // ends the connection before its answer does
     void answer_bytes(std::string_view bytes);  // whatever they are, and an end of the connection
-    std::size_t crew_place = 0;
+    std::size_t group_index = 0;
 
    private:
     friend class Port;
     void look();
     void over();
     void leave();
-    void channel_came(net::Channel&) override { look(); }
-    void channel_gone(net::Channel&) override { leave(); }
+    void on_channel_data(net::Channel&) override { look(); }
+    void on_channel_closed(net::Channel&) override { leave(); }
     Port& port_;
     net::Channel channel_;
     http::Parser parser_;
@@ -79,12 +79,12 @@
   bool ends_ = false;
   std::uint64_t last_ = 0;
   std::unordered_map<std::uint64_t, Visit*> visits_;
-  net::Crew<Visit> crew_;
+  net::TaskGroup<Visit> tasks_;
 };
 
 class Lines;
 
-class Line final : net::Channel::Sink {
+class Line final : net::Channel::Observer {
  public:
   class Sink {
    public:
@@ -102,29 +102,31 @@
   // In two parts, with a pause between.
   void ask_slowly(Sink& sink, const std::string& request, std::size_t first_part, Span pause);
   // Ends the writing side once the request is out.
-  void end_writing() { ends_writing_ = true, channel_.up() ? channel_.end_writing_when_written() : void(); }
+  void end_writing() {
+    ends_writing_ = true, channel_.up() ? channel_.shutdown_write_when_flushed() : void();
+  }
   void close();  // whatever is in hand; its sink hears no more
   // A next request may be sent here.
   // Told once, when it is no more.
   void on_gone(std::function<void(Line&)> told) { told_gone_ = std::move(told); }
   bool reusable() const { return keep_ && sink_ == nullptr && channel_.up() && channel_.quiet(); }
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Lines;
   void look();
   void fail(bool unsent);
   void done();
-  void channel_up(net::Channel&) override;
-  void channel_came(net::Channel&) override { look(); }
-  void channel_gone(net::Channel&) override;
+  void on_channel_open(net::Channel&) override;
+  void on_channel_data(net::Channel&) override { look(); }
+  void on_channel_closed(net::Channel&) override;
   Lines& all_;
   net::Channel channel_;
   http::Parser parser_;
   Sink* sink_ = nullptr;
   std::string request_;
   std::function<void(Line&)> told_gone_;
-  net::TimerQueue::Ticket due_, rest_due_;
+  net::TimerQueue::Handle due_, rest_due_;
   bool head_seen_ = false, keep_ = true, left_ = false, came_up_ = false, ends_writing_ = false;
 };
 
@@ -132,7 +134,7 @@
 class Lines {
  public:
   Lines(net::Scheduler& scheduler, net::TimerQueue& later)
-      : scheduler_(scheduler), timers_(later), crew_(scheduler) {}
+      : scheduler_(scheduler), timers_(later), tasks_(scheduler) {}
   // A new connection; it has a second to come up.
   Line& open(const sockaddr_in& to);
 
@@ -140,7 +142,7 @@
   friend class Line;
   net::Scheduler& scheduler_;
   net::TimerQueue& timers_;
-  net::Crew<Line> crew_;
+  net::TaskGroup<Line> tasks_;
 };
 
 // One request, its answer held whole.
@@ -173,7 +175,7 @@
   Done done_;
   Line* line_ = nullptr;
   Got got_;
-  net::TimerQueue::Ticket due_;
+  net::TimerQueue::Handle due_;
 };
 
 std::string request_text(std::string_view method, std::string_view target, std::string_view host,
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -8,14 +8,14 @@
 #include <string_view>
 #include <vector>
 
-#include "net/held.hpp"
+#include "net/buffer_budget.hpp"
 
 namespace chutevane::net {
 
 class Buffer {
  public:
   Buffer() = default;
-  explicit Buffer(Held& held) : held_(&held) {}
+  explicit Buffer(BufferBudget& held) : held_(&held) {}
   ~Buffer() { resize(0); }
   Buffer(const Buffer&) = delete;
   Buffer& operator=(const Buffer&) = delete;
@@ -67,7 +67,7 @@
       bytes_.resize(size);
     }
   }
-  Held* held_ = nullptr;  // none: nobody counts it
+  BufferBudget* held_ = nullptr;  // none: nobody counts it
   std::vector<char> bytes_;
   std::size_t begin_ = 0, end_ = 0;
 };
--- a/src/net/held.hpp
+++ b/src/net/buffer_budget.hpp
@@ -6,11 +6,11 @@
 
 namespace chutevane::net {
 
-class Held {
+class BufferBudget {
  public:
-  explicit Held(std::size_t most = static_cast<std::size_t>(-1)) : whole_(most), most_(most) {}
-  Held(const Held&) = delete;
-  Held& operator=(const Held&) = delete;
+  explicit BufferBudget(std::size_t most = static_cast<std::size_t>(-1)) : whole_(most), most_(most) {}
+  BufferBudget(const BufferBudget&) = delete;
+  BufferBudget& operator=(const BufferBudget&) = delete;
   void add(std::size_t n) { bytes_ += n, peak_ = std::max(peak_, bytes_); }
   void give_back(std::size_t n) { bytes_ -= n; }
   std::size_t bytes() const { return bytes_; }
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Channel::Channel(Scheduler& scheduler, Sink& sink)
+Channel::Channel(Scheduler& scheduler, Observer& sink)
     : waker_(scheduler), socket_(scheduler, waker_), sink_(sink) {}
 
 void Channel::adopt(int fd) {
@@ -44,27 +44,27 @@
   if (!socket_.open()) return;
   socket_.close();
   up_ = false;
-  sink_.channel_gone(*this);
+  sink_.on_channel_closed(*this);
 }
 
-void Channel::hold(bool held) {
+void Channel::set_reading_paused(bool held) {
   held_ = held;
   if (!held) waker_.set(stirred | Waker::readable);
 }
 
-void Channel::end_when_written() {
+void Channel::close_when_flushed() {
   last_ = true;
   waker_.set(stirred);
 }
 
-void Channel::end_writing_when_written() {
+void Channel::shutdown_write_when_flushed() {
   last_written_ = true;
-  hold(false);
+  set_reading_paused(false);
 }
 
 // What the peer said before it ended the connection under our writing: perhaps why.
 void Channel::read_rest() {
-  while (open() && socket_.read(in_, read_most) == Socket::Result::some) sink_.channel_came(*this);
+  while (open() && socket_.read(in_, read_most) == Socket::Result::some) sink_.on_channel_data(*this);
 }
 
 // False: the connection is gone. What can go out at once does so from here: no wake-up is needed for it.
@@ -91,7 +91,7 @@
       co_return;
     }
     up_ = true;
-    sink_.channel_up(*this);
+    sink_.on_channel_open(*this);
   }
   while (open()) {
     const bool had = !out_.empty();
@@ -101,7 +101,7 @@
       co_return;
     }
     if (had && out_.empty()) {
-      sink_.channel_drained(*this);
+      sink_.on_channel_flushed(*this);
       if (!open()) co_return;
     }
     if (last_ && out_.empty()) {
@@ -112,7 +112,7 @@
     if (!held_) {
       const Socket::Result result = socket_.read(in_, read_most);
       if (result == Socket::Result::some) {
-        sink_.channel_came(*this);
+        sink_.on_channel_data(*this);
         if (!open()) co_return;
         in_.shrink(kept);
         if (result == Socket::Result::some && waker_.has(Waker::hung_up)) continue;
--- a/src/net/channel.hpp
+++ b/src/net/channel.hpp
@@ -1,7 +1,7 @@
 // One TCP connection that tells its owner what comes: bytes in, bytes out, its end.
 //
-// The sink may close the channel from inside any call, but must not destroy it there: owners live in a Crew,
-// or put them aside until a later turn.
+// The sink may close the channel from inside any call, but must not destroy it there: owners live in a
+// TaskGroup, or put them aside until a later turn.
 #pragma once
 
 #include <functional>
@@ -16,18 +16,19 @@
 
 class Channel {
  public:
-  class Sink {
+  class Observer {
    public:
-    virtual void channel_up(Channel&) {}       // a connection that was asked for stands
-    virtual void channel_came(Channel&) = 0;   // in() has more
-    virtual void channel_drained(Channel&) {}  // all that was written has gone out
-    virtual void channel_gone(Channel&) = 0;  // no more will come, nothing goes out; told once, unless closed
+    virtual void on_channel_open(Channel&) {}     // a connection that was asked for stands
+    virtual void on_channel_data(Channel&) = 0;   // in() has more
+    virtual void on_channel_flushed(Channel&) {}  // all that was written has gone out
+    virtual void on_channel_closed(
+        Channel&) = 0;  // no more will come, nothing goes out; told once, unless closed
 
    protected:
-    ~Sink() = default;
+    ~Observer() = default;
   };
 
-  Channel(Scheduler& scheduler, Sink& sink);
+  Channel(Scheduler& scheduler, Observer& sink);
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
@@ -50,12 +51,12 @@
   // Bytes, or the peer's end, have arrived that the sink has not been told of yet.
   bool unread() const { return open() && !socket_.quiet(); }
   // Reads no more until told so: the peer is held up.
-  void hold(bool held);
-  void end_when_written();  // ends once all is out
+  void set_reading_paused(bool held);
+  void close_when_flushed();  // ends once all is out
   // Ends the writing side once all is out, and reads on until the peer has ended too: closing with bytes
   // unread, or before they come, would be a reset that takes back what the peer has not received yet
   // (RFC 9112, 9.6). The owner discards what comes and bounds the time.
-  void end_writing_when_written();
+  void shutdown_write_when_flushed();
   void close() { end(false); }
   void reset() { end(true); }
   std::optional<sockaddr_in> peer() const { return socket_.peer(); }
@@ -70,7 +71,7 @@
 
   Waker waker_;
   Socket socket_;
-  Sink& sink_;
+  Observer& sink_;
   Buffer in_, out_;
   bool up_ = false, held_ = false, last_ = false, last_written_ = false;
   Task task_;
--- a/src/net/crew.hpp
+++ b/src/net/task_group.hpp
@@ -11,22 +11,22 @@
 
 namespace chutevane::net {
 
-template <class T>  // has a std::size_t crew_place
-class Crew {
+template <class T>  // has a std::size_t group_index
+class TaskGroup {
  public:
-  explicit Crew(Scheduler& scheduler) : waker_(scheduler), sweeper_(sweep()) { sweeper_.start(); }
+  explicit TaskGroup(Scheduler& scheduler) : waker_(scheduler), sweeper_(sweep()) { sweeper_.start(); }
 
   T& add(std::unique_ptr<T> one) {
-    one->crew_place = members_.size();
+    one->group_index = members_.size();
     members_.push_back(std::move(one));
     return *members_.back();
   }
   void retire(T& one) {
-    const std::size_t place = one.crew_place;
+    const std::size_t place = one.group_index;
     retired_.push_back(std::move(members_[place]));
     if (place + 1 != members_.size()) {
       members_[place] = std::move(members_.back());
-      members_[place]->crew_place = place;
+      members_[place]->group_index = place;
     }
     members_.pop_back();
     waker_.set(Waker::own);
--- a/src/net/timer_queue.hpp
+++ b/src/net/timer_queue.hpp
@@ -14,10 +14,10 @@
 class TimerQueue {
  public:
   // What was asked for; it may be cancelled, also after it has happened.
-  struct Ticket {
+  struct Handle {
     TimePoint due;
     std::uint64_t number = 0;  // 0: nothing was asked for
-    auto operator<=>(const Ticket&) const = default;
+    auto operator<=>(const Handle&) const = default;
   };
 
   explicit TimerQueue(Scheduler& scheduler)
@@ -25,16 +25,16 @@
     task_.start();
   }
   TimePoint now() const { return scheduler_.now(); }
-  Ticket at(TimePoint due, std::function<void()> what) {
-    const Ticket ticket{due, ++last_};
-    waiting_.emplace(ticket, std::move(what));
-    if (waiting_.begin()->first == ticket) timer_.set(due);
-    return ticket;
+  Handle at(TimePoint due, std::function<void()> what) {
+    const Handle handle{due, ++last_};
+    waiting_.emplace(handle, std::move(what));
+    if (waiting_.begin()->first == handle) timer_.set(due);
+    return handle;
   }
-  Ticket after(Span span, std::function<void()> what) { return at(now() + span, std::move(what)); }
-  void cancel(Ticket& ticket) {
-    if (ticket.number != 0) waiting_.erase(ticket);
-    ticket = {};
+  Handle after(Span span, std::function<void()> what) { return at(now() + span, std::move(what)); }
+  void cancel(Handle& handle) {
+    if (handle.number != 0) waiting_.erase(handle);
+    handle = {};
   }
 
  private:
@@ -57,7 +57,7 @@
   Scheduler& scheduler_;
   Waker waker_;
   Timer timer_;
-  std::map<Ticket, std::function<void()>> waiting_;
+  std::map<Handle, std::function<void()>> waiting_;
   std::uint64_t last_ = 0;
   Task task_;
 };
