--- a/src/policy/draw.cpp
+++ b/src/policy/draw.cpp
@@ -71,7 +71,7 @@
   for (std::size_t i = 0; i < endpoints.size(); ++i) {
     const Endpoint& e = endpoints[i];
     if (!e.ready()) continue;
-    const double u = (static_cast<double>(mixed(c.key ^ e.mark) >> 11U) + 0.5) * 0x1p-53;
+    const double u = (static_cast<double>(mix_bits(c.key ^ e.mark) >> 11U) + 0.5) * 0x1p-53;
     std::pair<double, std::size_t> at{-std::log(u) * std::max(1e-9, models[e.model]) / warmth(e, now), i};
     // Most are none of the best: a busy sidecar's CPU goes here.
     for (auto b = at < best.back() ? best.begin() : best.end(); b != best.end(); ++b)
--- a/src/policy/listing.cpp
+++ b/src/policy/listing.cpp
@@ -93,7 +93,7 @@
     }
     e.id = l.id;
     e.zone = l.zone, e.cell = l.cell, e.model = l.model;
-    e.mark = mixed(l.mark != 0 ? l.mark : l.id);
+    e.mark = mix_bits(l.mark != 0 ? l.mark : l.id);
     if (models.size() <= e.model) models.resize(e.model + 1U, models.empty() ? 0.0 : models[0]);
     e.availability = l.availability;
   }
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -17,7 +17,8 @@
   if (settings.has("zone") && settings.number_or("penalties.cross_zone", 0.0) > 0.0)
     own_zone = static_cast<int>(settings.number("zone"));
   sidecars = std::max(1.0, settings.number("sidecars"));
-  seat = settings.has("me") ? std::clamp(settings.number("me") / sidecars, 0.0, 1.0) : mixed(seed) * 0x1p-64;
+  seat =
+      settings.has("me") ? std::clamp(settings.number("me") / sidecars, 0.0, 1.0) : mix_bits(seed) * 0x1p-64;
   can_tell = settings.flag_or_not("allowed.may_tell");
   will_tell = settings.has("report.how") && settings.text("report.how") == "inline";
   one_layer = settings.has("layers") && settings.text("layers").find(',') == std::string::npos;
--- a/src/policy/shared.hpp
+++ b/src/policy/shared.hpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <numeric>
 
-#include "base/mixed.hpp"
+#include "base/mix_bits.hpp"
 #include "base/remembered.hpp"
 #include "state.hpp"
 
--- a/src/sidecar/callers.cpp
+++ b/src/sidecar/callers.cpp
@@ -357,7 +357,7 @@
 }
 
 Callers::Callers(net::Scheduler& scheduler, const config::Config& config, const Front& front, Intake& intake,
-                 Counters& counters, OpenIds& open_ids, net::Held& held)
+                 Counters& counters, OpenIds& open_ids, net::BufferBudget& held)
     : scheduler_(scheduler),
       front_(front),
       intake_(intake),
--- a/src/sidecar/callers.hpp
+++ b/src/sidecar/callers.hpp
@@ -9,8 +9,8 @@
 
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
-#include "net/crew.hpp"
 #include "net/socket.hpp"
+#include "net/task_group.hpp"
 #include "sidecar/driver.hpp"
 #include "sidecar/parting.hpp"
 #include "sidecar/pipe.hpp"
@@ -72,7 +72,7 @@
   void rejected(Span come_back, const pool::Spent& spent) override;
   void broken_off(bool timed_out, const pool::Spent& spent) override;
 
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Callers;
@@ -131,7 +131,7 @@
 class Callers {
  public:
   Callers(net::Scheduler& scheduler, const config::Config& config, const Front& front, Intake& intake,
-          Counters& counters, OpenIds& open_ids, net::Held& held);
+          Counters& counters, OpenIds& open_ids, net::BufferBudget& held);
   void listen(const sockaddr_in& at);  // throws std::system_error
   void listen_on(int fd);              // a listening descriptor that was handed over
   int listener() const { return socket_.descriptor(); }
@@ -174,9 +174,9 @@
   net::Timer timer_;
   net::Socket socket_;
   OpenIds& open_ids_;
-  net::Held& held_;
+  net::BufferBudget& held_;
   Parting parting_;
-  net::Crew<CallerConnection> connections_;
+  net::TaskGroup<CallerConnection> connections_;
   net::Task task_;
 };
 
--- a/src/sidecar/endpoints.cpp
+++ b/src/sidecar/endpoints.cpp
@@ -218,7 +218,7 @@
 }
 
 Endpoints::Endpoints(net::Scheduler& scheduler, const config::Config& config, const Front& front,
-                     Counters& counters, Room* shared, net::Held* held)
+                     Counters& counters, Room* shared, net::BufferBudget* held)
     : scheduler_(scheduler),
       front_(front),
       counters_(counters),
--- a/src/sidecar/endpoints.hpp
+++ b/src/sidecar/endpoints.hpp
@@ -12,8 +12,8 @@
 #include "discovery/list.hpp"
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
-#include "net/crew.hpp"
 #include "net/socket.hpp"
+#include "net/task_group.hpp"
 #include "sidecar/counters.hpp"
 #include "sidecar/front.hpp"
 #include "sidecar/pipe.hpp"
@@ -66,7 +66,7 @@
   ~EndpointConnection();
   EndpointConnection(net::Scheduler& scheduler, Endpoints& pool, Endpoint& endpoint);
 
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
   friend class Endpoints;
@@ -110,7 +110,7 @@
  public:
   // Of its own room, or of one shared with other pools, which outlives it.
   Endpoints(net::Scheduler& scheduler, const config::Config& config, const Front& front, Counters& counters,
-            Room* shared = nullptr, net::Held* held = nullptr);
+            Room* shared = nullptr, net::BufferBudget* held = nullptr);
   ~Endpoints();
   Endpoints(const Endpoints&) = delete;
   Endpoints& operator=(const Endpoints&) = delete;
@@ -158,8 +158,8 @@
   Counters& counters_;
   DispatchSink* sink_ = nullptr;
   const Span connect_timeout_, idle_most_;
-  net::Held own_held_;
-  net::Held& held_;
+  net::BufferBudget own_held_;
+  net::BufferBudget& held_;
   Room own_;
   bool gone_binds_ = true;
   std::vector<EndpointId> doubted_;
@@ -167,7 +167,7 @@
   EndpointId last_id_ = 0;
   std::unordered_map<EndpointId, Endpoint> endpoints_;
   std::unordered_map<std::string, EndpointId> ids_;  // by discovery's
-  net::Crew<EndpointConnection> connections_;
+  net::TaskGroup<EndpointConnection> connections_;
 };
 
 }  // namespace chutevane::sidecar
--- a/src/sidecar/pipe.hpp
+++ b/src/sidecar/pipe.hpp
@@ -15,7 +15,7 @@
 class Pipe {
  public:
   // `keep`: what was taken stays as long as it fits in the window, so that all of it may be taken again.
-  Pipe(net::Held& held, bool keep) : held_(held), keep_(keep), bytes_(held) {}
+  Pipe(net::BufferBudget& held, bool keep) : held_(held), keep_(keep), bytes_(held) {}
 
   // The end that it comes in on.
   void put(std::string_view piece) {
@@ -72,7 +72,7 @@
     if (held_.tight()) bytes_.shrink(window_tight);
   }
 
-  net::Held& held_;
+  net::BufferBudget& held_;
   const bool keep_;
   net::Buffer bytes_;
   std::size_t taken_ = 0, discarded_ = 0;  // of what is held; before it
@@ -85,7 +85,7 @@
 
 // The most that a message's body is held whole for: so large it may go again, and an answer be thought better
 // of.
-inline std::size_t whole_most(const net::Held& held, bool length_stated) {
+inline std::size_t whole_most(const net::BufferBudget& held, bool length_stated) {
   constexpr std::size_t calm = 64 * 1024, unstated = 8 * 1024, tight = 8 * 1024;  // bytes
   return held.tight() ? tight : length_stated ? calm : unstated;
 }
--- a/src/sidecar/services.hpp
+++ b/src/sidecar/services.hpp
@@ -17,7 +17,7 @@
 // A pool of endpoints, with the balancer that decides in it.
 struct Pool {
   Pool(net::Scheduler& scheduler, const config::Config& config, const Front& front, Counters& counters,
-       Room* room = nullptr, net::Held* held = nullptr)
+       Room* room = nullptr, net::BufferBudget* held = nullptr)
       : endpoints(scheduler, config, front, counters, room, held),
         driver(scheduler, config, endpoints, counters) {}
   Endpoints endpoints;
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -63,7 +63,7 @@
   // Where each listener listens, in the file's order.
   std::optional<sockaddr_in> address(std::size_t listener) const { return callers_[listener]->address(); }
   const Services* services() const { return services_.get(); }  // none: the platform's
-  const net::Held& held() const { return held_; }
+  const net::BufferBudget& held() const { return held_; }
   const Counters& counters() const { return counters_; }
 
  private:
@@ -86,7 +86,7 @@
   snapshot::ComingBack coming_back_;
   std::string started_from_ = "nothing";
   Front front_;
-  net::Held held_;  // the bytes of all connections; above what counts in it
+  net::BufferBudget held_;  // the bytes of all connections; above what counts in it
   Room room_;
   std::vector<std::unique_ptr<Pool>> pools_;
   std::unique_ptr<SingleService> single_;
--- a/src/simulation/callers.cpp
+++ b/src/simulation/callers.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-Callers::Callers(world::Process& process) : scheduler_(process), timers_(scheduler_), crew_(scheduler_) {
+Callers::Callers(world::Process& process) : scheduler_(process), timers_(scheduler_), tasks_(scheduler_) {
   process.run(
       scheduler_,
       [this] {
@@ -21,17 +21,17 @@
 
 Callers::Call::Call(Callers& callers, std::string request, Done done)
     : callers_(callers),
-      channel_(callers.scheduler_, static_cast<net::Channel::Sink&>(*this)),
+      channel_(callers.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       request_(std::move(request)),
       done_(std::move(done)) {}
 
 void Callers::call(const sockaddr_in& to, std::string request, Span most, Done done) {
-  Call& call = crew_.add(std::make_unique<Call>(*this, std::move(request), std::move(done)));
+  Call& call = tasks_.add(std::make_unique<Call>(*this, std::move(request), std::move(done)));
   call.due_ = timers_.after(most, [at = &call] { at->end(std::nullopt); });
   if (!call.channel_.connect(to)) call.end(std::nullopt);
 }
 
-void Callers::Call::channel_came(net::Channel&) {
+void Callers::Call::on_channel_data(net::Channel&) {
   if (!done_) return;
   const http::Progress progress = parser_.feed(channel_.in().bytes());
   if (progress == http::Progress::more) return;
@@ -50,7 +50,7 @@
   const Done done = std::exchange(done_, nullptr);
   callers_.timers_.cancel(due_);
   channel_.close();
-  callers_.crew_.retire(*this);
+  callers_.tasks_.retire(*this);
   done(std::move(result));
 }
 
--- a/src/simulation/callers.hpp
+++ b/src/simulation/callers.hpp
@@ -9,7 +9,7 @@
 
 #include "http/parser.hpp"
 #include "net/channel.hpp"
-#include "net/crew.hpp"
+#include "net/task_group.hpp"
 #include "net/timer_queue.hpp"
 #include "world/network.hpp"
 
@@ -34,27 +34,27 @@
   static std::string get(std::string_view target);
 
  private:
-  class Call final : net::Channel::Sink {
+  class Call final : net::Channel::Observer {
    public:
     Call(Callers& callers, std::string request, Done done);
-    std::size_t crew_place = 0;
+    std::size_t group_index = 0;
 
    private:
     friend class Callers;
-    void channel_up(net::Channel&) override { channel_.write(request_); }
-    void channel_came(net::Channel&) override;
-    void channel_gone(net::Channel&) override { end(std::nullopt); }
+    void on_channel_open(net::Channel&) override { channel_.write(request_); }
+    void on_channel_data(net::Channel&) override;
+    void on_channel_closed(net::Channel&) override { end(std::nullopt); }
     void end(std::optional<HttpResult> result);
     Callers& callers_;
     net::Channel channel_;
     http::Parser parser_{http::Side::response, {.head = 16 * 1024, .body = 16U << 20U, .fields = 100}};
     const std::string request_;
     Done done_;
-    net::TimerQueue::Ticket due_;
+    net::TimerQueue::Handle due_;
   };
   net::Scheduler scheduler_;
   net::TimerQueue timers_;
-  net::Crew<Call> crew_;
+  net::TaskGroup<Call> tasks_;
   std::map<std::uint64_t, Call*> calls_;
 };
 
--- a/src/simulation/checker.cpp
+++ b/src/simulation/checker.cpp
@@ -89,7 +89,7 @@
   if (version > 0) in_force(version, body, "a read from " + from);
 }
 
-void Checker::pushed(const Machine& edge, const common::Value& value) {
+void Checker::pushed(const Machine& edge, const common::RegisterValue& value) {
   ++pushes_;
   InForce& at = edges_[edge.name()];
   if (at.life != edge.lives()) at = {edge.lives(), 0, 0};
--- a/src/simulation/checker.hpp
+++ b/src/simulation/checker.hpp
@@ -58,7 +58,7 @@
   std::int64_t acknowledged_before(TimePoint then) const;
 
   // A value came into force at an edge.
-  void pushed(const Machine& edge, const common::Value& value);
+  void pushed(const Machine& edge, const common::RegisterValue& value);
   // To be called now and then: what is bound by time.
   void sample();
   // The end, long after the last fault.
--- a/src/simulation/deployment.cpp
+++ b/src/simulation/deployment.cpp
@@ -59,7 +59,7 @@
   machines_.push_back(
       std::make_unique<Machine>(world_, role, ip_of(role, number), settings_of(role, number), drawn()));
   Machine& out = *machines_.back();
-  out.on_value = [this](Machine& m, const common::Value& value) {
+  out.on_value = [this](Machine& m, const common::RegisterValue& value) {
     if (on_value) on_value(m, value);
   };
   out.on_end = [this](Machine& m) { ended(m); };
@@ -152,7 +152,7 @@
   if (removed_.contains(&machine) || (machine.running() && !leaving_.contains(&machine))) return;
   event(machine);
   leaving_.erase(&machine);
-  machine.reread(seeds_of_now());  // its settings file is of that moment
+  machine.reload(seeds_of_now());  // its settings file is of that moment
   machine.start();
 }
 
@@ -201,7 +201,7 @@
   }
 }
 
-void Deployment::new_seeds(Machine& machine, std::vector<sockaddr_in> seeds) { machine.reread(seeds); }
+void Deployment::new_seeds(Machine& machine, std::vector<sockaddr_in> seeds) { machine.reload(seeds); }
 
 void Deployment::block(std::size_t from, std::size_t to) {
   link_event(from, to);
--- a/src/simulation/deployment.hpp
+++ b/src/simulation/deployment.hpp
@@ -75,7 +75,7 @@
   // Since when no link, process or disk of any machine has had trouble; never: there is some now.
   TimePoint calm_since() const;
 
-  std::function<void(Machine&, const common::Value&)> on_value;
+  std::function<void(Machine&, const common::RegisterValue&)> on_value;
   std::function<void(Machine&)> on_end;  // a process that ended by itself, with no order to
 
  private:
--- a/src/simulation/edge_plane.cpp
+++ b/src/simulation/edge_plane.cpp
@@ -30,15 +30,15 @@
   self.address = settings_.ip + ":80";
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
-  sessions_ = std::make_unique<common::Sessions>(scheduler_, timers_, settings_, self);
-  sessions_->on_value([this](const common::Value& value) {
-    ledger_.map_came(value.map, value.storage_nodes);
+  sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
+  sessions_->on_value([this](const common::RegisterValue& value) {
+    ledger_.map_came(value.map_version, value.storage_nodes);
     told_(value);
   });
   return absl::OkStatus();
 }
 
-void EdgePlane::leave() {
+void EdgePlane::begin_shutdown() {
   timers_.after(leaves_after, [this] { finished_ = true; });
 }
 
--- a/src/simulation/edge_plane.hpp
+++ b/src/simulation/edge_plane.hpp
@@ -4,8 +4,8 @@
 #include <functional>
 #include <memory>
 
+#include "common/control_sessions.hpp"
 #include "common/process.hpp"
-#include "common/session.hpp"
 #include "common/settings.hpp"
 #include "edge/ledger.hpp"
 #include "net/timer_queue.hpp"
@@ -15,12 +15,12 @@
 class EdgePlane final : public common::Plane {
  public:
   // Told of each value that comes into force in this process.
-  using Told = std::function<void(const common::Value&)>;
+  using Told = std::function<void(const common::RegisterValue&)>;
   EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings, Told told);
   absl::Status open() override;
-  void leave() override;
+  void begin_shutdown() override;
   bool finished() const override { return finished_; }
-  void reread(const common::ProcessSettings& settings) override { sessions_->reread(settings); }
+  void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
 
   edge::Ledger& ledger() { return ledger_; }
   net::TimerQueue& later() { return timers_; }
@@ -30,7 +30,7 @@
   common::ProcessSettings settings_;
   net::TimerQueue timers_;
   edge::Ledger ledger_;
-  std::unique_ptr<common::Sessions> sessions_;
+  std::unique_ptr<common::ControlSessions> sessions_;
   Told told_;
   bool finished_ = false;
 };
--- a/src/simulation/machine.cpp
+++ b/src/simulation/machine.cpp
@@ -58,9 +58,10 @@
     case Role::storage:
       return std::make_unique<storage::StoragePlane>(life_->scheduler, settings_, std::move(disk));
     case Role::edge:
-      return std::make_unique<EdgePlane>(life_->scheduler, settings_, [this](const common::Value& value) {
-        if (on_value) on_value(*this, value);
-      });
+      return std::make_unique<EdgePlane>(life_->scheduler, settings_,
+                                         [this](const common::RegisterValue& value) {
+                                           if (on_value) on_value(*this, value);
+                                         });
   }
   return nullptr;
 }
@@ -114,14 +115,14 @@
 
 void Machine::terminate() {
   if (!running()) return;
-  life_->later.at(world_.now(), [this] { life_->plane->leave(); });
+  life_->later.at(world_.now(), [this] { life_->plane->begin_shutdown(); });
   process_.poke();
 }
 
-void Machine::reread(const std::vector<sockaddr_in>& seeds) {
+void Machine::reload(const std::vector<sockaddr_in>& seeds) {
   settings_.seeds = seeds;
   if (!running()) return;
-  life_->later.at(world_.now(), [this] { life_->plane->reread(settings_); });
+  life_->later.at(world_.now(), [this] { life_->plane->reload(settings_); });
   process_.poke();
 }
 
--- a/src/simulation/machine.hpp
+++ b/src/simulation/machine.hpp
@@ -32,7 +32,7 @@
   void wipe();                          // an empty disk: while it is down
   void terminate();                     // SIGTERM
   void pause(Span lasts) { process_.pause(lasts); }
-  void reread(const std::vector<sockaddr_in>& seeds);
+  void reload(const std::vector<sockaddr_in>& seeds);
 
   Role role() const { return role_; }
   const std::string& name() const { return settings_.node; }
@@ -46,7 +46,7 @@
   EdgePlane* edge();  // none: it does not run, or is no edge
 
   // Told of what comes into force at an edge, and of a process that has ended by itself.
-  std::function<void(Machine&, const common::Value&)> on_value;
+  std::function<void(Machine&, const common::RegisterValue&)> on_value;
   std::function<void(Machine&)> on_end;
   std::string last_failure;
 
--- a/src/simulation/observers.hpp
+++ b/src/simulation/observers.hpp
@@ -34,7 +34,7 @@
   void open(const Machine& control);
   void tell(const std::string& name);
   void word(const std::string& name, std::uint8_t kind, std::string_view record);
-  void heartbeat(const std::string& name, const common::Heartbeat& heartbeat);
+  void heartbeat(const std::string& name, const common::ControlHeartbeat& heartbeat);
 
   Deployment& deployment_;
   Callers& callers_;
--- a/src/simulation/programs.cpp
+++ b/src/simulation/programs.cpp
@@ -152,7 +152,7 @@
   turn.program = program.id;
   turn.input.data = "in " + id;
   turn.output.data = std::string(static_cast<std::size_t>(used), 'o') + id;
-  turn.keep_ms = static_cast<std::int64_t>(load_.keep.as_ms());
+  turn.retention_ms = static_cast<std::int64_t>(load_.keep.as_ms());
   kept_[id] = {turn.previous, turn.output.data};  // it may be found whether it is told of or not
   edge.edge()->later().after(Span::ms(80) * chance_.unit(),
                              [this, line, at = &edge, turn, used] { keep(line, *at, turn, used); });
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -47,7 +47,7 @@
         programs_(deployment_, checker_, plan.programs, seed + 2),
         log_(world_, faults_) {
     if (plan.losses_overlap) checker_.service_may_rest();
-    deployment_.on_value = [this](Machine& m, const common::Value& value) {
+    deployment_.on_value = [this](Machine& m, const common::RegisterValue& value) {
       world_.trace().line(world_.now(), "%s has version %lld, number %lld", m.name().c_str(),
                           static_cast<long long>(value.config_version), static_cast<long long>(value.number));
       checker_.pushed(m, value);
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -23,7 +23,7 @@
                                          std::size_t losses) {
   std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
   for (std::size_t i = 0; i < storage_nodes.size(); ++i) {
-    if (storage_nodes[i].leaving) continue;
+    if (storage_nodes[i].draining) continue;
     const std::string& node = storage_nodes[i].node;
     ranked.emplace_back(
         XXH3_64bits_withSeed(program.data(), program.size(), XXH3_64bits(node.data(), node.size())), i);
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -56,8 +56,8 @@
   self.address = net::text_of(settings_.internal_address(common::storage_plane_port));
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
-  sessions_ = std::make_unique<common::Sessions>(scheduler_, timers_, settings_, self);
-  sessions_->on_value([this](const common::Value& value) { value_came(value); });
+  sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
+  sessions_->on_value([this](const common::RegisterValue& value) { value_came(value); });
   sweep();
   common::log_info("storage.open", "disk " + record_.disk + ", " + std::to_string(store_.turns()) +
                                        " turns, " + std::to_string(store_.accounts()) + " accounts");
@@ -96,11 +96,11 @@
   ++syncs_;
   sync_time_ = sync_time_ + (timers_.now() - began);
   if (!disk_health_.note(committed)) {
-    if (worked) sessions_->tell_disk_failing(true);
+    if (worked) sessions_->report_disk_failing(true);
     timers_.after(disk_again, [this] { sync(); });
     return;
   }
-  if (!worked) sessions_->tell_disk_failing(false);
+  if (!worked) sessions_->report_disk_failing(false);
   sync_due_ = false;
   std::vector<std::function<void()>> told;
   told.swap(synced_);
@@ -108,50 +108,56 @@
 }
 
 void StoragePlane::listen() {
-  rpc_server_.on<common::Reserve>([this](Connection& connection, std::uint64_t number, common::Reserve& ask) {
-    common::Reserved out;
-    out.map = map_;
-    Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && (!ready_ || map_record_due_ || store_.failing()))
-      verdict = Verdict::unready;
-    out.verdict = static_cast<std::int64_t>(verdict);
-    note_answer(Asked::reserve, verdict, ask.attempt, ask.map);
-    if (verdict != Verdict::yes) return connection.answer(number, out);
-    out.others = store_.reserve(ask.program, ask.attempt, ask.most, timers_.now());
-    answer_when_synced(connection, number, std::move(out));
-  });
-  rpc_server_.on<common::Settle>([this](Connection&, std::uint64_t, common::Settle& word) {
-    store_.settle(word.program, word.attempt, word.used, timers_.now());
+  rpc_server_.on<common::ReserveRequest>(
+      [this](Connection& connection, std::uint64_t number, common::ReserveRequest& ask) {
+        common::ReserveReply out;
+        out.map_version = map_;
+        Verdict verdict = check(ask.map_version);
+        if (verdict == Verdict::yes && (!ready_ || map_record_due_ || store_.failing()))
+          verdict = Verdict::unready;
+        out.verdict = static_cast<std::int64_t>(verdict);
+        note_answer(Asked::reserve, verdict, ask.attempt, ask.map_version);
+        if (verdict != Verdict::yes) return connection.reply(number, out);
+        out.others = store_.reserve(ask.program, ask.attempt, ask.max_tokens, timers_.now());
+        answer_when_synced(connection, number, std::move(out));
+      });
+  rpc_server_.on<common::CommitUsage>([this](Connection&, std::uint64_t, common::CommitUsage& word) {
+    store_.settle(word.program, word.attempt, word.used_tokens, timers_.now());
     when_synced([] {});
   });
-  rpc_server_.on<common::Keep>([this](Connection& connection, std::uint64_t number, common::Keep& ask) {
-    common::Kept out;
-    out.map = map_;
-    Verdict verdict = check(ask.map);
-    if (verdict == Verdict::yes && ((joining() && !ready_) || map_record_due_)) verdict = Verdict::unready;
-    if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
-      verdict = Verdict::full;
-    out.verdict = static_cast<std::int64_t>(verdict);
-    note_answer(Asked::keep, verdict, ask.turn.id, ask.map);
-    if (verdict != Verdict::yes) return connection.answer(number, out);
-    if (ask.used >= 0) store_.settle(ask.turn.program, ask.turn.id, ask.used, timers_.now());
-    const std::uint64_t id = connection.id();
-    with_chain(ask.turn, [this, id, number, out] {
-      if (const Connection* const there = rpc_server_.find(id)) answer_when_synced(*there, number, out);
-    });
-  });
-  rpc_server_.on<common::Find>([this](Connection& connection, std::uint64_t number, common::Find& ask) {
-    common::Found out;
-    out.map = map_;
-    for (const Turn* t : store_.chain(ask.id, chain_bytes, timers_.now())) out.turns.push_back(*t);
-    const Verdict verdict = out.turns.empty() ? verdict_on_missing(ask.map) : Verdict::yes;
-    out.verdict = static_cast<std::int64_t>(verdict);
-    note_answer(Asked::find, verdict, ask.attempt, ask.map);
-    connection.answer(number, out);
-  });
-  rpc_server_.on<common::Pull>([this](Connection& connection, std::uint64_t number, common::Pull& ask) {
-    answer_pull(connection, number, ask);
-  });
+  rpc_server_.on<common::StoreTurnRequest>(
+      [this](Connection& connection, std::uint64_t number, common::StoreTurnRequest& ask) {
+        common::StoreTurnReply out;
+        out.map_version = map_;
+        Verdict verdict = check(ask.map_version);
+        if (verdict == Verdict::yes && ((joining() && !ready_) || map_record_due_))
+          verdict = Verdict::unready;
+        if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
+          verdict = Verdict::full;
+        out.verdict = static_cast<std::int64_t>(verdict);
+        note_answer(Asked::keep, verdict, ask.turn.id, ask.map_version);
+        if (verdict != Verdict::yes) return connection.reply(number, out);
+        if (ask.used_tokens >= 0)
+          store_.settle(ask.turn.program, ask.turn.id, ask.used_tokens, timers_.now());
+        const std::uint64_t id = connection.id();
+        with_chain(ask.turn, [this, id, number, out] {
+          if (const Connection* const there = rpc_server_.find(id)) answer_when_synced(*there, number, out);
+        });
+      });
+  rpc_server_.on<common::FindTurnRequest>(
+      [this](Connection& connection, std::uint64_t number, common::FindTurnRequest& ask) {
+        common::FindTurnReply out;
+        out.map_version = map_;
+        for (const Turn* t : store_.chain(ask.id, chain_bytes, timers_.now())) out.turns.push_back(*t);
+        const Verdict verdict = out.turns.empty() ? verdict_on_missing(ask.map_version) : Verdict::yes;
+        out.verdict = static_cast<std::int64_t>(verdict);
+        note_answer(Asked::find, verdict, ask.attempt, ask.map_version);
+        connection.reply(number, out);
+      });
+  rpc_server_.on<common::PullRequest>(
+      [this](Connection& connection, std::uint64_t number, common::PullRequest& ask) {
+        answer_pull(connection, number, ask);
+      });
   rpc_server_.listen(settings_.internal_listen_address(common::storage_plane_port));
 }
 
@@ -168,8 +174,9 @@
 // may lag that an edge which lags as well would believe them that there is no such turn: what it keeps does
 // not count.
 bool StoragePlane::joining() const {
-  return std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
-                     [&](const common::StorageNode& c) { return c.node == settings_.node && c.joining; });
+  return std::any_of(storage_nodes_.begin(), storage_nodes_.end(), [&](const common::StorageNode& c) {
+    return c.node == settings_.node && c.bootstrapping;
+  });
 }
 
 // Of a turn that is not here.
@@ -243,7 +250,7 @@
   counter_of_syncs(out);
   gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", store_.failing() ? 1 : 0);
   gauge("chutevane_control_sessions", "", "Sessions with control that stand.",
-        static_cast<double>(sessions_->standing()));
+        static_cast<double>(sessions_->usable_count()));
   gauge("chutevane_knowledge_age_seconds", "seconds", "Age of what is known from control.",
         sessions_->knowledge_age().as_ms() / 1000);
 }
@@ -286,11 +293,12 @@
   }
   const std::string from = fetch->sources.back();
   fetch->sources.pop_back();
-  link(from).call<common::Found>(common::Find{map_, missing, ""}, chain_most,
-                                 [this, fetch](auto got) { fetched(fetch, std::move(got)); });
+  link(from).call<common::FindTurnReply>(common::FindTurnRequest{map_, missing, ""}, chain_most,
+                                         [this, fetch](auto got) { fetched(fetch, std::move(got)); });
 }
 
-void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<common::Found> got) {
+void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch,
+                           absl::StatusOr<common::FindTurnReply> got) {
   if (got.ok()) {
     for (const Turn& t : got->turns) store_.keep(t, timers_.now());
   }
@@ -314,10 +322,10 @@
 }
 
 // Its disk may go with it, and it may hold one of the last copies: the others take over while it is there.
-void StoragePlane::leave() {
+void StoragePlane::begin_shutdown() {
   if (leaving_) return;
   leaving_ = true;
-  sessions_->tell_leaving();
+  sessions_->report_draining();
   go_when_released(timers_.now() + settings_.grace - grace_spare);
 }
 
@@ -326,7 +334,7 @@
                                   [&](const common::StorageNode& c) { return c.node == settings_.node; });
   const auto others =
       std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
-                    [&](const common::StorageNode& c) { return !c.leaving && c.node != settings_.node; });
+                    [&](const common::StorageNode& c) { return !c.draining && c.node != settings_.node; });
   return !listed || static_cast<std::size_t>(others) < group_size(settings_.machine_losses);
 }
 
@@ -335,7 +343,7 @@
     timers_.after(leave_again, [this, latest] { go_when_released(latest); });
     return;
   }
-  sessions_->end();
+  sessions_->close();
   timers_.after(last_words, [this] { finished_ = true; });
 }
 
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -11,12 +11,12 @@
 #include <utility>
 #include <vector>
 
-#include "common/bounded_log.hpp"
+#include "common/control_sessions.hpp"
 #include "common/disk_health.hpp"
 #include "common/invariant.hpp"
 #include "common/process.hpp"
+#include "common/rate_limited_log.hpp"
 #include "common/rpc.hpp"
-#include "common/session.hpp"
 #include "common/settings.hpp"
 #include "storage/placement.hpp"
 #include "storage/store.hpp"
@@ -28,9 +28,9 @@
   StoragePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
                std::unique_ptr<common::Disk> disk);
   absl::Status open() override;
-  void leave() override;
+  void begin_shutdown() override;
   bool finished() const override { return finished_; }
-  void reread(const common::ProcessSettings& settings) override { sessions_->reread(settings); }
+  void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
   void write_metrics(common::MetricsWriter& out) override;
 
  private:
@@ -59,7 +59,7 @@
     when_synced([this, id = connection.id(), number, message = std::move(message)] {
       common::check_invariant(common::Invariant::answered_after_sync, !store_.dirty(),
                               [] { return std::string("records are not on disk yet"); });
-      if (Connection* const there = rpc_server_.find(id)) there->answer(number, message);
+      if (Connection* const there = rpc_server_.find(id)) there->reply(number, message);
     });
   }
   bool joining() const;
@@ -68,10 +68,10 @@
   std::string describe_take_over() const;
   void note_answer(Asked asked, Verdict verdict, const std::string& attempt, std::int64_t map);
   void counter_of_syncs(common::MetricsWriter& out) const;
-  void value_came(const common::Value& value);
+  void value_came(const common::RegisterValue& value);
   void take_over(const std::vector<common::StorageNode>& before);
   void ask(const std::string& node);
-  void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<common::Pulled> got);
+  void pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<common::PullReply> got);
   void look_ready();
   // Whether this disk had all that is its own by this map before the process was started anew. It goes on
   // then as one that was silent for a while: what it has missed, others of each group have (docs/state.md).
@@ -86,11 +86,11 @@
   struct ChainFetch;
   void with_chain(const common::Turn& turn, std::function<void()> then);
   void fetch_chain(const std::shared_ptr<ChainFetch>& fetch);
-  void fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<common::Found> got);
+  void fetched(const std::shared_ptr<ChainFetch>& fetch, absl::StatusOr<common::FindTurnReply> got);
   // Once what was written before is on disk.
   void when_synced(std::function<void()> then);
   void sync();
-  void answer_pull(Connection& connection, std::uint64_t number, const common::Pull& ask);
+  void answer_pull(Connection& connection, std::uint64_t number, const common::PullRequest& ask);
   common::RpcClient& link(const std::string& address);
   void sweep();
   // Whether the others have taken over what is here, or are too few to.
@@ -109,7 +109,7 @@
   Store store_;
   common::DiskHealth disk_health_;
   common::RpcServer rpc_server_;
-  std::unique_ptr<common::Sessions> sessions_;
+  std::unique_ptr<common::ControlSessions> sessions_;
   std::map<std::string, std::unique_ptr<common::RpcClient>> links_;  // by address
   std::vector<common::StorageNode> storage_nodes_;
   std::int64_t map_ = 0;
@@ -125,7 +125,7 @@
   // For the figures and logs.
   static constexpr int refusal_lines_most = 10;  // a second
   std::array<std::array<std::uint64_t, verdicts>, asked_kinds> answers_{};
-  common::BoundedLog refusals_{"storage.refused", refusal_lines_most};
+  common::RateLimitedLog refusals_{"storage.refused", refusal_lines_most};
   std::uint64_t syncs_ = 0;
   Span sync_time_;
 };
--- a/src/storage/storage_take_over.cpp
+++ b/src/storage/storage_take_over.cpp
@@ -25,11 +25,11 @@
 
 // What the asker holds by the map. Only while this one has the same: from then on nothing is added here under
 // an older one; and by a later one the asker may hold less, while edges still ask it under its own.
-void StoragePlane::answer_pull(Connection& connection, std::uint64_t number, const common::Pull& ask) {
+void StoragePlane::answer_pull(Connection& connection, std::uint64_t number, const common::PullRequest& ask) {
   if (store_.failing() || map_record_due_)
     return;  // silent as a lost one is: the asker does without it where it may
-  common::Pulled out;
-  out.map = map_;
+  common::PullReply out;
+  out.map_version = map_;
   out.last = true;
   const auto mine = [&](const std::string& program) {
     for (const std::size_t i : group_of(program, storage_nodes_, settings_.machine_losses)) {
@@ -41,26 +41,26 @@
   const bool named = std::any_of(
       storage_nodes_.begin(), storage_nodes_.end(),
       [&](const common::StorageNode& c) { return c.node == settings_.node && c.disk == record_.disk; });
-  if (map_ != ask.map) {
-    out.verdict = static_cast<std::int64_t>(check(ask.map));
+  if (map_ != ask.map_version) {
+    out.verdict = static_cast<std::int64_t>(check(ask.map_version));
   } else if (!named) {  // a disk that no map names yet is no source: what its place held is not here
     out.verdict = static_cast<std::int64_t>(Verdict::unready);
-  } else if (!ask.wanted.empty()) {
+  } else if (!ask.wanted_ids.empty()) {
     out.last = false;  // says nothing about the names
-    for (const std::string& id : ask.wanted) {
+    for (const std::string& id : ask.wanted_ids) {
       const Turn* t = store_.find(id);
       if (t != nullptr) out.turns.push_back(*t);
     }
   } else if (ask.turns) {
     const std::set<std::string> beyond = store_.chains_of_others(mine);
-    store_.each_turn(ask.after, [&](const Turn& t) {
+    store_.each_turn(ask.after_id, [&](const Turn& t) {
       if (!mine(t.program) && !beyond.contains(t.id)) return true;
       out.ids.push_back(t.id);
       bytes += t.input.data.size() + t.output.data.size();
       return out.last = out.ids.size() < pull_names && bytes < pull_bytes;
     });
   } else {
-    store_.each_account(ask.after, [&](const Account& a) {
+    store_.each_account(ask.after_id, [&](const Account& a) {
       if (mine(a.program)) out.accounts.push_back(a);
       return out.last = out.accounts.size() < pull_accounts;
     });
@@ -69,15 +69,16 @@
   answer_when_synced(connection, number, std::move(out));
 }
 
-void StoragePlane::value_came(const common::Value& value) {
-  if (value.map <= map_ || value.map < map_record_.map) return;  // a controller that lags
+void StoragePlane::value_came(const common::RegisterValue& value) {
+  if (value.map_version <= map_ || value.map_version < map_record_.map_version)
+    return;  // a controller that lags
   const std::vector<common::StorageNode> before = std::move(storage_nodes_);
   const std::int64_t map_before = map_;
   storage_nodes_ = value.storage_nodes;
-  map_ = value.map;
+  map_ = value.map_version;
   const auto in = [](const std::vector<common::StorageNode>& all, const common::StorageNode& c) {
     return std::any_of(all.begin(), all.end(), [&](const common::StorageNode& o) {
-      return o.node == c.node && o.disk == c.disk && o.leaving == c.leaving;
+      return o.node == c.node && o.disk == c.disk && o.draining == c.draining;
     });
   };
   // Who was here for the map before, and lost nobody by this one, has what is its own already.
@@ -88,20 +89,20 @@
   const bool was_in = std::any_of(before.begin(), before.end(), me);
   const bool went_on = map_before > 0 && ready_ && whole_ && was_in && map_ == map_before + 1;
   const bool lost_some = std::any_of(before.begin(), before.end(), [&](const common::StorageNode& c) {
-    return !c.leaving && !in(storage_nodes_, c) &&
+    return !c.draining && !in(storage_nodes_, c) &&
            std::none_of(storage_nodes_.begin(), storage_nodes_.end(),
-                        [&](const common::StorageNode& o) { return o.node == c.node && !o.leaving; });
+                        [&](const common::StorageNode& o) { return o.node == c.node && !o.draining; });
   });
   if (went_on && !lost_some) {
     write_map_record(map_, true);
-    sessions_->tell_whole(map_);
+    sessions_->report_complete_map(map_);
     return;
   }
   if (map_before == 0 && std::any_of(storage_nodes_.begin(), storage_nodes_.end(), me) && was_whole()) {
     ready_ = whole_ = true;
     may_miss_ = 0;
     common::log_info("storage.returned", "map " + std::to_string(map_));
-    sessions_->tell_whole(map_);
+    sessions_->report_complete_map(map_);
     return;
   }
   write_map_record(map_, false);
@@ -114,7 +115,7 @@
   // Copies that are missing already may not be missed twice: so many fewer of the others may be left out, and
   // where more are missing than may be lost, the map has to change before this one is whole.
   may_miss_ = static_cast<std::int64_t>(settings_.machine_losses) -
-              static_cast<std::int64_t>(common::copies_missing(value));
+              static_cast<std::int64_t>(common::missing_replicas(value));
   take_over(before);
 }
 
@@ -143,21 +144,22 @@
 
 void StoragePlane::ask(const std::string& node) {
   Taking& t = taking_[node];
-  common::Pull pull;
-  pull.map = map_;
+  common::PullRequest pull;
+  pull.map_version = map_;
   pull.node = settings_.node;
   pull.turns = t.accounts_done;
-  pull.after = t.after;
+  pull.after_id = t.after;
   if (!t.wanted.empty()) {
     const std::size_t some = std::min<std::size_t>(t.wanted.size(), 16);  // some 100 KB of turns
-    pull.wanted.assign(t.wanted.end() - static_cast<std::ptrdiff_t>(some), t.wanted.end());
+    pull.wanted_ids.assign(t.wanted.end() - static_cast<std::ptrdiff_t>(some), t.wanted.end());
     t.wanted.resize(t.wanted.size() - some);
   }
-  link(t.address).call<common::Pulled>(
+  link(t.address).call<common::PullReply>(
       pull, pull_most, [this, node, turn = turn_](auto got) { pulled(node, turn, std::move(got)); });
 }
 
-void StoragePlane::pulled(const std::string& node, std::uint64_t turn, absl::StatusOr<common::Pulled> got) {
+void StoragePlane::pulled(const std::string& node, std::uint64_t turn,
+                          absl::StatusOr<common::PullReply> got) {
   const auto found = taking_.find(node);
   if (turn != turn_ || found == taking_.end()) return;
   Taking& t = found->second;
@@ -201,12 +203,13 @@
 }
 
 bool StoragePlane::was_whole() const {
-  return !map_record_due_ && map_record_.whole && map_record_.map == map_ && map_record_.disk == record_.disk;
+  return !map_record_due_ && map_record_.complete && map_record_.map_version == map_ &&
+         map_record_.disk == record_.disk;
 }
 
 void StoragePlane::write_map_record(std::int64_t map, bool whole) {
-  map_record_.map = map;
-  map_record_.whole = whole;
+  map_record_.map_version = map;
+  map_record_.complete = whole;
   if (std::exchange(map_record_due_, true)) return;  // the next try writes it
   write_map_record_again();
 }
@@ -238,7 +241,7 @@
   }
   if (ready_ && !whole_ && pending_turns == 0 && enough(turns)) {
     whole_ = true;
-    sessions_->tell_whole(map_);
+    sessions_->report_complete_map(map_);
     when_synced([this, map = map_] {
       if (whole_ && map == map_) write_map_record(map, true);
     });
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -73,8 +73,8 @@
     if (!common::decode(body, account)) return;
     for (const Reservation& r : account.entries) {
       Reservation& at = entry(account.program, r.attempt, now);
-      if (!at.settled || r.settled) at.tokens = r.tokens;
-      at.settled = at.settled || r.settled;
+      if (!at.committed || r.committed) at.tokens = r.tokens;
+      at.committed = at.committed || r.committed;
     }
   }
 }
@@ -106,9 +106,9 @@
 
 void Store::settle(const std::string& program, const std::string& attempt, std::int64_t used, TimePoint now) {
   Reservation& mine = entry(program, attempt, now);
-  if (mine.settled) return;
+  if (mine.committed) return;
   mine.tokens = used;
-  mine.settled = true;
+  mine.committed = true;
   write_account({program, {mine}});
 }
 
@@ -116,7 +116,7 @@
   Account changed{account.program, {}};
   for (const Reservation& r : account.entries) {
     Reservation& mine = entry(account.program, r.attempt, now);
-    if (mine.settled || (mine.tokens >= 0 && !r.settled)) continue;
+    if (mine.committed || (mine.tokens >= 0 && !r.committed)) continue;
     mine = r;
     changed.entries.push_back(r);
   }
@@ -131,7 +131,7 @@
   }
   bytes_ += weight(turn);
   ++segments_[segment].live;
-  at.until = now + Span::ms(static_cast<double>(turn.keep_ms));
+  at.until = now + Span::ms(static_cast<double>(turn.retention_ms));
   at.segment = segment;
   at.turn = std::move(turn);
 }
@@ -144,7 +144,7 @@
     insert(turn, current_, now);
   }
   // Kept with its chain: what it goes on from is in use as long as it is.
-  const Span stay = Span::ms(static_cast<double>(turn.keep_ms));
+  const Span stay = Span::ms(static_cast<double>(turn.retention_ms));
   std::size_t steps = 0;
   for (auto at = turns_.find(turn.id); at != turns_.end(); at = turns_.find(at->second.turn.previous)) {
     at->second.until = std::max(at->second.until, now + stay);
@@ -186,7 +186,7 @@
     Kept& kept = at->second;
     bytes += weight(kept.turn);
     if (!out.empty() && bytes > bytes_most) break;
-    kept.until = std::max(kept.until, now + Span::ms(static_cast<double>(kept.turn.keep_ms)));
+    kept.until = std::max(kept.until, now + Span::ms(static_cast<double>(kept.turn.retention_ms)));
     out.push_back(&kept.turn);
     if (kept.turn.previous.empty() || out.size() > chain_most) break;
   }
--- a/tests/tier/avro_test.cpp
+++ b/tests/common/avro_test.cpp
@@ -10,23 +10,24 @@
 #include <vector>
 
 #include "common/messages.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 namespace common = chutevane::common;
-using chutevane::played::RandomSource;
+using chutevane::simulated::RandomSource;
 
 namespace {
 
 using Messages =
-    std::tuple<common::Acceptor, common::StorageNode, common::Retired, common::Taken, common::Value,
-               common::Ballot, common::Prepare, common::Promise, common::Accept, common::Accepted,
-               common::Chosen, common::AcceptorRecord, common::ControllerRecord, common::Member,
-               common::HeldDuty, common::Gossip, common::Vote, common::Voted, common::Listed,
-               common::EndpointList, common::Hello, common::Push, common::Heartbeat, common::Reserve,
-               common::Reserved, common::Settle, common::Turn, common::Keep, common::Kept, common::Find,
-               common::Found, common::Reservation, common::Account, common::Pull, common::Pulled,
-               common::StorageNodeRecord, common::MapRecord, common::ValueDifference>;
+    std::tuple<common::Acceptor, common::StorageNode, common::RetiredNode, common::AppliedConfiguration,
+               common::RegisterValue, common::Ballot, common::Prepare, common::Promise, common::Accept,
+               common::Accepted, common::Chosen, common::AcceptorRecord, common::ControllerRecord,
+               common::Member, common::HeldRole, common::Gossip, common::VoteRequest, common::VoteReply,
+               common::EndpointEntry, common::EndpointList, common::MemberHeartbeat, common::ValuePush,
+               common::ControlHeartbeat, common::ReserveRequest, common::ReserveReply, common::CommitUsage,
+               common::Turn, common::StoreTurnRequest, common::StoreTurnReply, common::FindTurnRequest,
+               common::FindTurnReply, common::Reservation, common::Account, common::PullRequest,
+               common::PullReply, common::StorageNodeRecord, common::MapRecord, common::ValueDifference>;
 
 template <class F>
 void each_message(F f) {
@@ -220,9 +221,9 @@
 
 // A configuration as large as one may be.
 TEST(AvroMessages, LargeValue) {
-  common::Value value;
+  common::RegisterValue value;
   value.config.data.assign(8U << 20U, '\x7f');
-  common::Value back;
+  common::RegisterValue back;
   CHECK_TRUE(common::decode(common::encoded(value), back) && back == value);
 }
 
@@ -296,12 +297,12 @@
   for (const std::string& length : lengths) {
     for (const std::string& behind : {std::string(), std::string("abc"), std::string(64, '\0')}) {
       each_message([&](auto& message) { (void)common::decode(length + behind, message); });
-      common::Settle word;
+      common::CommitUsage word;
       CHECK_FALSE(common::decode(length, word));
     }
   }
   // A message after a refused one is read as ever.
-  common::Voted voted;
-  CHECK_TRUE(common::decode(common::encoded(common::Voted{true, 9}), voted) && voted.granted &&
+  common::VoteReply voted;
+  CHECK_TRUE(common::decode(common::encoded(common::VoteReply{true, 9}), voted) && voted.granted &&
              voted.term == 9);
 }
--- a/tests/tier/changing_value.hpp
+++ b/tests/common/changing_value.hpp
@@ -5,9 +5,9 @@
 #include <string>
 
 #include "common/messages.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 
-namespace chutevane::played {
+namespace chutevane::simulated {
 
 class ChangingValue {
  public:
@@ -16,7 +16,7 @@
       routes_.push_back(route(i, 1500));
   }
   // `value` with the next configuration, under the next version and number.
-  common::Value next(const common::Value& value) {
+  common::RegisterValue next(const common::RegisterValue& value) {
     ++version_;
     const std::size_t at = random_.below(routes_.size());
     routes_[at] = route(at, 500 + random_.below(5000));
@@ -24,12 +24,13 @@
       routes_.insert(routes_.begin() + static_cast<std::ptrdiff_t>(at), route(version_, 700));
     if (random_.chance(0.1) && routes_.size() > 3)
       routes_.erase(routes_.begin() + static_cast<std::ptrdiff_t>(random_.below(routes_.size() - 1)));
-    common::Value out = value;
+    common::RegisterValue out = value;
     ++out.number;
     out.config_version = static_cast<std::int64_t>(version_);
     out.config.data = text();
-    out.taken.push_back({out.config_version, static_cast<std::int64_t>(random_.next())});
-    if (out.taken.size() > taken_most) out.taken.erase(out.taken.begin());
+    out.applied_configurations.push_back({out.config_version, static_cast<std::int64_t>(random_.next())});
+    if (out.applied_configurations.size() > taken_most)
+      out.applied_configurations.erase(out.applied_configurations.begin());
     return out;
   }
 
@@ -53,4 +54,4 @@
   std::size_t version_ = 0;
 };
 
-}  // namespace chutevane::played
+}  // namespace chutevane::simulated
--- a/tests/tier/configuration_test.cpp
+++ b/tests/common/configuration_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
@@ -215,7 +215,7 @@
 
 // Bytes changed at random: read or refused, and what is read keeps what was checked.
 TEST(OperatorConfiguration, NoiseInTheText) {
-  chutevane::played::RandomSource luck(11);
+  chutevane::simulated::RandomSource luck(11);
   for (int n = 0; n < 4000; ++n) {
     std::string text = example;
     for (std::size_t k = 1 + luck.below(4); k > 0; --k)
--- a/tests/tier/disk_test.cpp
+++ b/tests/common/disk_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::common::Disk;
@@ -399,7 +399,7 @@
 
 TEST(DiskFrames, ZerosAndNoiseAreNoRecords) {
   CHECK_TRUE(unframed(std::string(4096, '\0'), 7).empty());
-  chutevane::played::RandomSource luck(3);
+  chutevane::simulated::RandomSource luck(3);
   for (int n = 0; n < 2000; ++n) {
     std::string noise(luck.below(200), '\0');
     for (char& c : noise) c = static_cast<char>(luck.next());
--- a/tests/tier/endpoint_book_test.cpp
+++ b/tests/common/endpoint_table_test.cpp
@@ -1,5 +1,5 @@
 // The list of endpoints as numbered changes: whoever follows has the same list, whatever was lost on the way.
-#include "common/endpoint_book.hpp"
+#include "common/endpoint_table.hpp"
 
 #include <map>
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace {
 
-using chutevane::common::EndpointBook;
+using chutevane::common::EndpointEntry;
 using chutevane::common::EndpointList;
-using chutevane::common::Listed;
+using chutevane::common::EndpointTable;
 
-Listed endpoint(int n, bool draining = false) {
-  Listed out;
+EndpointEntry endpoint(int n, bool draining = false) {
+  EndpointEntry out;
   out.id = "i-" + std::to_string(n);
   out.address = "10.0.0.1:" + std::to_string(1000 + n);
   out.draining = draining;
@@ -23,16 +23,16 @@
 
 }  // namespace
 
-TEST_GROUP(EndpointBook) {
-  EndpointBook holder, follower;
+TEST_GROUP(EndpointTable) {
+  EndpointTable holder, follower;
   void follow() {
     for (const EndpointList& told : holder.since(follower.term(), follower.number())) follower.apply(told);
   }
 };
 
-TEST(EndpointBook, AFollowerHasTheSameList) {
+TEST(EndpointTable, AFollowerHasTheSameList) {
   CHECK_TRUE(holder.empty() && holder.since(0, 0).empty());
-  std::vector<Listed> all;
+  std::vector<EndpointEntry> all;
   for (int n = 0; n < 40; ++n) {
     all.push_back(endpoint(n));
     if (n % 3 == 0 && n > 3) all.erase(all.begin());
@@ -46,8 +46,8 @@
   CHECK_TRUE(follower.entries() == holder.entries() && follower.number() == holder.number());
 }
 
-TEST(EndpointBook, ChangesAreSmallAndTheWholeIsSentOnlyWhereTheyAreNotKept) {
-  std::vector<Listed> all;
+TEST(EndpointTable, ChangesAreSmallAndTheWholeIsSentOnlyWhereTheyAreNotKept) {
+  std::vector<EndpointEntry> all;
   for (int n = 0; n < 500; ++n) all.push_back(endpoint(n));
   holder.update(1, all);
   CHECK_EQUAL(1U, holder.since(0, 0).size());
@@ -66,7 +66,7 @@
 }
 
 // A change that does not follow what is held, of another term, or told again, changes nothing.
-TEST(EndpointBook, WhatDoesNotFitIsNotTaken) {
+TEST(EndpointTable, WhatDoesNotFitIsNotTaken) {
   holder.update(3, {endpoint(1)});
   follow();
   holder.update(3, {endpoint(1), endpoint(2)});
@@ -92,8 +92,8 @@
 }
 
 // Two holders of one duty number alike; their lists go under terms of their own, and the higher is whole.
-TEST(EndpointBook, AHigherTermBringsItsWholeList) {
-  EndpointBook second;
+TEST(EndpointTable, AHigherTermBringsItsWholeList) {
+  EndpointTable second;
   holder.update(11, {endpoint(1)});
   second.update(12, {endpoint(2)});
   follow();
--- a/tests/tier/http_port_test.cpp
+++ b/tests/common/http_server_test.cpp
@@ -1,6 +1,6 @@
 // The operators' port on real sockets: each answer goes to the call that it belongs to, on one connection or
 // many, whatever order the answers come in, and nowhere where the caller has gone.
-#include "common/http_port.hpp"
+#include "common/http_server.hpp"
 
 #include <arpa/inet.h>
 #include <poll.h>
@@ -19,8 +19,8 @@
 #include "unit.hpp"
 
 using chutevane::Span;
-using chutevane::common::HttpAnswer;
-using chutevane::common::HttpPort;
+using chutevane::common::HttpResponse;
+using chutevane::common::HttpServer;
 using chutevane::http::Parser;
 
 namespace {
@@ -49,15 +49,15 @@
   chutevane::net::Epoll system;
   chutevane::net::Scheduler scheduler{system};
   chutevane::net::TimerQueue later{scheduler};
-  std::map<std::string, HttpPort::Reply> waiting;
+  std::map<std::string, HttpServer::Reply> waiting;
   std::size_t asked = 0;
   bool at_once = false;
-  HttpPort port{scheduler, 1U << 20U, [this](const Parser& request, HttpPort::Reply reply) {
-                  ++asked;
-                  const std::string target(request.target());
-                  if (at_once) return reply({200, "to " + target, {}});
-                  waiting[target] = std::move(reply);
-                }};
+  HttpServer port{scheduler, 1U << 20U, [this](const Parser& request, HttpServer::Reply reply) {
+                    ++asked;
+                    const std::string target(request.target());
+                    if (at_once) return reply({200, "to " + target, {}});
+                    waiting[target] = std::move(reply);
+                  }};
 };
 
 class Caller {
--- a/tests/tier/invariant_test.cpp
+++ b/tests/common/invariant_test.cpp
@@ -10,19 +10,19 @@
 #include <string>
 #include <vector>
 
-#include "common/bounded_log.hpp"
 #include "common/log.hpp"
 #include "common/metrics.hpp"
+#include "common/rate_limited_log.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::common::BoundedLog;
 using chutevane::common::check_invariant;
 using chutevane::common::Invariant;
 using chutevane::common::InvariantMode;
 using chutevane::common::invariants;
 using chutevane::common::MetricsWriter;
+using chutevane::common::RateLimitedLog;
 
 namespace {
 
@@ -135,7 +135,7 @@
 };
 
 TEST(BoundedLines, RateAndSize) {
-  BoundedLog log("event", 3);
+  RateLimitedLog log("event", 3);
   for (int i = 0; i < 10; ++i) {
     if (log.admits(now)) log.line(std::string(5000, 'x'));
   }
--- a/tests/tier/played_system.hpp
+++ b/tests/common/simulated_system.hpp
@@ -9,7 +9,7 @@
 #include "net/system.hpp"
 #include "net/timer_queue.hpp"
 
-namespace chutevane::played {
+namespace chutevane::simulated {
 
 class PlayedSystem final : public net::System {
  public:
@@ -89,4 +89,4 @@
   std::uint64_t state_;
 };
 
-}  // namespace chutevane::played
+}  // namespace chutevane::simulated
--- a/tests/tier/value_difference_test.cpp
+++ b/tests/common/value_difference_test.cpp
@@ -5,13 +5,13 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::common::apply_difference;
 using chutevane::common::content_hash;
 using chutevane::common::difference;
-using chutevane::played::RandomSource;
+using chutevane::simulated::RandomSource;
 
 namespace {
 
--- a/tests/tier/value_update_test.cpp
+++ b/tests/common/value_update_test.cpp
@@ -9,34 +9,34 @@
 
 #include "changing_value.hpp"
 #include "common/value_difference.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::played::ChangingValue;
-using chutevane::played::Clockwork;
-using chutevane::played::RandomSource;
+using chutevane::simulated::ChangingValue;
+using chutevane::simulated::Clockwork;
+using chutevane::simulated::RandomSource;
 using common::encoded;
-using common::Push;
 using common::PushCursor;
 using common::RecentValues;
-using common::Value;
+using common::RegisterValue;
+using common::ValuePush;
 using common::ValueReceiver;
 
 namespace {
 
-Push decoded(const std::string& record) {
-  Push push;
+ValuePush decoded(const std::string& record) {
+  ValuePush push;
   CHECK_TRUE(common::decode(record, push));
   return push;
 }
 
 // The values 1 to `count`, of one history.
-std::vector<Value> history(std::size_t count, std::size_t bytes, std::uint64_t seed = 1) {
+std::vector<RegisterValue> history(std::size_t count, std::size_t bytes, std::uint64_t seed = 1) {
   ChangingValue changes(seed, bytes);
-  std::vector<Value> out = {{}};
+  std::vector<RegisterValue> out = {{}};
   while (out.size() <= count) out.push_back(changes.next(out.back()));
   return out;
 }
@@ -49,12 +49,12 @@
   RecentValues sent;
   ValueReceiver receiver;
   PushCursor cursor;
-  for (const Value& value : history(200, 20000)) {
+  for (const RegisterValue& value : history(200, 20000)) {
     if (value.number == 0) continue;
     sent.add(value);
     const std::string* const record = cursor.next(sent, 0);
     CHECK_TRUE(record != nullptr);
-    CHECK_TRUE(receiver.take(decoded(*record)) == ValueReceiver::Came::newer);
+    CHECK_TRUE(receiver.receive(decoded(*record)) == ValueReceiver::Result::newer);
     CHECK_TRUE(*receiver.value() == value);
     CHECK_TRUE(cursor.next(sent, 0) == nullptr);
   }
@@ -62,51 +62,51 @@
 
 // Guards against a wrong value: another value of the base's number, on either side.
 TEST(ValueUpdate, AnotherBaseIsRefusedAndTheWholeIsSent) {
-  const std::vector<Value> values = history(3, 5000);
-  Value other = values[1];
+  const std::vector<RegisterValue> values = history(3, 5000);
+  RegisterValue other = values[1];
   other.config.data[2500] ^= 1;
   RecentValues sent;
   sent.add(values[1]);
   sent.add(values[2]);
   ValueReceiver receiver;
-  CHECK_TRUE(receiver.take({1, other, {}}) == ValueReceiver::Came::newer);
+  CHECK_TRUE(receiver.receive({1, other, {}}) == ValueReceiver::Result::newer);
   PushCursor cursor;
   cursor.acknowledged(1, 0);
-  const Push push = decoded(*cursor.next(sent, 0));
+  const ValuePush push = decoded(*cursor.next(sent, 0));
   CHECK_TRUE(common::is_difference(push.difference));
-  CHECK_TRUE(receiver.take(push) == ValueReceiver::Came::refused);
+  CHECK_TRUE(receiver.receive(push) == ValueReceiver::Result::rejected);
   CHECK_TRUE(*receiver.value() == other);
   cursor.acknowledged(1, 2);
-  const Push whole = decoded(*cursor.next(sent, 0));
+  const ValuePush whole = decoded(*cursor.next(sent, 0));
   CHECK_FALSE(common::is_difference(whole.difference));
   cursor.acknowledged(1, 2);  // was written before the whole came
   CHECK_TRUE(cursor.next(sent, 0) == nullptr);
-  CHECK_TRUE(receiver.take(whole) == ValueReceiver::Came::newer);
+  CHECK_TRUE(receiver.receive(whole) == ValueReceiver::Result::newer);
   CHECK_TRUE(*receiver.value() == values[2]);
 }
 
 // A difference that is spoilt on its way makes nothing, wherever.
 TEST(ValueUpdate, SpoiltDifferencesAreRefused) {
-  const std::vector<Value> values = history(2, 3000);
+  const std::vector<RegisterValue> values = history(2, 3000);
   RecentValues sent;
   sent.add(values[1]);
   sent.add(values[2]);
-  const Push good = decoded(sent.push_record(1));
+  const ValuePush good = decoded(sent.push_record(1));
   for (std::size_t at = 0; at < good.difference.content.data.size(); ++at) {
     for (const int bit : {0, 3, 7}) {
-      Push bad = good;
+      ValuePush bad = good;
       bad.difference.content.data[at] = static_cast<char>(bad.difference.content.data[at] ^ (1 << bit));
       ValueReceiver receiver;
-      CHECK_TRUE(receiver.take({1, values[1], {}}) == ValueReceiver::Came::newer);
-      CHECK_TRUE(receiver.take(bad) == ValueReceiver::Came::refused);
-      CHECK_TRUE(receiver.take(good) == ValueReceiver::Came::newer);
+      CHECK_TRUE(receiver.receive({1, values[1], {}}) == ValueReceiver::Result::newer);
+      CHECK_TRUE(receiver.receive(bad) == ValueReceiver::Result::rejected);
+      CHECK_TRUE(receiver.receive(good) == ValueReceiver::Result::newer);
     }
   }
 }
 
 // A receiver whose base is long gone, that holds nothing, or that knows nothing of the base's number.
 TEST(ValueUpdate, WholeWhereTheBaseIsNotHeld) {
-  const std::vector<Value> values = history(200, 3000);
+  const std::vector<RegisterValue> values = history(200, 3000);
   RecentValues sent;
   for (std::size_t i = 1; i < values.size(); ++i) sent.add(values[i]);
   for (const std::int64_t held : {0, 1, 100}) {
@@ -121,14 +121,14 @@
 
 // One that does not read gets no more: what waits for it is bounded by one value.
 TEST(ValueUpdate, NothingMoreForAReceiverThatDoesNotRead) {
-  const std::vector<Value> values = history(50, 1U << 20U);
+  const std::vector<RegisterValue> values = history(50, 1U << 20U);
   RecentValues sent;
   PushCursor cursor;
   std::size_t unsent = 0;
   for (std::size_t i = 1; i < values.size(); ++i) {
     sent.add(values[i]);
     if (const std::string* const record = cursor.next(sent, unsent)) unsent += record->size();
-    CHECK_TRUE(unsent <= PushCursor::unsent_most + 2 * values[1].config.data.size());
+    CHECK_TRUE(unsent <= PushCursor::max_unsent_bytes + 2 * values[1].config.data.size());
   }
   // It reads again: the newest comes next, and is what it asked for.
   CHECK_EQUAL(50, decoded(*cursor.next(sent, 0)).number);
@@ -139,7 +139,7 @@
   for (const std::size_t bytes : {1024U, 64U << 10U, 1U << 20U, 8U << 20U}) {
     RecentValues sent;
     std::size_t most = 0, largest = 0;
-    for (const Value& value : history(bytes > (1U << 20U) ? 6 : 100, bytes)) {
+    for (const RegisterValue& value : history(bytes > (1U << 20U) ? 6 : 100, bytes)) {
       sent.add(value);
       largest = std::max(largest, sent.record().size());
       most = std::max(most, sent.bytes());
@@ -213,11 +213,11 @@
     }
     c.unsent -= record.size();
     const std::int64_t before = s.values->number();
-    Push push = decoded(record);
+    ValuePush push = decoded(record);
     const std::int64_t number = push.number;
-    const auto came = s.values->take(std::move(push));
-    if (came == ValueReceiver::Came::refused) c.refused = std::max(c.refused, number), ++refusals;
-    if (came == ValueReceiver::Came::newer) {
+    const auto came = s.values->receive(std::move(push));
+    if (came == ValueReceiver::Result::rejected) c.refused = std::max(c.refused, number), ++refusals;
+    if (came == ValueReceiver::Result::newer) {
       check(s.values->number() > before, "went back");
       check(*s.values->value() == truth[static_cast<std::size_t>(number)], "took a wrong value");
     }
@@ -257,7 +257,7 @@
       clock.later.after(way() * 3, [this, i, value = truth.back()] { hear(i, value); });
     }
   }
-  void hear(std::size_t control, const Value& value) {
+  void hear(std::size_t control, const RegisterValue& value) {
     if (lost_for[control] > now() || value.number <= known[control]->number()) return;
     known[control]->add(value);
     for (Sidecar& s : sidecars) {
@@ -350,7 +350,7 @@
   Clockwork clock;
   RandomSource luck;
   ChangingValue changes;
-  std::vector<Value> truth = {{}};
+  std::vector<RegisterValue> truth = {{}};
   std::vector<std::unique_ptr<RecentValues>> known;
   TimePoint lost_for[controls];
   std::vector<Sidecar> sidecars;
--- a/tests/tier/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -1,7 +1,7 @@
 // Hundreds of changes of the register, twenty a second, while its members restart, freeze, lose power in the
 // middle of a write, are cut off, lose their disks and are replaced. Guards: each member is caught up within
 // a bound, with the newest whole; nobody is told an older value after a newer one; no acceptor takes back
-// what it answered (played_register.hpp); disks stay bounded. Bytes between machines are counted.
+// what it answered (simulated_register.hpp); disks stay bounded. Bytes between machines are counted.
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
@@ -14,12 +14,12 @@
 #include "changing_value.hpp"
 #include "common/value_difference.hpp"
 #include "control/chosen_word.hpp"
-#include "played_register.hpp"
+#include "simulated_register.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
 namespace common = chutevane::common;
-using namespace chutevane::played;
+using namespace chutevane::simulated;
 using chutevane::Span;
 using chutevane::TimePoint;
 
@@ -80,7 +80,7 @@
     member.reading = false;
     if (first) p.reg.learn_epoch(field.first_set(3));
     p.reg.learn_epoch(member.machine->acceptor->initial());
-    p.reg.on_chosen([this, &member, &p](const Value& v) {
+    p.reg.on_chosen([this, &member, &p](const RegisterValue& v) {
       if (member.proposer.get() != &p) return;  // it has ended
       check(v.number > member.told, "told an older value after a newer one");
       member.told = v.number;
@@ -108,7 +108,7 @@
   }
   void calm_from(TimePoint at) { calm_since = std::max(calm_since, at); }
 
-  void saw(const Value& v) {
+  void saw(const RegisterValue& v) {
     const std::string record = common::encoded(v);
     const auto [at, fresh] = hashes.emplace(v.number, common::content_hash(record));
     check(fresh || at->second == common::content_hash(record), numbered("two values of number ", v.number));
@@ -121,22 +121,23 @@
     if (!member.up || frozen(member)) return;
     const std::string config = changes.next({}).config.data;
     const std::int64_t hash = ++orders;
-    const auto had = [hash](const Value& v) {
-      return std::any_of(v.taken.begin(), v.taken.end(),
-                         [&](const common::Taken& t) { return t.hash == hash; });
+    const auto had = [hash](const RegisterValue& v) {
+      return std::any_of(v.applied_configurations.begin(), v.applied_configurations.end(),
+                         [&](const common::AppliedConfiguration& t) { return t.hash == hash; });
     };
     member.proposer->reg.change(
-        [=](const Value& current) -> std::optional<Value> {
+        [=](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (had(current)) return std::nullopt;
-          Value out = current;
+          RegisterValue out = current;
           ++out.config_version;
           out.config.data = config;
-          out.taken.push_back({out.config_version, hash});
-          if (out.taken.size() > 64) out.taken.erase(out.taken.begin());
+          out.applied_configurations.push_back({out.config_version, hash});
+          if (out.applied_configurations.size() > 64)
+            out.applied_configurations.erase(out.applied_configurations.begin());
           return out;
         },
         change_most,
-        [this, &member, p = member.proposer.get(), had](absl::StatusOr<Value> got) {
+        [this, &member, p = member.proposer.get(), had](absl::StatusOr<RegisterValue> got) {
           if (!got.ok() || member.proposer.get() != p) return;
           check(had(*got), "taken, and not in the value that it was answered with");
           saw(*got);
@@ -179,7 +180,7 @@
         to.heard_of[&from].epoch = other.initial().epoch;
         to.heard_of[&from].number = std::max(to.heard_of[&from].number, from.told);
         if (other.initial().epoch > reg.initial().epoch) {
-          const Value initial = other.initial();
+          const RegisterValue initial = other.initial();
           reg.learn_epoch(initial);
           behind = true;
         }
@@ -193,7 +194,7 @@
       if (to.behind_since == TimePoint::never()) to.behind_since = now();
       if (to.reading || (to.told >= 0 && now() - to.behind_since < behind_most)) continue;
       to.reading = true;
-      reg.read(Span::ms(1500), [&to, p = to.proposer.get()](const absl::StatusOr<Value>&) {
+      reg.read(Span::ms(1500), [&to, p = to.proposer.get()](const absl::StatusOr<RegisterValue>&) {
         if (to.proposer.get() == p) to.reading = false;
       });
     }
@@ -214,10 +215,10 @@
 
   // Of the newest set each disk is there: one may be lost.
   bool set_is_whole() const {
-    const Value* newest_set = nullptr;
+    const RegisterValue* newest_set = nullptr;
     for (const Member& m : members) {
       if (!m.up) continue;
-      const Value& initial = m.proposer->reg.initial();
+      const RegisterValue& initial = m.proposer->reg.initial();
       if (newest_set == nullptr || newest_set->epoch < initial.epoch) newest_set = &initial;
     }
     return newest_set != nullptr &&
@@ -239,14 +240,14 @@
       }
       if (next.size() < 3 || next == by.proposer->reg.initial().acceptors) return;
       by.proposer->reg.change(
-          [next](const Value& current) -> std::optional<Value> {
+          [next](const RegisterValue& current) -> std::optional<RegisterValue> {
             if (current.acceptors == next) return std::nullopt;
-            Value out = current;
-            out.next = next;
+            RegisterValue out = current;
+            out.next_acceptors = next;
             return out;
           },
           Span::ms(1500),
-          [this, &by, p = by.proposer.get()](const absl::StatusOr<Value>& got) {
+          [this, &by, p = by.proposer.get()](const absl::StatusOr<RegisterValue>& got) {
             if (got.ok() && by.proposer.get() == p) ++sets, tell(by);
           });
       return;
@@ -403,8 +404,8 @@
 TEST(ChosenWord, OfAnotherEpochIsDropped) {
   Field field(3, 1);
   Proposer from(field, 1), to(field, 2);
-  const Value first = field.first_set(3);
-  Value later = first;
+  const RegisterValue first = field.first_set(3);
+  RegisterValue later = first;
   later.epoch = 2;
   later.number = 4;
   from.reg.learn_epoch(first);
--- a/tests/tier/duty_fencing_test.cpp
+++ b/tests/control/duty_fencing_test.cpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "common/endpoint_book.hpp"
+#include "common/endpoint_table.hpp"
 #include "control/duty.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 namespace common = chutevane::common;
@@ -20,8 +20,8 @@
 using chutevane::control::duty_term;
 using chutevane::control::duty_vacant_after;
 using chutevane::control::told_term;
-using chutevane::played::Clockwork;
-using chutevane::played::RandomSource;
+using chutevane::simulated::Clockwork;
+using chutevane::simulated::RandomSource;
 
 namespace {
 
@@ -30,13 +30,13 @@
 constexpr Span hello_every = Span::ms(300);
 
 // What the platform's list says, as of a time: one endpoint whose capacity is the time.
-std::vector<common::Listed> platform_list(TimePoint now) {
-  common::Listed one;
+std::vector<common::EndpointEntry> platform_list(TimePoint now) {
+  common::EndpointEntry one;
   one.id = "e";
   one.capacity = static_cast<std::int64_t>(now.as_ms());
   return {one};
 }
-std::int64_t read_at(const common::EndpointBook& book) {
+std::int64_t read_at(const common::EndpointTable& book) {
   return book.entries().empty() ? 0 : book.entries().begin()->second.capacity;
 }
 
@@ -82,14 +82,14 @@
  private:
   struct Node {
     std::unique_ptr<Duty> duty;
-    common::EndpointBook book;
+    common::EndpointTable book;
     std::uint64_t holder = 0, life = 0;
     std::int64_t followed = 0;  // the latest list that a follower has told of
     bool frozen = false;
     std::set<std::size_t> cut;  // those that it does not reach
   };
   struct Follower {
-    common::EndpointBook book;
+    common::EndpointTable book;
     std::vector<std::size_t> sessions;
   };
 
@@ -203,7 +203,7 @@
     }
   }
   // One content for each number of each holder.
-  void saw(const common::EndpointBook& book) {
+  void saw(const common::EndpointTable& book) {
     if (book.empty()) return;
     const auto [at, fresh] = contents_.emplace(std::pair{book.term(), book.number()}, read_at(book));
     if (!fresh && at->second != read_at(book)) broken_ = "two lists of one number";
--- a/tests/tier/duty_test.cpp
+++ b/tests/control/duty_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
@@ -17,8 +17,8 @@
 using chutevane::control::duty_term;
 using chutevane::control::duty_vacant_after;
 using chutevane::control::told_term;
-using chutevane::played::Clockwork;
-using chutevane::played::RandomSource;
+using chutevane::simulated::Clockwork;
+using chutevane::simulated::RandomSource;
 
 namespace {
 
--- a/tests/tier/losses_test.cpp
+++ b/tests/control/losses_test.cpp
@@ -6,19 +6,19 @@
 #include <vector>
 
 #include "control/register.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
 namespace common = chutevane::common;
 using chutevane::Span;
-using chutevane::played::Clockwork;
+using chutevane::simulated::Clockwork;
 using common::Accept;
 using common::Accepted;
 using common::Acceptor;
 using common::Prepare;
 using common::Promise;
-using common::Value;
+using common::RegisterValue;
 
 namespace {
 
@@ -63,13 +63,13 @@
   bool configure(std::size_t proposer) {
     bool taken = false;
     reg(proposer).change(
-        [](const Value& current) -> std::optional<Value> {
+        [](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (current.config_version == config_version) return std::nullopt;
-          Value out = current;
+          RegisterValue out = current;
           out.config_version = config_version;
           return out;
         },
-        Span::ms(2000), [&](absl::StatusOr<Value> got) { taken = got.ok(); });
+        Span::ms(2000), [&](absl::StatusOr<RegisterValue> got) { taken = got.ok(); });
     clock.play(Span::ms(500));
     for (std::size_t i = 0; i < size; ++i) {
       if (reg(proposer).known()) reg(i).learn_chosen(*reg(proposer).known(), reg(proposer).initial());
@@ -80,14 +80,15 @@
   // As the roster's holder does it: the third machine's place goes to the newcomer.
   void replace_third(std::size_t proposer, std::function<void()> done) {
     reg(proposer).change(
-        [](const Value& current) -> std::optional<Value> {
+        [](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (control::names(current.acceptors, address(newcomer))) return std::nullopt;
-          Value out = current;
-          out.next = {{address(0), disk_name(0)}, {address(1), disk_name(1)}, {address(3), disk_name(3)}};
+          RegisterValue out = current;
+          out.next_acceptors = {
+              {address(0), disk_name(0)}, {address(1), disk_name(1)}, {address(3), disk_name(3)}};
           return out;
         },
         Span::ms(2000),
-        [this, proposer, done = std::move(done)](absl::StatusOr<Value> got) {
+        [this, proposer, done = std::move(done)](absl::StatusOr<RegisterValue> got) {
           if (!got.ok()) return;
           for (std::size_t i = 0; i < size; ++i) {
             if (machines_[i]->up) reg(i).learn_chosen(*got, reg(proposer).initial());
@@ -111,7 +112,7 @@
     for (std::size_t i = 0; i < size; ++i) {
       if (!up(i)) continue;
       ++asked;
-      reg(i).read(Span::ms(3000), [&](absl::StatusOr<Value> got) {
+      reg(i).read(Span::ms(3000), [&](absl::StatusOr<RegisterValue> got) {
         good += got.ok() && got->config_version == config_version ? 1 : 0;
       });
     }
@@ -188,12 +189,12 @@
     if (m.voters) old_voters_.push_back(std::move(m.voters));
     m.voters = std::make_unique<Wire>(*this, i);
     m.reg = std::make_unique<control::Register>(clock.later, *m.voters, 10 * ++starts_ + i);
-    m.acceptor->on_entered([&m](const Value& initial) { m.reg->learn_epoch(initial); });
+    m.acceptor->on_entered([&m](const RegisterValue& initial) { m.reg->learn_epoch(initial); });
     if (i != newcomer) m.reg->learn_epoch(first_value_);
     m.reg->learn_epoch(m.acceptor->initial());
   }
 
-  Value first_value_;
+  RegisterValue first_value_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<std::unique_ptr<control::Register>> old_;
   std::vector<std::unique_ptr<Wire>> old_voters_;
@@ -274,7 +275,7 @@
 
 // Power is lost while an epoch is being entered, at each step of the disk: it is told of only where it lasts.
 TEST(LossesRegister, AnEpochIsToldOfOnceItLasts) {
-  Value initial;
+  RegisterValue initial;
   initial.epoch = 4;
   initial.acceptors = {{"m0", "d0"}, {"m1", "d1"}, {"m2", "d2"}};
   Prepare ask;
@@ -289,7 +290,7 @@
       CHECK_TRUE(acceptor.open().ok());
       const std::size_t before = disk.steps();
       std::int64_t told = 0;
-      acceptor.on_entered([&](const Value& value) { told = value.epoch; });
+      acceptor.on_entered([&](const RegisterValue& value) { told = value.epoch; });
       if (point <= steps && steps > 0) disk.fail_from(before + point);
       const bool answered = acceptor.prepare(ask).ok();
       if (point == 0 && luck == 0 && steps == 0) steps = disk.steps() - before;
--- a/tests/tier/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "common/configuration.hpp"
-#include "played_control.hpp"
+#include "simulated_control.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
@@ -18,10 +18,10 @@
 using chutevane::control::judge;
 using chutevane::control::OrderVerdict;
 using chutevane::control::remembered_configurations;
-using chutevane::played::configuration;
-using chutevane::played::ControlProcess;
-using chutevane::played::Field;
-using common::Value;
+using chutevane::simulated::configuration;
+using chutevane::simulated::ControlProcess;
+using chutevane::simulated::Field;
+using common::RegisterValue;
 
 namespace {
 
@@ -34,13 +34,13 @@
   }
   int replace(ControlProcess& at, std::int64_t base, const std::string& sent) {
     int status = 0;
-    at.replace(base, sent, [&](const common::HttpAnswer& answer) { status = answer.status; });
+    at.replace(base, sent, [&](const common::HttpResponse& answer) { status = answer.status; });
     field.clock.play(Span::ms(4000), [&] { return status != 0; });
     return status;
   }
   int call(ControlProcess& at, const std::string& method, const std::string& target) {
     int status = 0;
-    at.call(method, target, "", "", [&](const common::HttpAnswer& answer) {
+    at.call(method, target, "", "", [&](const common::HttpResponse& answer) {
       status = answer.status;
       body = answer.body;
     });
@@ -51,16 +51,16 @@
   void storage_nodes(std::size_t n) {
     bool done = false;
     a.reg.change(
-        [n](const Value& current) -> std::optional<Value> {
-          Value out = current;
-          ++out.map;
+        [n](const RegisterValue& current) -> std::optional<RegisterValue> {
+          RegisterValue out = current;
+          ++out.map_version;
           out.storage_nodes.clear();
           for (std::size_t i = 0; i < n; ++i)
             out.storage_nodes.push_back(
                 {numbered("s", static_cast<long long>(i)), "d", "", "z", false, false});
           return out;
         },
-        Span::ms(1000), [&](const absl::StatusOr<Value>& got) { done = got.ok(); });
+        Span::ms(1000), [&](const absl::StatusOr<RegisterValue>& got) { done = got.ok(); });
     field.clock.play(Span::ms(1000), [&] { return done; });
     CHECK_TRUE(done);
   }
@@ -68,13 +68,13 @@
   void complete(const std::string& node) {
     bool done = false;
     a.reg.change(
-        [node](const Value& current) -> std::optional<Value> {
-          Value out = current;
+        [node](const RegisterValue& current) -> std::optional<RegisterValue> {
+          RegisterValue out = current;
           std::erase_if(out.storage_nodes, [&](const common::StorageNode& n) { return n.node == node; });
-          for (common::Retired& r : out.retired) r.completed = r.completed || r.node == node;
+          for (common::RetiredNode& r : out.retired_nodes) r.completed = r.completed || r.node == node;
           return out;
         },
-        Span::ms(1000), [&](const absl::StatusOr<Value>& got) { done = got.ok(); });
+        Span::ms(1000), [&](const absl::StatusOr<RegisterValue>& got) { done = got.ok(); });
     field.clock.play(Span::ms(1000), [&] { return done; });
   }
 
@@ -83,11 +83,11 @@
   std::string body;
 };
 
-Value with_record(std::size_t taken, std::int64_t step = 1) {
-  Value out;
+RegisterValue with_record(std::size_t taken, std::int64_t step = 1) {
+  RegisterValue out;
   for (std::size_t i = 1; i <= taken; ++i) {
     const auto version = static_cast<std::int64_t>(i) * step;
-    out.taken.push_back({version, version * 7});
+    out.applied_configurations.push_back({version, version * 7});
     out.config_version = version;
   }
   return out;
@@ -102,12 +102,12 @@
 TEST_GROUP(OrderJudged){};
 
 TEST(OrderJudged, OnItsBaseIsApplicable) {
-  CHECK_TRUE(judge(Value(), order(0, 3, 9)) == OrderVerdict::applicable);
+  CHECK_TRUE(judge(RegisterValue(), order(0, 3, 9)) == OrderVerdict::applicable);
   CHECK_TRUE(judge(with_record(4), order(4, 5, 9)) == OrderVerdict::applicable);
 }
 
 TEST(OrderJudged, ARepeatHasTheSameBaseVersionAndBytes) {
-  const Value value = with_record(5, 2);  // 2, 4, 6, 8, 10
+  const RegisterValue value = with_record(5, 2);  // 2, 4, 6, 8, 10
   CHECK_TRUE(judge(value, order(0, 2, 14)) == OrderVerdict::taken);
   CHECK_TRUE(judge(value, order(4, 6, 42)) == OrderVerdict::taken);
   CHECK_TRUE(judge(value, order(8, 10, 70)) == OrderVerdict::taken);
@@ -118,7 +118,7 @@
 }
 
 TEST(OrderJudged, NotAboveItsBaseIsInvalidWhateverIsCurrent) {
-  CHECK_TRUE(judge(Value(), order(3, 3, 1)) == OrderVerdict::not_above_base);
+  CHECK_TRUE(judge(RegisterValue(), order(3, 3, 1)) == OrderVerdict::not_above_base);
   CHECK_TRUE(judge(with_record(5), order(5, 4, 28)) == OrderVerdict::not_above_base);
   CHECK_TRUE(judge(with_record(5), order(9, 8, 1)) == OrderVerdict::not_above_base);
 }
@@ -131,12 +131,12 @@
 // At each length of the record: what it reaches is known, what it does not reach is never refused.
 TEST(OrderJudged, WhatTheRecordDoesNotReachIsUnclear) {
   for (std::size_t taken = 1; taken < 40; ++taken) {
-    Value value;
+    RegisterValue value;
     for (std::size_t i = 1; i <= taken; ++i) {
       const auto version = static_cast<std::int64_t>(i);
       value = control::applied(value, order(version - 1, version, version), 8);
     }
-    CHECK_TRUE(value.taken.size() <= 8);
+    CHECK_TRUE(value.applied_configurations.size() <= 8);
     for (std::size_t i = 1; i <= taken; ++i) {
       const auto version = static_cast<std::int64_t>(i);
       const OrderVerdict again = judge(value, order(version - 1, version, version), 8);
@@ -152,7 +152,7 @@
 
 // It is in each value that acceptors keep: 64 KiB at most.
 TEST(OrderJudged, AFullRecordIsSmall) {
-  Value value;
+  RegisterValue value;
   std::int64_t version = 0;
   for (std::size_t i = 0; i < remembered_configurations + 100; ++i) {
     const std::int64_t base = version;
@@ -160,7 +160,7 @@
     const std::string body = numbered("body ", version);
     value = control::applied(value, order(base, version, static_cast<std::int64_t>(common::hash_of(body))));
   }
-  CHECK_EQUAL(remembered_configurations, value.taken.size());
+  CHECK_EQUAL(remembered_configurations, value.applied_configurations.size());
   const std::size_t bytes = common::encoded(value).size();
   CHECK_WHERE(bytes < 64 * 1024, numbered("bytes: ", static_cast<long long>(bytes)));
 }
@@ -220,7 +220,7 @@
   for (std::size_t i = 0; i < 8; ++i) {
     ControlProcess& at = i % 2 == 0 ? pair.a : pair.b;
     at.replace(0, configuration(5, numbered("r", static_cast<long long>(i))),
-               [&status, i](const common::HttpAnswer& answer) { status[i] = answer.status; });
+               [&status, i](const common::HttpResponse& answer) { status[i] = answer.status; });
   }
   pair.field.clock.play(Span::ms(4000));
   CHECK_EQUAL(1, std::count(status.begin(), status.end(), 200));
@@ -236,14 +236,14 @@
   void half_done(std::int64_t base, const std::string& body, std::size_t accepts) {
     pair.a.voters.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
     bool answered = false;
-    pair.a.replace(base, body, [&](const common::HttpAnswer&) { answered = true; });
+    pair.a.replace(base, body, [&](const common::HttpResponse&) { answered = true; });
     pair.field.clock.play(Span::ms(1000));
     CHECK_TRUE(pair.a.voters.ended && !answered);
   }
   void down(std::size_t i) { pair.field.all[i].up = false; }
   std::size_t holding(std::int64_t version) {
     return static_cast<std::size_t>(
-        std::count_if(pair.field.all.begin(), pair.field.all.end(), [&](chutevane::played::Machine& m) {
+        std::count_if(pair.field.all.begin(), pair.field.all.end(), [&](chutevane::simulated::Machine& m) {
           const common::Prepare look{1, {}, pair.field.first_set(3), true};
           return m.acceptor->prepare(look)->value.config_version == version;
         }));
@@ -271,7 +271,7 @@
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "r")));
   pair.field.all[0].up = true;
   for (const std::size_t away : {1U, 2U}) {
-    for (chutevane::played::Machine& m : pair.field.all) m.up = true;
+    for (chutevane::simulated::Machine& m : pair.field.all) m.up = true;
     down(away);
     LONGS_EQUAL(200, pair.call(pair.b, "GET", "/v1/Configuration.Retrieve"));
     STRCMP_EQUAL(configuration(6, "other").c_str(), pair.body.c_str());
@@ -288,7 +288,7 @@
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
   LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(6, "next")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
-  CHECK_EQUAL(static_cast<std::size_t>(2), pair.b.reg.known()->taken.size());
+  CHECK_EQUAL(static_cast<std::size_t>(2), pair.b.reg.known()->applied_configurations.size());
 }
 
 // Chosen, but its proposer ended before it said so.
@@ -339,9 +339,9 @@
   pair.storage_nodes(4);
   int first = 0, second = 0;
   pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "",
-              [&](const common::HttpAnswer& answer) { first = answer.status; });
+              [&](const common::HttpResponse& answer) { first = answer.status; });
   pair.b.call("POST", "/v1/Retire.Initiate/s2", "", "",
-              [&](const common::HttpAnswer& answer) { second = answer.status; });
+              [&](const common::HttpResponse& answer) { second = answer.status; });
   pair.field.clock.play(Span::ms(4000));
   CHECK_TRUE((first == 200 && second == 409) || (first == 409 && second == 200));
 }
@@ -368,7 +368,7 @@
 TEST(RetireOrders, HalfDoneAndSentAgain) {
   pair.storage_nodes(4);
   pair.a.voters.sends_left = 3 + 3 + 1;
-  pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const common::HttpAnswer&) {});
+  pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const common::HttpResponse&) {});
   pair.field.clock.play(Span::ms(1000));
   CHECK_TRUE(pair.a.voters.ended);
   pair.field.all[0].up = false;
--- a/tests/tier/order_history.cpp
+++ b/tests/control/order_history.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace chutevane::played {
+namespace chutevane::simulated {
 namespace {
 
 std::string named(const OrderKey& order) {
@@ -112,4 +112,4 @@
   return "";
 }
 
-}  // namespace chutevane::played
+}  // namespace chutevane::simulated
--- a/tests/tier/order_history.hpp
+++ b/tests/control/order_history.hpp
@@ -11,7 +11,7 @@
 
 #include "chutevane/types.hpp"
 
-namespace chutevane::played {
+namespace chutevane::simulated {
 
 // All that makes an order the same when it is sent again.
 struct OrderKey {
@@ -65,4 +65,4 @@
   std::vector<Read> reads_;
 };
 
-}  // namespace chutevane::played
+}  // namespace chutevane::simulated
--- a/tests/tier/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "order_history.hpp"
-#include "played_control.hpp"
+#include "simulated_control.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
@@ -17,14 +17,14 @@
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::control::remembered_configurations;
-using chutevane::played::configuration;
-using chutevane::played::ControlProcess;
-using chutevane::played::Field;
-using chutevane::played::Machine;
-using chutevane::played::OrderHistory;
-using chutevane::played::OrderKey;
-using chutevane::played::Weather;
-using common::Value;
+using chutevane::simulated::configuration;
+using chutevane::simulated::ControlProcess;
+using chutevane::simulated::Field;
+using chutevane::simulated::Machine;
+using chutevane::simulated::OrderHistory;
+using chutevane::simulated::OrderKey;
+using chutevane::simulated::Weather;
+using common::RegisterValue;
 
 namespace {
 
@@ -100,8 +100,8 @@
     processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.remembered);
     processes_[i]->reg.learn_epoch(newest_set());
   }
-  const Value& newest_set() const {
-    const Value* newest = &first_;
+  const RegisterValue& newest_set() const {
+    const RegisterValue* newest = &first_;
     for (const auto& p : processes_) {
       if (p && p->reg.initial().epoch > newest->epoch) newest = &p->reg.initial();
     }
@@ -167,13 +167,13 @@
       if (m.up && next.size() < 3) next.push_back({m.address, m.disk_id});
     }
     p.reg.change(
-        [next](const Value& current) -> std::optional<Value> {
+        [next](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (current.acceptors == next) return std::nullopt;
-          Value out = current;
-          out.next = next;
+          RegisterValue out = current;
+          out.next_acceptors = next;
           return out;
         },
-        Span::ms(1500), [](const absl::StatusOr<Value>&) {});
+        Span::ms(1500), [](const absl::StatusOr<RegisterValue>&) {});
   }
 
   // ---- operators
@@ -209,7 +209,7 @@
   void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
     ControlProcess& at = luck_process();
     if (at.voters.ended) return;
-    at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpAnswer& answer) {
+    at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpResponse& answer) {
       history_.answered(sending->key, sent, now(), answer.status);
       if (lost()) return;
       field_.clock.later.after(field_.way(), [=, this, status = answer.status] {
@@ -245,7 +245,7 @@
   void read_back(ControlProcess& at, Operator* by = nullptr) {
     if (at.voters.ended) return;
     at.call("GET", "/v1/Configuration.Retrieve", "", "",
-            [this, by, sent = now()](const common::HttpAnswer& answer) {
+            [this, by, sent = now()](const common::HttpResponse& answer) {
               if (answer.status != 200 && answer.status != 404) return;
               std::int64_t version = 0;
               for (const auto& [name, text] : answer.fields) {
@@ -271,7 +271,7 @@
     ControlProcess& last = *processes_.back();
     for (const SendingPtr& sending : all_) {
       int status = 0;
-      last.replace(sending->key.base, sending->key.body, [&](const common::HttpAnswer& answer) {
+      last.replace(sending->key.base, sending->key.body, [&](const common::HttpResponse& answer) {
         history_.answered(sending->key, now(), now(), answer.status);
         status = answer.status;
       });
@@ -294,7 +294,7 @@
 
   const Plan plan_;
   Field field_;
-  const Value first_;
+  const RegisterValue first_;
   std::vector<std::unique_ptr<ControlProcess>> processes_, ended_;
   std::uint64_t proposers_ = 100;
   std::vector<Operator> operators_;
--- a/tests/tier/quorum_contact_test.cpp
+++ b/tests/control/quorum_contact_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
@@ -16,7 +16,7 @@
 using chutevane::common::Acceptor;
 using chutevane::control::AcceptorReport;
 using chutevane::control::QuorumContact;
-using chutevane::played::RandomSource;
+using chutevane::simulated::RandomSource;
 
 namespace {
 
--- a/tests/tier/register_test.cpp
+++ b/tests/control/register_test.cpp
@@ -12,12 +12,12 @@
 #include <vector>
 
 #include "common/value_update.hpp"
-#include "played_register.hpp"
+#include "simulated_register.hpp"
 #include "unit.hpp"
 
 namespace control = chutevane::control;
 namespace common = chutevane::common;
-namespace played = chutevane::played;
+namespace simulated = chutevane::simulated;
 using chutevane::Span;
 using chutevane::TimePoint;
 using common::Accept;
@@ -26,16 +26,16 @@
 using common::Ballot;
 using common::Prepare;
 using common::Promise;
-using common::Value;
+using common::RegisterValue;
 using control::AcceptorState;
 using control::first_value;
 using control::Register;
 using control::Verdict;
-using played::Field;
-using played::Machine;
-using played::Proposer;
-using played::verdict;
-using played::Weather;
+using simulated::Field;
+using simulated::Machine;
+using simulated::Proposer;
+using simulated::verdict;
+using simulated::Weather;
 
 namespace {
 
@@ -44,16 +44,16 @@
  public:
   explicit Watcher(std::string where) : where_(std::move(where)) {}
   std::int64_t floor() const { return floor_; }
-  void saw(const Value& v) {
+  void saw(const RegisterValue& v) {
     const auto [at, fresh] = values_.emplace(v.number, v);
     check(fresh || at->second == v, numbered("two values of number ", v.number));
-    check(v.next.empty(), "a sealed value is told of");
-    for (const common::Taken& t : v.taken) {
+    check(v.next_acceptors.empty(), "a sealed value is told of");
+    for (const common::AppliedConfiguration& t : v.applied_configurations) {
       check(!refused_.contains(t.hash), numbered("refused, and in force: ", t.hash));
       in_force_.insert(t.hash);
     }
   }
-  void ended(const Value& v, std::int64_t floor_at_start) {
+  void ended(const RegisterValue& v, std::int64_t floor_at_start) {
     saw(v);
     check(v.number >= floor_at_start,
           numbered("went back from ", floor_at_start) + numbered(" to ", v.number));
@@ -69,18 +69,19 @@
     check(!in_force_.contains(hash), numbered("in force, and refused: ", hash));
   }
   // The last word: all that was acknowledged is there, versions rise, nothing refused is.
-  void close(const Value& last) {
+  void close(const RegisterValue& last) {
     for (const std::int64_t hash : acknowledged_)
-      check(std::any_of(last.taken.begin(), last.taken.end(),
-                        [&](const common::Taken& t) { return t.hash == hash; }),
+      check(std::any_of(last.applied_configurations.begin(), last.applied_configurations.end(),
+                        [&](const common::AppliedConfiguration& t) { return t.hash == hash; }),
             numbered("acknowledged, and gone: ", hash));
-    const Value* before = nullptr;
+    const RegisterValue* before = nullptr;
     for (const auto& [number, v] : values_) {
       if (before != nullptr) {
         check(before->config_version <= v.config_version, "the version fell");
         check(before->epoch <= v.epoch, "the epoch fell");
-        check(v.taken.size() >= before->taken.size() &&
-                  std::equal(before->taken.begin(), before->taken.end(), v.taken.begin()),
+        check(v.applied_configurations.size() >= before->applied_configurations.size() &&
+                  std::equal(before->applied_configurations.begin(), before->applied_configurations.end(),
+                             v.applied_configurations.begin()),
               "what was taken is not what was taken before and more");
       }
       before = &v;
@@ -96,24 +97,25 @@
  private:
   const std::string where_;
   std::int64_t floor_ = 0;
-  std::map<std::int64_t, Value> values_;
+  std::map<std::int64_t, RegisterValue> values_;
   std::map<std::int64_t, std::int64_t> winners_;
   std::set<std::int64_t> refused_, in_force_, acknowledged_;
 };
 
-bool had(const Value& v, std::int64_t hash) {
-  return std::any_of(v.taken.begin(), v.taken.end(), [&](const common::Taken& t) { return t.hash == hash; });
+bool had(const RegisterValue& v, std::int64_t hash) {
+  return std::any_of(v.applied_configurations.begin(), v.applied_configurations.end(),
+                     [&](const common::AppliedConfiguration& t) { return t.hash == hash; });
 }
 
 // As the operator's order does it.
 Register::Change replacing(std::int64_t base, std::int64_t version, std::int64_t hash) {
-  return [=](const Value& current) -> std::optional<Value> {
+  return [=](const RegisterValue& current) -> std::optional<RegisterValue> {
     if (had(current, hash) || base != current.config_version || version <= current.config_version)
       return std::nullopt;
-    Value out = current;
+    RegisterValue out = current;
     out.config_version = version;
     out.config.data = numbered("config ", hash);
-    out.taken.push_back({version, hash});
+    out.applied_configurations.push_back({version, hash});
     return out;
   };
 }
@@ -134,7 +136,7 @@
       proposers.push_back(std::make_unique<Proposer>(field, 100 + i));
       Proposer& p = *proposers.back();
       p.reg.learn_epoch(value_of_first);
-      p.reg.on_chosen([this, last = std::int64_t{-1}](const Value& v) mutable {
+      p.reg.on_chosen([this, last = std::int64_t{-1}](const RegisterValue& v) mutable {
         watcher.check(v.number > last, "numbers told do not rise");
         last = v.number;
         watcher.saw(v);
@@ -154,7 +156,7 @@
     ++asked;
     const std::int64_t floor = watcher.floor();
     const double kind = field.luck.unit();
-    const auto done = [this, floor](absl::StatusOr<Value> got) {
+    const auto done = [this, floor](absl::StatusOr<RegisterValue> got) {
       ++answered;
       if (got.ok()) watcher.ended(*got, floor);
     };
@@ -163,7 +165,7 @@
     const std::int64_t base = p.reg.known() ? p.reg.known()->config_version : 0;
     const std::int64_t hash = ++hashes, version = base + 1 + static_cast<std::int64_t>(field.luck.below(3));
     p.reg.change(replacing(base, version, hash), Span::ms(1500),
-                 [this, floor, base, hash, done](absl::StatusOr<Value> got) {
+                 [this, floor, base, hash, done](absl::StatusOr<RegisterValue> got) {
                    done(got);
                    if (!got.ok()) return;
                    if (had(*got, hash)) {
@@ -179,10 +181,10 @@
     const std::int64_t number = p.reg.known() ? p.reg.known()->number : 0;
     const std::vector<Acceptor> next = some_set();
     p.reg.change(
-        [number, next](const Value& current) -> std::optional<Value> {
+        [number, next](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (current.number != number || current.acceptors == next) return std::nullopt;
-          Value out = current;
-          out.next = next;
+          RegisterValue out = current;
+          out.next_acceptors = next;
           return out;
         },
         Span::ms(1500), done);
@@ -200,7 +202,7 @@
 
   // Of the newest set, so many disks are lost at most as leave a majority.
   void wipe_one() {
-    const Value* newest = nullptr;
+    const RegisterValue* newest = nullptr;
     for (const auto& p : proposers) {
       if (newest == nullptr || newest->epoch < p->reg.initial().epoch) newest = &p->reg.initial();
     }
@@ -216,7 +218,8 @@
     field.clock.later.after(Span::ms(50), [&m] { m.start(); });
     for (const double ms : {200.0, 500.0, 900.0})  // somebody names another set soon
       field.clock.later.after(Span::ms(ms), [this] {
-        change_set(*proposers[field.luck.below(proposers.size())], [](const absl::StatusOr<Value>&) {});
+        change_set(*proposers[field.luck.below(proposers.size())],
+                   [](const absl::StatusOr<RegisterValue>&) {});
       });
   }
 
@@ -245,7 +248,7 @@
       Proposer& from = *proposers[field.luck.below(proposers.size())];
       Proposer& to = *proposers[field.luck.below(proposers.size())];
       if (from.reg.known()) {
-        const Value value = *from.reg.known(), initial = from.reg.initial();
+        const RegisterValue value = *from.reg.known(), initial = from.reg.initial();
         field.clock.later.after(field.way(), [&to, value, initial] { to.reg.learn_chosen(value, initial); });
       }
     }
@@ -282,17 +285,17 @@
       }
     }
     // The newest set goes round by gossip.
-    const Value* newest = &proposers[0]->reg.initial();
+    const RegisterValue* newest = &proposers[0]->reg.initial();
     for (const auto& p : proposers) {
       if (newest->epoch < p->reg.initial().epoch) newest = &p->reg.initial();
     }
-    const Value initial = *newest;
+    const RegisterValue initial = *newest;
     std::size_t ends = 0;
     for (const auto& p : proposers) {
       p->voters.cut_off = false;
       p->reg.learn_epoch(initial);
       const std::int64_t floor = watcher.floor();
-      p->reg.read(Span::ms(3000), [&, floor](absl::StatusOr<Value> got) {
+      p->reg.read(Span::ms(3000), [&, floor](absl::StatusOr<RegisterValue> got) {
         ++ends;
         watcher.check(got.ok(), "no read once it is calm");
         if (!got.ok()) return;
@@ -304,13 +307,14 @@
     watcher.check(ends == proposers.size(), "a last read was not answered");
     // And a change is taken at once.
     const std::int64_t hash = ++hashes, base = last.config_version, floor = watcher.floor();
-    proposers[1]->reg.change(replacing(base, base + 1, hash), Span::ms(3000), [&](absl::StatusOr<Value> got) {
-      watcher.check(got.ok() && had(*got, hash), "no change once it is calm");
-      if (!got.ok()) return;
-      watcher.ended(*got, floor);
-      watcher.taken(base, hash);
-      last = *got;
-    });
+    proposers[1]->reg.change(replacing(base, base + 1, hash), Span::ms(3000),
+                             [&](absl::StatusOr<RegisterValue> got) {
+                               watcher.check(got.ok() && had(*got, hash), "no change once it is calm");
+                               if (!got.ok()) return;
+                               watcher.ended(*got, floor);
+                               watcher.taken(base, hash);
+                               last = *got;
+                             });
     field.clock.play(Span::ms(4000), [&] { return last.config_version != base; });
     watcher.close(last);
   }
@@ -318,12 +322,12 @@
   const Plan plan;
   Field field;
   Watcher watcher;
-  const Value value_of_first;
+  const RegisterValue value_of_first;
   std::vector<std::unique_ptr<Proposer>> proposers;
   std::size_t asked = 0, answered = 0;
-  std::map<std::int64_t, Value> opened_with;  // by epoch
+  std::map<std::int64_t, RegisterValue> opened_with;  // by epoch
   std::int64_t hashes = 0, wiped_in = 0;
-  Value last;
+  RegisterValue last;
 };
 
 // Days of one plan; what they came to is looked at too: a search that never refuses proves nothing of
@@ -376,26 +380,28 @@
           .words = true});
 }
 
-TEST_GROUP(RegisterRaces){// Two orders on the same version; what each came to.
-                          static std::pair<Came, Came> race(std::uint64_t seed, const Weather& weather,
-                                                            Span apart, Value* last){Field field(3, seed);
+TEST_GROUP(RegisterRaces){
+    // Two orders on the same version; what each came to.
+    static std::pair<Came, Came> race(std::uint64_t seed, const Weather& weather, Span apart,
+                                      RegisterValue* last){Field field(3, seed);
 field.weather = weather;
 Proposer a(field, 1), b(field, 2);
-const Value first = field.first_set(3);
+const RegisterValue first = field.first_set(3);
 a.reg.learn_epoch(first);
 b.reg.learn_epoch(first);
 Came came[2] = {Came::nothing, Came::nothing};
 const auto order = [&](Proposer& p, int which) {
-  p.reg.change(replacing(0, 5, 10 + which), Span::ms(3000), [&came, which](absl::StatusOr<Value> got) {
-    came[which] = !got.ok() ? Came::unclear : had(*got, 10 + which) ? Came::taken : Came::refused;
-  });
+  p.reg.change(
+      replacing(0, 5, 10 + which), Span::ms(3000), [&came, which](absl::StatusOr<RegisterValue> got) {
+        came[which] = !got.ok() ? Came::unclear : had(*got, 10 + which) ? Came::taken : Came::refused;
+      });
 };
 order(a, 0);
 field.clock.later.after(apart, [&] { order(b, 1); });
 field.clock.play(Span::ms(8000), [&] { return came[0] != Came::nothing && came[1] != Came::nothing; });
 field.weather = {};
 bool read = false;
-a.reg.read(Span::ms(3000), [&](absl::StatusOr<Value> got) {
+a.reg.read(Span::ms(3000), [&](absl::StatusOr<RegisterValue> got) {
   read = true;
   if (got.ok()) *last = *got;
 });
@@ -409,11 +415,11 @@
 TEST(RegisterRaces, ExactlyOneWins) {
   std::size_t first_won = 0;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
-    Value last;
+    RegisterValue last;
     const auto [a, b] = race(seed, {}, Span::ms(static_cast<double>(seed % 61)), &last);
     const std::string where = numbered("seed ", seed);
     CHECK_WHERE((a == Came::taken && b == Came::refused) || (a == Came::refused && b == Came::taken), where);
-    CHECK_WHERE(last.taken.size() == 1, where);
+    CHECK_WHERE(last.applied_configurations.size() == 1, where);
     CHECK_WHERE(had(last, a == Came::taken ? 10 : 11), where);
     first_won += a == Came::taken ? 1 : 0;
   }
@@ -424,13 +430,13 @@
 // force.
 TEST(RegisterRaces, NeverBoth) {
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
-    Value last;
+    RegisterValue last;
     const auto [a, b] = race(seed, {.lost = 0.3, .repeated = 0.2, .slow = 0.2},
                              Span::ms(static_cast<double>(seed % 31)), &last);
     const std::string where = numbered("seed ", seed);
     CHECK_WHERE(a != Came::nothing && b != Came::nothing, where);
     CHECK_WHERE(!(a == Came::taken && b == Came::taken), where);
-    CHECK_WHERE(last.taken.size() <= 1, where);
+    CHECK_WHERE(last.applied_configurations.size() <= 1, where);
     if (a == Came::taken) CHECK_WHERE(had(last, 10), where);
     if (b == Came::taken) CHECK_WHERE(had(last, 11), where);
     if (a == Came::refused) CHECK_WHERE(!had(last, 10), where);
@@ -445,7 +451,8 @@
 
 TEST(RegisterOrders, NothingKnownIsToldAtOnce) {
   bool told = false;
-  p.reg.read(Span::ms(1000), [&](absl::StatusOr<Value> got) { told = absl::IsUnavailable(got.status()); });
+  p.reg.read(Span::ms(1000),
+             [&](absl::StatusOr<RegisterValue> got) { told = absl::IsUnavailable(got.status()); });
   CHECK_TRUE(told);
 }
 
@@ -454,7 +461,7 @@
   p.reg.learn_epoch(field.first_set(3));
   std::vector<std::int64_t> numbers;
   for (int n = 0; n < 3; ++n) {
-    p.reg.change(replacing(0, 4, 9), Span::ms(1000), [&](absl::StatusOr<Value> got) {
+    p.reg.change(replacing(0, 4, 9), Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
       CHECK_TRUE(got.ok() && had(*got, 9));
       numbers.push_back(got->number);
     });
@@ -469,7 +476,7 @@
   p.reg.learn_epoch(field.first_set(3));
   bool taken = false;
   p.reg.change(replacing(0, 4, 9), Span::ms(2000),
-               [&](absl::StatusOr<Value> got) { taken = got.ok() && had(*got, 9); });
+               [&](absl::StatusOr<RegisterValue> got) { taken = got.ok() && had(*got, 9); });
   field.clock.play(Span::ms(2100));
   CHECK_TRUE(taken);
 }
@@ -481,7 +488,7 @@
   int told = 0;
   const TimePoint start = field.clock.system.now();
   TimePoint end;
-  p.reg.change(replacing(0, 4, 9), Span::ms(1500), [&](absl::StatusOr<Value> got) {
+  p.reg.change(replacing(0, 4, 9), Span::ms(1500), [&](absl::StatusOr<RegisterValue> got) {
     ++told;
     end = field.clock.system.now();
     CHECK_FALSE(got.ok());
@@ -494,12 +501,12 @@
 // A read alone writes nothing: it is asked for several times a second.
 TEST(RegisterOrders, ReadOfAChosenValueWritesNothing) {
   p.reg.learn_epoch(field.first_set(3));
-  p.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  p.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   std::vector<std::size_t> before;
   for (const Machine& m : field.all) before.push_back(m.disk->steps());
   bool read = false;
-  p.reg.read(Span::ms(1000), [&](absl::StatusOr<Value> got) { read = got.ok() && had(*got, 9); });
+  p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) { read = got.ok() && had(*got, 9); });
   field.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
   for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], field.all[i].disk->steps());
@@ -510,17 +517,18 @@
   field.counting = true;
   p.reg.learn_epoch(field.first_set(3));
   p.reg.change(
-      [](const Value& current) -> std::optional<Value> {
-        Value out = current;
+      [](const RegisterValue& current) -> std::optional<RegisterValue> {
+        RegisterValue out = current;
         out.config.data.assign(100000, 'c');
         return out;
       },
-      Span::ms(1000), [](absl::StatusOr<Value>) {});
+      Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   field.bytes_asked = field.bytes_answered = 0;
   bool read = false;
-  p.reg.read(Span::ms(1000),
-             [&](absl::StatusOr<Value> got) { read = got.ok() && got->config.data.size() == 100000; });
+  p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
+    read = got.ok() && got->config.data.size() == 100000;
+  });
   field.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
   CHECK_TRUE(field.bytes_asked + field.bytes_answered < 500);
@@ -532,14 +540,14 @@
   std::size_t taken = 0;
   for (std::int64_t order = 1; order <= 20; ++order) {
     p.reg.change(
-        [order](const Value& current) -> std::optional<Value> {
+        [order](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (had(current, order)) return std::nullopt;
-          Value out = current;
-          out.taken.push_back({order, order});
+          RegisterValue out = current;
+          out.applied_configurations.push_back({order, order});
           return out;
         },
         Span::ms(3000),
-        [&taken, order](absl::StatusOr<Value> got) { taken += got.ok() && had(*got, order); });
+        [&taken, order](absl::StatusOr<RegisterValue> got) { taken += got.ok() && had(*got, order); });
   }
   field.clock.play(Span::ms(3100));
   CHECK_EQUAL(static_cast<std::size_t>(20), taken);
@@ -552,7 +560,7 @@
   const TimePoint start = field.clock.system.now();
   std::vector<Span> ends;
   for (const double most : {2000.0, 500.0, 1000.0}) {
-    p.reg.change(replacing(0, 4, 9), Span::ms(most), [&](absl::StatusOr<Value> got) {
+    p.reg.change(replacing(0, 4, 9), Span::ms(most), [&](absl::StatusOr<RegisterValue> got) {
       CHECK_FALSE(got.ok());
       ends.push_back(field.clock.system.now() - start);
     });
@@ -565,23 +573,24 @@
 // An acceptor with another value than the difference rests on asks for the whole.
 TEST(RegisterOrders, AcceptorWithAnotherValueGetsTheWhole) {
   const auto store = [](std::size_t size, char c) {
-    return [=](const Value& current) -> std::optional<Value> {
-      Value out = current;
+    return [=](const RegisterValue& current) -> std::optional<RegisterValue> {
+      RegisterValue out = current;
       out.config.data.assign(size, 'x');
       out.config.data += c;
       return out;
     };
   };
   p.reg.learn_epoch(field.first_set(3));
-  p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   field.all[2].up = false;  // it misses one
-  p.reg.change(store(50000, 'b'), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  p.reg.change(store(50000, 'b'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   field.all[2].up = true;
   field.all[0].up = false;  // now it is needed
   bool taken = false;
-  p.reg.change(store(50000, 'c'), Span::ms(1000), [&](absl::StatusOr<Value> got) { taken = got.ok(); });
+  p.reg.change(store(50000, 'c'), Span::ms(1000),
+               [&](absl::StatusOr<RegisterValue> got) { taken = got.ok(); });
   field.clock.play(Span::ms(1100));
   CHECK_TRUE(taken);
   CHECK_TRUE(field.all[2].acceptor->value().config.data.back() == 'c');
@@ -594,46 +603,48 @@
   Proposer q(five, 1), late(five, 2);
   q.reg.learn_epoch(five.first_set(3));
   late.reg.learn_epoch(five.first_set(3));
-  std::vector<Value> told;
-  q.reg.on_chosen([&](const Value& v) { told.push_back(v); });
-  q.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<Value>) {});
+  std::vector<RegisterValue> told;
+  q.reg.on_chosen([&](const RegisterValue& v) { told.push_back(v); });
+  q.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   five.clock.play(Span::ms(1000));
   const std::vector<Acceptor> next = {{"m2", "d2"}, {"m3", "d3"}, {"m4", "d4"}};
   bool done = false;
   q.reg.change(
-      [&](const Value& current) -> std::optional<Value> {
+      [&](const RegisterValue& current) -> std::optional<RegisterValue> {
         if (current.acceptors == next) return std::nullopt;
-        Value out = current;
-        out.next = next;
+        RegisterValue out = current;
+        out.next_acceptors = next;
         return out;
       },
-      Span::ms(1000), [&](absl::StatusOr<Value> got) { done = got.ok() && got->epoch == 2 && had(*got, 9); });
+      Span::ms(1000),
+      [&](absl::StatusOr<RegisterValue> got) { done = got.ok() && got->epoch == 2 && had(*got, 9); });
   five.clock.play(Span::ms(1000));
   CHECK_TRUE(done);
-  for (const Value& v : told) CHECK_TRUE(v.next.empty());
+  for (const RegisterValue& v : told) CHECK_TRUE(v.next_acceptors.empty());
   CHECK_TRUE(told.back().acceptors == next);
   // The old set is of no use any more; who knows only it comes over by any one of it.
   five.all[0].up = five.all[1].up = false;
   bool read = false;
-  late.reg.read(Span::ms(2000),
-                [&](absl::StatusOr<Value> got) { read = got.ok() && got->epoch == 2 && had(*got, 9); });
+  late.reg.read(Span::ms(2000), [&](absl::StatusOr<RegisterValue> got) {
+    read = got.ok() && got->epoch == 2 && had(*got, 9);
+  });
   five.clock.play(Span::ms(2500));
   CHECK_TRUE(read);
 }
 
 TEST_GROUP(RegisterAcceptor) {
-  static Prepare prepare(const Value& initial, std::int64_t round, std::int64_t proposer = 1,
+  static Prepare prepare(const RegisterValue& initial, std::int64_t round, std::int64_t proposer = 1,
                          bool look = false) {
     return {initial.epoch, {round, proposer}, initial, look};
   }
-  static Accept accept(const Value& initial, std::int64_t round, const std::string& config,
+  static Accept accept(const RegisterValue& initial, std::int64_t round, const std::string& config,
                        std::int64_t proposer = 1) {
-    Value v = initial;
+    RegisterValue v = initial;
     v.number = round;
     v.config.data = config;
     return {initial.epoch, {round, proposer}, v};
   }
-  const Value initial = first_value({{"m0", ""}, {"m1", ""}, {"m2", ""}});
+  const RegisterValue initial = first_value({{"m0", ""}, {"m1", ""}, {"m2", ""}});
 };
 
 // Guards every promise and every accepted value that was told, at each step of the disk.
@@ -839,11 +850,11 @@
   CHECK_FALSE(a.prepare(ask)->value_known);  // accepted under no ballot yet: none can be named
   CHECK_TRUE(verdict(a.accept(accept(initial, 5, "x"))->verdict) == Verdict::yes);
   ask.ballot = {6, 1};
-  ask.known = {5, 1};
+  ask.known_ballot = {5, 1};
   const auto named = a.prepare(ask);
-  CHECK_TRUE(named->value_known && named->value == Value{} && named->accepted == (Ballot{5, 1}));
+  CHECK_TRUE(named->value_known && named->value == RegisterValue{} && named->accepted == (Ballot{5, 1}));
   for (const Ballot other : {Ballot{}, Ballot{4, 1}, Ballot{5, 2}, Ballot{6, 1}}) {
-    ask.known = other;
+    ask.known_ballot = other;
     const auto got = a.prepare(ask);
     CHECK_TRUE(!got->value_known && got->value.config.data == "x");
   }
@@ -852,7 +863,7 @@
 // Guards the accepted value: a difference from another base than it has, or that makes another value, is no
 // vote.
 TEST(RegisterAcceptor, DifferenceCountsOnItsOwnBaseOnly) {
-  Value base = initial, next = initial, other = initial;
+  RegisterValue base = initial, next = initial, other = initial;
   base.number = other.number = 1;
   base.config.data = std::string(3000, 'a') + "base";
   other.config.data = std::string(3000, 'a') + "othr";
@@ -882,13 +893,13 @@
 
 // A disk that was lost: the machine has its address and not its promises.
 TEST(RegisterAcceptor, WipedDiskVotesForNothingOfThatEpoch) {
-  const Value named = [&] {
-    Value v = initial;
+  const RegisterValue named = [&] {
+    RegisterValue v = initial;
     v.epoch = 2;
     v.acceptors = {{"m0", "d0"}, {"m1", "d1"}, {"m2", "d2"}};
     return v;
   }();
-  for (const Value& epoch : {initial, named}) {
+  for (const RegisterValue& epoch : {initial, named}) {
     common::MemoryDisk disk;
     AcceptorState wiped(disk, "m0", "another", false);
     CHECK_TRUE(wiped.open().ok());
@@ -897,7 +908,7 @@
     CHECK_TRUE(verdict(wiped.prepare(prepare(epoch, 0, 0, true))->verdict) == Verdict::stranger);
     CHECK_TRUE(verdict(wiped.accept(accept(epoch, 5, "x"))->verdict) == Verdict::stranger);
     // A later epoch names its new disk.
-    Value next = named;
+    RegisterValue next = named;
     next.epoch = 3;
     next.acceptors[0].disk = "another";
     CHECK_TRUE(verdict(wiped.prepare(prepare(next, 1))->verdict) == Verdict::yes);
@@ -907,7 +918,7 @@
 
 // The first set is known by addresses alone: only a disk of the first start may stand for one.
 TEST(RegisterAcceptor, AddressAloneCountsInTheFirstEpochOnly) {
-  Value second = initial;
+  RegisterValue second = initial;
   second.epoch = 2;
   common::MemoryDisk disk;
   AcceptorState a(disk, "m0", "d0", true);
@@ -921,7 +932,7 @@
   AcceptorState a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(verdict(a.prepare(prepare(initial, 9))->verdict) == Verdict::yes);
-  Value second = initial;
+  RegisterValue second = initial;
   second.epoch = 2;
   second.acceptors = {{"m0", "d0"}};
   CHECK_TRUE(verdict(a.prepare(prepare(second, 1))->verdict) == Verdict::yes);
--- a/tests/tier/roster_test.cpp
+++ b/tests/control/roster_test.cpp
@@ -9,15 +9,15 @@
 #include <vector>
 
 #include "common/storage_map.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::common::Acceptor;
 using chutevane::common::Member;
+using chutevane::common::RegisterValue;
 using chutevane::common::StorageNode;
-using chutevane::common::Value;
 using chutevane::control::acceptor_lost_after;
 using chutevane::control::copies_for;
 using chutevane::control::LiveController;
@@ -40,8 +40,8 @@
   return out;
 }
 
-Value with_acceptors(std::initializer_list<int> numbers) {
-  Value out;
+RegisterValue with_acceptors(std::initializer_list<int> numbers) {
+  RegisterValue out;
   out.epoch = 2;
   for (const int n : numbers) out.acceptors.push_back({numbered("c", n), numbered("d", n)});
   return out;
@@ -57,8 +57,8 @@
   std::optional<std::vector<Acceptor>> next;
   Span after;
 };
-Watched watch(Roster& roster, const Value& value, const std::vector<LiveController>& live, TimePoint& now,
-              Span most) {
+Watched watch(Roster& roster, const RegisterValue& value, const std::vector<LiveController>& live,
+              TimePoint& now, Span most) {
   const TimePoint start = now;
   while (now - start <= most) {
     if (auto next = roster.acceptors(value, live, now)) return {next, now - start};
@@ -88,7 +88,7 @@
 
 // Not sooner than its time: a process that is started again comes back with its disk.
 TEST(RosterAcceptors, LostOneIsReplacedAfterItsTime) {
-  const Value value = with_acceptors({1, 2, 3});
+  const RegisterValue value = with_acceptors({1, 2, 3});
   CHECK_FALSE(roster.acceptors(value, controllers({1, 2, 3, 4}), now).has_value());
   const Watched got = watch(roster, value, controllers({1, 2, 4}), now, Span::ms(20000));
   CHECK_TRUE(got.next.has_value());
@@ -109,7 +109,7 @@
 }
 
 TEST(RosterAcceptors, OneThatComesBackInTimeStays) {
-  const Value value = with_acceptors({1, 2, 3});
+  const RegisterValue value = with_acceptors({1, 2, 3});
   for (int round = 0; round < 10; ++round) {
     CHECK_FALSE(
         watch(roster, value, controllers({1, 2, 4}), now, acceptor_lost_after - look_every).next.has_value());
@@ -157,7 +157,7 @@
 
 // Who begins to keep the roster does not hold against anybody what it has not seen.
 TEST(RosterAcceptors, WatchedAnew) {
-  const Value value = with_acceptors({1, 2, 3});
+  const RegisterValue value = with_acceptors({1, 2, 3});
   CHECK_FALSE(roster.acceptors(value, controllers({1, 2, 3, 4}), now).has_value());
   now = now + Span::ms(60000);
   roster.restart();
@@ -176,7 +176,7 @@
 
 // The first set is known by its addresses alone; the next names each disk that is there.
 TEST(RosterAcceptors, FirstSetIsNamedWithItsDisks) {
-  Value value;
+  RegisterValue value;
   value.epoch = 1;
   value.acceptors = {{"c1", ""}, {"c2", ""}, {"c3", ""}};
   const std::vector<LiveController> all = controllers({1, 2, 3, 4});
@@ -195,9 +195,9 @@
 // cause.
 TEST(RosterAcceptors, ComingsAndGoings) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
-    chutevane::played::RandomSource luck(seed);
+    chutevane::simulated::RandomSource luck(seed);
     Roster r(1);
-    Value value = with_acceptors({0, 1, 2});
+    RegisterValue value = with_acceptors({0, 1, 2});
     std::vector<int> disks(6, 0);
     std::vector<TimePoint> seen(6, now);
     std::vector<bool> up(6, true);
@@ -240,9 +240,9 @@
   return {"n" + s, "d" + s, "a" + s, "z", false};
 }
 
-Value with_storage_nodes(std::initializer_list<int> numbers, std::int64_t map = 7) {
-  Value out;
-  out.map = map;
+RegisterValue with_storage_nodes(std::initializer_list<int> numbers, std::int64_t map = 7) {
+  RegisterValue out;
+  out.map_version = map;
   for (const int n : numbers) out.storage_nodes.push_back(storage_node(n));
   return out;
 }
@@ -255,7 +255,7 @@
   out.disk = "d" + s;
   out.address = "a" + s;
   out.zone = "z";
-  out.whole = whole;
+  out.complete_map_version = whole;
   return out;
 }
 
@@ -265,7 +265,7 @@
   return out;
 }
 
-bool lists(const Value& value, const std::string& node) {
+bool lists(const RegisterValue& value, const std::string& node) {
   return std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
                      [&](const StorageNode& c) { return c.node == node; });
 }
@@ -275,7 +275,8 @@
 TEST_GROUP(RosterStorageNodes) {
   Roster roster{1};
   TimePoint now = TimePoint::at_ms(1e6);
-  std::optional<Value> watched(const Value& value, const std::vector<Member>& live, Span most, Span* took) {
+  std::optional<RegisterValue> watched(const RegisterValue& value, const std::vector<Member>& live, Span most,
+                                       Span* took) {
     const TimePoint start = now;
     while (now - start <= most) {
       if (auto next = roster.storage_nodes(value, live, now)) {
@@ -300,9 +301,9 @@
   other.plane = "edge";  // of another plane
   live.push_back(other);
   const auto next = roster.storage_nodes(with_storage_nodes({1, 2, 3}), live, now);
-  CHECK_TRUE(next.has_value() && next->map == 8 && next->storage_nodes.size() == 4);
+  CHECK_TRUE(next.has_value() && next->map_version == 8 && next->storage_nodes.size() == 4);
   StorageNode newcomer = storage_node(4);
-  newcomer.joining = true;
+  newcomer.bootstrapping = true;
   CHECK_TRUE(next->storage_nodes.back() == newcomer);
 }
 
@@ -311,17 +312,17 @@
   std::vector<Member> live = members({1, 2, 3}, 7);
   live[1].disk = "new";
   const auto next = roster.storage_nodes(with_storage_nodes({1, 2, 3}), live, now);
-  CHECK_TRUE(next.has_value() && next->map == 8 && next->storage_nodes.size() == 3);
+  CHECK_TRUE(next.has_value() && next->map_version == 8 && next->storage_nodes.size() == 3);
   CHECK_TRUE(next->storage_nodes[1].disk == "new" && next->storage_nodes[1].node == "n2");
 }
 
 TEST(RosterStorageNodes, GoneAfterItsTimeAndNotSooner) {
-  const Value value = with_storage_nodes({1, 2, 3, 4});
+  const RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_FALSE(roster.storage_nodes(value, members({1, 2, 3, 4}, 7), now).has_value());
   const auto next = watched(value, members({1, 2, 4}, 7), Span::ms(30000), &after);
   CHECK_TRUE(next.has_value());
   CHECK_TRUE(after > storage_node_lost_after && after <= storage_node_lost_after + look_every);
-  CHECK_TRUE(!lists(*next, "n3") && next->storage_nodes.size() == 3 && next->map == 8);
+  CHECK_TRUE(!lists(*next, "n3") && next->storage_nodes.size() == 3 && next->map_version == 8);
 }
 
 // Two of three copies lie on machines of which one is gone and replaced: the next loss may come `catchUpS`
@@ -331,7 +332,7 @@
   constexpr Span catch_up = Span::ms(4100), noticed = Span::ms(1300), take_over = Span::ms(800);
   for (const bool newcomer_first : {false, true}) {
     Roster watching(1);
-    Value value = with_storage_nodes({1, 2, 3});
+    RegisterValue value = with_storage_nodes({1, 2, 3});
     if (newcomer_first) {
       value = *watching.storage_nodes(value, members({1, 2, 3, 4}, 7), now);
     } else {
@@ -340,10 +341,10 @@
       value = *watching.storage_nodes(value, members({1, 2, 4}, 7), now);
     }
     const TimePoint start = now;
-    std::optional<Value> next;
+    std::optional<RegisterValue> next;
     while (!next && now - start < Span::ms(10000)) {
       now = now + look_every;
-      next = watching.storage_nodes(value, members({1, 2, 4}, value.map), now);
+      next = watching.storage_nodes(value, members({1, 2, 4}, value.map_version), now);
     }
     CHECK_TRUE(next.has_value() && !lists(*next, "n3") && next->storage_nodes.size() == 3);
     CHECK_TRUE(noticed + (now - start) + look_every + take_over < catch_up);
@@ -354,7 +355,7 @@
 // One whose disk takes nothing is there and keeps nothing: another takes its part, and it comes back with its
 // disk.
 TEST(RosterStorageNodes, OneWhoseDiskFailsCountsAsGone) {
-  const Value value = with_storage_nodes({1, 2, 3, 4});
+  const RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   CHECK_FALSE(roster.storage_nodes(value, live, now).has_value());
   live[2].disk_failing = true;
@@ -375,13 +376,13 @@
 
 // Emptied only when each that stays has what lay there, by this map and on this disk.
 TEST(RosterStorageNodes, RetiredOnlyWhenAllThatStayAreWhole) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken);
-  CHECK_EQUAL(8, static_cast<int>(value.map));
-  CHECK_TRUE(value.storage_nodes[3].leaving && !value.retired[0].completed);
+  CHECK_EQUAL(8, static_cast<int>(value.map_version));
+  CHECK_TRUE(value.storage_nodes[3].draining && !value.retired_nodes[0].completed);
   for (int behind = 1; behind <= 3; ++behind) {  // one is not whole by the newest map
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
-    live[static_cast<std::size_t>(behind - 1)].whole = 7;
+    live[static_cast<std::size_t>(behind - 1)].complete_map_version = 7;
     CHECK_FALSE(watched(value, live, Span::ms(10000), &after).has_value());
   }
   for (int gone = 1; gone <= 3; ++gone) {  // one is not heard of
@@ -395,99 +396,100 @@
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live[static_cast<std::size_t>(wiped - 1)].disk = "new";
     const auto next = fresh.storage_nodes(value, live, now);
-    CHECK_TRUE(next.has_value() && lists(*next, "n4") && !next->retired[0].completed && next->map == 9);
+    CHECK_TRUE(next.has_value() && lists(*next, "n4") && !next->retired_nodes[0].completed &&
+               next->map_version == 9);
     CHECK_FALSE(fresh.storage_nodes(*next, live, now).has_value());  // it was whole by the map before
   }
   const auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 8), now);
   CHECK_TRUE(next.has_value() && !lists(*next, "n4"));
-  CHECK_TRUE(next->retired[0].completed && next->map == 9);
+  CHECK_TRUE(next->retired_nodes[0].completed && next->map_version == 9);
   // Its machine is not taken in again.
   CHECK_FALSE(roster.storage_nodes(*next, members({1, 2, 3, 4}, 9), now).has_value());
 }
 
 // The one that leaves need not be whole, nor be there.
 TEST(RosterStorageNodes, TheLeavingOneItselfIsNotWaitedFor) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken);
   const auto next = roster.storage_nodes(value, members({1, 2, 3}, 8), now);
-  CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired[0].completed);
+  CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired_nodes[0].completed);
 }
 
 // A machine that got SIGTERM may hold one of the last copies: it is emptied first, where enough stay.
 TEST(RosterStorageNodes, OneThatGotSigtermIsEmptiedFirst) {
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
-  live[3].leaving = true;
+  live[3].draining = true;
   const auto marked = roster.storage_nodes(with_storage_nodes({1, 2, 3, 4}), live, now);
-  CHECK_TRUE(marked.has_value() && marked->map == 8 && marked->storage_nodes.size() == 4);
-  CHECK_TRUE(marked->storage_nodes[3].leaving && marked->retired.empty());
+  CHECK_TRUE(marked.has_value() && marked->map_version == 8 && marked->storage_nodes.size() == 4);
+  CHECK_TRUE(marked->storage_nodes[3].draining && marked->retired_nodes.empty());
   CHECK_FALSE(watched(*marked, live, Span::ms(10000), &after).has_value());  // nobody has taken over yet
   for (int behind = 0; behind < 3; ++behind) {
-    for (Member& m : live) m.whole = 8;
-    live[static_cast<std::size_t>(behind)].whole = 7;
+    for (Member& m : live) m.complete_map_version = 8;
+    live[static_cast<std::size_t>(behind)].complete_map_version = 7;
     CHECK_FALSE(roster.storage_nodes(*marked, live, now).has_value());
   }
-  for (Member& m : live) m.whole = 8;
+  for (Member& m : live) m.complete_map_version = 8;
   const auto given_up = roster.storage_nodes(*marked, live, now);
-  CHECK_TRUE(given_up.has_value() && !lists(*given_up, "n4") && given_up->retired.empty());
+  CHECK_TRUE(given_up.has_value() && !lists(*given_up, "n4") && given_up->retired_nodes.empty());
   // While its process comes to its end it is not taken in again; its next one is.
-  for (Member& m : live) m.whole = 9;
+  for (Member& m : live) m.complete_map_version = 9;
   CHECK_FALSE(roster.storage_nodes(*given_up, live, now).has_value());
-  live[3].leaving = false;
+  live[3].draining = false;
   const auto back = roster.storage_nodes(*given_up, live, now);
-  CHECK_TRUE(back.has_value() && lists(*back, "n4") && !back->storage_nodes.back().leaving);
+  CHECK_TRUE(back.has_value() && lists(*back, "n4") && !back->storage_nodes.back().draining);
 }
 
 // With just enough it keeps its place: it is lost while it is away, and comes back with its disk.
 TEST(RosterStorageNodes, SigtermWithoutAnotherChangesNothing) {
   std::vector<Member> live = members({1, 2, 3}, 7);
-  live[2].leaving = true;
+  live[2].draining = true;
   CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), live, Span::ms(10000), &after).has_value());
 }
 
 // It ended before it was emptied, and is started again: it has its place. An order to empty it would stand.
 TEST(RosterStorageNodes, StartedAgainItHasItsPlace) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
-  value.storage_nodes[3].leaving = true;
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  value.storage_nodes[3].draining = true;
   const auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 6), now);
-  CHECK_TRUE(next.has_value() && !next->storage_nodes[3].leaving && next->map == 8);
-  value.retired.push_back({"n4", false});
+  CHECK_TRUE(next.has_value() && !next->storage_nodes[3].draining && next->map_version == 8);
+  value.retired_nodes.push_back({"n4", false});
   CHECK_FALSE(roster.storage_nodes(value, members({1, 2, 3, 4}, 6), now).has_value());
 }
 
 TEST(RosterStorageNodes, TwoLeaveOneAfterTheOther) {
-  Value value = with_storage_nodes({1, 2, 3, 4, 5});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4, 5});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken &&
              retire(value, "n5", 1) == RetireVerdict::taken);
   const auto next = roster.storage_nodes(value, members({1, 2, 3, 4, 5}, 9), now);
-  CHECK_TRUE(next.has_value() && next->storage_nodes.size() == 4 && next->map == 10);
+  CHECK_TRUE(next.has_value() && next->storage_nodes.size() == 4 && next->map_version == 10);
   CHECK_FALSE(roster.storage_nodes(*next, members({1, 2, 3, 4, 5}, 9), now).has_value());
   const auto then = roster.storage_nodes(*next, members({1, 2, 3, 5}, 10), now);
   CHECK_TRUE(then.has_value() && then->storage_nodes.size() == 3);
-  CHECK_TRUE(then->retired[0].completed && then->retired[1].completed);
+  CHECK_TRUE(then->retired_nodes[0].completed && then->retired_nodes[1].completed);
 }
 
 TEST(RosterStorageNodes, TooFewAreRefused) {
   for (const std::size_t losses : {0U, 1U, 2U}) {
-    Value value;
+    RegisterValue value;
     for (int n = 0; n < static_cast<int>(copies_for(losses)); ++n)
       value.storage_nodes.push_back(storage_node(n));
-    const Value before = value;
+    const RegisterValue before = value;
     CHECK_TRUE(retire(value, "n0", losses) == RetireVerdict::too_few);
     CHECK_TRUE(value == before);
     value.storage_nodes.push_back(storage_node(90));
     CHECK_TRUE(retire(value, "n0", losses) == RetireVerdict::taken);
     // The one that leaves does not count for the next.
-    const Value left = value;
+    const RegisterValue left = value;
     CHECK_TRUE(retire(value, "n90", losses) == RetireVerdict::too_few);
     CHECK_TRUE(value == left);
   }
 }
 
 TEST(RosterStorageNodes, UnknownAndRepeatedOrders) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n8", 1) == RetireVerdict::unknown);
   CHECK_TRUE(retire(value, "n1", 1) == RetireVerdict::taken);
-  const Value before = value;
+  const RegisterValue before = value;
   CHECK_TRUE(retire(value, "n1", 1) == RetireVerdict::known);
   CHECK_TRUE(value == before);
 }
@@ -498,7 +500,7 @@
 // nothing new, and it comes to its end.
 TEST(RosterRetiringAndLost, TheOrderStands) {
   Roster roster(1);
-  Value value = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(retire(value, "n4", 1) == RetireVerdict::taken);
   std::vector<Member> three = members({1, 2, 3}, 0);  // not whole yet: it is not emptied
   for (int i = 0; i < 40; ++i) {
@@ -507,12 +509,12 @@
   }
   if (auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, 0), now)) value = *next;
   for (const StorageNode& c : value.storage_nodes)
-    CHECK_WHERE(c.node != "n4" || c.leaving, "it gets turns again");
-  for (int i = 0; i < 40 && !value.retired[0].completed; ++i) {
-    if (auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, value.map), now)) value = *next;
+    CHECK_WHERE(c.node != "n4" || c.draining, "it gets turns again");
+  for (int i = 0; i < 40 && !value.retired_nodes[0].completed; ++i) {
+    if (auto next = roster.storage_nodes(value, members({1, 2, 3, 4}, value.map_version), now)) value = *next;
     now = now + look_every;
   }
-  CHECK_WHERE(value.retired[0].completed, "the order never ends");
+  CHECK_WHERE(value.retired_nodes[0].completed, "the order never ends");
 }
 
 // Copies that are missing: of lost disks, and of nodes that were given up while silent. Guards turns whose
@@ -521,7 +523,8 @@
   TimePoint now = TimePoint::at_ms(1e6);
   Roster roster{1};
   // What the map becomes while these are there and whole by the newest map; it has not changed for so long.
-  Value played(Value value, const std::vector<int>& present, const std::vector<int>& whole, Span most) {
+  RegisterValue simulated(RegisterValue value, const std::vector<int>& present, const std::vector<int>& whole,
+                          Span most) {
     const TimePoint end = now + most;
     while (now < end) {
       if (const auto next = roster.storage_nodes(value, live(value, present, whole), now)) value = *next;
@@ -529,12 +532,12 @@
     }
     return value;
   }
-  std::vector<Member> live(const Value& value, const std::vector<int>& present, const std::vector<int>& whole)
-      const {
+  std::vector<Member> live(const RegisterValue& value, const std::vector<int>& present,
+                           const std::vector<int>& whole) const {
     std::vector<Member> out;
     for (const int n : present) {
       const bool is_whole = std::find(whole.begin(), whole.end(), n) != whole.end();
-      out.push_back(member(n, is_whole ? value.map : 0));
+      out.push_back(member(n, is_whole ? value.map_version : 0));
       const auto disk = disks.find(n);
       if (disk != disks.end()) out.back().disk = disk->second;
     }
@@ -544,72 +547,72 @@
 };
 
 TEST(RosterAbsent, ASilentOneIsNotGivenUpBesideALostDisk) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   disks[2] = "new";
-  value = played(value, {1, 2, 3}, {1, 3}, Span::ms(60000));  // 2 needs what 4 has
-  CHECK_TRUE(lists(value, "n4") && value.absent.empty());
-  LONGS_EQUAL(1, chutevane::common::copies_missing(value));
+  value = simulated(value, {1, 2, 3}, {1, 3}, Span::ms(60000));  // 2 needs what 4 has
+  CHECK_TRUE(lists(value, "n4") && value.absent_nodes.empty());
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
   // It is back, and 2 is whole: made up for.
-  value = played(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
-  LONGS_EQUAL(0, chutevane::common::copies_missing(value));
+  value = simulated(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
   // From here on it may be given up.
-  value = played(value, {1, 2, 3}, {1, 2, 3}, Span::ms(10000));
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(10000));
   CHECK_FALSE(lists(value, "n4"));
 }
 
 TEST(RosterAbsent, GivenUpItIsRememberedUntilTheOthersAreWhole) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
-  value = played(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
-  CHECK_TRUE(!lists(value, "n4") && value.absent.size() == 1 && value.absent[0].disk == "d4");
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  value = simulated(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
+  CHECK_TRUE(!lists(value, "n4") && value.absent_nodes.size() == 1 && value.absent_nodes[0].disk == "d4");
   // A disk is lost meanwhile: both are missing.
   disks[2] = "new";
-  value = played(value, {1, 2, 3}, {1}, Span::ms(10000));
-  LONGS_EQUAL(2, chutevane::common::copies_missing(value));
+  value = simulated(value, {1, 2, 3}, {1}, Span::ms(10000));
+  LONGS_EQUAL(2, chutevane::common::missing_replicas(value));
   // The silent one brings its copies back: only the lost disk is missing.
-  value = played(value, {1, 2, 3, 4}, {1}, Span::ms(1000));
-  CHECK_TRUE(lists(value, "n4") && value.absent.empty());
-  LONGS_EQUAL(1, chutevane::common::copies_missing(value));
-  value = played(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
-  LONGS_EQUAL(0, chutevane::common::copies_missing(value));
+  value = simulated(value, {1, 2, 3, 4}, {1}, Span::ms(1000));
+  CHECK_TRUE(lists(value, "n4") && value.absent_nodes.empty());
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
+  value = simulated(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
 }
 
 TEST(RosterAbsent, OneThatComesBackWithoutItsDiskHasLostIt) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
-  value = played(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
-  LONGS_EQUAL(1, value.absent.size());
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  value = simulated(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
+  LONGS_EQUAL(1, value.absent_nodes.size());
   disks[4] = "new";
-  value = played(value, {1, 2, 3, 4}, {1, 2}, Span::ms(1000));
-  CHECK_TRUE(value.absent.empty() && value.storage_nodes.back().lost);
+  value = simulated(value, {1, 2, 3, 4}, {1, 2}, Span::ms(1000));
+  CHECK_TRUE(value.absent_nodes.empty() && value.storage_nodes.back().disk_replaced);
 }
 
 TEST(RosterAbsent, OfTwoSilentOnesNeitherIsGivenUp) {
-  Value value = with_storage_nodes({1, 2, 3, 4, 5});
-  value = played(value, {1, 2, 3}, {1, 2, 3}, Span::ms(60000));
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4, 5});
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(60000));
   LONGS_EQUAL(5, value.storage_nodes.size());
   // Where two may be lost both are.
   Roster bears_two(2);
-  Value larger = with_storage_nodes({1, 2, 3, 4, 5, 6, 7});
+  RegisterValue larger = with_storage_nodes({1, 2, 3, 4, 5, 6, 7});
   for (int i = 0; i < 80; ++i, now = now + look_every) {
     const auto next = bears_two.storage_nodes(larger, live(larger, {1, 2, 3, 4, 5}, {1, 2, 3}), now);
     if (next) larger = *next;
   }
   LONGS_EQUAL(5, larger.storage_nodes.size());
-  LONGS_EQUAL(2, larger.absent.size());
+  LONGS_EQUAL(2, larger.absent_nodes.size());
 }
 
 // One node alone makes up for its lost disk, also while another stands still: a second loss may come then.
 TEST(RosterAbsent, ALostDiskIsMadeUpForByItsOwnNode) {
-  Value value = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   disks[2] = "new";
-  value = played(value, {1, 2, 3, 4}, {1, 3, 4}, Span::ms(1000));
-  LONGS_EQUAL(1, chutevane::common::copies_missing(value));
-  value = played(value, {1, 2, 3}, {1, 2, 3}, Span::ms(600));  // 4 has just fallen silent
-  LONGS_EQUAL(0, chutevane::common::copies_missing(value));
+  value = simulated(value, {1, 2, 3, 4}, {1, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(600));  // 4 has just fallen silent
+  LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
   // Not where one has come that is not whole yet: its part may lie at the lost disk's node no more.
-  Value other = with_storage_nodes({1, 2, 3, 4});
+  RegisterValue other = with_storage_nodes({1, 2, 3, 4});
   disks[2] = "newer";
-  other = played(other, {1, 2, 3, 4, 5}, {1, 2, 3, 4}, Span::ms(1000));
-  LONGS_EQUAL(1, chutevane::common::copies_missing(other));
+  other = simulated(other, {1, 2, 3, 4, 5}, {1, 2, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(other));
 }
 
 // What a disk that never comes back holds is past its time some day: nothing waits for ever.
@@ -620,14 +623,14 @@
     const Span retention = copies_outlived_after * (longer ? 2.0 : 0.5);
     watching.turns_are_kept_for(retention);
     const Span needed = std::max(retention, copies_outlived_after);
-    Value value = with_storage_nodes({1, 2, 3, 4});
+    RegisterValue value = with_storage_nodes({1, 2, 3, 4});
     disks[2] = "new";
     TimePoint at = now;
     const TimePoint begin = at;
     std::optional<Span> given_up;
     while (!given_up && at - begin < needed * 2) {
       if (const auto next = watching.storage_nodes(value, live(value, {1, 2, 3}, {1, 3}), at)) value = *next;
-      if (chutevane::common::copies_missing(value) == 0 && at > begin) given_up = at - begin;
+      if (chutevane::common::missing_replicas(value) == 0 && at > begin) given_up = at - begin;
       at = at + look_every;
     }
     CHECK_TRUE(given_up.has_value());
@@ -642,7 +645,8 @@
   using chutevane::control::storage_node_spared_after;
   for (const bool spare : {true, false}) {
     Roster roster(1);
-    const Value value = spare ? with_storage_nodes({1, 2, 3, 4, 5}) : with_storage_nodes({1, 2, 3, 4});
+    const RegisterValue value =
+        spare ? with_storage_nodes({1, 2, 3, 4, 5}) : with_storage_nodes({1, 2, 3, 4});
     const auto live = spare ? members({2, 3, 4, 5}, 7) : members({2, 3, 4}, 7);
     const Span after = spare ? storage_node_spared_after : storage_node_lost_after;
     Span waited;
@@ -661,11 +665,11 @@
   live[0].disk = "another";
   const auto next = roster.storage_nodes(with_storage_nodes({1, 2, 3}), live, now);
   CHECK_TRUE(next.has_value());
-  for (const StorageNode& c : next->storage_nodes) CHECK_WHERE(c.lost == (c.node == "n1"), c.node);
+  for (const StorageNode& c : next->storage_nodes) CHECK_WHERE(c.disk_replaced == (c.node == "n1"), c.node);
   live[0].address = "moved";
   const auto then = roster.storage_nodes(*next, live, now);
   CHECK_TRUE(then.has_value());
-  for (const StorageNode& c : then->storage_nodes) CHECK_WHERE(c.lost == (c.node == "n1"), c.node);
+  for (const StorageNode& c : then->storage_nodes) CHECK_WHERE(c.disk_replaced == (c.node == "n1"), c.node);
 }
 
 // A controller with a new disk gets its own place back, and never another's beside it: one address would vote
@@ -673,7 +677,7 @@
 TEST(RosterSpare, NoAddressHasTwoPlaces) {
   for (int order = 0; order < 2; ++order) {
     Roster roster(1);
-    Value value;
+    RegisterValue value;
     value.epoch = 2;
     for (const char* n : {"1", "2", "3"})
       value.acceptors.push_back({std::string("a") + n, std::string("d") + n});
--- a/tests/tier/played_control.hpp
+++ b/tests/control/simulated_control.hpp
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "control/operator_api.hpp"
-#include "played_register.hpp"
+#include "simulated_register.hpp"
 
-namespace chutevane::played {
+namespace chutevane::simulated {
 
 class ControlProcess final : control::OperatorApi::Host {
  public:
-  using Answered = std::function<void(common::HttpAnswer)>;
+  using Answered = std::function<void(common::HttpResponse)>;
 
   ControlProcess(Field& field, std::uint64_t proposer, std::size_t remembered)
       : voters(field), reg(field.clock.later, voters, proposer), api_(reg, *this, 1, remembered) {}
@@ -26,7 +26,7 @@
                         "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     http::Parser parser(http::Side::request, {.head = 16 * 1024, .body = 8U << 20U, .fields = 100});
     parser.feed(bytes);
-    api_.serve(parser, [this, answered = std::move(answered)](common::HttpAnswer answer) {
+    api_.serve(parser, [this, answered = std::move(answered)](common::HttpResponse answer) {
       if (!voters.ended) answered(std::move(answer));
     });
   }
@@ -41,7 +41,7 @@
   bool all_members_known = true;
 
  private:
-  void announce(const common::Value&) override {}
+  void announce(const common::RegisterValue&) override {}
   void when_acknowledged(std::int64_t, std::function<void()> then) override { then(); }
   std::vector<common::Member> members() const override { return known_members; }
   bool members_complete() const override { return all_members_known; }
@@ -58,4 +58,4 @@
          R"("limits":{"maxHeaderBytes":16384,"maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":9000}})";
 }
 
-}  // namespace chutevane::played
+}  // namespace chutevane::simulated
--- a/tests/tier/played_register.hpp
+++ b/tests/control/simulated_register.hpp
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "control/register.hpp"
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
-namespace chutevane::played {
+namespace chutevane::simulated {
 
 using common::Accept;
 using common::Accepted;
@@ -23,7 +23,7 @@
 using common::Ballot;
 using common::Prepare;
 using common::Promise;
-using common::Value;
+using common::RegisterValue;
 using control::AcceptorState;
 using control::first_value;
 using control::Register;
@@ -114,7 +114,7 @@
     }
     return nullptr;
   }
-  Value first_set(std::size_t n) const {
+  RegisterValue first_set(std::size_t n) const {
     std::vector<Acceptor> set;
     for (std::size_t i = 0; i < n; ++i) set.push_back({all[i].address, ""});
     return first_value(set);
@@ -225,4 +225,4 @@
   Register reg;
 };
 
-}  // namespace chutevane::played
+}  // namespace chutevane::simulated
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -85,7 +85,7 @@
     turn.program = "p";
     turn.input.data = "in";
     turn.output.data = "out";
-    turn.keep_ms = 1000;
+    turn.retention_ms = 1000;
     CHECK(store.keep(turn, TimePoint::at_ms(0)));
     CHECK(store.commit(TimePoint::at_ms(0)).ok());
     turn.id = "t2";
@@ -127,7 +127,7 @@
   STRCMP_EQUAL("t1", got.turns[1].previous.c_str());
   LONGS_EQUAL(1, got.accounts.size());
   LONGS_EQUAL(60, got.accounts[0].entries[0].tokens);
-  CHECK(got.accounts[0].entries[0].settled);
+  CHECK(got.accounts[0].entries[0].committed);
   LONGS_EQUAL(1, got.segments.size());
   LONGS_EQUAL(4, got.segments[0].records);  // reserved, settled, two turns
 }
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/client_test.cpp
@@ -196,7 +196,7 @@
   client->send(request_text("a", once()));
   ASSERT_TRUE(scene.loop.until([&] { return scene.script.executions("a") == 1; }));
   scene.loop.run_for(aftermath);
-  scene.edge->leave();
+  scene.edge->begin_shutdown();
   scene.loop.run_for(leaving_closes_after);
   EXPECT_FALSE(scene.edge->finished());
   client->resume_reading();
@@ -211,7 +211,7 @@
   const auto client = scene.client();
   client->send(request_text("a", once()));
   ASSERT_TRUE(scene.answered(*client));
-  scene.edge->leave();
+  scene.edge->begin_shutdown();
   scene.loop.run_for(leaving_closes_after - Span::ms(150));
   client->send(request_text("b", once()));
   scene.loop.freeze(Span::ms(200));  // past the moment when idle connections are ended
--- a/tests/edge/departures_test.cpp
+++ b/tests/edge/departures_test.cpp
@@ -176,7 +176,7 @@
 }
 
 // A heartbeat that names a newer value than the edge holds proves nothing: its knowledge grows old.
-TEST(Sessions, AHeartbeatOfAValueThatHasNotComeConfirmsNothing) {
+TEST(ControlSessions, AHeartbeatOfAValueThatHasNotComeConfirmsNothing) {
   Scene scene(1);
   EXPECT_EQ(scene.ask("known", {"/nowhere/x", "POST", "", 20000, ""}).status, 404);
   scene.control->name_a_newer_value(1);
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -54,7 +54,7 @@
 
 bool Loop::until(const std::function<bool()>& done, Span limit) {
   bool late = false;
-  net::TimerQueue::Ticket bound = later.after(limit, [&late] { late = true; });
+  net::TimerQueue::Handle bound = later.after(limit, [&late] { late = true; });
   while (!late && !done()) scheduler.turn();
   later.cancel(bound);
   return done();
@@ -78,7 +78,7 @@
     : script_(script),
       endpoint_(std::move(endpoint)),
       number_(number),
-      channel_(scheduler, static_cast<net::Channel::Sink&>(*this)),
+      channel_(scheduler, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::request, anything) {}
 
 void ScriptedConnection::adopt(int fd) {
@@ -90,21 +90,21 @@
 void ScriptedConnection::close() {
   if (!channel_.open()) return;
   channel_.close();
-  channel_gone(channel_);
+  on_channel_closed(channel_);
 }
 
 void ScriptedConnection::reset() {
   if (!channel_.open()) return;
   channel_.reset();
-  channel_gone(channel_);
+  on_channel_closed(channel_);
 }
 
-void ScriptedConnection::channel_gone(net::Channel&) {
+void ScriptedConnection::on_channel_closed(net::Channel&) {
   script_.ended.insert(number_);
   script_.crew.retire(*this);
 }
 
-void ScriptedConnection::channel_came(net::Channel&) {
+void ScriptedConnection::on_channel_data(net::Channel&) {
   while (channel_.open() && channel_.in_size() > 0) {
     if (!std::exchange(bytes_seen_, true) && script_.on_bytes) {
       script_.on_bytes(*this);
@@ -239,30 +239,30 @@
 // ---- control and storage
 
 ScriptedControl::ScriptedControl(Loop& loop, const sockaddr_in& at) : rpc_server_(loop.scheduler) {
-  rpc_server_.on<common::Hello>(
-      [this](common::RpcServer::Connection& connection, std::uint64_t, common::Hello& hello) {
+  rpc_server_.on<common::MemberHeartbeat>(
+      [this](common::RpcServer::Connection& connection, std::uint64_t, common::MemberHeartbeat& hello) {
         connections_.insert(connection.id());
         member_ = hello.member;
         acknowledged_value_ = hello.member.number;
         acknowledged_list_ = hello.list_number;
         bring_up_to_date(connection, hello);
       });
-  rpc_server_.on_gone(
+  rpc_server_.on_close(
       [this](common::RpcServer::Connection& connection) { connections_.erase(connection.id()); });
   rpc_server_.listen(at);
 }
 
 void ScriptedControl::bring_up_to_date(common::RpcServer::Connection& connection,
-                                       const common::Hello& hello) {
-  common::Heartbeat heartbeat;
-  heartbeat.fresh_ms = 0;
+                                       const common::MemberHeartbeat& hello) {
+  common::ControlHeartbeat heartbeat;
+  heartbeat.knowledge_age_ms = 0;
   heartbeat.echo_stamp = hello.stamp;
   heartbeat.number = value_.number + heartbeat_ahead_;
-  heartbeat.edges = 1;
-  connection.tell(heartbeat);
+  heartbeat.edge_count = 1;
+  connection.send(heartbeat);
   // The list first: the acknowledgement of the value then tells of both.
-  if (hello.list_number < list_.number) connection.tell(list_);
-  if (hello.member.number < value_.number) connection.tell(common::Push{value_.number, value_, {}});
+  if (hello.list_number < list_.number) connection.send(list_);
+  if (hello.member.number < value_.number) connection.send(common::ValuePush{value_.number, value_, {}});
 }
 
 void ScriptedControl::configure(const std::string& configuration,
@@ -271,21 +271,21 @@
   ++value_.config_version;
   value_.epoch = 1;
   value_.config.data = configuration;
-  value_.map = map;
+  value_.map_version = map;
   value_.storage_nodes = storage;
   for (const std::uint64_t id : connections_) {
     if (common::RpcServer::Connection* const connection = rpc_server_.find(id))
-      connection->tell(common::Push{value_.number, value_, {}});
+      connection->send(common::ValuePush{value_.number, value_, {}});
   }
 }
 
-void ScriptedControl::list(const std::vector<common::Listed>& endpoints) {
+void ScriptedControl::list(const std::vector<common::EndpointEntry>& endpoints) {
   list_.term = 1;
   ++list_.number;
   list_.base = 0;
   list_.entries = endpoints;
   for (const std::uint64_t id : connections_) {
-    if (common::RpcServer::Connection* const connection = rpc_server_.find(id)) connection->tell(list_);
+    if (common::RpcServer::Connection* const connection = rpc_server_.find(id)) connection->send(list_);
   }
 }
 
@@ -294,32 +294,33 @@
 }
 
 ScriptedStorage::ScriptedStorage(Loop& loop, const sockaddr_in& at) : rpc_server_(loop.scheduler) {
-  rpc_server_.on<common::Reserve>([this](common::RpcServer::Connection& connection, std::uint64_t number,
-                                         const common::Reserve& reserve) {
+  rpc_server_.on<common::ReserveRequest>([this](common::RpcServer::Connection& connection,
+                                                std::uint64_t number, const common::ReserveRequest& reserve) {
     if (silent_on_reserve) return;
-    reserved[reserve.attempt] = reserve.most;
-    common::Reserved reserved_now;
+    reserved[reserve.attempt] = reserve.max_tokens;
+    common::ReserveReply reserved_now;
     reserved_now.others = others;
-    connection.answer(number, reserved_now);
+    connection.reply(number, reserved_now);
   });
-  rpc_server_.on<common::Settle>(
-      [this](common::RpcServer::Connection&, std::uint64_t, const common::Settle& settle) {
-        settled[settle.attempt] = settle.used;
-      });
-  rpc_server_.on<common::Keep>(
-      [this](common::RpcServer::Connection& connection, std::uint64_t number, const common::Keep& keep) {
-        if (silent_on_keep) return;
-        kept[keep.turn.id] = keep.turn;
-        settled[keep.turn.id] = keep.used;
-        connection.answer(number, common::Kept{});
-      });
-  rpc_server_.on<common::Find>(
-      [this](common::RpcServer::Connection& connection, std::uint64_t number, const common::Find& find) {
-        common::Found found;
-        if (const auto known = kept.find(find.id); known != kept.end()) found.turns.push_back(known->second);
-        if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::Verdict::unknown);
-        connection.answer(number, found);
+  rpc_server_.on<common::CommitUsage>(
+      [this](common::RpcServer::Connection&, std::uint64_t, const common::CommitUsage& settle) {
+        settled[settle.attempt] = settle.used_tokens;
       });
+  rpc_server_.on<common::StoreTurnRequest>([this](common::RpcServer::Connection& connection,
+                                                  std::uint64_t number,
+                                                  const common::StoreTurnRequest& keep) {
+    if (silent_on_keep) return;
+    kept[keep.turn.id] = keep.turn;
+    settled[keep.turn.id] = keep.used_tokens;
+    connection.reply(number, common::StoreTurnReply{});
+  });
+  rpc_server_.on<common::FindTurnRequest>([this](common::RpcServer::Connection& connection,
+                                                 std::uint64_t number, const common::FindTurnRequest& find) {
+    common::FindTurnReply found;
+    if (const auto known = kept.find(find.id); known != kept.end()) found.turns.push_back(known->second);
+    if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::Verdict::unknown);
+    connection.reply(number, found);
+  });
   rpc_server_.listen(at);
 }
 
@@ -333,7 +334,7 @@
 }
 
 ClientConnection::ClientConnection(Loop& loop, const sockaddr_in& to)
-    : channel_(loop.scheduler, static_cast<net::Channel::Sink&>(*this)),
+    : channel_(loop.scheduler, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::response, anything) {
   if (!channel_.connect(to)) throw std::runtime_error("no descriptor for a client");
 }
@@ -344,7 +345,7 @@
   channel_.write(bytes);  // goes out once the connection stands
 }
 
-void ClientConnection::channel_came(net::Channel&) { look(); }
+void ClientConnection::on_channel_data(net::Channel&) { look(); }
 
 void ClientConnection::look() {
   while (channel_.in_size() > 0) {
@@ -381,7 +382,7 @@
   }
 }
 
-void ClientConnection::channel_gone(net::Channel&) {
+void ClientConnection::on_channel_closed(net::Channel&) {
   ended = true;
   ended_midway = parser_.begun();
 }
@@ -435,7 +436,7 @@
     : script(loop.scheduler) {
   for (std::size_t i = 0; i < endpoint_count; ++i) {
     endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop, script, numbered("i-", i + 1)));
-    common::Listed& entry = listed.emplace_back();
+    common::EndpointEntry& entry = listed.emplace_back();
     entry.id = endpoints.back()->id();
     entry.service = "s";
     entry.address = net::text_of(endpoints.back()->address());
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -21,8 +21,8 @@
 #include "edge/data_plane.hpp"
 #include "http/parser.hpp"
 #include "net/channel.hpp"
-#include "net/crew.hpp"
 #include "net/scheduler.hpp"
+#include "net/task_group.hpp"
 #include "net/timer_queue.hpp"
 
 namespace chutevane::edge::harness {
@@ -64,7 +64,7 @@
 class EndpointScript;
 
 // One connection as the script of an endpoint sees it. The script says every byte.
-class ScriptedConnection final : net::Channel::Sink {
+class ScriptedConnection final : net::Channel::Observer {
  public:
   ScriptedConnection(EndpointScript& script, std::string endpoint, net::Scheduler& scheduler,
                      std::size_t number);
@@ -72,17 +72,17 @@
   void send(std::string_view bytes) { channel_.write(bytes); }
   void close();
   void reset();
-  void stop_reading() { channel_.hold(true); }
-  void resume_reading() { channel_.hold(false); }
+  void stop_reading() { channel_.set_reading_paused(true); }
+  void resume_reading() { channel_.set_reading_paused(false); }
   bool open() const { return channel_.open(); }
   std::size_t number() const { return number_; }
   const std::string& endpoint() const { return endpoint_; }
   std::size_t requests = 0;  // that came whole on it
-  std::size_t crew_place = 0;
+  std::size_t group_index = 0;
 
  private:
-  void channel_came(net::Channel&) override;
-  void channel_gone(net::Channel&) override;
+  void on_channel_data(net::Channel&) override;
+  void on_channel_closed(net::Channel&) override;
 
   EndpointScript& script_;
   const std::string endpoint_;
@@ -108,7 +108,7 @@
   std::map<std::string, std::size_t> heads;              // attempt id -> heads that came, over all endpoints
   std::set<std::size_t> ended;                           // connections that are over
   std::size_t accepted = 0;
-  net::Crew<ScriptedConnection> crew;
+  net::TaskGroup<ScriptedConnection> crew;
 
   std::size_t executions(const std::string& attempt_id) const;
   // The open connection of that number, if it is still open.
@@ -172,7 +172,7 @@
   // In force from the next word on.
   void configure(const std::string& configuration, const std::vector<common::StorageNode>& storage,
                  std::int64_t map = 1);
-  void list(const std::vector<common::Listed>& endpoints);
+  void list(const std::vector<common::EndpointEntry>& endpoints);
   // Heartbeats name a value that is newer by so much than any that is pushed.
   void name_a_newer_value(std::int64_t by) { heartbeat_ahead_ = by; }
   // Who has a session, by its last word.
@@ -182,9 +182,9 @@
   bool acknowledged() const;
 
  private:
-  void bring_up_to_date(common::RpcServer::Connection& connection, const common::Hello& hello);
+  void bring_up_to_date(common::RpcServer::Connection& connection, const common::MemberHeartbeat& hello);
   common::RpcServer rpc_server_;
-  common::Value value_;
+  common::RegisterValue value_;
   common::EndpointList list_;
   std::int64_t heartbeat_ahead_ = 0;
   std::optional<common::Member> member_;
@@ -218,7 +218,7 @@
 };
 
 // A client's connection: answers in the order in which they came, and whether anything else came.
-class ClientConnection final : net::Channel::Sink {
+class ClientConnection final : net::Channel::Observer {
  public:
   ClientConnection(Loop& loop, const sockaddr_in& to);
   // Writes a request; `head`: for a HEAD, whose answer has no body.
@@ -228,9 +228,9 @@
   void make_room(std::size_t bytes) { channel_.in().room(bytes); }
   void close() { channel_.close(); }
   void reset() { channel_.reset(); }
-  void end_writing() { channel_.end_writing_when_written(); }
-  void stop_reading() { channel_.hold(true); }
-  void resume_reading() { channel_.hold(false); }
+  void end_writing() { channel_.shutdown_write_when_flushed(); }
+  void stop_reading() { channel_.set_reading_paused(true); }
+  void resume_reading() { channel_.set_reading_paused(false); }
 
   std::vector<Answer> answers;
   std::size_t interim = 0;    // 1xx answers
@@ -241,9 +241,9 @@
   bool connected = false;
 
  private:
-  void channel_up(net::Channel&) override { connected = true; }
-  void channel_came(net::Channel&) override;
-  void channel_gone(net::Channel&) override;
+  void on_channel_open(net::Channel&) override { connected = true; }
+  void on_channel_data(net::Channel&) override;
+  void on_channel_closed(net::Channel&) override;
   void look();
   net::Channel channel_;
   http::Parser parser_;
@@ -302,7 +302,7 @@
   Loop loop;
   EndpointScript script;
   std::vector<std::unique_ptr<ScriptedEndpoint>> endpoints;
-  std::vector<common::Listed> listed;
+  std::vector<common::EndpointEntry> listed;
   std::unique_ptr<ScriptedControl> control;
   std::unique_ptr<ScriptedStorage> storage;
   common::StorageNode storage_node;
--- a/tests/tier/ledger_test.cpp
+++ b/tests/edge/ledger_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
@@ -13,7 +13,7 @@
 using chutevane::common::StorageNode;
 using chutevane::common::Turn;
 using chutevane::edge::Ledger;
-using chutevane::played::Clockwork;
+using chutevane::simulated::Clockwork;
 
 namespace {
 
@@ -24,7 +24,7 @@
     c.node = numbered("n", i);
     c.address = numbered("10.0.0.", i + 1);
     c.address += ":7381";
-    c.leaving = i < leaving;
+    c.draining = i < leaving;
   }
   return out;
 }
--- a/tests/edge/sight_test.cpp
+++ b/tests/edge/sight_test.cpp
@@ -140,7 +140,7 @@
   add({.cause = Cause::process_ended,
        .status = 0,
        .endpoint = [](ScriptedConnection&, const std::string&) {},
-       .before = [](Scene& scene) { scene.edge->leave(); },
+       .before = [](Scene& scene) { scene.edge->begin_shutdown(); },
        .route = {.timeout_ms = 20000, .max_attempts = 1}});
   return out;
 }
--- a/tests/simulation/checker_test.cpp
+++ b/tests/simulation/checker_test.cpp
@@ -25,8 +25,8 @@
     return std::any_of(checker_.violations().begin(), checker_.violations().end(),
                        [&](const Violation& v) { return v.rule == rule; });
   }
-  common::Value value(std::int64_t number, std::int64_t version, const std::string& body) const {
-    common::Value out;
+  common::RegisterValue value(std::int64_t number, std::int64_t version, const std::string& body) const {
+    common::RegisterValue out;
     out.number = number;
     out.config_version = version;
     out.config.data = body;
--- a/tests/edge/storage_plane_test.cpp
+++ b/tests/storage/storage_plane_test.cpp
@@ -91,12 +91,12 @@
     ++values_;
   }
   bool whole_by(std::int64_t map) {
-    return loop.until([&] { return control.member()->whole >= map; });
+    return loop.until([&] { return control.member()->complete_map_version >= map; });
   }
   std::optional<Verdict> reserve(std::int64_t map) {
     std::optional<Verdict> out;
-    const common::Reserve ask{map, program, "attempt", 1};
-    caller_->call<common::Reserved>(ask, Span::ms(1000), [&](absl::StatusOr<common::Reserved> got) {
+    const common::ReserveRequest ask{map, program, "attempt", 1};
+    caller_->call<common::ReserveReply>(ask, Span::ms(1000), [&](absl::StatusOr<common::ReserveReply> got) {
       if (got.ok()) out = static_cast<Verdict>(got->verdict);
     });
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
@@ -104,15 +104,16 @@
   }
   std::optional<Verdict> keep(const std::string& id) {
     std::optional<Verdict> out;
-    common::Keep ask;
-    ask.map = 1;
+    common::StoreTurnRequest ask;
+    ask.map_version = 1;
     ask.turn.id = id;
     ask.turn.program = program;
-    ask.turn.keep_ms = 60000;
-    ask.used = -1;
-    caller_->call<common::Kept>(ask, Span::ms(1000), [&](absl::StatusOr<common::Kept> got) {
-      if (got.ok()) out = static_cast<Verdict>(got->verdict);
-    });
+    ask.turn.retention_ms = 60000;
+    ask.used_tokens = -1;
+    caller_->call<common::StoreTurnReply>(ask, Span::ms(1000),
+                                          [&](absl::StatusOr<common::StoreTurnReply> got) {
+                                            if (got.ok()) out = static_cast<Verdict>(got->verdict);
+                                          });
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
     return out;
   }
@@ -144,7 +145,7 @@
 // before, and tell edges that have it too that there is no such turn. What it keeps does not count yet.
 TEST(StorageNodes, AJoinerKeepsNothingBeforeItHasTakenOver) {
   StorageScene scene;
-  scene.own.joining = true;
+  scene.own.bootstrapping = true;
   ASSERT_TRUE(scene.name_both());
   EXPECT_EQ(scene.keep("a"), Verdict::unready);
 }
--- a/tests/tier/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "played_system.hpp"
+#include "simulated_system.hpp"
 #include "storage/placement.hpp"
 #include "storage/store.hpp"
 #include "unit.hpp"
@@ -19,7 +19,7 @@
 using chutevane::common::Reservation;
 using chutevane::common::StorageNode;
 using chutevane::common::Turn;
-using chutevane::played::RandomSource;
+using chutevane::simulated::RandomSource;
 using chutevane::storage::group_of;
 using chutevane::storage::group_size;
 using chutevane::storage::quorum;
@@ -43,7 +43,7 @@
   out.program = "p-" + id.substr(0, 1);
   out.input.data = "in of " + id + std::string(size, 'i');
   out.output.data = "out of " + id + "\n";
-  out.keep_ms = static_cast<std::int64_t>(keep_ms);
+  out.retention_ms = static_cast<std::int64_t>(keep_ms);
   return out;
 }
 
@@ -65,7 +65,7 @@
   if (found == all.end()) return -1;
   for (const Reservation& r : found->second.entries) {
     if (r.attempt != attempt) continue;
-    if (settled != nullptr) *settled = r.settled;
+    if (settled != nullptr) *settled = r.committed;
     return r.tokens;
   }
   return -1;
@@ -376,7 +376,7 @@
         const std::string settled = numbered("t", static_cast<int>(luck.below(static_cast<std::size_t>(n))));
         store.settle(program, settled, n, now);
         Reservation& r = tried.entries[{program, settled}];
-        if (!r.settled) r = {settled, n, true};
+        if (!r.committed) r = {settled, n, true};
       }
       if (luck.chance(0.6)) {
         if (!store.commit(now).ok()) return;
@@ -400,8 +400,8 @@
       bool settled = false;
       const std::int64_t got = tokens(store, key.first, key.second, &settled);
       const Reservation& newest = tried.entries.at(key);
-      const bool as_sure = got == r.tokens && settled == r.settled;
-      const bool as_tried = got == newest.tokens && settled == newest.settled;
+      const bool as_sure = got == r.tokens && settled == r.committed;
+      const bool as_tried = got == newest.tokens && settled == newest.committed;
       CHECK_WHERE(as_sure || as_tried, where + ": entry " + key.first + " " + key.second);
     }
   }
@@ -652,7 +652,7 @@
     for (const auto& [zone, n] : zones) CHECK_WHERE(n <= 2, zone);  // five over three zones
   }
   // Where a zone has none left, the others fill up.
-  for (StorageNode& c : all) c.leaving = c.zone == "z0";
+  for (StorageNode& c : all) c.draining = c.zone == "z0";
   CHECK_EQUAL(3U, group_of("p", all, 1).size());
 }
 
@@ -699,7 +699,7 @@
 // Who leaves gets nothing new, and the others of a group stay.
 TEST(StoragePlacement, LeavingMembersGetNothing) {
   std::vector<StorageNode> all = storage_nodes(6), left = all;
-  left[2].leaving = true;
+  left[2].draining = true;
   std::vector<StorageNode> without = all;
   without.erase(without.begin() + 2);
   for (int p = 0; p < 2000; ++p) {
@@ -711,7 +711,7 @@
       if (node != all[2].node) CHECK_TRUE(now_in.contains(node));
     }
   }
-  for (StorageNode& c : left) c.leaving = true;
+  for (StorageNode& c : left) c.draining = true;
   CHECK_TRUE(group_of("p", left, 1).empty());
 }
 
