--- a/tests/golden_files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -19,7 +19,7 @@
 #include "control/control_plane.hpp"
 #include "control/register.hpp"
 #include "ctl/folder.hpp"
-#include "golden.hpp"
+#include "golden_data.hpp"
 #include "handover/post.hpp"
 #include "harness.hpp"
 #include "net/scheduler.hpp"
@@ -74,8 +74,8 @@
   return *out;
 }
 
-common::Value value_of_epoch(std::int64_t epoch) {
-  common::Value out;
+common::RegisterValue value_of_epoch(std::int64_t epoch) {
+  common::RegisterValue out;
   out.number = 10 * epoch;
   out.epoch = epoch;
   out.acceptors = {{seed_address, disk_id}, {"127.0.0.2:4100", "other"}};
@@ -168,7 +168,7 @@
   EXPECT_EQ(record.promised, (common::Ballot{9, 78}));
   control::AcceptorState opened(before, seed_address, disk_id, true);
   ASSERT_TRUE(opened.open().ok());
-  common::Value value = value_of_epoch(2);
+  common::RegisterValue value = value_of_epoch(2);
   EXPECT_EQ(opened.initial(), value);
   ++value.number;
   EXPECT_EQ(opened.value(), value);
@@ -262,7 +262,7 @@
     storage::StoragePlane plane(loop.scheduler, settings, std::make_unique<SharedDisk>(disk));
     if (!plane.open().ok()) return false;
     control.configure(configuration, nodes, 1);
-    return loop.until([&] { return control.member() && control.member()->whole >= 1; }) &&
+    return loop.until([&] { return control.member() && control.member()->complete_map_version >= 1; }) &&
            control.member()->disk == disk_id;
   };
   MemoryDisk disk;
--- a/tests/golden_records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -12,7 +12,7 @@
 #include "common/rpc.hpp"
 #include "common/value_difference.hpp"
 #include "control/register.hpp"
-#include "golden.hpp"
+#include "golden_data.hpp"
 #include "net/buffer.hpp"
 #include "storage/placement.hpp"
 
@@ -54,34 +54,35 @@
           .disk = text(202, n),
           .address = text(203, n),
           .zone = text(204, n),
-          .leaving = bit(0, n),
-          .lost = bit(1, n),
-          .joining = bit(2, n)};
+          .draining = bit(0, n),
+          .disk_replaced = bit(1, n),
+          .bootstrapping = bit(2, n)};
 }
 
 template <>
-Retired example<Retired>(int n) {
+RetiredNode example<RetiredNode>(int n) {
   return {.node = text(301, n), .completed = bit(0, n)};
 }
 
 template <>
-Taken example<Taken>(int n) {
+AppliedConfiguration example<AppliedConfiguration>(int n) {
   return {.version = number(401, n), .hash = number(402, n)};
 }
 
 template <>
-Value example<Value>(int n) {
-  return {.number = number(501, n),
-          .epoch = number(502, n),
-          .acceptors = {example<Acceptor>(n + 3), example<Acceptor>(n + 4)},
-          .next = {example<Acceptor>(n + 4), example<Acceptor>(n + 5)},
-          .config_version = number(505, n),
-          .config = bytes(506, n),
-          .taken = {example<Taken>(n + 7), example<Taken>(n + 8)},
-          .map = number(508, n),
-          .storage_nodes = {example<StorageNode>(n + 9), example<StorageNode>(n + 10)},
-          .absent = {example<StorageNode>(n + 10), example<StorageNode>(n + 11)},
-          .retired = {example<Retired>(n + 11), example<Retired>(n + 12)}};
+RegisterValue example<RegisterValue>(int n) {
+  return {
+      .number = number(501, n),
+      .epoch = number(502, n),
+      .acceptors = {example<Acceptor>(n + 3), example<Acceptor>(n + 4)},
+      .next_acceptors = {example<Acceptor>(n + 4), example<Acceptor>(n + 5)},
+      .config_version = number(505, n),
+      .config = bytes(506, n),
+      .applied_configurations = {example<AppliedConfiguration>(n + 7), example<AppliedConfiguration>(n + 8)},
+      .map_version = number(508, n),
+      .storage_nodes = {example<StorageNode>(n + 9), example<StorageNode>(n + 10)},
+      .absent_nodes = {example<StorageNode>(n + 10), example<StorageNode>(n + 11)},
+      .retired_nodes = {example<RetiredNode>(n + 11), example<RetiredNode>(n + 12)}};
 }
 
 template <>
@@ -101,9 +102,9 @@
 Prepare example<Prepare>(int n) {
   return {.epoch = number(701, n),
           .ballot = example<Ballot>(n + 2),
-          .initial = example<Value>(n + 3),
-          .look_only = bit(0, n),
-          .known = example<Ballot>(n + 5)};
+          .initial = example<RegisterValue>(n + 3),
+          .read_only = bit(0, n),
+          .known_ballot = example<Ballot>(n + 5)};
 }
 
 template <>
@@ -112,8 +113,8 @@
           .epoch = number(802, n),
           .promised = example<Ballot>(n + 3),
           .accepted = example<Ballot>(n + 4),
-          .value = example<Value>(n + 5),
-          .initial = example<Value>(n + 6),
+          .value = example<RegisterValue>(n + 5),
+          .initial = example<RegisterValue>(n + 6),
           .value_known = bit(0, n)};
 }
 
@@ -121,7 +122,7 @@
 Accept example<Accept>(int n) {
   return {.epoch = number(901, n),
           .ballot = example<Ballot>(n + 2),
-          .value = example<Value>(n + 3),
+          .value = example<RegisterValue>(n + 3),
           .difference = example<ValueDifference>(n + 4)};
 }
 
@@ -132,8 +133,8 @@
 
 template <>
 Chosen example<Chosen>(int n) {
-  return {.value = example<Value>(n + 1),
-          .initial = example<Value>(n + 2),
+  return {.value = example<RegisterValue>(n + 1),
+          .initial = example<RegisterValue>(n + 2),
           .difference = example<ValueDifference>(n + 3),
           .epoch = number(1104, n),
           .ballot = example<Ballot>(n + 5)};
@@ -144,16 +145,16 @@
   return {.epoch = number(1201, n),
           .promised = example<Ballot>(n + 2),
           .accepted = example<Ballot>(n + 3),
-          .value = example<Value>(n + 4),
-          .initial = example<Value>(n + 5)};
+          .value = example<RegisterValue>(n + 4),
+          .initial = example<RegisterValue>(n + 5)};
 }
 
 template <>
 ControllerRecord example<ControllerRecord>(int n) {
   return {.disk = text(1301, n),
           .first = bit(0, n),
-          .known = example<Value>(n + 3),
-          .initial = example<Value>(n + 4),
+          .known = example<RegisterValue>(n + 3),
+          .initial = example<RegisterValue>(n + 4),
           .controllers = {text(1305, n), text(1305, n + 1)}};
 }
 
@@ -165,14 +166,14 @@
           .address = text(1404, n),
           .zone = text(1405, n),
           .number = number(1406, n),
-          .whole = number(1407, n),
+          .complete_map_version = number(1407, n),
           .counted = bit(0, n),
-          .leaving = bit(1, n),
+          .draining = bit(1, n),
           .disk_failing = bit(2, n)};
 }
 
 template <>
-HeldDuty example<HeldDuty>(int n) {
+HeldRole example<HeldRole>(int n) {
   return {.name = text(1501, n), .term = number(1502, n)};
 }
 
@@ -183,45 +184,45 @@
           .control = text(1603, n),
           .disk = text(1604, n),
           .zone = text(1605, n),
-          .leaving = bit(0, n),
+          .draining = bit(0, n),
           .full = bit(1, n),
           .epoch = number(1608, n),
-          .known = number(1609, n),
+          .known_number = number(1609, n),
           .accepted = number(1610, n),
           .voting = bit(2, n),
           .first = bit(3, n),
           .disk_failing = bit(4, n),
-          .initial = example<Value>(n + 14),
+          .initial = example<RegisterValue>(n + 14),
           .list_term = number(1615, n),
           .list_number = number(1616, n),
-          .life = number(1617, n),
+          .incarnation = number(1617, n),
           .stamp = number(1618, n),
-          .echo_life = number(1619, n),
+          .echo_incarnation = number(1619, n),
           .echo_stamp = number(1620, n),
           .controllers = {text(1621, n), text(1621, n + 1)},
-          .duties = {example<HeldDuty>(n + 22), example<HeldDuty>(n + 23)},
+          .held_roles = {example<HeldRole>(n + 22), example<HeldRole>(n + 23)},
           .members = {example<Member>(n + 23), example<Member>(n + 24)}};
 }
 
 template <>
-Vote example<Vote>(int n) {
-  return {.duty = text(1701, n), .term = number(1702, n), .node = text(1703, n)};
+VoteRequest example<VoteRequest>(int n) {
+  return {.role = text(1701, n), .term = number(1702, n), .node = text(1703, n)};
 }
 
 template <>
-Voted example<Voted>(int n) {
+VoteReply example<VoteReply>(int n) {
   return {.granted = bit(0, n), .term = number(1802, n)};
 }
 
 template <>
-Listed example<Listed>(int n) {
+EndpointEntry example<EndpointEntry>(int n) {
   return {.id = text(1901, n),
           .service = text(1902, n),
           .address = text(1903, n),
           .zone = text(1904, n),
           .capacity = number(1905, n),
           .draining = bit(0, n),
-          .cold_ms = number(1907, n)};
+          .slow_start_ms = number(1907, n)};
 }
 
 template <>
@@ -229,58 +230,60 @@
   return {.term = number(2001, n),
           .number = number(2002, n),
           .base = number(2003, n),
-          .entries = {example<Listed>(n + 4), example<Listed>(n + 5)},
-          .gone = {text(2005, n), text(2005, n + 1)}};
+          .entries = {example<EndpointEntry>(n + 4), example<EndpointEntry>(n + 5)},
+          .removed_ids = {text(2005, n), text(2005, n + 1)}};
 }
 
 template <>
-Hello example<Hello>(int n) {
+MemberHeartbeat example<MemberHeartbeat>(int n) {
   return {.member = example<Member>(n + 1),
           .list_term = number(2102, n),
           .list_number = number(2103, n),
-          .first = bit(0, n),
-          .ending = bit(1, n),
+          .primary = bit(0, n),
+          .closing = bit(1, n),
           .stamp = number(2106, n),
-          .refused = number(2107, n)};
+          .rejected_push = number(2107, n)};
 }
 
 template <>
-Push example<Push>(int n) {
+ValuePush example<ValuePush>(int n) {
   return {.number = number(2201, n),
-          .value = example<Value>(n + 2),
+          .value = example<RegisterValue>(n + 2),
           .difference = example<ValueDifference>(n + 3)};
 }
 
 template <>
-Heartbeat example<Heartbeat>(int n) {
-  return {.fresh_ms = number(2301, n),
+ControlHeartbeat example<ControlHeartbeat>(int n) {
+  return {.knowledge_age_ms = number(2301, n),
           .echo_stamp = number(2302, n),
           .number = number(2303, n),
-          .edges = number(2304, n),
+          .edge_count = number(2304, n),
           .controllers = {text(2305, n), text(2305, n + 1)}};
 }
 
 template <>
-Reserve example<Reserve>(int n) {
-  return {
-      .map = number(2401, n), .program = text(2402, n), .attempt = text(2403, n), .most = number(2404, n)};
+ReserveRequest example<ReserveRequest>(int n) {
+  return {.map_version = number(2401, n),
+          .program = text(2402, n),
+          .attempt = text(2403, n),
+          .max_tokens = number(2404, n)};
 }
 
 template <>
 Reservation example<Reservation>(int n) {
-  return {.attempt = text(3201, n), .tokens = number(3202, n), .settled = bit(0, n)};
+  return {.attempt = text(3201, n), .tokens = number(3202, n), .committed = bit(0, n)};
 }
 
 template <>
-Reserved example<Reserved>(int n) {
+ReserveReply example<ReserveReply>(int n) {
   return {.verdict = number(2501, n),
-          .map = number(2502, n),
+          .map_version = number(2502, n),
           .others = {example<Reservation>(n + 3), example<Reservation>(n + 4)}};
 }
 
 template <>
-Settle example<Settle>(int n) {
-  return {.program = text(2601, n), .attempt = text(2602, n), .used = number(2603, n)};
+CommitUsage example<CommitUsage>(int n) {
+  return {.program = text(2601, n), .attempt = text(2602, n), .used_tokens = number(2603, n)};
 }
 
 template <>
@@ -290,28 +293,28 @@
           .program = text(2703, n),
           .input = bytes(2704, n),
           .output = bytes(2705, n),
-          .keep_ms = number(2706, n)};
+          .retention_ms = number(2706, n)};
 }
 
 template <>
-Keep example<Keep>(int n) {
-  return {.map = number(2801, n), .turn = example<Turn>(n + 2), .used = number(2803, n)};
+StoreTurnRequest example<StoreTurnRequest>(int n) {
+  return {.map_version = number(2801, n), .turn = example<Turn>(n + 2), .used_tokens = number(2803, n)};
 }
 
 template <>
-Kept example<Kept>(int n) {
-  return {.verdict = number(2901, n), .map = number(2902, n)};
+StoreTurnReply example<StoreTurnReply>(int n) {
+  return {.verdict = number(2901, n), .map_version = number(2902, n)};
 }
 
 template <>
-Find example<Find>(int n) {
-  return {.map = number(3001, n), .id = text(3002, n), .attempt = text(3003, n)};
+FindTurnRequest example<FindTurnRequest>(int n) {
+  return {.map_version = number(3001, n), .id = text(3002, n), .attempt = text(3003, n)};
 }
 
 template <>
-Found example<Found>(int n) {
+FindTurnReply example<FindTurnReply>(int n) {
   return {.verdict = number(3101, n),
-          .map = number(3102, n),
+          .map_version = number(3102, n),
           .turns = {example<Turn>(n + 3), example<Turn>(n + 4)}};
 }
 
@@ -321,18 +324,18 @@
 }
 
 template <>
-Pull example<Pull>(int n) {
-  return {.map = number(3401, n),
+PullRequest example<PullRequest>(int n) {
+  return {.map_version = number(3401, n),
           .node = text(3402, n),
           .turns = bit(0, n),
-          .after = text(3404, n),
-          .wanted = {text(3405, n), text(3405, n + 1)}};
+          .after_id = text(3404, n),
+          .wanted_ids = {text(3405, n), text(3405, n + 1)}};
 }
 
 template <>
-Pulled example<Pulled>(int n) {
+PullReply example<PullReply>(int n) {
   return {.verdict = number(3501, n),
-          .map = number(3502, n),
+          .map_version = number(3502, n),
           .last = bit(0, n),
           .accounts = {example<Account>(n + 4), example<Account>(n + 5)},
           .ids = {text(3505, n), text(3505, n + 1)},
@@ -346,14 +349,16 @@
 
 template <>
 MapRecord example<MapRecord>(int n) {
-  return {.disk = text(3801, n), .map = number(3802, n), .whole = bit(0, n)};
+  return {.disk = text(3801, n), .map_version = number(3802, n), .complete = bit(0, n)};
 }
 
 using Records =
-    std::tuple<Acceptor, StorageNode, Retired, Taken, Value, ValueDifference, Ballot, Prepare, Promise,
-               Accept, Accepted, Chosen, AcceptorRecord, ControllerRecord, Member, HeldDuty, Gossip, Vote,
-               Voted, Listed, EndpointList, Hello, Push, Heartbeat, Reserve, Reservation, Reserved, Settle,
-               Turn, Keep, Kept, Find, Found, Account, Pull, Pulled, StorageNodeRecord, MapRecord>;
+    std::tuple<Acceptor, StorageNode, RetiredNode, AppliedConfiguration, RegisterValue, ValueDifference,
+               Ballot, Prepare, Promise, Accept, Accepted, Chosen, AcceptorRecord, ControllerRecord, Member,
+               HeldRole, Gossip, VoteRequest, VoteReply, EndpointEntry, EndpointList, MemberHeartbeat,
+               ValuePush, ControlHeartbeat, ReserveRequest, Reservation, ReserveReply, CommitUsage, Turn,
+               StoreTurnRequest, StoreTurnReply, FindTurnRequest, FindTurnReply, Account, PullRequest,
+               PullReply, StorageNodeRecord, MapRecord>;
 
 std::string entry(const char* record, int kind, const std::string& which) {
   return record + ("/" + std::to_string(kind)) + "/" + which;
@@ -388,7 +393,7 @@
   compare_booleans<StorageNode>(stored, 3);
   compare_booleans<Member>(stored, 3);
   compare_booleans<Gossip>(stored, 5);
-  compare_booleans<Hello>(stored, 2);
+  compare_booleans<MemberHeartbeat>(stored, 2);
   stored.expect_all_compared();
   EXPECT_EQ(std::tuple_size_v<Records>, 38U);
 }
@@ -396,22 +401,25 @@
 TEST(GoldenFrames, EachSortIsWrittenAndReadAsStored) {
   golden::Stored stored("frames.txt");
   const std::string record = encoded(example<Prepare>(filled));
-  for (const frame::Sort sort : {frame::Sort::word, frame::Sort::call, frame::Sort::answer}) {
-    const std::uint64_t number = sort == frame::Sort::word ? 0 : 0x1122334455667788;
+  for (const frame::MessageType sort :
+       {frame::MessageType::notification, frame::MessageType::request, frame::MessageType::reply}) {
+    const std::uint64_t number = sort == frame::MessageType::notification ? 0 : 0x1122334455667788;
     const std::string name = "sort" + std::to_string(static_cast<int>(sort));
     net::Buffer out;
-    frame::put(out, Prepare::kind, sort, number, record);
+    frame::append(out, Prepare::kind, sort, number, record);
     stored.compare(name, std::string_view(out.bytes().data(), out.bytes().size()));
 
     const std::string bytes = stored.bytes(name);
-    frame::Head head;
-    ASSERT_EQ(frame::look(std::span(bytes.data(), bytes.size()), head), frame::Progress::whole) << name;
+    frame::Header head;
+    ASSERT_EQ(frame::parse_header(std::span(bytes.data(), bytes.size()), head), frame::ParseResult::complete)
+        << name;
     EXPECT_EQ(head.kind, Prepare::kind);
-    EXPECT_EQ(head.sort, sort);
+    EXPECT_EQ(head.type, sort);
     EXPECT_EQ(head.number, number);
     EXPECT_EQ(head.size, record.size());
-    EXPECT_EQ(bytes.substr(frame::head_size), record);
-    EXPECT_EQ(frame::look(std::span(bytes.data(), bytes.size() - 1), head), frame::Progress::more);
+    EXPECT_EQ(bytes.substr(frame::header_size), record);
+    EXPECT_EQ(frame::parse_header(std::span(bytes.data(), bytes.size() - 1), head),
+              frame::ParseResult::incomplete);
   }
   stored.expect_all_compared();
 }
@@ -419,8 +427,10 @@
 // A value's difference from another is made by one process and applied by another.
 TEST(GoldenDifferences, AreWrittenAndAppliedAsStored) {
   golden::Stored stored("differences.txt");
-  const std::string base = encoded(example<Value>(1)) + std::string(300, 'c') + encoded(example<Value>(2));
-  const std::string target = encoded(example<Value>(3)) + std::string(300, 'c') + encoded(example<Value>(2));
+  const std::string base =
+      encoded(example<RegisterValue>(1)) + std::string(300, 'c') + encoded(example<RegisterValue>(2));
+  const std::string target =
+      encoded(example<RegisterValue>(3)) + std::string(300, 'c') + encoded(example<RegisterValue>(2));
   stored.compare("difference_1", difference(base, target));
   EXPECT_EQ(apply_difference(base, stored.bytes("difference_1"), target.size()), target);
   EXPECT_LT(stored.bytes("difference_1").size(), target.size());
