--- a/src/common/disk.cpp
+++ b/src/common/disk.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::string Disk::new_id() {
+std::string Disk::generate_id() {
   std::ifstream random("/dev/urandom", std::ios::binary);
   std::uint64_t bits[2] = {};
   random.read(reinterpret_cast<char*>(bits), sizeof bits);
@@ -42,7 +42,7 @@
   for (const auto& [name, file] : files_) ::close(file.descriptor);
 }
 
-std::vector<std::string> FolderDisk::names() {
+std::vector<std::string> FolderDisk::list_files() {
   std::vector<std::string> out;
   DIR* dir = ::opendir(folder_.c_str());
   if (dir == nullptr) return out;
@@ -94,7 +94,7 @@
   return absl::OkStatus();
 }
 
-absl::Status FolderDisk::cut(const std::string& name, std::size_t size) {
+absl::Status FolderDisk::truncate(const std::string& name, std::size_t size) {
   const absl::StatusOr<int> fd = open(name, true);
   if (!fd.ok()) return fd.status();
   return ::ftruncate(*fd, static_cast<off_t>(size)) == 0 ? absl::OkStatus() : error(name);
@@ -128,7 +128,7 @@
   return ::unlink(path.c_str()) == 0 || errno == ENOENT ? absl::OkStatus() : error(path);
 }
 
-std::vector<std::string> MemoryDisk::names() {
+std::vector<std::string> MemoryDisk::list_files() {
   std::vector<std::string> out;
   for (const auto& [name, file] : files_) out.push_back(name);
   return out;
@@ -152,7 +152,7 @@
   return full ? absl::ResourceExhaustedError(name) : absl::OkStatus();
 }
 
-absl::Status MemoryDisk::cut(const std::string& name, std::size_t size) {
+absl::Status MemoryDisk::truncate(const std::string& name, std::size_t size) {
   const bool no_power = meets(DiskFault::no_power), full = meets(DiskFault::full);
   ++steps_;
   if (no_power) return absl::UnavailableError("no power");
@@ -269,8 +269,8 @@
   return out;
 }
 
-absl::StatusOr<Slots::Opened> Slots::open() {
-  Opened out;
+absl::StatusOr<DurableState::Recovered> DurableState::recover() {
+  Recovered out;
   unread_ = true;  // until it is read to its end
   current_ = 1;
   number_ = 0;
@@ -291,7 +291,7 @@
     found = true;
     number_ = number;
     current_ = slot;
-    out.state = records[0].substr(8);
+    out.checkpoint = records[0].substr(8);
   }
   // Never a state that was told of: the first write of all had not come to its end.
   // What a process before left behind may be read from memory alone: it lasts before anything rests on it.
@@ -312,7 +312,7 @@
     out.changes = unframed(*text, number_, &log_size_);
     // What is behind the last good record would hide what is appended next.
     if (text->size() > log_size_) {
-      if (absl::Status s = disk_.cut(log, log_size_); !s.ok()) return s;
+      if (absl::Status s = disk_.truncate(log, log_size_); !s.ok()) return s;
       if (absl::Status s = disk_.sync(log); !s.ok()) return s;
     }
   }
@@ -320,36 +320,37 @@
   return out;
 }
 
-absl::Status Slots::write(std::string_view state) {
+absl::Status DurableState::write_checkpoint(std::string_view checkpoint) {
   if (unread_) return absl::FailedPreconditionError(name_ + ": what the disk holds could not be read");
   const int next = 1 - current_;
   std::string record(8, '\0');
   const std::uint64_t number = number_ + 1;
   std::memcpy(record.data(), &number, 8);
-  record.append(state);
+  record.append(checkpoint);
   const std::string slot = file("slot", next), log = file("log", next);
-  needs_write_ = true;
-  if (absl::Status s = disk_.cut(log, 0); !s.ok()) return s;
+  needs_checkpoint_ = true;
+  if (absl::Status s = disk_.truncate(log, 0); !s.ok()) return s;
   if (absl::Status s = disk_.sync(log); !s.ok()) return s;
-  if (absl::Status s = disk_.cut(slot, 0); !s.ok()) return s;
+  if (absl::Status s = disk_.truncate(slot, 0); !s.ok()) return s;
   if (absl::Status s = disk_.append(slot, framed(record, 0)); !s.ok()) return s;
   if (absl::Status s = disk_.sync(slot); !s.ok()) return s;
-  needs_write_ = false;
+  needs_checkpoint_ = false;
   current_ = next;
   number_ = number;
   log_size_ = 0;
   return absl::OkStatus();
 }
 
-absl::Status Slots::append(std::string_view change) {
+absl::Status DurableState::append_change(std::string_view change) {
   if (unread_) return absl::FailedPreconditionError(name_ + ": what the disk holds could not be read");
-  if (needs_write_) return absl::FailedPreconditionError(name_ + ": a whole state has to be written first");
+  if (needs_checkpoint_)
+    return absl::FailedPreconditionError(name_ + ": a whole state has to be written first");
   const std::string log = file("log", current_);
   const std::string record = framed(change, number_);
-  needs_write_ = true;
+  needs_checkpoint_ = true;
   if (absl::Status s = disk_.append(log, record); !s.ok()) return s;
   if (absl::Status s = disk_.sync(log); !s.ok()) return s;
-  needs_write_ = false;
+  needs_checkpoint_ = false;
   // Whoever appends writes a whole state once the log is long: one change may come on top.
   check_invariant(Invariant::log_is_bounded, log_size_ <= log_most,
                   [&] { return log + " has " + std::to_string(log_size_) + " bytes before a change"; });
--- a/src/common/disk.hpp
+++ b/src/common/disk.hpp
@@ -18,27 +18,27 @@
 class Disk {
  public:
   virtual ~Disk() = default;
-  virtual std::vector<std::string> names() = 0;
+  virtual std::vector<std::string> list_files() = 0;
   virtual absl::StatusOr<std::string> read(const std::string& name) = 0;  // NotFound: no such file
   // Behind its end; a file that is not there is made. Lasts with the next sync of that file.
   virtual absl::Status append(const std::string& name, std::string_view bytes) = 0;
-  virtual absl::Status cut(const std::string& name, std::size_t size) = 0;
+  virtual absl::Status truncate(const std::string& name, std::size_t size) = 0;
   // What was written and cut before, and the file's own name, last from now on.
   virtual absl::Status sync(const std::string& name) = 0;
   // Until a new file is synced a loss of power may bring it back.
   virtual absl::Status remove(const std::string& name) = 0;
   // A name for a disk that no other disk has: 128 random bits, in hexadecimal digits.
-  virtual std::string new_id();
+  virtual std::string generate_id();
 };
 
 class FolderDisk final : public Disk {
  public:
   explicit FolderDisk(std::string folder) : folder_(std::move(folder)) {}
   ~FolderDisk() override;
-  std::vector<std::string> names() override;
+  std::vector<std::string> list_files() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
   absl::Status append(const std::string& name, std::string_view bytes) override;
-  absl::Status cut(const std::string& name, std::size_t size) override;
+  absl::Status truncate(const std::string& name, std::size_t size) override;
   absl::Status sync(const std::string& name) override;
   absl::Status remove(const std::string& name) override;
 
@@ -66,10 +66,10 @@
 // torn. A fault is set at a numbered step; the steps that were counted tell how many points there are.
 class MemoryDisk : public Disk {
  public:
-  std::vector<std::string> names() override;
+  std::vector<std::string> list_files() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
   absl::Status append(const std::string& name, std::string_view bytes) override;
-  absl::Status cut(const std::string& name, std::size_t size) override;
+  absl::Status truncate(const std::string& name, std::size_t size) override;
   absl::Status sync(const std::string& name) override;
   absl::Status remove(const std::string& name) override;
 
@@ -125,29 +125,29 @@
 // After an order that failed, what it left on the disk is unknown: its state may be read at the next start,
 // or what was there before. Only a whole state may follow, into the slot that is not in use, again and again
 // until that succeeds: its number is above all that a failed order can have left.
-class Slots {
+class DurableState {
  public:
   // `name`: of the state, begins its files' names.
-  Slots(Disk& disk, std::string name) : disk_(disk), name_(std::move(name)) {}
-  struct Opened {
-    std::string state;  // of the newest good slot
+  DurableState(Disk& disk, std::string name) : disk_(disk), name_(std::move(name)) {}
+  struct Recovered {
+    std::string checkpoint;  // of the newest good slot
     std::vector<std::string> changes;
   };
   // NotFound: there is no state yet. DataLoss: there was one, and none of it can be read. Other errors are
   // the disk's: a file that can't be read now is not taken for one that is not there, or an older state would
   // be taken for the newest.
-  absl::StatusOr<Opened> open();
+  absl::StatusOr<Recovered> recover();
   // Lasts once this returns OK. What it held before lasts otherwise, or this: never a mix.
-  absl::Status write(std::string_view state);
+  absl::Status write_checkpoint(std::string_view checkpoint);
   // FailedPrecondition where a whole state has to be written first.
-  absl::Status append(std::string_view change);
+  absl::Status append_change(std::string_view change);
   // An order has failed and no whole state has been written since.
-  bool needs_write() const { return needs_write_; }
+  bool needs_checkpoint() const { return needs_checkpoint_; }
   // Of slots and logs, where states and changes have so many bytes at most.
-  static constexpr std::size_t disk_most(std::size_t state, std::size_t change) {
+  static constexpr std::size_t max_disk_bytes(std::size_t state, std::size_t change) {
     return 2 * (state + record_head) + 2 * (log_most + change + record_head);
   }
-  bool log_is_long() const { return log_size_ > log_most; }
+  bool is_log_full() const { return log_size_ > log_most; }
 
  private:
   static constexpr std::size_t log_most = 512 * 1024;  // bytes: read again within some ms
@@ -158,7 +158,7 @@
   int current_ = 1;  // the first write goes to slot 0
   std::uint64_t number_ = 0;
   std::size_t log_size_ = 0;
-  bool needs_write_ = false;
+  bool needs_checkpoint_ = false;
   bool unread_ = false;  // open() has failed: what is written now could hide a newer state
 };
 
--- a/src/common/disk_health.hpp
+++ b/src/common/disk_health.hpp
@@ -9,20 +9,20 @@
 class DiskHealth {
  public:
   // The outcome of an order to the disk; true where it has lasted.
-  bool note(const absl::Status& outcome) {
-    if (outcome.ok() == works_) return works_;
-    works_ = outcome.ok();
-    if (works_) {
+  bool record_outcome(const absl::Status& outcome) {
+    if (outcome.ok() == healthy_) return healthy_;
+    healthy_ = outcome.ok();
+    if (healthy_) {
       log_info("disk.works", "it takes writes again");
     } else {
       log_event(Level::error, "disk.failed", outcome.ToString());
     }
-    return works_;
+    return healthy_;
   }
-  bool works() const { return works_; }
+  bool is_healthy() const { return healthy_; }
 
  private:
-  bool works_ = true;
+  bool healthy_ = true;
 };
 
 }  // namespace chutevane::common
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -38,13 +38,13 @@
       roster_(settings.machine_losses) {}
 
 absl::Status ControlPlane::open() {
-  const auto got = record_slots_.open();
+  const auto got = record_slots_.recover();
   if (got.ok()) {
-    if (!common::decode(got->state, record_)) return absl::DataLossError("control: record not read");
+    if (!common::decode(got->checkpoint, record_)) return absl::DataLossError("control: record not read");
   } else {
     // A first write that was torn told nobody anything: this disk is as good as new.
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
-    record_.disk = disk_->new_id();
+    record_.disk = disk_->generate_id();
     record_.first = settings_.initial_start;
     if (record_.first) {
       std::vector<common::Acceptor> seeds;
@@ -54,15 +54,15 @@
       }
       record_.initial = first_value(std::move(seeds));
     }
-    if (absl::Status s = record_slots_.write(common::encoded(record_)); !s.ok()) return s;
+    if (absl::Status s = record_slots_.write_checkpoint(common::encoded(record_)); !s.ok()) return s;
   }
   acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
   if (absl::Status s = acceptor_->open(); absl::IsDataLoss(s)) {
     // What it promised cannot be read: it is another disk from here on, and votes for nothing of before.
     common::log_warning("acceptor.lost", s.ToString());
-    record_.disk = disk_->new_id();
+    record_.disk = disk_->generate_id();
     record_.first = false;
-    if (absl::Status w = record_slots_.write(common::encoded(record_)); !w.ok()) return w;
+    if (absl::Status w = record_slots_.write_checkpoint(common::encoded(record_)); !w.ok()) return w;
     acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
   } else if (!s.ok()) {
     return s;
@@ -192,19 +192,19 @@
 void ControlPlane::store_known() {
   record_.initial = register_.initial();
   record_.controllers = controller_addresses();
-  note_disk(record_slots_.write(common::encoded(record_)));
+  note_disk(record_slots_.write_checkpoint(common::encoded(record_)));
 }
 
 // A request that wrote nothing succeeds on a disk that fails, too.
 void ControlPlane::note_disk(const absl::Status& outcome) {
-  if (outcome.ok() && (acceptor_->disk_failing() || record_slots_.needs_write())) return;
-  disk_health_.note(outcome);
+  if (outcome.ok() && (acceptor_->disk_failing() || record_slots_.needs_checkpoint())) return;
+  disk_health_.record_outcome(outcome);
 }
 
 // A disk that has failed is tried again with each step of the loop, not only with the next request.
 void ControlPlane::try_disk_again() {
   if (acceptor_->disk_failing()) note_disk(acceptor_->write_again());
-  if (record_slots_.needs_write()) store_known();
+  if (record_slots_.needs_checkpoint()) store_known();
 }
 
 // ---- the loop
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -116,7 +116,7 @@
   common::ProcessSettings settings_;
   net::TimerQueue timers_;
   std::unique_ptr<common::Disk> disk_;
-  common::Slots record_slots_;
+  common::DurableState record_slots_;
   common::ControllerRecord record_;
   const std::string address_;
   std::optional<AcceptorState> acceptor_;
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -174,7 +174,7 @@
     out.sample(duty->mine() ? 1 : 0, {{"duty", duty->name()}});
   gauge("chutevane_acceptor_voting", "", "1 while this controller's disk votes.",
         acceptor_->voting() ? 1 : 0);
-  gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", disk_health_.works() ? 0 : 1);
+  gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", disk_health_.is_healthy() ? 0 : 1);
 }
 
 std::vector<Member> ControlPlane::members() const {
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -47,10 +47,10 @@
     : slots_(disk, "acceptor"), address_(std::move(address)), disk_id_(std::move(disk_id)), first_(first) {}
 
 absl::Status AcceptorState::open() {
-  const auto got = slots_.open();
+  const auto got = slots_.recover();
   if (absl::IsNotFound(got.status())) return absl::OkStatus();
   if (!got.ok()) return got.status();
-  if (!common::decode(got->state, state_)) return absl::DataLossError("acceptor: slot not read");
+  if (!common::decode(got->checkpoint, state_)) return absl::DataLossError("acceptor: slot not read");
   for (const std::string& change : got->changes) {
     if (!common::decode(change, state_)) return absl::DataLossError("acceptor: log not read");
   }
@@ -64,8 +64,8 @@
                                    std::to_string(state_.accepted.round);
                           });
   const std::string record = common::encoded(state_);
-  const bool as_slot = whole || slots_.log_is_long() || slots_.needs_write();
-  return as_slot ? slots_.write(record) : slots_.append(record);
+  const bool as_slot = whole || slots_.is_log_full() || slots_.needs_checkpoint();
+  return as_slot ? slots_.write_checkpoint(record) : slots_.append_change(record);
 }
 
 bool AcceptorState::named(const RegisterValue& initial) const {
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -65,7 +65,7 @@
   absl::StatusOr<common::Accepted> accept(const common::Accept& ask);
 
   // The disk has refused a state and has taken none since.
-  bool disk_failing() const { return slots_.needs_write(); }
+  bool disk_failing() const { return slots_.needs_checkpoint(); }
   // Tries again, with the state as it is.
   absl::Status write_again() { return store(true); }
 
@@ -80,7 +80,7 @@
   bool named(const RegisterValue& initial) const;
   bool enter(std::int64_t epoch, const RegisterValue& initial);
   absl::Status store(bool whole);
-  common::Slots slots_;
+  common::DurableState slots_;
   const std::string address_, disk_id_;
   const bool first_;  // its disk was new when the whole system was: it is the one that the first set names
   common::AcceptorRecord state_;
--- a/src/ctl/folder.cpp
+++ b/src/ctl/folder.cpp
@@ -72,10 +72,10 @@
 
 template <class Record>
 Presence read_state(common::Disk& disk, const std::string& name, Record& into) {
-  common::Slots slots(disk, name);
-  const auto got = slots.open();
+  common::DurableState slots(disk, name);
+  const auto got = slots.recover();
   if (absl::IsNotFound(got.status())) return Presence::none;
-  if (!got.ok() || !common::decode(got->state, into)) return Presence::lost;
+  if (!got.ok() || !common::decode(got->checkpoint, into)) return Presence::lost;
   for (const std::string& change : got->changes) {
     if (!common::decode(change, into)) return Presence::lost;
   }
@@ -86,7 +86,7 @@
 
 absl::StatusOr<Snapshot> Snapshot::of(common::Disk& disk) {
   Snapshot out;
-  for (const std::string& name : disk.names()) {
+  for (const std::string& name : disk.list_files()) {
     absl::StatusOr<std::string> text = disk.read(name);
     if (!text.ok()) return text.status();
     out.files_[name] = *std::move(text);
@@ -112,7 +112,7 @@
   }
 }
 
-std::vector<std::string> Snapshot::names() {
+std::vector<std::string> Snapshot::list_files() {
   std::vector<std::string> out;
   for (const auto& [name, text] : files_) out.push_back(name);
   return out;
@@ -128,7 +128,7 @@
   return absl::FailedPreconditionError(name + ": only looked at");
 }
 
-absl::Status Snapshot::cut(const std::string& name, std::size_t size) {
+absl::Status Snapshot::truncate(const std::string& name, std::size_t size) {
   const auto found = files_.find(name);
   if (found == files_.end() || found->second.size() < size) return absl::FailedPreconditionError(name);
   torn_.push_back({name, size, found->second.size() - size});
--- a/src/ctl/folder.hpp
+++ b/src/ctl/folder.hpp
@@ -27,10 +27,10 @@
   // Opens files to read alone. Read again where a running process changed one meanwhile.
   static absl::StatusOr<Snapshot> of_folder(const std::string& path);
 
-  std::vector<std::string> names() override;
+  std::vector<std::string> list_files() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
   absl::Status append(const std::string& name, std::string_view bytes) override;
-  absl::Status cut(const std::string& name, std::size_t size) override;
+  absl::Status truncate(const std::string& name, std::size_t size) override;
   absl::Status sync(const std::string& name) override;
   absl::Status remove(const std::string& name) override;
 
--- a/src/edge/ledger.cpp
+++ b/src/edge/ledger.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using common::Turn;
-using storage::Verdict;
+using storage::ReplicaStatus;
 
 constexpr Span ask_most = Span::ms(400);   // for one answer of storage: two ways and a sync take some ms
 constexpr Span ask_again = Span::ms(15);   // where the map is about to change
@@ -101,7 +101,7 @@
 }
 
 std::vector<std::size_t> Ledger::group(const std::string& program) const {
-  return storage::group_of(program, storage_nodes_, losses_);
+  return storage::replica_group(program, storage_nodes_, losses_);
 }
 
 // ---- budgets
@@ -147,12 +147,12 @@
     timers_.after(ask_again, [this, asked] { ask_reserve(asked); });
   };
   if (places.size() <= losses_) return anew();
-  const std::size_t needed = std::max(storage::quorum(places.size()), losses_ + 1);
+  const std::size_t needed = std::max(storage::quorum_size(places.size()), losses_ + 1);
   const common::ReserveRequest ask{map_, asked->program, asked->attempt, asked->most};
   const Span most = std::min(ask_most, asked->until - timers_.now());
   const auto answered = [this, asked, turn, needed, anew](absl::StatusOr<common::ReserveReply> got) {
     if (asked->over || asked->turn != turn) return;
-    const bool yes = got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes;
+    const bool yes = got.ok() && static_cast<ReplicaStatus>(got->verdict) == ReplicaStatus::ok;
     ++(yes ? asked->yes : asked->no);
     if (yes) {
       for (common::Reservation& r : got->others) {
@@ -217,7 +217,7 @@
                         [&](std::size_t i) { return storage_nodes_[i].zone == zone_; });
   keeping->asked = keeping->yes = 0;
   keeping->disks.clear();
-  keeping->needed = std::max(storage::quorum(keeping->group.size()), losses_ + 1);
+  keeping->needed = std::max(storage::quorum_size(keeping->group.size()), losses_ + 1);
   timers_.cancel(keeping->hedge);
   if (keeping->group.size() < keeping->needed) {
     timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
@@ -242,25 +242,26 @@
   const std::uint64_t turn = keeping->turn_number;
   const Span most = std::min(ask_most, std::max(keeping->until - timers_.now(), Span::ms(1)));
   link(storage_nodes_[place].address)
-      .call<common::StoreTurnReply>(common::StoreTurnRequest{map_, keeping->turn, keeping->used}, most,
-                                    [this, keeping, turn, place](absl::StatusOr<common::StoreTurnReply> got) {
-                                      if (keeping->over || keeping->turn_number != turn) return;
-                                      if (keeping->map != map_) return ask_keep(keeping);
-                                      if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes) {
-                                        keeping->disks.insert(place);
-                                        if (++keeping->yes < keeping->needed) return;
-                                        check_kept(*keeping);
-                                        keeping->over = true;
-                                        timers_.cancel(keeping->hedge);
-                                        remember(keeping->turn);
-                                        return keeping->done(true);
-                                      }
-                                      if (keeping->asked < keeping->group.size()) {
-                                        keep_at(keeping, keeping->group[keeping->asked++]);
-                                      } else if (!std::exchange(keeping->again_due, true)) {
-                                        timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
-                                      }
-                                    });
+      .call<common::StoreTurnReply>(
+          common::StoreTurnRequest{map_, keeping->turn, keeping->used}, most,
+          [this, keeping, turn, place](absl::StatusOr<common::StoreTurnReply> got) {
+            if (keeping->over || keeping->turn_number != turn) return;
+            if (keeping->map != map_) return ask_keep(keeping);
+            if (got.ok() && static_cast<ReplicaStatus>(got->verdict) == ReplicaStatus::ok) {
+              keeping->disks.insert(place);
+              if (++keeping->yes < keeping->needed) return;
+              check_kept(*keeping);
+              keeping->over = true;
+              timers_.cancel(keeping->hedge);
+              remember(keeping->turn);
+              return keeping->done(true);
+            }
+            if (keeping->asked < keeping->group.size()) {
+              keep_at(keeping, keeping->group[keeping->asked++]);
+            } else if (!std::exchange(keeping->again_due, true)) {
+              timers_.after(ask_again, [this, keeping] { ask_keep(keeping); });
+            }
+          });
 }
 
 void Ledger::check_kept(const Keeping& keeping) const {
@@ -370,7 +371,7 @@
     seek(seeking);
     return;
   }
-  if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::unknown) ++seeking->unknown;
+  if (got.ok() && static_cast<ReplicaStatus>(got->verdict) == ReplicaStatus::not_found) ++seeking->unknown;
   // Whoever was answered whole with it, it lay at more than the losses: so many that have not got it prove
   // that there is none.
   if (seeking->unknown + losses_ >= seeking->order.size() && seeking->unknown > 0 && seeking->map == map_) {
--- a/src/simulation/disk.cpp
+++ b/src/simulation/disk.cpp
@@ -26,9 +26,9 @@
   return disk_->contents.append(name, bytes);
 }
 
-absl::Status DiskHandle::cut(const std::string& name, std::size_t size) {
+absl::Status DiskHandle::truncate(const std::string& name, std::size_t size) {
   if (failing()) return io_error(name);
-  return disk_->contents.cut(name, size);
+  return disk_->contents.truncate(name, size);
 }
 
 absl::Status DiskHandle::sync(const std::string& name) {
@@ -42,7 +42,7 @@
   return disk_->contents.remove(name);
 }
 
-std::string DiskHandle::new_id() {
+std::string DiskHandle::generate_id() {
   char text[33];
   std::snprintf(text, sizeof text, "%08x%08x%08x%08x", disk_->identities.next(), disk_->identities.next(),
                 disk_->identities.next(), disk_->identities.next());
--- a/src/simulation/disk.hpp
+++ b/src/simulation/disk.hpp
@@ -27,13 +27,13 @@
   // `stand_still` stops the process for so long: its one thread waits for the disk.
   DiskHandle(std::shared_ptr<MachineDisk> disk, std::function<void(Span)> stand_still)
       : disk_(std::move(disk)), stand_still_(std::move(stand_still)) {}
-  std::vector<std::string> names() override { return disk_->contents.names(); }
+  std::vector<std::string> list_files() override { return disk_->contents.list_files(); }
   absl::StatusOr<std::string> read(const std::string& name) override;
   absl::Status append(const std::string& name, std::string_view bytes) override;
-  absl::Status cut(const std::string& name, std::size_t size) override;
+  absl::Status truncate(const std::string& name, std::size_t size) override;
   absl::Status sync(const std::string& name) override;
   absl::Status remove(const std::string& name) override;
-  std::string new_id() override;
+  std::string generate_id() override;
 
  private:
   bool failing() const { return disk_->trouble == DiskTrouble::failing; }
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -14,13 +14,13 @@
 namespace chutevane::storage {
 
 // As many as bear the losses with a majority left; fewer where there are no more.
-inline std::size_t group_size(std::size_t losses) { return 2 * losses + 1; }
-inline std::size_t quorum(std::size_t group) { return group / 2 + 1; }
+inline std::size_t replica_group_size(std::size_t losses) { return 2 * losses + 1; }
+inline std::size_t quorum_size(std::size_t group) { return group / 2 + 1; }
 
 // Places in `storage nodes`, the nearest first. Those that leave get nothing new.
-inline std::vector<std::size_t> group_of(std::string_view program,
-                                         const std::vector<common::StorageNode>& storage_nodes,
-                                         std::size_t losses) {
+inline std::vector<std::size_t> replica_group(std::string_view program,
+                                              const std::vector<common::StorageNode>& storage_nodes,
+                                              std::size_t losses) {
   std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
   for (std::size_t i = 0; i < storage_nodes.size(); ++i) {
     if (storage_nodes[i].draining) continue;
@@ -35,9 +35,9 @@
     return std::count_if(out.begin(), out.end(),
                          [&](std::size_t i) { return storage_nodes[i].zone == zone; });
   };
-  for (std::ptrdiff_t round = 0; out.size() < std::min(group_size(losses), ranked.size()); ++round) {
+  for (std::ptrdiff_t round = 0; out.size() < std::min(replica_group_size(losses), ranked.size()); ++round) {
     for (const auto& [rank, i] : ranked) {
-      if (out.size() == group_size(losses)) break;
+      if (out.size() == replica_group_size(losses)) break;
       if (std::find(out.begin(), out.end(), i) == out.end() && used(storage_nodes[i].zone) <= round)
         out.push_back(i);
     }
@@ -46,21 +46,21 @@
 }
 
 // What a storage sidecar answers.
-enum class Verdict : std::int64_t {
-  yes,
-  moved,    // it has a later map than the asker
-  behind,   // it has not got the asker's map yet
-  unready,  // it is still taking over what is its own by this map
-  unknown,  // no such turn here, and it would have it if this one were asked to keep it
-  unsure,   // not here, and it may be elsewhere
-  full,     // no room
+enum class ReplicaStatus : std::int64_t {
+  ok,
+  caller_map_stale,   // it has a later map than the caller
+  replica_map_stale,  // it has not got the caller's map yet
+  not_ready,          // it is still bootstrapping under this map
+  not_found,          // no such turn here, and it would have it if it had been stored here
+  indeterminate,      // not here, and it may be elsewhere
+  out_of_capacity,    // no room
 };
-constexpr std::size_t verdicts = static_cast<std::size_t>(Verdict::full) + 1;
+constexpr std::size_t replica_status_count = static_cast<std::size_t>(ReplicaStatus::out_of_capacity) + 1;
 
-constexpr std::string_view name_of(Verdict verdict) {
-  constexpr std::string_view names[verdicts] = {"yes",     "moved",  "behind", "unready",
-                                                "unknown", "unsure", "full"};
-  return names[static_cast<std::size_t>(verdict)];
+constexpr std::string_view name_of(ReplicaStatus status) {
+  constexpr std::string_view names[replica_status_count] = {"yes",     "moved",  "behind", "unready",
+                                                            "unknown", "unsure", "full"};
+  return names[static_cast<std::size_t>(status)];
 }
 
 }  // namespace chutevane::storage
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -38,13 +38,13 @@
       rpc_server_(scheduler) {}
 
 absl::Status StoragePlane::open() {
-  const auto got = record_slots_.open();
+  const auto got = record_slots_.recover();
   if (got.ok()) {
-    if (!common::decode(got->state, record_)) return absl::DataLossError("storage: record not read");
+    if (!common::decode(got->checkpoint, record_)) return absl::DataLossError("storage: record not read");
   } else {
     if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
-    record_.disk = disk_->new_id();
-    if (absl::Status s = record_slots_.write(common::encoded(record_)); !s.ok()) return s;
+    record_.disk = disk_->generate_id();
+    if (absl::Status s = record_slots_.write_checkpoint(common::encoded(record_)); !s.ok()) return s;
   }
   if (absl::Status s = open_map_record(); !s.ok()) return s;
   if (absl::Status s = store_.open(timers_.now()); !s.ok()) return s;
@@ -66,18 +66,18 @@
 
 // One that can't be read says nothing: it takes over anew.
 absl::Status StoragePlane::open_map_record() {
-  const auto got = map_slots_.open();
+  const auto got = map_slots_.recover();
   const bool none = absl::IsNotFound(got.status()) || absl::IsDataLoss(got.status());
   if (!got.ok() && !none) return got.status();
-  const bool read = got.ok() && common::decode(got->state, map_record_);
+  const bool read = got.ok() && common::decode(got->checkpoint, map_record_);
   if (!read || map_record_.disk != record_.disk) map_record_ = {record_.disk, 0, false};
   return absl::OkStatus();
 }
 
-Verdict StoragePlane::check(std::int64_t map) const {
-  if (map < map_) return Verdict::moved;
-  if (map > map_) return Verdict::behind;
-  return Verdict::yes;
+ReplicaStatus StoragePlane::check(std::int64_t map) const {
+  if (map < map_) return ReplicaStatus::caller_map_stale;
+  if (map > map_) return ReplicaStatus::replica_map_stale;
+  return ReplicaStatus::ok;
 }
 
 void StoragePlane::when_synced(std::function<void()> then) {
@@ -90,12 +90,12 @@
 
 // What waits for a disk that fails is told once it works again; nothing else is taken up meanwhile.
 void StoragePlane::sync() {
-  const bool worked = disk_health_.works();
+  const bool worked = disk_health_.is_healthy();
   const TimePoint began = timers_.now();
   const absl::Status committed = store_.commit(began);
   ++syncs_;
   sync_time_ = sync_time_ + (timers_.now() - began);
-  if (!disk_health_.note(committed)) {
+  if (!disk_health_.record_outcome(committed)) {
     if (worked) sessions_->report_disk_failing(true);
     timers_.after(disk_again, [this] { sync(); });
     return;
@@ -112,12 +112,12 @@
       [this](Connection& connection, std::uint64_t number, common::ReserveRequest& ask) {
         common::ReserveReply out;
         out.map_version = map_;
-        Verdict verdict = check(ask.map_version);
-        if (verdict == Verdict::yes && (!ready_ || map_record_due_ || store_.failing()))
-          verdict = Verdict::unready;
+        ReplicaStatus verdict = check(ask.map_version);
+        if (verdict == ReplicaStatus::ok && (!ready_ || map_record_due_ || store_.failing()))
+          verdict = ReplicaStatus::not_ready;
         out.verdict = static_cast<std::int64_t>(verdict);
         note_answer(Asked::reserve, verdict, ask.attempt, ask.map_version);
-        if (verdict != Verdict::yes) return connection.reply(number, out);
+        if (verdict != ReplicaStatus::ok) return connection.reply(number, out);
         out.others = store_.reserve(ask.program, ask.attempt, ask.max_tokens, timers_.now());
         answer_when_synced(connection, number, std::move(out));
       });
@@ -129,14 +129,14 @@
       [this](Connection& connection, std::uint64_t number, common::StoreTurnRequest& ask) {
         common::StoreTurnReply out;
         out.map_version = map_;
-        Verdict verdict = check(ask.map_version);
-        if (verdict == Verdict::yes && ((joining() && !ready_) || map_record_due_))
-          verdict = Verdict::unready;
-        if (verdict == Verdict::yes && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
-          verdict = Verdict::full;
+        ReplicaStatus verdict = check(ask.map_version);
+        if (verdict == ReplicaStatus::ok && ((joining() && !ready_) || map_record_due_))
+          verdict = ReplicaStatus::not_ready;
+        if (verdict == ReplicaStatus::ok && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
+          verdict = ReplicaStatus::out_of_capacity;
         out.verdict = static_cast<std::int64_t>(verdict);
         note_answer(Asked::keep, verdict, ask.turn.id, ask.map_version);
-        if (verdict != Verdict::yes) return connection.reply(number, out);
+        if (verdict != ReplicaStatus::ok) return connection.reply(number, out);
         if (ask.used_tokens >= 0)
           store_.settle(ask.turn.program, ask.turn.id, ask.used_tokens, timers_.now());
         const std::uint64_t id = connection.id();
@@ -144,16 +144,16 @@
           if (const Connection* const there = rpc_server_.find(id)) answer_when_synced(*there, number, out);
         });
       });
-  rpc_server_.on<common::FindTurnRequest>(
-      [this](Connection& connection, std::uint64_t number, common::FindTurnRequest& ask) {
-        common::FindTurnReply out;
-        out.map_version = map_;
-        for (const Turn* t : store_.chain(ask.id, chain_bytes, timers_.now())) out.turns.push_back(*t);
-        const Verdict verdict = out.turns.empty() ? verdict_on_missing(ask.map_version) : Verdict::yes;
-        out.verdict = static_cast<std::int64_t>(verdict);
-        note_answer(Asked::find, verdict, ask.attempt, ask.map_version);
-        connection.reply(number, out);
-      });
+  rpc_server_.on<common::FindTurnRequest>([this](Connection& connection, std::uint64_t number,
+                                                 common::FindTurnRequest& ask) {
+    common::FindTurnReply out;
+    out.map_version = map_;
+    for (const Turn* t : store_.chain(ask.id, chain_bytes, timers_.now())) out.turns.push_back(*t);
+    const ReplicaStatus verdict = out.turns.empty() ? verdict_on_missing(ask.map_version) : ReplicaStatus::ok;
+    out.verdict = static_cast<std::int64_t>(verdict);
+    note_answer(Asked::find, verdict, ask.attempt, ask.map_version);
+    connection.reply(number, out);
+  });
   rpc_server_.on<common::PullRequest>(
       [this](Connection& connection, std::uint64_t number, common::PullRequest& ask) {
         answer_pull(connection, number, ask);
@@ -180,12 +180,12 @@
 }
 
 // Of a turn that is not here.
-Verdict StoragePlane::verdict_on_missing(std::int64_t asked_map) const {
-  const Verdict at = check(asked_map);
-  if (at != Verdict::yes) return at;
-  const Verdict verdict = whole_ ? Verdict::unknown : Verdict::unsure;
+ReplicaStatus StoragePlane::verdict_on_missing(std::int64_t asked_map) const {
+  const ReplicaStatus at = check(asked_map);
+  if (at != ReplicaStatus::ok) return at;
+  const ReplicaStatus verdict = whole_ ? ReplicaStatus::not_found : ReplicaStatus::indeterminate;
   common::check_invariant(common::Invariant::unknown_only_when_whole,
-                          verdict != Verdict::unknown || take_over_is_done(),
+                          verdict != ReplicaStatus::not_found || take_over_is_done(),
                           [&] { return "map " + std::to_string(map_) + ", " + describe_take_over(); });
   return verdict;
 }
@@ -212,9 +212,10 @@
 
 // What is not answered as asked is told with the attempt that it was for, at a bounded rate. A turn that is
 // not there is the common answer to those who ask for one, and told by the edge where it matters.
-void StoragePlane::note_answer(Asked asked, Verdict verdict, const std::string& attempt, std::int64_t map) {
+void StoragePlane::note_answer(Asked asked, ReplicaStatus verdict, const std::string& attempt,
+                               std::int64_t map) {
   ++answers_[static_cast<std::size_t>(asked)][static_cast<std::size_t>(verdict)];
-  if (verdict == Verdict::yes || verdict == Verdict::unknown) return;
+  if (verdict == ReplicaStatus::ok || verdict == ReplicaStatus::not_found) return;
   if (!refusals_.admits(timers_.now())) return;
   refusals_.line("id=" + (attempt.empty() ? "none" : attempt) + " asked=" + std::string(name_of(asked)) +
                  " verdict=" + std::string(name_of(verdict)) + " asked_map=" + std::to_string(map) +
@@ -229,10 +230,11 @@
   out.begin(Type::counter, "chutevane_storage_answers", "",
             "Answers to edges, by what was asked and the verdict.");
   for (std::size_t a = 0; a < asked_kinds; ++a) {
-    for (std::size_t v = 0; v < verdicts; ++v) {
+    for (std::size_t v = 0; v < replica_status_count; ++v) {
       if (answers_[a][v] > 0)
-        out.sample(static_cast<double>(answers_[a][v]), {{"asked", name_of(static_cast<Asked>(a))},
-                                                         {"verdict", name_of(static_cast<Verdict>(v))}});
+        out.sample(
+            static_cast<double>(answers_[a][v]),
+            {{"asked", name_of(static_cast<Asked>(a))}, {"verdict", name_of(static_cast<ReplicaStatus>(v))}});
     }
   }
   gauge("chutevane_storage_turns", "", "Turns held.", static_cast<double>(store_.turns()));
@@ -335,7 +337,7 @@
   const auto others =
       std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
                     [&](const common::StorageNode& c) { return !c.draining && c.node != settings_.node; });
-  return !listed || static_cast<std::size_t>(others) < group_size(settings_.machine_losses);
+  return !listed || static_cast<std::size_t>(others) < replica_group_size(settings_.machine_losses);
 }
 
 void StoragePlane::go_when_released(TimePoint latest) {
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -49,7 +49,7 @@
   enum class Asked : std::uint8_t { reserve, keep, find };
   static constexpr std::size_t asked_kinds = static_cast<std::size_t>(Asked::find) + 1;
   static std::string_view name_of(Asked asked);
-  static std::string_view name_of(Verdict verdict) { return storage::name_of(verdict); }
+  static std::string_view name_of(ReplicaStatus verdict) { return storage::name_of(verdict); }
 
   absl::Status open_map_record();
   void listen();
@@ -63,10 +63,10 @@
     });
   }
   bool joining() const;
-  Verdict verdict_on_missing(std::int64_t asked_map) const;
+  ReplicaStatus verdict_on_missing(std::int64_t asked_map) const;
   bool take_over_is_done() const;
   std::string describe_take_over() const;
-  void note_answer(Asked asked, Verdict verdict, const std::string& attempt, std::int64_t map);
+  void note_answer(Asked asked, ReplicaStatus verdict, const std::string& attempt, std::int64_t map);
   void counter_of_syncs(common::MetricsWriter& out) const;
   void value_came(const common::RegisterValue& value);
   void take_over(const std::vector<common::StorageNode>& before);
@@ -80,7 +80,7 @@
   // one does not go by that. Until it is written nothing is answered.
   void write_map_record(std::int64_t map, bool whole);
   void write_map_record_again();
-  Verdict check(std::int64_t map) const;
+  ReplicaStatus check(std::int64_t map) const;
   // Once the whole chain of the turn is here, or none of the others has what is missing: a turn is kept with
   // all that it goes on from, so that these have its time here too.
   struct ChainFetch;
@@ -101,9 +101,9 @@
   common::ProcessSettings settings_;
   net::TimerQueue timers_;
   std::unique_ptr<common::Disk> disk_;
-  common::Slots record_slots_;
+  common::DurableState record_slots_;
   common::StorageNodeRecord record_;
-  common::Slots map_slots_;
+  common::DurableState map_slots_;
   common::MapRecord map_record_;  // as it is on disk, or is to be
   bool map_record_due_ = false;   // ... and is not there yet
   Store store_;
@@ -124,7 +124,7 @@
   bool sync_due_ = false;
   // For the figures and logs.
   static constexpr int refusal_lines_most = 10;  // a second
-  std::array<std::array<std::uint64_t, verdicts>, asked_kinds> answers_{};
+  std::array<std::array<std::uint64_t, replica_status_count>, asked_kinds> answers_{};
   common::RateLimitedLog refusals_{"storage.refused", refusal_lines_most};
   std::uint64_t syncs_ = 0;
   Span sync_time_;
--- a/src/storage/storage_take_over.cpp
+++ b/src/storage/storage_take_over.cpp
@@ -32,7 +32,7 @@
   out.map_version = map_;
   out.last = true;
   const auto mine = [&](const std::string& program) {
-    for (const std::size_t i : group_of(program, storage_nodes_, settings_.machine_losses)) {
+    for (const std::size_t i : replica_group(program, storage_nodes_, settings_.machine_losses)) {
       if (storage_nodes_[i].node == ask.node) return true;
     }
     return false;
@@ -44,7 +44,7 @@
   if (map_ != ask.map_version) {
     out.verdict = static_cast<std::int64_t>(check(ask.map_version));
   } else if (!named) {  // a disk that no map names yet is no source: what its place held is not here
-    out.verdict = static_cast<std::int64_t>(Verdict::unready);
+    out.verdict = static_cast<std::int64_t>(ReplicaStatus::not_ready);
   } else if (!ask.wanted_ids.empty()) {
     out.last = false;  // says nothing about the names
     for (const std::string& id : ask.wanted_ids) {
@@ -164,7 +164,7 @@
   if (turn != turn_ || found == taking_.end()) return;
   Taking& t = found->second;
   const TimePoint now = timers_.now();
-  if (!got.ok() || static_cast<Verdict>(got->verdict) != Verdict::yes) {
+  if (!got.ok() || static_cast<ReplicaStatus>(got->verdict) != ReplicaStatus::ok) {
     if (got.ok()) t.since = now;
     if (now - t.since > silent_most) t.given_up = true;
     t.wanted.clear();  // asked for again by name
@@ -215,7 +215,7 @@
 }
 
 void StoragePlane::write_map_record_again() {
-  if (map_slots_.write(common::encoded(map_record_)).ok()) {
+  if (map_slots_.write_checkpoint(common::encoded(map_record_)).ok()) {
     map_record_due_ = false;
     return;
   }
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -45,7 +45,7 @@
 }
 
 absl::Status Store::open(TimePoint now) {
-  for (const std::string& name : disk_.names()) {
+  for (const std::string& name : disk_.list_files()) {
     if (const auto number = segment_of(name)) segments_[*number].since = now;
   }
   for (const auto& [number, segment] : segments_) {
@@ -158,7 +158,7 @@
   const std::string name = segment_name(current_);
   if (failing_) {
     // What a failed try has left, torn or whole, would hide what is appended next or stand there twice.
-    if (absl::Status s = disk_.cut(name, current_size_); !s.ok()) return s;
+    if (absl::Status s = disk_.truncate(name, current_size_); !s.ok()) return s;
   }
   failing_ = true;
   if (absl::Status s = disk_.append(name, pending_); !s.ok()) return s;
--- a/tests/common/disk_test.cpp
+++ b/tests/common/disk_test.cpp
@@ -1,5 +1,5 @@
-// Slots on a disk that loses power, or whose process is killed, at every step in turn: what was reported as
-// lasting is there, or the state that was being written; never a mix.
+// DurableState on a disk that loses power, or whose process is killed, at every step in turn: what was
+// reported as lasting is there, or the state that was being written; never a mix.
 #include "common/disk.hpp"
 
 #include <algorithm>
@@ -12,9 +12,9 @@
 
 using chutevane::common::Disk;
 using chutevane::common::DiskFault;
+using chutevane::common::DurableState;
 using chutevane::common::framed;
 using chutevane::common::MemoryDisk;
-using chutevane::common::Slots;
 using chutevane::common::unframed;
 
 namespace {
@@ -34,7 +34,7 @@
   }
 };
 
-Held held(const Slots::Opened& from) { return {true, from.state, from.changes}; }
+Held held(const DurableState::Recovered& from) { return {true, from.checkpoint, from.changes}; }
 
 // One order to the slots.
 struct Order {
@@ -45,7 +45,9 @@
     before.changes.push_back(text);
     return before;
   }
-  absl::Status give(Slots& slots) const { return whole ? slots.write(text) : slots.append(text); }
+  absl::Status give(DurableState& slots) const {
+    return whole ? slots.write_checkpoint(text) : slots.append_change(text);
+  }
 };
 
 // Long states, shorter ones over them, and logs of several records beside each.
@@ -72,7 +74,7 @@
   Held sure, tried;
 };
 
-Run give_all(Slots& slots, Held from, const std::vector<Order>& all) {
+Run give_all(DurableState& slots, Held from, const std::vector<Order>& all) {
   Run out{from, from};
   for (const Order& order : all) {
     out.tried = order.after(out.sure);
@@ -84,14 +86,14 @@
 
 std::size_t steps_of_all() {
   MemoryDisk disk;
-  Slots slots(disk, "s");
+  DurableState slots(disk, "s");
   give_all(slots, {}, orders());
   return disk.steps();
 }
 
 // Opens, and says what is there; a first write that was torn counts as nothing, it had told nobody.
-Held open_again(Slots& slots, const Run& before, const std::string& where) {
-  const auto got = slots.open();
+Held open_again(DurableState& slots, const Run& before, const std::string& where) {
+  const auto got = slots.recover();
   if (got.ok()) return held(*got);
   CHECK_TEXT(!before.sure.there, (where + ": lost, though reported: " + got.status().ToString()).c_str());
   return {};
@@ -114,17 +116,17 @@
 
 TEST(DiskSlots, NothingIsThereAtFirst) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(absl::IsNotFound(slots.open().status()));
+  DurableState slots(disk, "s");
+  CHECK_TRUE(absl::IsNotFound(slots.recover().status()));
 }
 
 TEST(DiskSlots, WhatIsWrittenIsRead) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
+  DurableState slots(disk, "s");
   const Run done = give_all(slots, {}, orders());
   CHECK_TRUE(done.sure == done.tried);
-  Slots again(disk, "s");
-  const auto got = again.open();
+  DurableState again(disk, "s");
+  const auto got = again.recover();
   CHECK_TRUE(got.ok());
   CHECK_TRUE(held(*got) == done.sure);
 }
@@ -137,11 +139,11 @@
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t luck = 0; luck < lucks; ++luck) {
       MemoryDisk disk;
-      Slots slots(disk, "s");
+      DurableState slots(disk, "s");
       disk.fail_from(point);
       const Run before = give_all(slots, {}, orders());
       disk.power_cycle(luck);
-      Slots again(disk, "s");
+      DurableState again(disk, "s");
       check_held(open_again(again, before, place(point, luck)), before, place(point, luck));
     }
   }
@@ -157,17 +159,17 @@
       for (std::uint64_t luck = 0; luck < 6; ++luck) {
         const std::string where = place(first, luck) + numbered(", second ", second);
         MemoryDisk disk;
-        Slots slots(disk, "s");
+        DurableState slots(disk, "s");
         disk.fail_from(first);
         const Run before = give_all(slots, {}, orders());
         disk.power_cycle(luck * 77 + first);
-        Slots again(disk, "s");
+        DurableState again(disk, "s");
         const Held there = open_again(again, before, where);
         if (!there.there) continue;  // it would begin as a new disk does
         disk.fail_from(disk.steps() + second);
         const Run then = give_all(again, there, more);
         disk.power_cycle(luck * 131 + second);
-        Slots last(disk, "s");
+        DurableState last(disk, "s");
         check_held(open_again(last, then, where), then, where);
       }
     }
@@ -179,11 +181,11 @@
   const std::size_t points = steps_of_all();
   for (std::size_t point = 0; point <= points; ++point) {
     MemoryDisk disk;
-    Slots slots(disk, "s");
+    DurableState slots(disk, "s");
     disk.fail_from(point);
     const Run before = give_all(slots, {}, orders());
     disk.fail_from(static_cast<std::size_t>(-1));
-    Slots again(disk, "s");
+    DurableState again(disk, "s");
     check_held(open_again(again, before, place(point, 0)), before, place(point, 0));
   }
 }
@@ -196,28 +198,28 @@
   for (std::size_t point = 0; point < points; ++point) {
     for (std::uint64_t luck = 0; luck < 10; ++luck) {
       MemoryDisk disk;
-      Slots slots(disk, "s");
+      DurableState slots(disk, "s");
       disk.fail_from(point);
       const Run before = give_all(slots, {}, orders());
       disk.fail_from(static_cast<std::size_t>(-1));
       CHECK_FALSE((Order{false, "behind"}.give(slots).ok()));
       MemoryDisk other = disk;
-      Slots written(other, "s");
+      DurableState written(other, "s");
       const Held found = open_again(written, before, place(point, luck));
       check_held(found, before, place(point, luck));
       CHECK_TRUE((Order{true, "whole"}.give(slots).ok()));
       MemoryDisk dark = disk;
       dark.power_cycle(luck);
-      Slots lasting(dark, "s");
-      const auto last = lasting.open();
-      CHECK_TRUE(last.ok() && last->state == "whole" && last->changes.empty());
+      DurableState lasting(dark, "s");
+      const auto last = lasting.recover();
+      CHECK_TRUE(last.ok() && last->checkpoint == "whole" && last->changes.empty());
       std::swap(disk, other);  // as it was before that
       const Held there = open_again(slots, before, place(point, luck));
       check_held(there, before, place(point, luck));
       const Run then = give_all(slots, there, {{true, "next"}, {false, "n1"}, {true, "last"}, {false, "l1"}});
       CHECK_TRUE(then.sure.state == "last");
       disk.power_cycle(luck);
-      Slots again(disk, "s");
+      DurableState again(disk, "s");
       check_held(open_again(again, then, place(point, luck)), then, place(point, luck));
     }
   }
@@ -234,18 +236,19 @@
     std::string bad;
   };
   Unreadable disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(slots.write("first").ok() && slots.write("second").ok() && slots.append("change").ok());
+  DurableState slots(disk, "s");
+  CHECK_TRUE(slots.write_checkpoint("first").ok() && slots.write_checkpoint("second").ok() &&
+             slots.append_change("change").ok());
   for (const char* bad : {"s.slot1", "s.log1"}) {
     disk.bad = bad;
-    Slots again(disk, "s");
-    CHECK_TRUE(absl::IsInternal(again.open().status()));
-    CHECK_FALSE(again.append("behind").ok() || again.write("over").ok());
+    DurableState again(disk, "s");
+    CHECK_TRUE(absl::IsInternal(again.recover().status()));
+    CHECK_FALSE(again.append_change("behind").ok() || again.write_checkpoint("over").ok());
   }
   disk.bad.clear();
-  Slots last(disk, "s");
-  const auto got = last.open();
-  CHECK_TRUE(got.ok() && got->state == "second" && got->changes == std::vector<std::string>{"change"});
+  DurableState last(disk, "s");
+  const auto got = last.recover();
+  CHECK_TRUE(got.ok() && got->checkpoint == "second" && got->changes == std::vector<std::string>{"change"});
 }
 
 // A fault while it is opened: cutting the spoilt end of a log takes steps too.
@@ -255,15 +258,15 @@
     for (std::uint64_t luck = 0; luck < lucks; ++luck) {
       for (std::size_t step = 0; step < 3; ++step) {
         MemoryDisk disk;
-        Slots slots(disk, "s");
+        DurableState slots(disk, "s");
         disk.fail_from(point);
         const Run before = give_all(slots, {}, orders());
         disk.power_cycle(luck);
         disk.fail_from(disk.steps() + step);
-        Slots torn(disk, "s");
-        (void)torn.open();
+        DurableState torn(disk, "s");
+        (void)torn.recover();
         disk.power_cycle(luck + 7);
-        Slots again(disk, "s");
+        DurableState again(disk, "s");
         check_held(open_again(again, before, place(point, luck)), before, place(point, luck));
       }
     }
@@ -273,27 +276,27 @@
 TEST(DiskSlots, SpoiltRecordEndsTheLog) {
   for (std::size_t at = 0; at < 120; ++at) {
     MemoryDisk disk;
-    Slots slots(disk, "s");
-    CHECK_TRUE(slots.write("state").ok());
-    for (const char* change : {"first", "second", "third"}) CHECK_TRUE(slots.append(change).ok());
+    DurableState slots(disk, "s");
+    CHECK_TRUE(slots.write_checkpoint("state").ok());
+    for (const char* change : {"first", "second", "third"}) CHECK_TRUE(slots.append_change(change).ok());
     std::string log = *disk.read("s.log0");
     if (at >= log.size()) break;
     log[at] = static_cast<char>(log[at] ^ 0x10);
-    CHECK_TRUE(disk.cut("s.log0", 0).ok());
+    CHECK_TRUE(disk.truncate("s.log0", 0).ok());
     CHECK_TRUE(disk.append("s.log0", log).ok());
     CHECK_TRUE(disk.sync("s.log0").ok());
     const std::size_t good = at / 22;  // of records: 16 bytes and the text; "first" has 21
-    Slots again(disk, "s");
-    const auto got = again.open();
+    DurableState again(disk, "s");
+    const auto got = again.recover();
     CHECK_TRUE(got.ok());
     CHECK_TRUE(got->changes.size() <= good + (at >= 21 ? 1 : 0));
     const std::vector<std::string> all = {"first", "second", "third"};
     for (std::size_t i = 0; i < got->changes.size(); ++i) CHECK_TRUE(got->changes[i] == all[i]);
     CHECK_TRUE(got->changes.size() < 3);
     // What is appended then is not hidden behind the spoilt bytes.
-    CHECK_TRUE(again.append("behind").ok());
-    Slots last(disk, "s");
-    const auto then = last.open();
+    CHECK_TRUE(again.append_change("behind").ok());
+    DurableState last(disk, "s");
+    const auto then = last.recover();
     CHECK_TRUE(then.ok());
     CHECK_EQUAL(got->changes.size() + 1, then->changes.size());
     CHECK_TRUE(then->changes.back() == "behind");
@@ -302,35 +305,35 @@
 
 TEST(DiskSlots, OlderSlotDoesNotWin) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(slots.write("first").ok());
-  CHECK_TRUE(slots.append("old change").ok());
-  CHECK_TRUE(slots.write("second").ok());
-  Slots again(disk, "s");
-  const auto got = again.open();
-  CHECK_TRUE(got.ok() && got->state == "second" && got->changes.empty());
+  DurableState slots(disk, "s");
+  CHECK_TRUE(slots.write_checkpoint("first").ok());
+  CHECK_TRUE(slots.append_change("old change").ok());
+  CHECK_TRUE(slots.write_checkpoint("second").ok());
+  DurableState again(disk, "s");
+  const auto got = again.recover();
+  CHECK_TRUE(got.ok() && got->checkpoint == "second" && got->changes.empty());
   // And the other way round, where the newer one lies in the first slot.
-  CHECK_TRUE(again.write("third").ok());
-  Slots last(disk, "s");
-  const auto then = last.open();
-  CHECK_TRUE(then.ok() && then->state == "third" && then->changes.empty());
+  CHECK_TRUE(again.write_checkpoint("third").ok());
+  DurableState last(disk, "s");
+  const auto then = last.recover();
+  CHECK_TRUE(then.ok() && then->checkpoint == "third" && then->changes.empty());
 }
 
 // The newer slot is spoilt on the disk: the older, good one is read with its own log.
 TEST(DiskSlots, SpoiltSlotGivesWayToTheOlder) {
   for (std::size_t at = 0; at < 16 + 8 + 6; ++at) {
     MemoryDisk disk;
-    Slots slots(disk, "s");
-    CHECK_TRUE(slots.write("first").ok());
-    CHECK_TRUE(slots.append("change").ok());
-    CHECK_TRUE(slots.write("second").ok());
+    DurableState slots(disk, "s");
+    CHECK_TRUE(slots.write_checkpoint("first").ok());
+    CHECK_TRUE(slots.append_change("change").ok());
+    CHECK_TRUE(slots.write_checkpoint("second").ok());
     std::string slot = *disk.read("s.slot1");
     CHECK_EQUAL(static_cast<std::size_t>(30), slot.size());
     slot[at] = static_cast<char>(slot[at] ^ 1);
-    CHECK_TRUE(disk.cut("s.slot1", 0).ok() && disk.append("s.slot1", slot).ok());
-    Slots again(disk, "s");
-    const auto got = again.open();
-    CHECK_TRUE(got.ok() && got->state == "first");
+    CHECK_TRUE(disk.truncate("s.slot1", 0).ok() && disk.append("s.slot1", slot).ok());
+    DurableState again(disk, "s");
+    const auto got = again.recover();
+    CHECK_TRUE(got.ok() && got->checkpoint == "first");
     CHECK_TRUE(got->changes == std::vector<std::string>{"change"});
   }
 }
@@ -338,40 +341,41 @@
 // Both spoilt: that is told, and is not taken for a new disk.
 TEST(DiskSlots, BothSpoiltIsALoss) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(slots.write("first").ok() && slots.write("second").ok());
-  for (const char* name : {"s.slot0", "s.slot1"}) CHECK_TRUE(disk.cut(name, 20).ok());
-  Slots again(disk, "s");
-  CHECK_TRUE(absl::IsDataLoss(again.open().status()));
+  DurableState slots(disk, "s");
+  CHECK_TRUE(slots.write_checkpoint("first").ok() && slots.write_checkpoint("second").ok());
+  for (const char* name : {"s.slot0", "s.slot1"}) CHECK_TRUE(disk.truncate(name, 20).ok());
+  DurableState again(disk, "s");
+  CHECK_TRUE(absl::IsDataLoss(again.recover().status()));
 }
 
 // A log that a lost cut has left beside a newer slot: its records are of an older state.
 TEST(DiskSlots, RecordsOfAnOlderLogAreNotTaken) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(slots.write("first").ok());
-  CHECK_TRUE(slots.append("of the first").ok());
+  DurableState slots(disk, "s");
+  CHECK_TRUE(slots.write_checkpoint("first").ok());
+  CHECK_TRUE(slots.append_change("of the first").ok());
   const std::string old_log = *disk.read("s.log0");
-  CHECK_TRUE(slots.write("second").ok());
-  CHECK_TRUE(slots.write("third").ok());  // into the slot beside that log
-  CHECK_TRUE(disk.cut("s.log0", 0).ok() && disk.append("s.log0", old_log).ok());
-  Slots again(disk, "s");
-  const auto got = again.open();
-  CHECK_TRUE(got.ok() && got->state == "third");
+  CHECK_TRUE(slots.write_checkpoint("second").ok());
+  CHECK_TRUE(slots.write_checkpoint("third").ok());  // into the slot beside that log
+  CHECK_TRUE(disk.truncate("s.log0", 0).ok() && disk.append("s.log0", old_log).ok());
+  DurableState again(disk, "s");
+  const auto got = again.recover();
+  CHECK_TRUE(got.ok() && got->checkpoint == "third");
   CHECK_TRUE(got->changes.empty());
-  CHECK_TRUE(again.append("of the third").ok());
-  Slots last(disk, "s");
-  const auto then = last.open();
+  CHECK_TRUE(again.append_change("of the third").ok());
+  DurableState last(disk, "s");
+  const auto then = last.recover();
   CHECK_TRUE(then.ok() && then->changes == std::vector<std::string>{"of the third"});
 }
 
 TEST(DiskSlots, NamesDoNotMix) {
   MemoryDisk disk;
-  Slots a(disk, "a"), b(disk, "b");
-  CHECK_TRUE(a.write("of a").ok() && b.write("of b").ok() && a.append("to a").ok());
-  Slots again(disk, "b");
-  const auto got = again.open();
-  CHECK_TRUE(got.ok() && got->state == "of b" && got->changes.empty());
+  DurableState a(disk, "a"), b(disk, "b");
+  CHECK_TRUE(a.write_checkpoint("of a").ok() && b.write_checkpoint("of b").ok() &&
+             a.append_change("to a").ok());
+  DurableState again(disk, "b");
+  const auto got = again.recover();
+  CHECK_TRUE(got.ok() && got->checkpoint == "of b" && got->changes.empty());
 }
 
 TEST_GROUP(DiskFrames){};
@@ -416,16 +420,16 @@
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t luck = 0; luck < lucks; ++luck) {
       MemoryDisk disk;
-      Slots slots(disk, "s");
+      DurableState slots(disk, "s");
       disk.fail_from(point);
       const Run before = give_all(slots, {}, orders());
       disk.fail_from(static_cast<std::size_t>(-1));  // killed: the files are as they were
-      Slots again(disk, "s");
-      const auto told = again.open();
+      DurableState again(disk, "s");
+      const auto told = again.recover();
       if (!told.ok()) continue;
       disk.power_cycle(luck);
-      Slots last(disk, "s");
-      const auto got = last.open();
+      DurableState last(disk, "s");
+      const auto got = last.recover();
       CHECK_WHERE(got.ok() && held(*got) == held(*told),
                   place(point, luck) + ": told " + held(*told).text() + ", then " +
                       (got.ok() ? held(*got).text() : got.status().ToString()));
@@ -439,8 +443,8 @@
                           const std::string& where){
         for (std::uint64_t luck = 0; luck < 6; ++luck){MemoryDisk dark = disk;
 dark.power_cycle(luck);
-Slots again(dark, "s");
-const auto got = again.open();
+DurableState again(dark, "s");
+const auto got = again.recover();
 if (!got.ok()) {
   CHECK_WHERE(!sure.there, where + ": lost, though reported: " + got.status().ToString());
   continue;
@@ -462,7 +466,7 @@
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
                                   numbered(", steps ", length);
         MemoryDisk disk;
-        Slots slots(disk, "s");
+        DurableState slots(disk, "s");
         disk.fail(fault, from, from + length);
         Held sure;
         for (const Order& order : orders()) {
@@ -470,7 +474,7 @@
           Order now = order;
           for (int tries = 0;; ++tries) {
             CHECK_WHERE(tries < 12, where + ": the disk works, and the order fails");
-            if (slots.needs_write() || !sure.there) now = {true, "whole after " + order.text};
+            if (slots.needs_checkpoint() || !sure.there) now = {true, "whole after " + order.text};
             tried.push_back(now.after(sure));
             if (now.give(slots).ok()) break;
             check_now(disk, sure, tried, where + ", failed " + order.text.substr(0, 5));
@@ -486,30 +490,30 @@
 // What a failed order has left may be newer than what is in use: nothing may be appended behind that.
 TEST(DiskSlotsFaults, NothingIsAppendedAfterAFailedOrder) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(slots.write("first").ok());
+  DurableState slots(disk, "s");
+  CHECK_TRUE(slots.write_checkpoint("first").ok());
   disk.fail(DiskFault::sync_unsure, disk.steps() + 4, disk.steps() + 5);  // the last step of a write
-  CHECK_FALSE(slots.write("second").ok());
-  CHECK_TRUE(absl::IsFailedPrecondition(slots.append("change of the first")));
-  CHECK_TRUE(slots.write("third").ok());
-  CHECK_TRUE(slots.append("change of the third").ok());
-  Slots again(disk, "s");
-  const auto got = again.open();
-  CHECK_TRUE(got.ok() && got->state == "third");
+  CHECK_FALSE(slots.write_checkpoint("second").ok());
+  CHECK_TRUE(absl::IsFailedPrecondition(slots.append_change("change of the first")));
+  CHECK_TRUE(slots.write_checkpoint("third").ok());
+  CHECK_TRUE(slots.append_change("change of the third").ok());
+  DurableState again(disk, "s");
+  const auto got = again.recover();
+  CHECK_TRUE(got.ok() && got->checkpoint == "third");
   CHECK_TRUE(got->changes == std::vector<std::string>{"change of the third"});
 }
 
 // A start changes nothing that needs room: it succeeds on a full disk.
 TEST(DiskSlotsFaults, OpensOnAFullDisk) {
   MemoryDisk disk;
-  Slots slots(disk, "s");
-  CHECK_TRUE(slots.write("state").ok() && slots.append("change").ok());
+  DurableState slots(disk, "s");
+  CHECK_TRUE(slots.write_checkpoint("state").ok() && slots.append_change("change").ok());
   disk.fail(DiskFault::full, disk.steps(), disk.steps() + 1000);
-  Slots again(disk, "s");
-  const auto got = again.open();
-  CHECK_TRUE(got.ok() && got->state == "state" && got->changes.size() == 1);
-  CHECK_FALSE(again.append("more").ok());
-  CHECK_TRUE(again.needs_write());
+  DurableState again(disk, "s");
+  const auto got = again.recover();
+  CHECK_TRUE(got.ok() && got->checkpoint == "state" && got->changes.size() == 1);
+  CHECK_FALSE(again.append_change("more").ok());
+  CHECK_TRUE(again.needs_checkpoint());
 }
 
 // ---- names in the folder
--- a/tests/common/folder_disk_test.cpp
+++ b/tests/common/folder_disk_test.cpp
@@ -62,7 +62,7 @@
 
 TEST(FolderDiskNames, AFileThatIsMadeByACutToo) {
   chutevane::common::FolderDisk disk(folder);
-  CHECK_TRUE(disk.cut("a", 0).ok());
+  CHECK_TRUE(disk.truncate("a", 0).ok());
   CHECK_TRUE(disk.sync("a").ok());
   CHECK_EQUAL(1, syncs_of(folder));
 }
--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -34,7 +34,7 @@
 
 std::size_t disk_bytes(common::MemoryDisk& disk) {
   std::size_t out = 0;
-  for (const std::string& name : disk.names()) out += disk.read(name)->size();
+  for (const std::string& name : disk.list_files()) out += disk.read(name)->size();
   return out;
 }
 
@@ -318,7 +318,7 @@
     // A record holds two values: the accepted one and the epoch's first.
     const std::size_t record = 2 * (largest + 200);
     for (const Machine& m : field.all)
-      check(disk_bytes(*m.disk) <= common::Slots::disk_most(record, record),
+      check(disk_bytes(*m.disk) <= common::DurableState::max_disk_bytes(record, record),
             m.address + ": its disk is not bounded");
   }
 
--- a/tests/control/register_test.cpp
+++ b/tests/control/register_test.cpp
@@ -800,8 +800,8 @@
         CHECK_WHERE(got->accepted.round == accepted || got->accepted.round == tried, where);
         CHECK_WHERE(got->value.config.data == text + std::to_string(got->accepted.round), where);
         std::size_t held = 0;
-        for (const std::string& name : disk.names()) held += disk.read(name)->size();
-        CHECK_WHERE(held <= common::Slots::disk_most(size + 2000, size + 2000), where);
+        for (const std::string& name : disk.list_files()) held += disk.read(name)->size();
+        CHECK_WHERE(held <= common::DurableState::max_disk_bytes(size + 2000, size + 2000), where);
       }
     }
   }
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -19,10 +19,10 @@
 class Untouched final : public common::Disk {
  public:
   explicit Untouched(common::Disk& below) : below_(below) {}
-  std::vector<std::string> names() override { return below_.names(); }
+  std::vector<std::string> list_files() override { return below_.list_files(); }
   absl::StatusOr<std::string> read(const std::string& name) override { return below_.read(name); }
   absl::Status append(const std::string&, std::string_view) override { return touched(); }
-  absl::Status cut(const std::string&, std::size_t) override { return touched(); }
+  absl::Status truncate(const std::string&, std::size_t) override { return touched(); }
   absl::Status sync(const std::string&) override { return touched(); }
   absl::Status remove(const std::string&) override { return touched(); }
   int changes = 0;
@@ -50,14 +50,14 @@
   }
   std::string text(const std::string& name) { return *disk.read(name); }
   void write_controller() {
-    common::Slots slots(disk, "control");
+    common::DurableState slots(disk, "control");
     common::ControllerRecord record;
     record.disk = "d1";
     record.first = true;
     record.known.number = 7;
-    CHECK(slots.write(common::encoded(record)).ok());
+    CHECK(slots.write_checkpoint(common::encoded(record)).ok());
     record.known.number = 8;
-    CHECK(slots.append(common::encoded(record)).ok());
+    CHECK(slots.append_change(common::encoded(record)).ok());
   }
   void write_acceptor() {
     control::AcceptorState state(disk, "10.0.0.1:1", "d1", true);
@@ -136,7 +136,7 @@
   write_controller();
   const std::string log = "control.log0", whole = text(log);
   for (std::size_t size = 1; size < whole.size(); ++size) {
-    CHECK(disk.cut(log, 0).ok());
+    CHECK(disk.truncate(log, 0).ok());
     CHECK(disk.append(log, whole.substr(0, size)).ok());
     const Holdings got = look();
     CHECK(got.has_controller == Presence::whole);
@@ -154,7 +154,7 @@
   const std::string whole = text("turns.1");
   std::size_t most = 0;
   for (std::size_t size = 0; size < whole.size(); ++size) {
-    CHECK(disk.cut("turns.1", 0).ok());
+    CHECK(disk.truncate("turns.1", 0).ok());
     CHECK(disk.append("turns.1", whole.substr(0, size)).ok());
     const Holdings got = look();
     CHECK(got.turns.size() >= most);
@@ -210,7 +210,7 @@
   {
     write_controller();
     write_store();
-    for (const std::string& file : disk.names())
+    for (const std::string& file : disk.list_files())
       std::ofstream(path + "/" + file, std::ios::binary) << text(file);
     std::ofstream(path + "/turns.1", std::ios::binary | std::ios::app) << "torn";
     ::chmod((path + "/turns.1").c_str(), 0444);
@@ -231,8 +231,8 @@
   auto snapshot = Snapshot::of_folder(path);
   CHECK(snapshot.ok());
   CHECK(!snapshot->moving());
-  LONGS_EQUAL(disk.names().size(), snapshot->names().size());
-  for (const std::string& file : disk.names()) ::unlink((path + "/" + file).c_str());
+  LONGS_EQUAL(disk.list_files().size(), snapshot->list_files().size());
+  for (const std::string& file : disk.list_files()) ::unlink((path + "/" + file).c_str());
   LONGS_EQUAL(0, ::rmdir(path.c_str()));
   LONGS_EQUAL(2, played.run({"disk", "show", path}));
   CHECK(played.err.str().find(path) != std::string::npos);
--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -318,7 +318,7 @@
                                                  std::uint64_t number, const common::FindTurnRequest& find) {
     common::FindTurnReply found;
     if (const auto known = kept.find(find.id); known != kept.end()) found.turns.push_back(known->second);
-    if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::Verdict::unknown);
+    if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::ReplicaStatus::not_found);
     connection.reply(number, found);
   });
   rpc_server_.listen(at);
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -37,13 +37,13 @@
 
 // All files of a disk, each stored as CASE/FILE, and no others.
 void compare_files(golden::Stored& stored, const std::string& prefix, common::Disk& disk) {
-  for (const std::string& name : disk.names()) stored.compare(prefix + name, *disk.read(name));
+  for (const std::string& name : disk.list_files()) stored.compare(prefix + name, *disk.read(name));
   stored.expect_all_compared(prefix);
 }
 
 void fill(common::Disk& disk, const golden::Stored& stored, const std::string& prefix) {
   for (const auto& [name, bytes] : stored.under(prefix)) {
-    ASSERT_TRUE(disk.cut(name, 0).ok() && disk.append(name, bytes).ok() && disk.sync(name).ok());
+    ASSERT_TRUE(disk.truncate(name, 0).ok() && disk.append(name, bytes).ok() && disk.sync(name).ok());
   }
 }
 
@@ -51,15 +51,17 @@
 class SharedDisk final : public common::Disk {
  public:
   explicit SharedDisk(MemoryDisk& disk) : disk_(disk) {}
-  std::vector<std::string> names() override { return disk_.names(); }
+  std::vector<std::string> list_files() override { return disk_.list_files(); }
   absl::StatusOr<std::string> read(const std::string& name) override { return disk_.read(name); }
   absl::Status append(const std::string& name, std::string_view bytes) override {
     return disk_.append(name, bytes);
   }
-  absl::Status cut(const std::string& name, std::size_t size) override { return disk_.cut(name, size); }
+  absl::Status truncate(const std::string& name, std::size_t size) override {
+    return disk_.truncate(name, size);
+  }
   absl::Status sync(const std::string& name) override { return disk_.sync(name); }
   absl::Status remove(const std::string& name) override { return disk_.remove(name); }
-  std::string new_id() override { return disk_id; }
+  std::string generate_id() override { return disk_id; }
 
  private:
   MemoryDisk& disk_;
@@ -86,24 +88,26 @@
 
 }  // namespace
 
-TEST(GoldenFiles, Slots) {
+TEST(GoldenFiles, DurableState) {
   golden::Stored stored("files.txt");
   MemoryDisk disk;
-  common::Slots slots(disk, "s");
-  ASSERT_TRUE(slots.write("first").ok() && slots.append("first, 1").ok() && slots.write("second").ok());
-  ASSERT_TRUE(slots.append("second, 1").ok() && slots.append("").ok() && slots.append("second, 3").ok());
+  common::DurableState slots(disk, "s");
+  ASSERT_TRUE(slots.write_checkpoint("first").ok() && slots.append_change("first, 1").ok() &&
+              slots.write_checkpoint("second").ok());
+  ASSERT_TRUE(slots.append_change("second, 1").ok() && slots.append_change("").ok() &&
+              slots.append_change("second, 3").ok());
   compare_files(stored, "slots_example/", disk);
 
   MemoryDisk before;
   fill(before, stored, "slots_example/");
-  const auto got = common::Slots(before, "s").open();
+  const auto got = common::DurableState(before, "s").recover();
   ASSERT_TRUE(got.ok());
-  EXPECT_EQ(got->state, "second");
+  EXPECT_EQ(got->checkpoint, "second");
   EXPECT_EQ(got->changes, (std::vector<std::string>{"second, 1", "", "second, 3"}));
   ASSERT_TRUE(before.remove("s.slot1").ok());
-  const auto older = common::Slots(before, "s").open();
+  const auto older = common::DurableState(before, "s").recover();
   ASSERT_TRUE(older.ok());
-  EXPECT_EQ(older->state, "first");
+  EXPECT_EQ(older->checkpoint, "first");
   EXPECT_EQ(older->changes, std::vector<std::string>{"first, 1"});
 }
 
@@ -221,8 +225,8 @@
   record.initial = value_of_epoch(2);
   record.controllers = {seed_address, "127.0.0.2:4100"};
   MemoryDisk disk;
-  common::Slots slots(disk, "control");
-  ASSERT_TRUE(slots.write("").ok() && slots.write(common::encoded(record)).ok());
+  common::DurableState slots(disk, "control");
+  ASSERT_TRUE(slots.write_checkpoint("").ok() && slots.write_checkpoint(common::encoded(record)).ok());
   compare_files(stored, "control_known/", disk);
 
   MemoryDisk before;
--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -445,14 +445,14 @@
   EXPECT_EQ(static_cast<int>(Control::moved), 2);
   EXPECT_EQ(static_cast<int>(Control::stranger), 3);
   EXPECT_EQ(static_cast<int>(Control::whole), 4);
-  using Storage = storage::Verdict;
-  EXPECT_EQ(static_cast<int>(Storage::yes), 0);
-  EXPECT_EQ(static_cast<int>(Storage::moved), 1);
-  EXPECT_EQ(static_cast<int>(Storage::behind), 2);
-  EXPECT_EQ(static_cast<int>(Storage::unready), 3);
-  EXPECT_EQ(static_cast<int>(Storage::unknown), 4);
-  EXPECT_EQ(static_cast<int>(Storage::unsure), 5);
-  EXPECT_EQ(static_cast<int>(Storage::full), 6);
+  using Storage = storage::ReplicaStatus;
+  EXPECT_EQ(static_cast<int>(Storage::ok), 0);
+  EXPECT_EQ(static_cast<int>(Storage::caller_map_stale), 1);
+  EXPECT_EQ(static_cast<int>(Storage::replica_map_stale), 2);
+  EXPECT_EQ(static_cast<int>(Storage::not_ready), 3);
+  EXPECT_EQ(static_cast<int>(Storage::not_found), 4);
+  EXPECT_EQ(static_cast<int>(Storage::indeterminate), 5);
+  EXPECT_EQ(static_cast<int>(Storage::out_of_capacity), 6);
 }
 
 // Hashes that another process compares, and the places that edges and storage nodes work out alike.
@@ -467,7 +467,8 @@
   }
   for (int program = 0; program < 6; ++program) {
     std::string places;
-    for (const std::size_t at : storage::group_of(text(1, program), nodes, 1)) places += std::to_string(at);
+    for (const std::size_t at : storage::replica_group(text(1, program), nodes, 1))
+      places += std::to_string(at);
     stored.compare("group" + std::to_string(program), places);
   }
   stored.expect_all_compared();
--- a/tests/storage/storage_plane_test.cpp
+++ b/tests/storage/storage_plane_test.cpp
@@ -15,7 +15,7 @@
 namespace chutevane::edge::harness {
 namespace {
 
-using storage::Verdict;
+using storage::ReplicaStatus;
 
 const std::string own_name = numbered("storage-", 1), other_name = numbered("storage-", 2),
                   zone = numbered("z", 1), program = numbered("p", 1), other_disk = numbered("d", 2);
@@ -35,12 +35,14 @@
   class SharedDisk final : public common::Disk {
    public:
     explicit SharedDisk(std::shared_ptr<common::MemoryDisk> disk) : disk_(std::move(disk)) {}
-    std::vector<std::string> names() override { return disk_->names(); }
+    std::vector<std::string> list_files() override { return disk_->list_files(); }
     absl::StatusOr<std::string> read(const std::string& name) override { return disk_->read(name); }
     absl::Status append(const std::string& name, std::string_view bytes) override {
       return disk_->append(name, bytes);
     }
-    absl::Status cut(const std::string& name, std::size_t size) override { return disk_->cut(name, size); }
+    absl::Status truncate(const std::string& name, std::size_t size) override {
+      return disk_->truncate(name, size);
+    }
     absl::Status sync(const std::string& name) override { return disk_->sync(name); }
     absl::Status remove(const std::string& name) override { return disk_->remove(name); }
 
@@ -93,17 +95,17 @@
   bool whole_by(std::int64_t map) {
     return loop.until([&] { return control.member()->complete_map_version >= map; });
   }
-  std::optional<Verdict> reserve(std::int64_t map) {
-    std::optional<Verdict> out;
+  std::optional<ReplicaStatus> reserve(std::int64_t map) {
+    std::optional<ReplicaStatus> out;
     const common::ReserveRequest ask{map, program, "attempt", 1};
     caller_->call<common::ReserveReply>(ask, Span::ms(1000), [&](absl::StatusOr<common::ReserveReply> got) {
-      if (got.ok()) out = static_cast<Verdict>(got->verdict);
+      if (got.ok()) out = static_cast<ReplicaStatus>(got->verdict);
     });
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
     return out;
   }
-  std::optional<Verdict> keep(const std::string& id) {
-    std::optional<Verdict> out;
+  std::optional<ReplicaStatus> keep(const std::string& id) {
+    std::optional<ReplicaStatus> out;
     common::StoreTurnRequest ask;
     ask.map_version = 1;
     ask.turn.id = id;
@@ -112,7 +114,7 @@
     ask.used_tokens = -1;
     caller_->call<common::StoreTurnReply>(ask, Span::ms(1000),
                                           [&](absl::StatusOr<common::StoreTurnReply> got) {
-                                            if (got.ok()) out = static_cast<Verdict>(got->verdict);
+                                            if (got.ok()) out = static_cast<ReplicaStatus>(got->verdict);
                                           });
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
     return out;
@@ -147,7 +149,7 @@
   StorageScene scene;
   scene.own.bootstrapping = true;
   ASSERT_TRUE(scene.name_both());
-  EXPECT_EQ(scene.keep("a"), Verdict::unready);
+  EXPECT_EQ(scene.keep("a"), ReplicaStatus::not_ready);
 }
 
 // It had all that is its own by this map before its process ended. What it has missed since, others of each
@@ -156,9 +158,9 @@
   StorageScene scene;
   ASSERT_TRUE(scene.name({scene.own}));
   ASSERT_TRUE(scene.whole_by(1));
-  ASSERT_EQ(scene.reserve(1), Verdict::yes);
+  ASSERT_EQ(scene.reserve(1), ReplicaStatus::ok);
   ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(1), Verdict::yes);
+  EXPECT_EQ(scene.reserve(1), ReplicaStatus::ok);
 }
 
 // By another map it may lack what became its own meanwhile: it takes over before it answers.
@@ -169,7 +171,7 @@
   scene.stop();
   scene.name_while_down({scene.own, scene.other}, 2);
   ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(2), Verdict::unready);
+  EXPECT_EQ(scene.reserve(2), ReplicaStatus::not_ready);
 }
 
 // It had left the map for another, and what it told others by that one must not change any more: back by the
@@ -178,22 +180,22 @@
   StorageScene scene;
   ASSERT_TRUE(scene.name({scene.own, scene.other}));
   ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(1), Verdict::unready);  // it never was whole
+  EXPECT_EQ(scene.reserve(1), ReplicaStatus::not_ready);  // it never was whole
   ASSERT_TRUE(scene.name({scene.own}, 2));
   ASSERT_TRUE(scene.whole_by(2));
   ASSERT_TRUE(scene.name({scene.own, scene.other}, 4));
-  EXPECT_EQ(scene.reserve(4), Verdict::unready);
+  EXPECT_EQ(scene.reserve(4), ReplicaStatus::not_ready);
   scene.stop();
   scene.name_while_down({scene.own, scene.other}, 2);
   ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(2), Verdict::behind);
+  EXPECT_EQ(scene.reserve(2), ReplicaStatus::replica_map_stale);
 }
 
 // One that was there before keeps at once: groups have not changed.
 TEST(StorageNodes, OneThatWasThereKeepsWhileItTakesOver) {
   StorageScene scene;
   ASSERT_TRUE(scene.name_both());
-  EXPECT_EQ(scene.keep("a"), Verdict::yes);
+  EXPECT_EQ(scene.keep("a"), ReplicaStatus::ok);
 }
 
 }  // namespace
--- a/tests/storage/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -20,9 +20,9 @@
 using chutevane::common::StorageNode;
 using chutevane::common::Turn;
 using chutevane::simulated::RandomSource;
-using chutevane::storage::group_of;
-using chutevane::storage::group_size;
-using chutevane::storage::quorum;
+using chutevane::storage::quorum_size;
+using chutevane::storage::replica_group;
+using chutevane::storage::replica_group_size;
 using chutevane::storage::Store;
 
 namespace {
@@ -175,7 +175,7 @@
     for (const Turn* t : store.chain(id, most, now)) out += t->id + " ";
     return out;
   }
-  std::size_t files() { return disk.names().size(); }
+  std::size_t files() { return disk.list_files().size(); }
 };
 
 TEST(StorageTurns, KeptOnceHoweverOften) {
@@ -545,7 +545,7 @@
       bool lasting = false;
       work(store, disk, point, &lasting);
       CHECK_WHERE(lasting, where);
-      const std::size_t files = disk.names().size();
+      const std::size_t files = disk.list_files().size();
       if (point == 0) CHECK_WHERE(files <= 2, where);
       disk.power_cycle(loss);
       Store again(disk, room);
@@ -572,11 +572,11 @@
   CHECK_TRUE(second.open(now).ok());
   second.keep(turn("b", ""), now);
   CHECK_TRUE(second.commit(now).ok());
-  const std::vector<std::string> names = disk.names();
+  const std::vector<std::string> names = disk.list_files();
   CHECK_EQUAL(static_cast<std::size_t>(2), names.size());
   std::string text = *disk.read(names[0]);
   text[text.size() / 2] = static_cast<char>(text[text.size() / 2] ^ 4);
-  CHECK_TRUE(disk.cut(names[0], 0).ok() && disk.append(names[0], text).ok());
+  CHECK_TRUE(disk.truncate(names[0], 0).ok() && disk.append(names[0], text).ok());
   Store again(disk, room);
   CHECK_TRUE(again.open(now).ok());
   CHECK_TRUE(again.find("a0") != nullptr && again.find("a1") == nullptr && again.find("a2") == nullptr);
@@ -592,14 +592,14 @@
   store.reserve("p", "a", 100, now);
   store.keep(turn("old", "", 1000), now);
   CHECK_TRUE(store.commit(now).ok());
-  const std::string name = disk.names().front(), text = *disk.read(name);
+  const std::string name = disk.list_files().front(), text = *disk.read(name);
   for (int n = 0; n < 60; ++n) store.keep(turn(numbered("t", n), "", 1000, 100000), now);
   CHECK_TRUE(store.commit(now).ok());
   store.settle("p", "a", 8, now);
   CHECK_TRUE(store.commit(now).ok());
   store.sweep(now + Span::ms(5000));
   CHECK_TRUE(store.commit(now + Span::ms(5000)).ok());
-  const std::vector<std::string> names = disk.names();
+  const std::vector<std::string> names = disk.list_files();
   CHECK_TRUE(std::find(names.begin(), names.end(), name) == names.end());
   CHECK_TRUE(disk.append(name, text).ok() && disk.sync(name).ok());
   Store again(disk, room);
@@ -616,23 +616,23 @@
 static std::set<std::string> names(const std::string& program, const std::vector<StorageNode>& all,
                                    std::size_t losses) {
   std::set<std::string> out;
-  for (const std::size_t i : group_of(program, all, losses)) out.insert(all[i].node);
+  for (const std::size_t i : replica_group(program, all, losses)) out.insert(all[i].node);
   return out;
 }
 }
 ;
 
 TEST(StoragePlacement, SizesOfGroups) {
-  CHECK_EQUAL(static_cast<std::size_t>(1), group_size(0));
-  CHECK_EQUAL(static_cast<std::size_t>(3), group_size(1));
-  CHECK_EQUAL(static_cast<std::size_t>(5), group_size(2));
+  CHECK_EQUAL(static_cast<std::size_t>(1), replica_group_size(0));
+  CHECK_EQUAL(static_cast<std::size_t>(3), replica_group_size(1));
+  CHECK_EQUAL(static_cast<std::size_t>(5), replica_group_size(2));
   for (std::size_t losses = 0; losses < 4; ++losses) {
-    const std::size_t group = group_size(losses);
-    CHECK_TRUE(quorum(group) > losses);           // one of a majority is left
-    CHECK_TRUE(group - losses >= quorum(group));  // and a majority without the lost
+    const std::size_t group = replica_group_size(losses);
+    CHECK_TRUE(quorum_size(group) > losses);           // one of a majority is left
+    CHECK_TRUE(group - losses >= quorum_size(group));  // and a majority without the lost
     for (int n = 0; n < 9; ++n) {
       const std::vector<StorageNode> all = storage_nodes(n);
-      const auto got = group_of("program", all, losses);
+      const auto got = replica_group("program", all, losses);
       CHECK_EQUAL(std::min(group, static_cast<std::size_t>(n)), got.size());
       CHECK_EQUAL(got.size(), std::set<std::size_t>(got.begin(), got.end()).size());
     }
@@ -645,15 +645,15 @@
   for (std::size_t i = 0; i < all.size(); ++i) all[i].zone = numbered("z", static_cast<int>(i % 3));
   for (int p = 0; p < 200; ++p) {
     std::map<std::string, int> zones;
-    for (const std::size_t i : group_of(numbered("p", p), all, 1)) ++zones[all[i].zone];
+    for (const std::size_t i : replica_group(numbered("p", p), all, 1)) ++zones[all[i].zone];
     CHECK_EQUAL(3U, zones.size());
     zones.clear();
-    for (const std::size_t i : group_of(numbered("p", p), all, 2)) ++zones[all[i].zone];
+    for (const std::size_t i : replica_group(numbered("p", p), all, 2)) ++zones[all[i].zone];
     for (const auto& [zone, n] : zones) CHECK_WHERE(n <= 2, zone);  // five over three zones
   }
   // Where a zone has none left, the others fill up.
   for (StorageNode& c : all) c.draining = c.zone == "z0";
-  CHECK_EQUAL(3U, group_of("p", all, 1).size());
+  CHECK_EQUAL(3U, replica_group("p", all, 1).size());
 }
 
 // Agreed by all, whatever order the map has.
@@ -712,7 +712,7 @@
     }
   }
   for (StorageNode& c : left) c.draining = true;
-  CHECK_TRUE(group_of("p", left, 1).empty());
+  CHECK_TRUE(replica_group("p", left, 1).empty());
 }
 
 TEST_GROUP(StorageKilledThenDark) { TimePoint now = TimePoint::at_ms(1e6); };
