--- a/src/base/answer_list.hpp
+++ b/src/base/answer_list.hpp
@@ -1,4 +1,5 @@
-// The answers to one event as they come together, lines for the log among them.
+/// Collects the balancer's answers to one event, log lines among them, in the order in which they are to be
+/// executed.
 #pragma once
 
 #include <cstdarg>
@@ -14,10 +15,11 @@
     Answer& a = emplace_back();
     a.verdict = verdict, a.call = call, a.number = number, a.endpoint = endpoint;
   }
-  // One that says to wait is none: the call is held already.
+  /// Adds a final answer. `wait` is dropped: the call is queued already.
   void add_final(const Answer& a) {
     if (a.verdict != Verdict::wait) push_back(a);
   }
+  /// A line for the log, printf-style; cut to the size of Answer::text.
   void say(const char* format, ...) __attribute__((format(printf, 2, 3))) {
     add(Verdict::log);
     va_list args;
--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -1,4 +1,4 @@
-// Quantiles of spans over a sliding window: logarithmic buckets in slices that age out one by one.
+/// Quantiles of durations over a sliding window: logarithmic buckets in time slices that expire one by one.
 #pragma once
 
 #include <algorithm>
@@ -17,6 +17,7 @@
 
   WindowedHistogram() : WindowedHistogram(Span::ms(1000)) {}
   explicit WindowedHistogram(Span window) : slice_(window * (1.0 / slices)) {}
+  /// Counts a duration; those under 1 ms share a bucket, six buckets double the duration.
   void add(Span value, TimePoint now) {
     advance(now);
     const int b = bucket(value.as_ms());
@@ -24,10 +25,12 @@
     ++sums_[static_cast<std::size_t>(b)];
     ++total_;
   }
+  /// Durations within the window.
   std::uint32_t count(TimePoint now) {
     advance(now);
     return total_;
   }
+  /// The q-quantile, 0 <= q <= 1, interpolated within its bucket; zero where nothing was counted.
   Span quantile(double q, TimePoint now) {
     advance(now);
     const double want = q * total_;
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,4 @@
-// The one place that writes log lines: to standard error, so many a second at most.
+/// Log lines of the sidecar: to standard error, limited in rate.
 #pragma once
 
 #include <functional>
@@ -6,9 +6,10 @@
 
 namespace chutevane {
 
+/// Writes one line, printf-style. Lines over the rate limit are counted and dropped.
 void log_line(const char* format, ...) __attribute__((format(printf, 1, 2)));
 
-// Lines go to `sink` instead, all of them, until an empty one is given. For processes that are played.
+/// Sends all lines to `sink` instead, until an empty one is given. For simulated processes.
 using LogSink = std::function<void(std::string_view line)>;
 void send_log_to(LogSink sink);
 
--- a/src/base/mix_bits.hpp
+++ b/src/base/mix_bits.hpp
@@ -1,4 +1,4 @@
-// Spreads ids over all bits; the same everywhere (the finalizer of splitmix64).
+/// A hash of 64-bit ids, the same in all processes: the finalizer of splitmix64.
 #pragma once
 
 #include <cstdint>
--- a/src/base/pcg.hpp
+++ b/src/base/pcg.hpp
@@ -1,4 +1,5 @@
-// PCG-XSH-RR: 64 bits of state, 32 bits out.
+/// The random generator PCG-XSH-RR: 64 bits of state, 32 bits of output (M. E. O'Neill, 2014). Not for
+/// secrets.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,8 @@
     const auto r = static_cast<std::uint32_t>(old >> 59U);
     return (x >> r) | (x << ((32U - r) & 31U));
   }
-  double unit() { return next() * 0x1p-32; }  // [0, 1)
+  /// Uniform in [0, 1).
+  double unit() { return next() * 0x1p-32; }
 
  private:
   std::uint64_t state_ = 0;
--- a/src/base/remembered.hpp
+++ b/src/base/remembered.hpp
@@ -1,11 +1,12 @@
-// A few things that are remembered by weights that decay with each look-up: the lightest makes room.
+/// A small cache whose entries have weights that decay with each look-up; the lightest entry is evicted.
 #pragma once
 
 #include <array>
 
 namespace chutevane {
 
-// The place of the first that is `same`, or of `fresh`, which takes the lightest one's.
+/// The index of the first entry that `same` accepts, or else of `fresh`, which replaces the lightest entry.
+/// Multiplies all weights by `decay`. T has a member `weight`.
 template <class T, std::size_t n, class Same>
 std::size_t remember(std::array<T, n>& kept, double decay, const T& fresh, Same same) {
   std::size_t at = n, least = 0;
--- a/src/base/row.hpp
+++ b/src/base/row.hpp
@@ -1,4 +1,5 @@
-// Places of a slab in a row. Who stands behind whom is kept at the places: `behind(place)` refers to it.
+/// A singly linked FIFO of the slots of a Slab. The links are stored in the slots: `behind(slot)` returns a
+/// reference to the index of the next one.
 #pragma once
 
 #include "base/slab.hpp"
--- a/src/base/settings_reader.hpp
+++ b/src/base/settings_reader.hpp
@@ -1,4 +1,5 @@
-// Typed look-ups in the settings; a missing or malformed one is named.
+/// Typed look-ups in the balancer's settings. All of them throw SettingError, naming the key, where a value
+/// is missing or malformed.
 #pragma once
 
 #include <cmath>
@@ -29,7 +30,7 @@
   }
   Span span(const std::string& key) const { return Span::ms(number(key)); }
   bool flag(std::string_view key) const { return text(key) == "true"; }
-  // Where a setting may be missing; a malformed one is still named.
+  /// For settings that may be missing; a malformed one still throws.
   double number_or(const std::string& key, double otherwise) const {
     return has(key) ? number(key) : otherwise;
   }
--- a/src/base/slab.hpp
+++ b/src/base/slab.hpp
@@ -1,4 +1,4 @@
-// Places that are reused, and an index from ids to places. Neither allocates once it has grown.
+/// A pool of reused slots, and a hash index from ids to slots. Neither allocates once it has grown.
 #pragma once
 
 #include <cstdint>
@@ -7,6 +7,7 @@
 
 namespace chutevane {
 
+/// Slots are named by indexes, which stay valid until they are given back; references do not survive take().
 template <class T>
 class Slab {
  public:
@@ -31,12 +32,14 @@
   std::vector<std::uint32_t> free_;
 };
 
-// Open addressing with linear probing; erasing moves later entries back, so there are no tombstones.
+/// Open addressing with linear probing; erasing moves later entries back, so there are no tombstones.
 class IdIndex {
  public:
   static constexpr std::uint32_t none = 0xffffffffU;
 
-  explicit IdIndex(std::size_t room = 64) : cells_(room, Cell{0, none}) {}
+  /// `capacity`: a power of two.
+  explicit IdIndex(std::size_t capacity = 64) : cells_(capacity, Cell{0, none}) {}
+  /// The slot of `id`, or `none`.
   std::uint32_t find(std::uint64_t id) const {
     for (std::size_t i = home(id);; i = (i + 1) & mask()) {
       if (cells_[i].place == none) return none;
--- a/src/base/windowed_count.hpp
+++ b/src/base/windowed_count.hpp
@@ -1,4 +1,5 @@
-// A count over a sliding span: slices age out one by one, and each counts while the whole of it lies within.
+/// A count over a sliding window of time, in slices that expire one by one: a slice counts while all of it
+/// lies within the window.
 #pragma once
 
 #include <array>
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -1,5 +1,7 @@
-// The one buffer of a connection: bytes are appended at its end and taken from its front. It grows as it
-// needs and is compacted in place, so that what it holds is always in one piece.
+/// The byte buffer of a connection: appended at its end, consumed from its front, always contiguous.
+///
+/// It grows as needed and is compacted in place. Any call that may grow it invalidates views that bytes() or
+/// room() have returned.
 #pragma once
 
 #include <algorithm>
@@ -15,49 +17,54 @@
 class Buffer {
  public:
   Buffer() = default;
-  explicit Buffer(BufferBudget& held) : held_(&held) {}
+  /// Counts its memory in `budget`, which must outlive it.
+  explicit Buffer(BufferBudget& budget) : budget_(&budget) {}
   ~Buffer() { resize(0); }
   Buffer(const Buffer&) = delete;
   Buffer& operator=(const Buffer&) = delete;
   std::size_t size() const { return end_ - begin_; }
   bool empty() const { return begin_ == end_; }
+  /// What it holds.
   std::span<char> bytes() { return {bytes_.data() + begin_, size()}; }
-  // Room for at least `least` bytes behind what is held. Moves what is held only if it must.
-  std::span<char> room(std::size_t least) {
-    if (bytes_.size() - end_ < least) {
+  /// Free space behind what it holds, at least `min_size` bytes; follow by added(). Moves what is held only
+  /// if it must.
+  std::span<char> room(std::size_t min_size) {
+    if (bytes_.size() - end_ < min_size) {
       if (begin_ > 0) {
         std::memmove(bytes_.data(), bytes_.data() + begin_, size());
         end_ -= begin_;
         begin_ = 0;
       }
-      if (bytes_.size() - end_ < least)
-        resize(std::max(end_ + least, std::min(bytes_.size() * 2, bytes_.size() + growth_most)));
+      if (bytes_.size() - end_ < min_size)
+        resize(std::max(end_ + min_size, std::min(bytes_.size() * 2, bytes_.size() + max_growth)));
     }
     return {bytes_.data() + end_, bytes_.size() - end_};
   }
+  /// `n` bytes have been written to the space that room() returned.
   void added(std::size_t n) { end_ += n; }
   void append(std::string_view text) {
     if (text.empty()) return;
     std::memcpy(room(text.size()).data(), text.data(), text.size());
     added(text.size());
   }
+  /// Drops `n` bytes from its front.
   void consume(std::size_t n) {
     begin_ += n;
     if (begin_ == end_) begin_ = end_ = 0;
   }
-  // What an idle connection gives back.
-  void shrink(std::size_t most) {
-    if (!empty() || bytes_.size() <= most) return;
-    resize(most);
+  /// Frees memory of an empty buffer down to `max_size` bytes, for connections that go idle.
+  void shrink(std::size_t max_size) {
+    if (!empty() || bytes_.size() <= max_size) return;
+    resize(max_size);
     bytes_.shrink_to_fit();
   }
 
  private:
-  static constexpr std::size_t growth_most = 64 * 1024;  // bytes: from there on it grows by this
+  static constexpr std::size_t max_growth = 64 * 1024;  // bytes: doubles up to this, then grows by it
   void resize(std::size_t size) {
-    if (held_ != nullptr) {
-      held_->give_back(bytes_.size());
-      held_->add(size);
+    if (budget_ != nullptr) {
+      budget_->release(bytes_.size());
+      budget_->add(size);
     }
     if (size > bytes_.size()) {  // to the byte: a vector would take twice as much
       std::vector<char> more(size);
@@ -67,7 +74,7 @@
       bytes_.resize(size);
     }
   }
-  BufferBudget* held_ = nullptr;  // none: nobody counts it
+  BufferBudget* budget_ = nullptr;  // not owned; none: its memory is not counted
   std::vector<char> bytes_;
   std::size_t begin_ = 0, end_ = 0;
 };
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -7,13 +7,13 @@
 namespace chutevane::net {
 namespace {
 
-constexpr std::size_t read_most = 64 * 1024;  // bytes at a time: others have their turn
-constexpr std::size_t kept = 16 * 1024;       // bytes that an idle connection's buffers keep
+constexpr std::size_t max_read = 64 * 1024;          // bytes in one turn: other connections have theirs
+constexpr std::size_t idle_buffer_size = 16 * 1024;  // bytes that an idle connection's buffers keep
 
 }  // namespace
 
-Channel::Channel(Scheduler& scheduler, Observer& sink)
-    : waker_(scheduler), socket_(scheduler, waker_), sink_(sink) {}
+Channel::Channel(Scheduler& scheduler, Observer& observer)
+    : waker_(scheduler), socket_(scheduler, waker_), observer_(observer) {}
 
 void Channel::adopt(int fd) {
   socket_.adopt(fd);
@@ -40,93 +40,114 @@
   waker_.set(ended);
 }
 
-void Channel::gone() {
+// Closes and tells the observer, unless it has closed the channel itself.
+void Channel::fail() {
   if (!socket_.open()) return;
   socket_.close();
   up_ = false;
-  sink_.on_channel_closed(*this);
+  observer_.on_channel_closed(*this);
 }
 
-void Channel::set_reading_paused(bool held) {
-  held_ = held;
-  if (!held) waker_.set(stirred | Waker::readable);
+void Channel::set_reading_paused(bool paused) {
+  reading_paused_ = paused;
+  if (!paused) waker_.set(state_changed | Waker::readable);
 }
 
 void Channel::close_when_flushed() {
-  last_ = true;
-  waker_.set(stirred);
+  close_when_flushed_ = true;
+  waker_.set(state_changed);
 }
 
 void Channel::shutdown_write_when_flushed() {
-  last_written_ = true;
+  shutdown_write_when_flushed_ = true;
   set_reading_paused(false);
 }
 
-// What the peer said before it ended the connection under our writing: perhaps why.
+// After a failed write: what the peer sent before it closed may say why.
 void Channel::read_rest() {
-  while (open() && socket_.read(in_, read_most) == Socket::Result::some) sink_.on_channel_data(*this);
+  while (open() && socket_.read(in_, max_read) == Socket::Result::some) observer_.on_channel_data(*this);
 }
 
-// False: the connection is gone. What can go out at once does so from here: no wake-up is needed for it.
-bool Channel::push_out() {
+// False: the connection is broken.
+bool Channel::write_pending() {
   if (out_.empty()) return true;
   std::size_t written = 0;
   const Socket::Result result = socket_.write(out_.bytes(), written);
   out_.consume(written);
-  out_.shrink(kept);
+  out_.shrink(idle_buffer_size);
   return result != Socket::Result::broken;
 }
 
+// Writes from the caller's turn, so that a short message needs no wake-up.
 void Channel::flush() {
   if (!up()) return;
-  if (!push_out()) waker_.set(stirred | Waker::hung_up);
+  if (!write_pending()) waker_.set(state_changed | Waker::hung_up);
+}
+
+// False: the channel is closed.
+bool Channel::finish_connect() {
+  if (!open()) return false;
+  if (!socket_.connected()) {
+    fail();
+    return false;
+  }
+  up_ = true;
+  observer_.on_channel_open(*this);
+  return true;
+}
+
+// False: the channel is closed.
+bool Channel::write_step() {
+  const bool had_pending = !out_.empty();
+  if (!write_pending()) {
+    read_rest();
+    fail();
+    return false;
+  }
+  if (had_pending && out_.empty()) {
+    observer_.on_channel_flushed(*this);
+    if (!open()) return false;
+  }
+  if (close_when_flushed_ && out_.empty()) {
+    fail();
+    return false;
+  }
+  if (out_.empty() && std::exchange(shutdown_write_when_flushed_, false)) socket_.end_writing();
+  return true;
+}
+
+Channel::Step Channel::read_step() {
+  if (reading_paused_) return Step::wait;
+  const Socket::Result result = socket_.read(in_, max_read);
+  if (result == Socket::Result::later) return Step::wait;
+  if (result != Socket::Result::some) {
+    fail();
+    return Step::stop;
+  }
+  observer_.on_channel_data(*this);
+  if (!open()) return Step::stop;
+  in_.shrink(idle_buffer_size);
+  // A hang-up wakes once only: what came with it is read to its end.
+  return waker_.has(Waker::hung_up) ? Step::read_again : Step::wait;
 }
 
 Task Channel::run(bool connecting) {
   if (connecting) {
     co_await waker_.wait(Waker::writable | Waker::hung_up | ended);
-    if (!open()) co_return;
-    if (!socket_.connected()) {
-      gone();
-      co_return;
-    }
-    up_ = true;
-    sink_.on_channel_open(*this);
+    if (!finish_connect()) co_return;
   }
   while (open()) {
-    const bool had = !out_.empty();
-    if (!push_out()) {
-      read_rest();
-      gone();
-      co_return;
-    }
-    if (had && out_.empty()) {
-      sink_.on_channel_flushed(*this);
-      if (!open()) co_return;
-    }
-    if (last_ && out_.empty()) {
-      gone();
-      co_return;
-    }
-    if (out_.empty() && std::exchange(last_written_, false)) socket_.end_writing();
-    if (!held_) {
-      const Socket::Result result = socket_.read(in_, read_most);
-      if (result == Socket::Result::some) {
-        sink_.on_channel_data(*this);
-        if (!open()) co_return;
-        in_.shrink(kept);
-        if (result == Socket::Result::some && waker_.has(Waker::hung_up)) continue;
-      } else if (result != Socket::Result::later) {
-        gone();
-        co_return;
-      }
-    }
-    co_await waker_.wait(Waker::writable | stirred | ended | (held_ ? 0U : Waker::readable | Waker::hung_up));
+    if (!write_step()) co_return;
+    const Step next = read_step();
+    if (next == Step::stop) co_return;
+    if (next == Step::read_again) continue;
+    const Waker::Bits reading = reading_paused_ ? 0U : Waker::readable | Waker::hung_up;
+    co_await waker_.wait(Waker::writable | state_changed | ended | reading);
   }
 }
 
-Listener::Listener(Scheduler& scheduler, std::function<void(int)> taken)
-    : waker_(scheduler), socket_(scheduler, waker_), taken_(std::move(taken)) {}
+Listener::Listener(Scheduler& scheduler, std::function<void(int)> on_accept)
+    : waker_(scheduler), socket_(scheduler, waker_), on_accept_(std::move(on_accept)) {}
 
 void Listener::listen(const sockaddr_in& at) {
   socket_.listen(at);
@@ -137,7 +158,7 @@
 Task Listener::run() {
   while (socket_.open()) {
     bool exhausted = false;
-    for (int fd = socket_.accept(exhausted); fd >= 0; fd = socket_.accept(exhausted)) taken_(fd);
+    for (int fd = socket_.accept(exhausted); fd >= 0; fd = socket_.accept(exhausted)) on_accept_(fd);
     co_await waker_.wait(Waker::readable | Waker::hung_up);
   }
 }
--- a/src/net/channel.hpp
+++ b/src/net/channel.hpp
@@ -1,7 +1,12 @@
-// One TCP connection that tells its owner what comes: bytes in, bytes out, its end.
-//
-// The sink may close the channel from inside any call, but must not destroy it there: owners live in a
-// TaskGroup, or put them aside until a later turn.
+/// A TCP connection with callbacks: bytes that have arrived, bytes that have gone out, its end.
+///
+/// Call order: connect() or adopt() once; then on_channel_open() (after connect() only), on_channel_data()
+/// and on_channel_flushed() any number of times, and on_channel_closed() at most once. After close() or
+/// reset() no callback follows.
+///
+/// An observer may close the channel from inside any callback, but must not destroy it there, since the
+/// channel's coroutine is running: owners live in a TaskGroup, or set the channel aside until a later turn of
+/// the scheduler.
 #pragma once
 
 #include <functional>
@@ -16,80 +21,104 @@
 
 class Channel {
  public:
+  /// What a channel tells its owner.
   class Observer {
    public:
-    virtual void on_channel_open(Channel&) {}     // a connection that was asked for stands
-    virtual void on_channel_data(Channel&) = 0;   // in() has more
-    virtual void on_channel_flushed(Channel&) {}  // all that was written has gone out
-    virtual void on_channel_closed(
-        Channel&) = 0;  // no more will come, nothing goes out; told once, unless closed
+    /// connect() has succeeded.
+    virtual void on_channel_open(Channel&) {}
+    /// in() has more bytes.
+    virtual void on_channel_data(Channel&) = 0;
+    /// All that was written has gone out.
+    virtual void on_channel_flushed(Channel&) {}
+    /// The connection has ended or failed: nothing more arrives or goes out. Called once, and not after
+    /// close().
+    virtual void on_channel_closed(Channel&) = 0;
 
    protected:
     ~Observer() = default;
   };
 
-  Channel(Scheduler& scheduler, Observer& sink);
+  /// `scheduler` and `observer` must outlive the channel.
+  Channel(Scheduler& scheduler, Observer& observer);
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  // Once each: takes over a connection that stands, or asks for one. False: there is no descriptor for it.
+  /// Takes ownership of the descriptor of an established connection.
   void adopt(int fd);
-  bool connect(const sockaddr_in& to);
+  /// Begins to connect. False: there is no descriptor for it, and no callback will follow.
+  [[nodiscard]] bool connect(const sockaddr_in& to);
 
+  /// Bytes that have arrived; the observer consumes them.
   Buffer& in() { return in_; }
   std::size_t in_size() const { return in_.size(); }
-  Buffer& out() { return out_; }  // flush() after appending
+  /// Bytes that are to go out; call flush() after appending.
+  Buffer& out() { return out_; }
   void write(std::string_view bytes) {
     out_.append(bytes);
     flush();
   }
+  /// Writes what the socket takes at once; the rest follows by itself.
   void flush();
+  /// Bytes that have not gone out yet.
   std::size_t unsent() const { return out_.size(); }
   bool open() const { return socket_.open(); }
+  /// Established, and not closed since.
   bool up() const { return up_ && open(); }
+  /// Nothing has arrived that was not consumed, the peer's end included.
   bool quiet() const { return in_.empty() && socket_.quiet(); }
-  // Bytes, or the peer's end, have arrived that the sink has not been told of yet.
+  /// Bytes, or the peer's end, have arrived that the observer has not been told of yet.
   bool unread() const { return open() && !socket_.quiet(); }
-  // Reads no more until told so: the peer is held up.
-  void set_reading_paused(bool held);
-  void close_when_flushed();  // ends once all is out
-  // Ends the writing side once all is out, and reads on until the peer has ended too: closing with bytes
-  // unread, or before they come, would be a reset that takes back what the peer has not received yet
-  // (RFC 9112, 9.6). The owner discards what comes and bounds the time.
+  /// While paused nothing is read, so that TCP's flow control stops the peer.
+  void set_reading_paused(bool paused);
+  /// Closes once all bytes have gone out; on_channel_closed() follows.
+  void close_when_flushed();
+  /// Ends the writing side once all bytes have gone out, and goes on reading until the peer has ended too.
+  /// Closing with unread bytes would be a reset, which discards what the peer has not received yet (RFC
+  /// 9112, 9.6). The owner consumes what arrives and limits the time.
   void shutdown_write_when_flushed();
   void close() { end(false); }
+  /// Closes with a reset: what is in flight is lost.
   void reset() { end(true); }
   std::optional<sockaddr_in> peer() const { return socket_.peer(); }
 
  private:
-  static constexpr Waker::Bits stirred = Waker::own, ended = Waker::own << 1U;
+  static constexpr Waker::Bits state_changed = Waker::own, ended = Waker::own << 1U;
+  enum class Step : std::uint8_t { wait, read_again, stop };
+
   Task run(bool connecting);
-  bool push_out();
+  bool finish_connect();
+  bool write_step();
+  Step read_step();
+  bool write_pending();
   void read_rest();
   void end(bool with_reset);
-  void gone();
+  void fail();
 
   Waker waker_;
   Socket socket_;
-  Observer& sink_;
+  Observer& observer_;
   Buffer in_, out_;
-  bool up_ = false, held_ = false, last_ = false, last_written_ = false;
-  Task task_;
+  bool up_ = false, reading_paused_ = false, close_when_flushed_ = false,
+       shutdown_write_when_flushed_ = false;
+  Task task_;  // last: its frame refers to the members above
 };
 
-// Accepts connections on one address.
+/// Accepts connections on one address and hands their descriptors over.
 class Listener {
  public:
-  Listener(Scheduler& scheduler, std::function<void(int fd)> taken);
-  void listen(const sockaddr_in& at);  // throws std::system_error
+  /// `on_accept` gets the ownership of the descriptor.
+  Listener(Scheduler& scheduler, std::function<void(int fd)> on_accept);
+  /// Throws std::system_error where the address cannot be bound.
+  void listen(const sockaddr_in& at);
   void close() { socket_.close(); }
+  /// The bound address: tells the port where port 0 was asked for.
   std::optional<sockaddr_in> address() const { return socket_.local(); }
 
  private:
   Task run();
   Waker waker_;
   Socket socket_;
-  std::function<void(int)> taken_;
+  std::function<void(int)> on_accept_;
   Task task_;
 };
 
--- a/src/net/scheduler.cpp
+++ b/src/net/scheduler.cpp
@@ -9,9 +9,9 @@
 namespace chutevane::net {
 namespace {
 
-constexpr std::size_t batch = 256;  // events taken in one turn
-constexpr int rounds = 4;  // of ready coroutines in a row, before sockets and timers are looked at again
-constexpr Span longest_wait = Span::ms(60000);  // timers beyond it are found in a later turn
+constexpr std::size_t max_events = 256;  // events taken in one turn
+constexpr int max_rounds = 4;  // of ready coroutines in a row, before sockets and timers are looked at again
+constexpr Span max_wait = Span::ms(60000);  // timers beyond it are found in a later turn
 
 }  // namespace
 
@@ -36,17 +36,17 @@
 
 void Timer::set(TimePoint due) {
   due_ = due;
-  if (place_ == unset) {
-    place_ = scheduler_.timers_.size();
+  if (heap_index_ == unset) {
+    heap_index_ = scheduler_.timers_.size();
     scheduler_.timers_.push_back(this);
   }
-  scheduler_.sift(place_);
+  scheduler_.sift(heap_index_);
 }
 
 void Timer::cancel() {
   waker_.clear(bit_);
-  if (place_ == unset) return;
-  const std::size_t hole = std::exchange(place_, unset);
+  if (heap_index_ == unset) return;
+  const std::size_t hole = std::exchange(heap_index_, unset);
   Timer* last = scheduler_.timers_.back();
   scheduler_.timers_.pop_back();
   if (last == this) return;
@@ -78,27 +78,27 @@
   free_sources_.push_back(source);
 }
 
-void Scheduler::put(std::size_t place, Timer* timer) {
-  timers_[place] = timer;
-  timer->place_ = place;
+void Scheduler::put(std::size_t index, Timer* timer) {
+  timers_[index] = timer;
+  timer->heap_index_ = index;
 }
 
-// Moves the timer at `place` up or down to where it belongs.
-void Scheduler::sift(std::size_t place) {
-  Timer* const timer = timers_[place];
-  while (place > 0 && timer->due_ < timers_[(place - 1) / 2]->due_) {
-    put(place, timers_[(place - 1) / 2]);
-    place = (place - 1) / 2;
+// Moves the timer at `index` up or down to where it belongs.
+void Scheduler::sift(std::size_t index) {
+  Timer* const timer = timers_[index];
+  while (index > 0 && timer->due_ < timers_[(index - 1) / 2]->due_) {
+    put(index, timers_[(index - 1) / 2]);
+    index = (index - 1) / 2;
   }
   while (true) {
-    std::size_t child = place * 2 + 1;
+    std::size_t child = index * 2 + 1;
     if (child >= timers_.size()) break;
     if (child + 1 < timers_.size() && timers_[child + 1]->due_ < timers_[child]->due_) ++child;
     if (timer->due_ <= timers_[child]->due_) break;
-    put(place, timers_[child]);
-    place = child;
+    put(index, timers_[child]);
+    index = child;
   }
-  put(place, timer);
+  put(index, timer);
 }
 
 void Scheduler::fire_due() {
@@ -112,7 +112,7 @@
 
 void Scheduler::run_ready() {
   // Guards timers and quiet sockets against peers that always have more to read.
-  for (int round = 0; round < rounds && !ready_.empty(); ++round) {
+  for (int round = 0; round < max_rounds && !ready_.empty(); ++round) {
     running_.swap(ready_);
     for (std::size_t i = 0; i < running_.size(); ++i) {
       if (running_[i] != nullptr) running_[i]->run();
@@ -127,15 +127,15 @@
 }
 
 void Scheduler::turn() {
-  Span wait = longest_wait;
+  Span wait = max_wait;
   if (!ready_.empty()) {
     wait = Span();
   } else if (!timers_.empty()) {
-    wait = std::clamp(timers_.front()->due_ - system_.now(), Span(), longest_wait);
+    wait = std::clamp(timers_.front()->due_ - system_.now(), Span(), max_wait);
   }
-  std::array<System::Event, batch> events;
+  std::array<System::Event, max_events> events;
   const std::size_t n = system_.wait(events, wait);
-  const auto tell = [&](bool of_ends) {
+  const auto dispatch = [&](bool of_ends) {
     for (std::size_t i = 0; i < n; ++i) {
       const System::Event& e = events[i];
       if (((e.bits & System::hung_up) != 0) != of_ends) continue;
@@ -146,11 +146,11 @@
     run_ready();
   };
   // Ends go first: guards against a turn that comes late and still sends what its caller has left meanwhile.
-  tell(true);
+  dispatch(true);
   // What is due goes before what has come in: guards against a long batch of reads holding up deadlines.
   fire_due();
   run_ready();
-  tell(false);
+  dispatch(false);
 }
 
 }  // namespace chutevane::net
--- a/src/net/scheduler.hpp
+++ b/src/net/scheduler.hpp
@@ -1,7 +1,9 @@
-// One thread's scheduler: what a System tells, timers, and the coroutines that wait for them.
-//
-// A coroutine waits on its Waker for bits: what its sockets, its timers or other parts of the program have
-// to tell it. Whoever sets a bit never runs the coroutine at once; the scheduler does, in its next turn.
+/// A single-threaded scheduler of coroutines: events of a System, timers, and the coroutines that wait for
+/// them.
+///
+/// A coroutine waits on its Waker for bits, which its sockets, its timers or other parts of the program set.
+/// Setting a bit never resumes the coroutine at once; the scheduler does so in its next turn. So no callback
+/// is entered again while it runs.
 #pragma once
 
 #include <coroutine>
@@ -16,12 +18,13 @@
 
 class Scheduler;
 
+/// What one coroutine waits for: a set of pending bits.
 class Waker {
  public:
   using Bits = std::uint32_t;
-  // What sockets tell; the owner's own bits start at `own`.
-  // `hung_up` stays set: what came with the hang-up is still read, and the next wait ends at once. Loops that
-  // write do not wait for it, since `writable` comes with a reset too.
+  /// The bits that sockets set; the owner's own bits start at `own`.
+  /// `hung_up` stays set: what came with the hang-up is still to be read, and the next wait ends at once.
+  /// Loops that only write need not wait for it, since `writable` is set by a reset too.
   static constexpr Bits readable = System::readable, writable = System::writable, hung_up = System::hung_up,
                         own = 8;
 
@@ -30,6 +33,7 @@
   Waker(const Waker&) = delete;
   Waker& operator=(const Waker&) = delete;
 
+  /// Marks bits as pending; wakes the coroutine in the scheduler's next turn if it waits for one of them.
   void set(Bits bits);
   void clear(Bits bits) { pending_ &= ~bits; }
   bool has(Bits bits) const { return (pending_ & bits) != 0; }
@@ -48,7 +52,8 @@
       return got;
     }
   };
-  // Those of `mask` that are set, and at least one; they are cleared (but `hung_up`), the others stay.
+  /// Suspends until a bit of `mask` is pending. Returns the pending bits of `mask` and clears them, but for
+  /// `hung_up`.
   Awaiter wait(Bits mask) { return {this, mask}; }
 
  private:
@@ -60,7 +65,7 @@
   bool queued_ = false;
 };
 
-// Sets a bit at a point in time. Belongs to whom it wakes.
+/// Sets a bit of a waker at a point in time. Owned by the part of the program that it wakes.
 class Timer {
  public:
   Timer(Scheduler& scheduler, Waker& waker, Waker::Bits bit)
@@ -69,8 +74,10 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
   void set(TimePoint due);
-  void cancel();  // also takes back a bit that was set and not yet waited for
-  TimePoint due() const { return place_ == unset ? TimePoint::never() : due_; }
+  /// Also clears the bit, where it was set and has not been waited for.
+  void cancel();
+  /// TimePoint::never() unless set.
+  TimePoint due() const { return heap_index_ == unset ? TimePoint::never() : due_; }
 
  private:
   friend class Scheduler;
@@ -79,22 +86,25 @@
   Waker& waker_;
   Waker::Bits bit_;
   TimePoint due_;
-  std::size_t place_ = unset;
+  std::size_t heap_index_ = unset;
 };
 
 class Scheduler {
  public:
-  Scheduler();                                             // on this machine; throws std::system_error
-  explicit Scheduler(System& system) : system_(system) {}  // which outlives it
+  /// On this machine's clock and sockets. Throws std::system_error.
+  Scheduler();
+  /// `system` must outlive it.
+  explicit Scheduler(System& system) : system_(system) {}
   ~Scheduler();
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
   TimePoint now() const { return system_.now(); }
   System& system() { return system_; }
-  // One turn: what is due, then what sockets tell, then everything that these have made ready.
+  /// Waits for events or the next timer, and runs everything that they make ready: ends of connections first,
+  /// then timers that are due, then what has arrived.
   void turn();
-  // When there is something to do if the system tells nothing: now, the next timer, or never.
+  /// When there is work even if no event comes: now, at the next timer, or never.
   TimePoint next_due() const;
 
  private:
@@ -104,16 +114,16 @@
   friend class Signals;
   struct Source {
     Waker* waker = nullptr;
-    std::uint32_t use = 0;  // tells an event of an earlier use of the place from this one's
+    std::uint32_t use = 0;  // counts reuses: tells a late event of an earlier use from this one's
   };
   std::uint32_t watch(int fd, Waker& waker);
   void unwatch(int fd, std::uint32_t source);
   void run_ready();
   void fire_due();
-  void sift(std::size_t place);
-  void put(std::size_t place, Timer* timer);
+  void sift(std::size_t index);
+  void put(std::size_t index, Timer* timer);
 
-  std::unique_ptr<System> own_;  // none where it was given one
+  std::unique_ptr<System> own_;  // empty where the system was given
   System& system_;
   std::vector<Source> sources_;
   std::vector<std::uint32_t> free_sources_;
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -1,4 +1,4 @@
-// The process's signals, as something that a coroutine can wait for.
+/// The process's signals, as events that a coroutine can wait for.
 #pragma once
 
 #include <initializer_list>
@@ -9,12 +9,13 @@
 
 class Signals {
  public:
-  // Takes these signals away from their handlers. Throws std::system_error.
+  /// Blocks these signals' handlers; `waker` becomes readable when one has come. Throws std::system_error.
   Signals(Scheduler& scheduler, Waker& waker, std::initializer_list<int> numbers);
   ~Signals();
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
-  int next();  // the next one that has come, or 0
+  /// The next signal that has come, or 0.
+  int next();
 
  private:
   Scheduler& scheduler_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -11,7 +11,7 @@
 namespace chutevane::net {
 namespace {
 
-constexpr std::size_t read_least = 4096;  // bytes of room for one read: a common message whole
+constexpr std::size_t min_read_space = 4096;  // bytes of room for one read: a common message whole
 
 bool later(long result) { return result == -EAGAIN || result == -EWOULDBLOCK; }
 
@@ -58,7 +58,7 @@
   adopt(fd);
 }
 
-void Socket::backlog(int most) { scheduler_.system().backlog(fd_, most); }
+void Socket::backlog(int max_pending) { scheduler_.system().backlog(fd_, max_pending); }
 
 int Socket::accept(bool& exhausted) {
   exhausted = false;
@@ -68,7 +68,7 @@
     if (later(fd)) return -1;
     exhausted = fd == -EMFILE || fd == -ENFILE || fd == -ENOBUFS || fd == -ENOMEM;
     if (exhausted || fd == -EBADF || fd == -EINVAL) return -1;
-    // Anything else is that one connection's trouble.
+    // Anything else is that one connection's failure.
   }
 }
 
@@ -76,7 +76,7 @@
   bool any = false;
   const std::size_t before = into.size();
   while (into.size() - before < most) {
-    const std::span<char> room = into.room(std::min(read_least, most));
+    const std::span<char> room = into.room(std::min(min_read_space, most));
     const long got = scheduler_.system().receive(fd_, room);
     if (got > 0) {
       into.added(static_cast<std::size_t>(got));
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,5 @@
-// The one owner of a descriptor: it is watched from open() on, and given back in close() alone.
+/// A non-blocking TCP socket, the only owner of its descriptor: watched from connect(), listen() or adopt()
+/// on, and closed in close() or reset() alone.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,13 +14,19 @@
 
 namespace chutevane::net {
 
-// "a.b.c.d:port"
+/// Reads "a.b.c.d:port"; nothing where the text is something else.
 std::optional<sockaddr_in> parse_address(std::string_view text);
 std::string text_of(const sockaddr_in& address);
 
 class Socket {
  public:
-  enum class Result { some, later, ended, broken };
+  /// The outcome of a read or write.
+  enum class Result {
+    some,    ///< bytes were moved
+    later,   ///< would block: wait for `readable` or `writable`
+    ended,   ///< the peer has ended its side
+    broken,  ///< the connection has failed
+  };
 
   Socket(Scheduler& scheduler, Waker& waker) : scheduler_(scheduler), waker_(waker) {}
   ~Socket() { close(); }
@@ -27,25 +34,37 @@
   Socket& operator=(const Socket&) = delete;
 
   bool open() const { return fd_ >= 0; }
-  int descriptor() const { return fd_; }  // stays this one's
-  void adopt(int fd);                     // takes over a descriptor that does not block
-  bool connect(const sockaddr_in& to);    // begins; `writable` or `hung_up` tells how it went
-  bool connected() const;                 // after `writable`: whether it came up
-  void listen(const sockaddr_in& at);     // throws std::system_error
-  void backlog(int most);                 // connections that may come up and wait to be accepted, from now on
-  int accept(bool& exhausted);            // a descriptor, or -1; `exhausted`: no descriptors are left
-  // What there is; of much a part, at most about so many bytes, and `readable` stays set.
+  /// Still owned by the socket.
+  int descriptor() const { return fd_; }
+  /// Takes ownership of a non-blocking descriptor.
+  void adopt(int fd);
+  /// Begins to connect; `writable` or `hung_up` tells that it has ended. False: there is no descriptor for
+  /// it.
+  bool connect(const sockaddr_in& to);
+  /// After `writable`: whether the connection was established.
+  bool connected() const;
+  /// Throws std::system_error.
+  void listen(const sockaddr_in& at);
+  /// Limits the connections that wait to be accepted, from now on.
+  void backlog(int max_pending);
+  /// A descriptor, which the caller owns, or -1; `exhausted`: no descriptors are left.
+  int accept(bool& exhausted);
+  /// Appends what has arrived, up to about `most` bytes; `readable` stays set where more is left.
   Result read(Buffer& into, std::size_t most = 16 * 1024);
-  // Reads and throws away; counts what there was. False: no more will come.
+  /// Reads and drops what has arrived, adding its size to `bytes`. False: no more will come.
   bool discard(Buffer& room, std::size_t& bytes);
   Result write(std::span<const char> bytes, std::size_t& written);
-  bool quiet() const;      // nothing to read, not ended either
-  bool has_bytes() const;  // there is something to read
+  /// Nothing has arrived, neither bytes nor the peer's end.
+  bool quiet() const;
+  /// There are bytes to read.
+  bool has_bytes() const;
   Span way(bool of_first = false) const { return scheduler_.system().way(fd_, of_first); }  // see System
   std::optional<sockaddr_in> local() const;
   std::optional<sockaddr_in> peer() const;
-  void end_writing();  // the peer reads to the end of what was written
-  void reset();        // ends the connection with a reset, whatever is still on its way
+  /// Half-closes: the peer reads to the end of what was written.
+  void end_writing();
+  /// Closes with a reset: what is in flight is lost.
+  void reset();
   void close();
 
  private:
--- a/src/net/system.hpp
+++ b/src/net/system.hpp
@@ -1,8 +1,9 @@
-// What net/ asks of the machine below it: time, readiness, sockets, signals. Nothing above net/ sees it.
-//
-// Two implement it: Epoll, the machine itself, and a process of the world (src/world), on a clock and a
-// network of its own under a seed. Descriptors are the implementation's numbers, not below 0. What fails
-// returns a negative errno; nothing here throws or blocks but wait().
+/// The operating system as src/net uses it: time, readiness, sockets, signals. Nothing above src/net calls
+/// it.
+///
+/// Two classes implement it: Epoll, on this machine, and a simulated process on a simulated clock and network
+/// under a seed. Descriptors are the implementation's numbers, 0 or above. Calls that fail return a negative
+/// errno. Nothing here throws, and only wait() blocks.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,43 +19,49 @@
 
 class System {
  public:
-  // What a descriptor tells; the values are the Waker's.
+  /// Events of a descriptor; the values are the Waker's bits.
   static constexpr std::uint32_t readable = 1, writable = 2, hung_up = 4;
   struct Event {
-    std::uint64_t tag = 0;  // as it was watched with
+    std::uint64_t tag = 0;  ///< as given to watch()
     std::uint32_t bits = 0;
   };
 
   virtual ~System() = default;
-  // Microseconds of Unix time that only move forward: no step of the system's clock moves a deadline.
+  /// Microseconds of Unix time, monotonic: no step of the system's clock moves a deadline.
   virtual TimePoint now() const = 0;
-  // Waits until something has changed, at most so long, rounded up to a millisecond; the number of events.
+  /// Blocks until there is an event, or for `most`, rounded up to a millisecond. Returns the number of
+  /// events.
   virtual std::size_t wait(std::span<Event> into, Span most) = 0;
-  // Changes are told once each (edge-triggered), beginning with how it is now.
+  /// Reports changes of readiness from now on, edge-triggered, beginning with the present state.
   virtual bool watch(int fd, std::uint64_t tag) = 0;
   virtual void unwatch(int fd) = 0;
 
-  // Sockets that do not block, over IPv4 and TCP.
-  virtual int connect(const sockaddr_in& to) = 0;  // a descriptor, perhaps before it has come up
-  virtual int connect_error(int fd) = 0;           // 0 once it has come up
+  // Non-blocking TCP sockets over IPv4.
+  /// A descriptor; the connection may still be in progress.
+  virtual int connect(const sockaddr_in& to) = 0;
+  /// 0 once the connection is established.
+  virtual int connect_error(int fd) = 0;
   virtual int listen(const sockaddr_in& at) = 0;
   virtual void backlog(int fd, int most) = 0;
   virtual int accept(int fd) = 0;
-  virtual long receive(int fd, std::span<char> into) = 0;  // 0: the peer has ended
-  virtual long peek(int fd) = 0;                           // as receive(), of one byte that stays
+  /// The number of bytes; 0: the peer has ended.
+  virtual long receive(int fd, std::span<char> into) = 0;
+  /// As receive() for one byte, without consuming it.
+  virtual long peek(int fd) = 0;
   virtual long send(int fd, std::span<const char> from) = 0;
-  // How long the last byte of what was read last had been on its way, or its first, where that is known: in a
-  // world.
+  /// How long the last byte, or the first, of what was read last was in flight: known in simulations, else
+  /// zero.
   virtual Span way(int, bool /*of_first*/) const { return Span(); }
   virtual std::optional<sockaddr_in> local(int fd) const = 0;
   virtual std::optional<sockaddr_in> peer(int fd) const = 0;
   virtual void end_writing(int fd) = 0;
   virtual void close(int fd, bool with_reset) = 0;
 
-  // The process's signals as a descriptor that becomes readable; from here on no handler gets them.
+  /// The process's signals as a descriptor that becomes readable; their handlers are not called any more.
   virtual int open_signals(std::initializer_list<int> numbers) = 0;
-  virtual int next_signal(int fd) = 0;  // 0: none has come
-  // Asks for so many descriptors, and tells how many there are.
+  /// 0: none has come.
+  virtual int next_signal(int fd) = 0;
+  /// Raises the limit on descriptors as far as it may; returns the limit.
   virtual std::size_t descriptors(std::size_t wanted) = 0;
 };
 
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,4 +1,6 @@
-// A coroutine and its one owner: destroying the Task destroys the frame, wherever it is suspended.
+/// A coroutine and its only owner: destroying the Task destroys the frame, wherever it is suspended.
+///
+/// A coroutine must not destroy its own Task, directly or through a callback: see TaskGroup.
 #pragma once
 
 #include <coroutine>
@@ -27,7 +29,7 @@
     return *this;
   }
   ~Task() { release(); }
-  // Runs it up to its first wait. Call once.
+  /// Runs the coroutine up to its first suspension. Call once.
   void start() { frame_.resume(); }
 
  private:
--- a/src/net/task_group.hpp
+++ b/src/net/task_group.hpp
@@ -1,5 +1,7 @@
-// Owns objects that run a coroutine each and leave when it ends. An object cannot be destroyed while its
-// own coroutine runs: it retires, and is destroyed in the scheduler's next step.
+/// Owns objects that run a coroutine each, until that coroutine ends.
+///
+/// An object cannot be destroyed while its own coroutine runs. It calls retire() on itself instead, and is
+/// destroyed in the scheduler's next step.
 #pragma once
 
 #include <memory>
@@ -11,22 +13,26 @@
 
 namespace chutevane::net {
 
-template <class T>  // has a std::size_t group_index
+/// T has a member `std::size_t group_index`, which belongs to the group.
+template <class T>
 class TaskGroup {
  public:
-  explicit TaskGroup(Scheduler& scheduler) : waker_(scheduler), sweeper_(sweep()) { sweeper_.start(); }
+  explicit TaskGroup(Scheduler& scheduler) : waker_(scheduler), cleaner_(destroy_retired()) {
+    cleaner_.start();
+  }
 
-  T& add(std::unique_ptr<T> one) {
-    one->group_index = members_.size();
-    members_.push_back(std::move(one));
+  T& add(std::unique_ptr<T> member) {
+    member->group_index = members_.size();
+    members_.push_back(std::move(member));
     return *members_.back();
   }
-  void retire(T& one) {
-    const std::size_t place = one.group_index;
-    retired_.push_back(std::move(members_[place]));
-    if (place + 1 != members_.size()) {
-      members_[place] = std::move(members_.back());
-      members_[place]->group_index = place;
+  /// Takes a member out; it is destroyed in a later step. The order of the others changes.
+  void retire(T& member) {
+    const std::size_t index = member.group_index;
+    retired_.push_back(std::move(members_[index]));
+    if (index + 1 != members_.size()) {
+      members_[index] = std::move(members_.back());
+      members_[index]->group_index = index;
     }
     members_.pop_back();
     waker_.set(Waker::own);
@@ -35,7 +41,7 @@
   T& operator[](std::size_t i) { return *members_[i]; }
 
  private:
-  Task sweep() {
+  Task destroy_retired() {
     while (true) {
       co_await waker_.wait(Waker::own);
       retired_.clear();
@@ -43,7 +49,7 @@
   }
   std::vector<std::unique_ptr<T>> members_, retired_;
   Waker waker_;
-  Task sweeper_;
+  Task cleaner_;
 };
 
 }  // namespace chutevane::net
--- a/src/net/timer_queue.hpp
+++ b/src/net/timer_queue.hpp
@@ -1,4 +1,4 @@
-// Calls back at points in time: one timer and one coroutine for all of them.
+/// Callbacks at points in time: one timer and one coroutine of the scheduler for all of them.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,31 @@
 
 class TimerQueue {
  public:
-  // What was asked for; it may be cancelled, also after it has happened.
+  /// Names a scheduled callback, for cancel(). It owns nothing.
   struct Handle {
     TimePoint due;
-    std::uint64_t number = 0;  // 0: nothing was asked for
+    std::uint64_t number = 0;  ///< 0: names nothing
     auto operator<=>(const Handle&) const = default;
   };
 
+  /// `scheduler` must outlive this. Callbacks that are left at its end are not called.
   explicit TimerQueue(Scheduler& scheduler)
       : scheduler_(scheduler), waker_(scheduler), timer_(scheduler, waker_, due_bit), task_(run()) {
     task_.start();
   }
   TimePoint now() const { return scheduler_.now(); }
-  Handle at(TimePoint due, std::function<void()> what) {
+  /// Calls back once, in the first turn of the scheduler at or after `due`; callbacks of one time in the
+  /// order of their scheduling.
+  Handle at(TimePoint due, std::function<void()> callback) {
     const Handle handle{due, ++last_};
-    waiting_.emplace(handle, std::move(what));
-    if (waiting_.begin()->first == handle) timer_.set(due);
+    pending_.emplace(handle, std::move(callback));
+    if (pending_.begin()->first == handle) timer_.set(due);
     return handle;
   }
-  Handle after(Span span, std::function<void()> what) { return at(now() + span, std::move(what)); }
+  Handle after(Span delay, std::function<void()> callback) { return at(now() + delay, std::move(callback)); }
+  /// The callback will not be called; does nothing where it has been. Resets `handle`.
   void cancel(Handle& handle) {
-    if (handle.number != 0) waiting_.erase(handle);
+    if (handle.number != 0) pending_.erase(handle);
     handle = {};
   }
 
@@ -47,17 +51,17 @@
   }
   void fire() {
     const TimePoint now = scheduler_.now();
-    while (!waiting_.empty() && waiting_.begin()->first.due <= now) {
-      auto node = waiting_.extract(waiting_.begin());
+    while (!pending_.empty() && pending_.begin()->first.due <= now) {
+      auto node = pending_.extract(pending_.begin());  // the callback may schedule or cancel others
       node.mapped()();
     }
-    if (!waiting_.empty()) timer_.set(waiting_.begin()->first.due);
+    if (!pending_.empty()) timer_.set(pending_.begin()->first.due);
   }
 
   Scheduler& scheduler_;
   Waker waker_;
   Timer timer_;
-  std::map<Handle, std::function<void()>> waiting_;
+  std::map<Handle, std::function<void()>> pending_;  // the earliest first
   std::uint64_t last_ = 0;
   Task task_;
 };
