--- /dev/null
+++ b/src/control/acceptor.cpp
@@ -0,0 +1,141 @@
+#include "control/acceptor.hpp"
+
+#include <algorithm>
+
+#include "common/invariant.hpp"
+#include "common/value_update.hpp"
+
+namespace chutevane::control {
+namespace {
+
+using common::Accept;
+using common::Accepted;
+using common::Prepare;
+using common::Promise;
+
+std::int64_t wire(AcceptorStatus status) { return static_cast<std::int64_t>(status); }
+
+Promise promise_with(AcceptorStatus status) {
+  Promise reply;
+  reply.verdict = wire(status);
+  return reply;
+}
+
+}  // namespace
+
+DurableAcceptor::DurableAcceptor(common::Disk& disk, std::string address, std::string disk_id,
+                                 bool has_initial_disk)
+    : storage_(disk, "acceptor"),
+      address_(std::move(address)),
+      disk_id_(std::move(disk_id)),
+      has_initial_disk_(has_initial_disk) {}
+
+absl::Status DurableAcceptor::open() {
+  const auto recovered = storage_.recover();
+  if (absl::IsNotFound(recovered.status())) return absl::OkStatus();
+  if (!recovered.ok()) return recovered.status();
+  if (!common::decode(recovered->checkpoint, state_)) return absl::DataLossError("acceptor: slot not read");
+  for (const std::string& change : recovered->changes) {
+    if (!common::decode(change, state_)) return absl::DataLossError("acceptor: log not read");
+  }
+  return absl::OkStatus();
+}
+
+absl::Status DurableAcceptor::persist(WriteForm form) {
+  common::check_invariant(common::Invariant::accepted_not_above_promised,
+                          !(state_.promised < state_.accepted), [&] {
+                            return "promised round " + std::to_string(state_.promised.round) + ", accepted " +
+                                   std::to_string(state_.accepted.round);
+                          });
+  const std::string record = common::encoded(state_);
+  const bool as_checkpoint =
+      form == WriteForm::checkpoint || storage_.is_log_full() || storage_.needs_checkpoint();
+  return as_checkpoint ? storage_.write_checkpoint(record) : storage_.append_change(record);
+}
+
+bool DurableAcceptor::is_member_of(const RegisterValue& epoch_value) const {
+  return std::any_of(epoch_value.acceptors.begin(), epoch_value.acceptors.end(), [&](const Acceptor& member) {
+    const bool is_initial_member = member.disk.empty() && has_initial_disk_ && epoch_value.epoch == 1;
+    return member.address == address_ && (member.disk == disk_id_ || is_initial_member);
+  });
+}
+
+/// Begins a later epoch, if this acceptor is a member of it. In memory: the caller persists it.
+bool DurableAcceptor::enter_epoch(std::int64_t epoch, const RegisterValue& epoch_value) {
+  if (epoch != epoch_value.epoch || !is_member_of(epoch_value)) return false;
+  state_ = {};
+  state_.epoch = epoch;
+  state_.initial = state_.value = epoch_value;
+  return true;
+}
+
+absl::StatusOr<Promise> DurableAcceptor::prepare(const Prepare& request) {
+  const common::AcceptorRecord before = state_;
+  const bool enters_epoch = request.epoch > state_.epoch;
+  if (enters_epoch && !enter_epoch(request.epoch, request.initial))
+    return promise_with(AcceptorStatus::not_a_member);
+  if (request.epoch < state_.epoch) {
+    Promise reply = promise_with(AcceptorStatus::epoch_ended);
+    reply.epoch = state_.epoch;
+    reply.initial = state_.initial;
+    return reply;
+  }
+  const bool promises = !request.read_only && state_.promised < request.ballot;
+  if (promises) state_.promised = request.ballot;
+  if (promises || enters_epoch) {
+    const absl::Status stored = persist(enters_epoch ? WriteForm::checkpoint : WriteForm::log_record);
+    if (!stored.ok()) {
+      state_ = before;
+      return stored;
+    }
+  }
+  if (enters_epoch && epoch_entered_callback_) epoch_entered_callback_(state_.initial);
+
+  const bool is_granted = request.read_only || state_.promised == request.ballot;
+  Promise reply = promise_with(is_granted ? AcceptorStatus::ok : AcceptorStatus::ballot_outdated);
+  reply.epoch = state_.epoch;
+  reply.promised = state_.promised;
+  reply.accepted = state_.accepted;
+  reply.value_known = request.known_ballot.round > 0 && request.known_ballot == state_.accepted;
+  if (is_granted && !reply.value_known) reply.value = state_.value;
+  return reply;
+}
+
+/// The value of the request, rebuilt from the accepted one where the request carries a difference.
+absl::StatusOr<RegisterValue> DurableAcceptor::requested_value(const Accept& request) const {
+  if (!common::is_difference(request.difference)) return request.value;
+  return common::apply_value_difference(request.difference, common::encoded(state_.value));
+}
+
+absl::StatusOr<Accepted> DurableAcceptor::accept(const Accept& request) {
+  Accepted reply;
+  reply.epoch = state_.epoch;
+  reply.promised = state_.promised;
+  if (request.epoch != state_.epoch) {
+    const bool has_ended = request.epoch < state_.epoch;
+    reply.verdict = wire(has_ended ? AcceptorStatus::epoch_ended : AcceptorStatus::not_a_member);
+    return reply;
+  }
+  if (request.ballot < state_.promised) {
+    reply.verdict = wire(AcceptorStatus::ballot_outdated);
+    return reply;
+  }
+  reply.verdict = wire(AcceptorStatus::ok);
+  const bool is_repeat = request.ballot.round > 0 && request.ballot == state_.accepted;
+  if (is_repeat) return reply;  // it is on disk already
+  absl::StatusOr<RegisterValue> value = requested_value(request);
+  if (!value.ok()) {
+    reply.verdict = wire(AcceptorStatus::full_value_required);
+    return reply;
+  }
+  const common::AcceptorRecord before = state_;
+  state_.promised = state_.accepted = request.ballot;
+  state_.value = *std::move(value);
+  if (absl::Status stored = persist(WriteForm::log_record); !stored.ok()) {
+    state_ = before;
+    return stored;
+  }
+  return reply;
+}
+
+}  // namespace chutevane::control
--- /dev/null
+++ b/src/control/acceptor.hpp
@@ -0,0 +1,88 @@
+/// The acceptor of the register: the voting role of a controller, on its disk. No network.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+
+#include "absl/status/status.h"
+#include "absl/status/statusor.h"
+#include "common/disk.hpp"
+#include "common/messages.hpp"
+#include "control/register_value.hpp"
+
+namespace chutevane::control {
+
+/// Outcome of a prepare or accept request. The numbers go over the wire in `Promise` and `Accepted`.
+enum class AcceptorStatus : std::int64_t {
+  ok = 0,               ///< promised, or accepted
+  ballot_outdated = 1,  ///< a later ballot has been promised
+  epoch_ended = 2,      ///< the acceptor is in a later epoch; the reply carries that epoch's initial value
+  not_a_member = 3,     ///< not an acceptor of the request's epoch
+  full_value_required = 4,  ///< the difference does not apply to what it has accepted: send the full value
+};
+
+/// Promises and accepts on disk before it replies.
+///
+/// An acceptor is identified by its address and the name of its disk. After its disk was replaced it is no
+/// member of the epoch any more and rejects requests until a later epoch names its new disk; so no promise
+/// that was lost with a disk can be broken.
+///
+/// If the disk fails, the request that met the failure gets no reply and the state in memory stays what was
+/// last on disk; read-only requests are still answered from it. Nothing more is promised or accepted until a
+/// full checkpoint has been written, by the next request or by retry_write().
+class DurableAcceptor {
+ public:
+  /// `has_initial_disk`: the disk was new when the whole system was first started. The first epoch names its
+  /// acceptors by address alone, and means the disks of that time.
+  DurableAcceptor(common::Disk& disk, std::string address, std::string disk_id, bool has_initial_disk);
+
+  /// Reads the state from disk; to be called once, before anything else. DataLoss: the state can't be read,
+  /// so the caller must treat the disk as a new one. Other errors are the disk's: this process cannot vote.
+  [[nodiscard]] absl::Status open();
+
+  /// Called with the initial value of each epoch that this acceptor enters, once that is on disk. It may be
+  /// the only one left that knows of the epoch, so the proposer of its process has to learn of it.
+  void on_epoch_entered(std::function<void(const RegisterValue& epoch_value)> callback) {
+    epoch_entered_callback_ = std::move(callback);
+  }
+
+  /// Errors are the disk's. The caller must not reply then.
+  [[nodiscard]] absl::StatusOr<common::Promise> prepare(const common::Prepare& request);
+  [[nodiscard]] absl::StatusOr<common::Accepted> accept(const common::Accept& request);
+
+  /// The disk has rejected a write and has taken none since.
+  bool is_disk_failing() const { return storage_.needs_checkpoint(); }
+  /// Writes the current state again.
+  [[nodiscard]] absl::Status retry_write() { return persist(WriteForm::checkpoint); }
+
+  /// Address and disk, by which a set of acceptors names this one.
+  common::Acceptor identity() const { return {address_, disk_id_}; }
+  bool has_initial_disk() const { return has_initial_disk_; }
+
+  /// 0: member of no epoch yet.
+  std::int64_t epoch() const { return state_.epoch; }
+  bool is_voting() const { return state_.epoch > 0; }
+  const RegisterValue& epoch_value() const { return state_.initial; }
+  /// The newest accepted value and the ballot under which it was accepted. Ballot round 0: the epoch's
+  /// initial value.
+  const RegisterValue& accepted_value() const { return state_.value; }
+  const Ballot& accepted_ballot() const { return state_.accepted; }
+  std::int64_t accepted_number() const { return state_.value.number; }
+
+ private:
+  enum class WriteForm : std::uint8_t { checkpoint, log_record };
+  bool is_member_of(const RegisterValue& epoch_value) const;
+  bool enter_epoch(std::int64_t epoch, const RegisterValue& epoch_value);
+  absl::Status persist(WriteForm form);
+  absl::StatusOr<RegisterValue> requested_value(const common::Accept& request) const;
+
+  common::DurableState storage_;
+  const std::string address_;
+  const std::string disk_id_;
+  const bool has_initial_disk_;
+  common::AcceptorRecord state_;
+  std::function<void(const RegisterValue&)> epoch_entered_callback_;
+};
+
+}  // namespace chutevane::control
--- a/src/control/chosen_word.cpp
+++ b/src/control/chosen_word.cpp
@@ -4,27 +4,27 @@
 
 common::Chosen chosen_word(common::RecentValues& recent, const Register& reg, const PeerState& peer) {
   common::Chosen out;
-  out.epoch = reg.initial().epoch;
-  if (peer.epoch != out.epoch) out.initial = reg.initial();
+  out.epoch = reg.epoch_value().epoch;
+  if (peer.epoch != out.epoch) out.initial = reg.epoch_value();
   out.ballot = reg.known_ballot();
-  const bool held = recent.number() == reg.known()->number;
+  const bool held = recent.number() == reg.known_value()->number;
   const common::ValueDifference* const change =
       held && peer.number > 0 ? recent.difference_from(peer.number) : nullptr;
   if (change != nullptr) {
     out.difference = *change;
   } else {
-    out.value = *reg.known();
+    out.value = *reg.known_value();
   }
   return out;
 }
 
 bool take_chosen(Register& reg, const common::RecentValues& recent, const common::Chosen& word) {
   // Without the first value of its epoch the word is for those who are in that epoch.
-  if (word.initial.epoch == 0 && word.epoch != reg.initial().epoch) return false;
+  if (word.initial.epoch == 0 && word.epoch != reg.epoch_value().epoch) return false;
   const absl::StatusOr<RegisterValue> value = common::received_value(word.value, word.difference, recent);
   if (!value.ok()) return false;
-  reg.learn_chosen(*value, word.initial);
-  if (word.ballot.round > 0) reg.learn_accepted(word.epoch, word.ballot, *value);
+  reg.observe_chosen(*value, word.initial);
+  if (word.ballot.round > 0) reg.observe_accepted(word.epoch, word.ballot, *value);
   return true;
 }
 
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -52,7 +52,7 @@
         const auto port = static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port);
         seeds.push_back({common::internal_control_address(seed, port), ""});
       }
-      record_.initial = first_value(std::move(seeds));
+      record_.initial = first_epoch_value(std::move(seeds));
     }
     if (absl::Status s = record_slots_.write_checkpoint(common::encoded(record_)); !s.ok()) return s;
   }
@@ -67,9 +67,10 @@
   } else if (!s.ok()) {
     return s;
   }
-  acceptor_->on_entered([this](const common::RegisterValue& initial) { register_.learn_epoch(initial); });
-  register_.learn_epoch(record_.initial);
-  register_.learn_epoch(acceptor_->initial());
+  acceptor_->on_epoch_entered(
+      [this](const common::RegisterValue& initial) { register_.observe_epoch(initial); });
+  register_.observe_epoch(record_.initial);
+  register_.observe_epoch(acceptor_->epoch_value());
   register_.on_chosen([this](const common::RegisterValue& value) { chosen(value); });
   for (const sockaddr_in& seed : settings_.seeds)
     know(common::internal_control_address(
@@ -80,7 +81,7 @@
   tick();
   read_list();
   common::log_info("control.open", "disk " + record_.disk + (record_.first ? ", first start" : "") +
-                                       ", epoch " + std::to_string(register_.initial().epoch));
+                                       ", epoch " + std::to_string(register_.epoch_value().epoch));
   return absl::OkStatus();
 }
 
@@ -141,8 +142,8 @@
 // The register here knows what its own acceptor has: others need not send it back.
 absl::StatusOr<common::Accepted> ControlPlane::accept_here(const common::Accept& ask) {
   auto got = acceptor_->accept(ask);
-  if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes)
-    register_.learn_accepted(ask.epoch, acceptor_->accepted(), acceptor_->value());
+  if (got.ok() && static_cast<AcceptorStatus>(got->verdict) == AcceptorStatus::ok)
+    register_.observe_accepted(ask.epoch, acceptor_->accepted_ballot(), acceptor_->accepted_value());
   return got;
 }
 
@@ -168,14 +169,14 @@
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
   }
-  if (record_.initial.epoch < register_.initial().epoch) store_known();
+  if (record_.initial.epoch < register_.epoch_value().epoch) store_known();
 }
 
 // The others hear of a change from who made it, not only by asking: of the newest value known here, which is
 // that one or a later one.
 void ControlPlane::announce(const common::RegisterValue&) {
-  if (!register_.known()) return;
-  const std::int64_t number = register_.known()->number;
+  if (!register_.known_value()) return;
+  const std::int64_t number = register_.known_value()->number;
   for (auto& [address, peer] : peers_) {
     // A peer that does not read gets no more: it reads the register when it is there again.
     if (!peer.link->up() || peer.link->unsent() > common::PushCursor::max_unsent_bytes) continue;
@@ -190,20 +191,20 @@
 
 // So that it finds the others again, whatever the seeds of its settings are by then.
 void ControlPlane::store_known() {
-  record_.initial = register_.initial();
+  record_.initial = register_.epoch_value();
   record_.controllers = controller_addresses();
   note_disk(record_slots_.write_checkpoint(common::encoded(record_)));
 }
 
 // A request that wrote nothing succeeds on a disk that fails, too.
 void ControlPlane::note_disk(const absl::Status& outcome) {
-  if (outcome.ok() && (acceptor_->disk_failing() || record_slots_.needs_checkpoint())) return;
+  if (outcome.ok() && (acceptor_->is_disk_failing() || record_slots_.needs_checkpoint())) return;
   disk_health_.record_outcome(outcome);
 }
 
 // A disk that has failed is tried again with each step of the loop, not only with the next request.
 void ControlPlane::try_disk_again() {
-  if (acceptor_->disk_failing()) note_disk(acceptor_->write_again());
+  if (acceptor_->is_disk_failing()) note_disk(acceptor_->retry_write());
   if (record_slots_.needs_checkpoint()) store_known();
 }
 
@@ -236,12 +237,12 @@
 // Its disk may go with it, and the machine that replaces it may have been there for long: the next loss would
 // then leave no majority. So it votes until its place is another's.
 bool ControlPlane::may_go() const {
-  const std::vector<common::Acceptor>& set = register_.initial().acceptors;
-  if (!names(set, address_)) return register_.released(address_) || set.empty();
+  const std::vector<common::Acceptor>& set = register_.epoch_value().acceptors;
+  if (!contains_address(set, address_)) return register_.is_released(address_) || set.empty();
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& one) {
     const auto& [address, peer] = one;
     return peer.last && !peer.last->draining && timers_.now() - peer.heard < peer_heard &&
-           !names(set, address);
+           !contains_address(set, address);
   });
 }
 
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -17,6 +17,7 @@
 #include "common/rpc.hpp"
 #include "common/settings.hpp"
 #include "common/value_update.hpp"
+#include "control/acceptor.hpp"
 #include "control/chosen_word.hpp"
 #include "control/duty.hpp"
 #include "control/operator_api.hpp"
@@ -27,7 +28,7 @@
 
 namespace chutevane::control {
 
-class ControlPlane final : public common::Plane, Voters, OperatorApi::Host {
+class ControlPlane final : public common::Plane, AcceptorTransport, OperatorApi::Host {
  public:
   ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
                std::unique_ptr<common::Disk> disk);
@@ -119,7 +120,7 @@
   common::DurableState record_slots_;
   common::ControllerRecord record_;
   const std::string address_;
-  std::optional<AcceptorState> acceptor_;
+  std::optional<DurableAcceptor> acceptor_;
   common::DiskHealth disk_health_;
   Register register_;
   common::RpcServer rpc_server_;
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -19,7 +19,7 @@
     bool over = false;
   };
   auto count = std::make_shared<Count>();
-  const std::size_t needed = majority(register_.initial());
+  const std::size_t needed = quorum_size(register_.epoch_value());
   const auto hear = [this, count, &duty, term, needed](bool yes) {
     ++count->answered;
     count->yes += yes ? 1 : 0;
@@ -36,7 +36,7 @@
       stand(duty);
     }
   };
-  const std::vector<common::Acceptor> voters = register_.initial().acceptors;
+  const std::vector<common::Acceptor> voters = register_.epoch_value().acceptors;
   count->asked = voters.size();
   for (const common::Acceptor& a : voters) {
     if (a.address == address_) {
@@ -57,7 +57,7 @@
 void ControlPlane::stand(Duty& duty) {
   const TimePoint now = timers_.now();
   std::int64_t term = 0;
-  if (leaving_ || register_.initial().epoch == 0) return;
+  if (leaving_ || register_.epoch_value().epoch == 0) return;
   if (duty.stand(now, term)) return ballot(duty, term);
   const TimePoint again = duty.look_again();
   // Not with the loop's step: those who began together would go on together.
@@ -150,12 +150,12 @@
 }
 
 void ControlPlane::keep_roster() {
-  if (changing_roster_ || !register_.known() || !quorum_reached(duty_vacant_after)) return;
+  if (changing_roster_ || !register_.known_value() || !quorum_reached(duty_vacant_after)) return;
   const TimePoint now = timers_.now();
-  const common::RegisterValue& value = *register_.known();
+  const common::RegisterValue& value = *register_.known_value();
   // One whose disk fails can't vote: it is counted as gone, so that another takes its place.
   std::vector<LiveController> live;
-  if (!acceptor_->disk_failing()) live.push_back({address_, record_.disk, record_.first, !leaving_});
+  if (!acceptor_->is_disk_failing()) live.push_back({address_, record_.disk, record_.first, !leaving_});
   for (const auto& [address, peer] : peers_) {
     if (peer.last && !peer.last->disk_failing && now - peer.heard < peer_heard)
       live.push_back({address, peer.last->disk, peer.last->first, !peer.last->draining});
--- a/src/control/control_plane_peers.cpp
+++ b/src/control/control_plane_peers.cpp
@@ -49,7 +49,7 @@
 void ControlPlane::forget_lost() {
   parted_.clear();
   const TimePoint now = timers_.now();
-  const common::RegisterValue& initial = register_.initial();
+  const common::RegisterValue& initial = register_.epoch_value();
   for (auto it = peers_.begin(); it != peers_.end();) {
     const bool votes = std::any_of(initial.acceptors.begin(), initial.acceptors.end(),
                                    [&](const common::Acceptor& a) { return a.address == it->first; });
@@ -76,7 +76,7 @@
 
 Gossip ControlPlane::word_of_mine() {
   // The acceptor may have entered an epoch that nobody has told this controller's register of.
-  register_.learn_epoch(acceptor_->initial());
+  register_.observe_epoch(acceptor_->epoch_value());
   Gossip out;
   out.node = settings_.node;
   out.address = address_;
@@ -84,12 +84,12 @@
   out.disk = record_.disk;
   out.zone = settings_.zone;
   out.draining = leaving_;
-  out.epoch = register_.initial().epoch;
-  out.known_number = register_.known() ? register_.known()->number : 0;
-  out.accepted = acceptor_->voting() && acceptor_->epoch() == out.epoch ? acceptor_->accepted_number() : 0;
-  out.voting = acceptor_->voting();
+  out.epoch = register_.epoch_value().epoch;
+  out.known_number = register_.known_value() ? register_.known_value()->number : 0;
+  out.accepted = acceptor_->is_voting() && acceptor_->epoch() == out.epoch ? acceptor_->accepted_number() : 0;
+  out.voting = acceptor_->is_voting();
   out.first = record_.first;
-  out.disk_failing = acceptor_->disk_failing();
+  out.disk_failing = acceptor_->is_disk_failing();
   // Where those with a session here follow a later list than this one has, its holder has to hear of it.
   const bool later_followed = followed_list_term_ > list_.term();
   out.list_term = later_followed ? followed_list_term_ : list_.term();
@@ -106,8 +106,8 @@
 Gossip ControlPlane::full_word() {
   Gossip out = word_of_mine();
   out.full = true;
-  out.initial.epoch = register_.initial().epoch;
-  out.initial.acceptors = register_.initial().acceptors;
+  out.initial.epoch = register_.epoch_value().epoch;
+  out.initial.acceptors = register_.epoch_value().acceptors;
   out.controllers = controller_addresses();
   for (const auto& [id, session] : sessions_) out.members.push_back(session.member);
   return out;
@@ -174,41 +174,41 @@
 }
 
 AcceptorReport ControlPlane::own_report() const {
-  const std::int64_t epoch = register_.initial().epoch;
-  const bool entered = acceptor_->voting() && acceptor_->epoch() == epoch;
+  const std::int64_t epoch = register_.epoch_value().epoch;
+  const bool entered = acceptor_->is_voting() && acceptor_->epoch() == epoch;
   return {{address_, record_.disk}, record_.first, epoch, entered ? acceptor_->accepted_number() : 0};
 }
 
 // Whether messages went to a quorum of the acceptors and back, the first of them sent no longer ago.
 bool ControlPlane::quorum_reached(Span within) const {
   const TimePoint now = timers_.now();
-  const auto at = contact_.reached(register_.initial().acceptors, own_report(), now);
+  const auto at = contact_.reached(register_.epoch_value().acceptors, own_report(), now);
   return at && now - *at < within;
 }
 
 void ControlPlane::confirm_contact() {
-  if (!register_.known()) return;
-  const auto at = contact_.confirmed(register_.initial().acceptors, own_report(), register_.known()->number,
-                                     timers_.now());
+  if (!register_.known_value()) return;
+  const auto at = contact_.confirmed(register_.epoch_value().acceptors, own_report(),
+                                     register_.known_value()->number, timers_.now());
   if (at) fresh_at_ = std::max(fresh_at_, *at);
 }
 
 Span ControlPlane::fresh_age() const {
-  if (!register_.known()) return Span::ms(60000);
+  if (!register_.known_value()) return Span::ms(60000);
   return timers_.now() - fresh_at_;
 }
 
 // Whether anything tells of a value or an epoch newer than what is known here.
 bool ControlPlane::behind() const {
   const TimePoint now = timers_.now();
-  const std::int64_t known = register_.known() ? register_.known()->number : -1;
+  const std::int64_t known = register_.known_value() ? register_.known_value()->number : -1;
   if (known < 0) return true;
-  if (acceptor_->voting() && acceptor_->accepted_number() > known) return true;
+  if (acceptor_->is_voting() && acceptor_->accepted_number() > known) return true;
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& one) {
     const Peer& peer = one.second;
     if (!peer.last || now - peer.heard > peer_heard) return false;
     return peer.last->known_number > known || peer.last->accepted > known ||
-           peer.last->epoch > register_.initial().epoch;
+           peer.last->epoch > register_.epoch_value().epoch;
   });
 }
 
@@ -218,7 +218,7 @@
   const TimePoint now = timers_.now();
   const auto later = std::find_if(peers_.begin(), peers_.end(), [&](const auto& one) {
     const Peer& peer = one.second;
-    return peer.last && peer.last->epoch > register_.initial().epoch && now - peer.heard < peer_heard;
+    return peer.last && peer.last->epoch > register_.epoch_value().epoch && now - peer.heard < peer_heard;
   });
   if (later == peers_.end()) return false;
   catching_up_ = true;
@@ -227,7 +227,8 @@
   const std::vector<common::Acceptor> acceptors = later->second.last->initial.acceptors;
   for (const common::Acceptor& a : acceptors) {
     prepare(a.address, ask, [this](absl::StatusOr<common::Promise> got) {
-      if (got.ok() && got->initial.epoch > register_.initial().epoch) register_.learn_epoch(got->initial);
+      if (got.ok() && got->initial.epoch > register_.epoch_value().epoch)
+        register_.observe_epoch(got->initial);
     });
   }
   timers_.after(Span::ms(60), [this] {
@@ -249,8 +250,8 @@
     behind_since_ = now;
     timers_.after(behind_most + Span::ms(1), [this] { catch_up(); });  // sooner than the loop's next step
   }
-  if (catching_up_ || (register_.known() && now - *behind_since_ < behind_most)) return;
-  if (learn_later_epoch() || register_.initial().epoch == 0) return;
+  if (catching_up_ || (register_.known_value() && now - *behind_since_ < behind_most)) return;
+  if (learn_later_epoch() || register_.epoch_value().epoch == 0) return;
   catching_up_ = true;
   // What it finds was chosen at some time after its beginning.
   register_.read(Span::ms(1500), [this, now](absl::StatusOr<common::RegisterValue> got) {
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -37,7 +37,7 @@
   if (fresh) {
     common::ControlHeartbeat word;
     word.knowledge_age_ms = static_cast<std::int64_t>(fresh_age().as_ms());
-    word.number = register_.known() ? register_.known()->number : 0;
+    word.number = register_.known_value() ? register_.known_value()->number : 0;
     word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
     connection.send(word);
@@ -66,7 +66,7 @@
 void ControlPlane::heartbeat() {
   common::ControlHeartbeat word;
   word.knowledge_age_ms = static_cast<std::int64_t>(fresh_age().as_ms());
-  word.number = register_.known() ? register_.known()->number : 0;
+  word.number = register_.known_value() ? register_.known_value()->number : 0;
   const TimePoint now = timers_.now();
   const std::vector<Member> all = members();
   word.edge_count = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
@@ -138,13 +138,13 @@
   const auto gauge = [&](std::string_view name, std::string_view unit, std::string_view help, double value) {
     out.gauge(name, unit, help, value);
   };
-  const std::optional<common::RegisterValue>& known = register_.known();
+  const std::optional<common::RegisterValue>& known = register_.known_value();
   const auto number = [](std::int64_t value) { return static_cast<double>(value); };
   operator_api_.write_metrics(out);
   gauge("chutevane_register_number", "", "Number of the newest value known to be chosen.",
         known ? number(known->number) : 0);
   gauge("chutevane_register_epoch", "", "Epoch of the newest set of acceptors known.",
-        number(register_.initial().epoch));
+        number(register_.epoch_value().epoch));
   gauge("chutevane_register_ballot_round", "",
         "Round under which the known value was accepted; 0: not known.",
         number(register_.known_ballot().round));
@@ -173,7 +173,7 @@
   for (const Duty* duty : {&list_duty_, &roster_duty_})
     out.sample(duty->mine() ? 1 : 0, {{"duty", duty->name()}});
   gauge("chutevane_acceptor_voting", "", "1 while this controller's disk votes.",
-        acceptor_->voting() ? 1 : 0);
+        acceptor_->is_voting() ? 1 : 0);
   gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", disk_health_.is_healthy() ? 0 : 1);
 }
 
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -145,7 +145,7 @@
   refusals_.line("outcome=" + std::string(name_of(outcome)) + " version=" + std::to_string(order.version) +
                  " base=" + std::to_string(order.base) +
                  " hash=" + common::hash_text(static_cast<std::uint64_t>(order.hash)) +
-                 " epoch=" + std::to_string(register_.initial().epoch) +
+                 " epoch=" + std::to_string(register_.epoch_value().epoch) +
                  " ballot=" + std::to_string(ballot.round) + "." + std::to_string(ballot.proposer) +
                  " quorum_age_ms=" + std::to_string(static_cast<std::int64_t>(own.fresh_age.as_ms())) +
                  " cause=" + std::string(cause));
@@ -253,16 +253,19 @@
   const ControlStatus own = host_.status();
   json::Writer out;
   const auto count = [](std::int64_t n) { return static_cast<std::uint64_t>(std::max<std::int64_t>(n, 0)); };
-  const std::optional<common::RegisterValue>& v = register_.known();
+  const std::optional<common::RegisterValue>& v = register_.known_value();
   out.open('{').key("node").text(own.node);
   out.key("freshMs").number(count(static_cast<std::int64_t>(own.fresh_age.as_ms())));
-  out.key("number").number(v ? count(v->number) : 0).key("epoch").number(count(register_.initial().epoch));
+  out.key("number")
+      .number(v ? count(v->number) : 0)
+      .key("epoch")
+      .number(count(register_.epoch_value().epoch));
   out.key("configVersion")
       .number(v ? count(v->config_version) : 0)
       .key("map")
       .number(v ? count(v->map_version) : 0);
   out.key("acceptors").open('[');
-  for (const common::Acceptor& a : register_.initial().acceptors)
+  for (const common::Acceptor& a : register_.epoch_value().acceptors)
     out.open('{').key("address").text(a.address).key("disk").text(a.disk).close('}');
   out.close(']').key("storageNodes").open('[');
   if (v) {
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -6,6 +6,7 @@
 
 #include "common/invariant.hpp"
 #include "common/value_update.hpp"
+#include "control/acceptor.hpp"
 
 namespace chutevane::control {
 namespace {
@@ -15,413 +16,318 @@
 using common::Prepare;
 using common::Promise;
 
-constexpr Span round_most = Span::ms(400);  // for the answers of one round: a way and a sync take some ms
-constexpr Span pause_least =
-    Span::ms(8);  // before the next ballot after one that met a later one: two rounds
-constexpr Span pause_spread = Span::ms(40);  // ... and as much as this more, so that two do not meet again
-constexpr int doublings_most = 3;            // of the spread, one for each try that was in vain
+constexpr Span attempt_timeout = Span::ms(400);  // per phase: a round trip and a disk sync take a few ms
+constexpr Span min_backoff = Span::ms(8);        // before the next ballot: two round trips
+constexpr Span backoff_jitter = Span::ms(40);    // so that two proposers do not collide again
+constexpr int max_backoff_doublings = 3;         // of the jitter, one for each failed attempt
 
-}  // namespace
-
-RegisterValue first_value(std::vector<Acceptor> acceptors) {
-  RegisterValue out;
-  out.epoch = 1;
-  std::sort(acceptors.begin(), acceptors.end(),
-            [](const Acceptor& a, const Acceptor& b) { return a.address < b.address; });
-  out.acceptors = std::move(acceptors);
-  return out;
-}
-
-RegisterValue opened(const RegisterValue& last) {
-  RegisterValue out = last;
-  ++out.number;
-  ++out.epoch;
-  out.acceptors = last.next_acceptors;
-  out.next_acceptors.clear();
-  return out;
-}
-
-std::size_t majority(const RegisterValue& initial) { return initial.acceptors.size() / 2 + 1; }
-
-AcceptorState::AcceptorState(common::Disk& disk, std::string address, std::string disk_id, bool first)
-    : slots_(disk, "acceptor"), address_(std::move(address)), disk_id_(std::move(disk_id)), first_(first) {}
-
-absl::Status AcceptorState::open() {
-  const auto got = slots_.recover();
-  if (absl::IsNotFound(got.status())) return absl::OkStatus();
-  if (!got.ok()) return got.status();
-  if (!common::decode(got->checkpoint, state_)) return absl::DataLossError("acceptor: slot not read");
-  for (const std::string& change : got->changes) {
-    if (!common::decode(change, state_)) return absl::DataLossError("acceptor: log not read");
-  }
-  return absl::OkStatus();
-}
-
-absl::Status AcceptorState::store(bool whole) {
-  common::check_invariant(common::Invariant::accepted_not_above_promised,
-                          !(state_.promised < state_.accepted), [&] {
-                            return "promised round " + std::to_string(state_.promised.round) + ", accepted " +
-                                   std::to_string(state_.accepted.round);
-                          });
-  const std::string record = common::encoded(state_);
-  const bool as_slot = whole || slots_.is_log_full() || slots_.needs_checkpoint();
-  return as_slot ? slots_.write_checkpoint(record) : slots_.append_change(record);
-}
-
-bool AcceptorState::named(const RegisterValue& initial) const {
-  return std::any_of(initial.acceptors.begin(), initial.acceptors.end(), [&](const Acceptor& a) {
-    return a.address == address_ && (a.disk == disk_id_ || (a.disk.empty() && first_ && initial.epoch == 1));
-  });
-}
-
-// Begins a later epoch, where it is one of its acceptors. In memory: what follows stores it.
-bool AcceptorState::enter(std::int64_t epoch, const RegisterValue& initial) {
-  if (epoch != initial.epoch || !named(initial)) return false;
-  state_ = {};
-  state_.epoch = epoch;
-  state_.initial = state_.value = initial;
-  return true;
+/// The promise with the newest accepted ballot; `promises` must not be empty.
+const Promise& newest_promise(const std::vector<Promise>& promises) {
+  return *std::max_element(promises.begin(), promises.end(),
+                           [](const Promise& a, const Promise& b) { return a.accepted < b.accepted; });
 }
 
-absl::StatusOr<Promise> AcceptorState::prepare(const Prepare& ask) {
-  Promise out;
-  bool entered = false;
-  const common::AcceptorRecord before = state_;
-  if (ask.epoch > state_.epoch) {
-    if (!enter(ask.epoch, ask.initial)) {
-      out.verdict = static_cast<std::int64_t>(Verdict::stranger);
-      return out;
-    }
-    entered = true;
-  }
-  out.epoch = state_.epoch;
-  if (ask.epoch < state_.epoch) {
-    out.initial = state_.initial;
-    out.verdict = static_cast<std::int64_t>(Verdict::moved);
-    return out;
-  }
-  if (!ask.read_only && state_.promised < ask.ballot) {
-    state_.promised = ask.ballot;
-    if (absl::Status s = store(entered); !s.ok()) {
-      state_ = before;
-      return s;
-    }
-  } else if (entered) {
-    if (absl::Status s = store(true); !s.ok()) {
-      state_ = before;
-      return s;
-    }
-  }
-  if (entered && told_) told_(state_.initial);
-  out.promised = state_.promised;
-  out.accepted = state_.accepted;
-  const bool yes = ask.read_only || state_.promised == ask.ballot;
-  out.verdict = static_cast<std::int64_t>(yes ? Verdict::yes : Verdict::later);
-  out.value_known = ask.known_ballot.round > 0 && ask.known_ballot == state_.accepted;
-  if (yes && !out.value_known) out.value = state_.value;
-  return out;
+std::string describe_conflict(const RegisterValue& known, const RegisterValue& other) {
+  return "number " + std::to_string(other.number) + ": version " + std::to_string(other.config_version) +
+         " and " + std::to_string(known.config_version) + ", map " + std::to_string(other.map_version) +
+         " and " + std::to_string(known.map_version);
 }
 
-absl::StatusOr<Accepted> AcceptorState::accept(const Accept& ask) {
-  Accepted out;
-  out.epoch = state_.epoch;
-  out.promised = state_.promised;
-  if (ask.epoch != state_.epoch) {
-    out.verdict = static_cast<std::int64_t>(ask.epoch < state_.epoch ? Verdict::moved : Verdict::stranger);
-    return out;
-  }
-  if (ask.ballot < state_.promised) {
-    out.verdict = static_cast<std::int64_t>(Verdict::later);
-    return out;
-  }
-  out.verdict = static_cast<std::int64_t>(Verdict::yes);
-  if (ask.ballot.round > 0 && ask.ballot == state_.accepted) return out;  // a repeat: it is on disk
-  absl::StatusOr<RegisterValue> value = ask.value;
-  if (common::is_difference(ask.difference))
-    value = common::apply_value_difference(ask.difference, common::encoded(state_.value));
-  if (!value.ok()) {
-    out.verdict = static_cast<std::int64_t>(Verdict::whole);
-    return out;
-  }
-  const common::AcceptorRecord before = state_;
-  state_.promised = state_.accepted = ask.ballot;
-  state_.value = *std::move(value);
-  if (absl::Status s = store(false); !s.ok()) {
-    state_ = before;
-    return s;
-  }
-  return out;
-}
+}  // namespace
 
-struct Register::Round {
+struct Register::Operation {
   Change change;
-  Done done;
-  TimePoint until;
-  net::TimerQueue::Handle due;
-  bool over = false;
-  int in_vain = 0;        // tries that met a later ballot or no majority
-  std::int64_t turn = 0;  // answers to an earlier ballot are no answers to this one
+  Callback callback;
+  TimePoint deadline;
+  net::TimerQueue::Handle timer;
+  bool is_finished = false;
+  int failed_attempts = 0;  // that met a later ballot, or no majority
+
+  // Of the attempt under way
+  std::int64_t attempt = 0;  // rises with each phase that is abandoned: late replies are recognized by it
+  bool is_read_only = true;  // the first attempt only looks
   Ballot ballot;
-  RegisterValue initial;                       // of the epoch that it is in
-  std::shared_ptr<const AcceptedValue> known;  // of this epoch: promises may leave its value out
+  RegisterValue epoch_value;                         // of the epoch that the attempt runs in
+  std::shared_ptr<const AcceptedValue> known_value;  // of this epoch: promises may leave its value out
   std::vector<Promise> promises;
-  std::size_t yes = 0, no = 0;
-  bool deciding = false, look_only = true;
+  std::size_t granted = 0;
+  std::size_t rejected = 0;
+  bool is_accepting = false;           // phase 2 has begun
   RegisterValue value;                 // that is proposed
-  common::ValueDifference difference;  // from what was found; none: it would not be shorter
+  common::ValueDifference difference;  // of `value` from the value found; empty: it would not be shorter
+
+  std::size_t acceptor_count() const { return epoch_value.acceptors.size(); }
+  bool has_quorum() const { return granted >= quorum_size(epoch_value); }
+  bool is_quorum_out_of_reach() const { return acceptor_count() - rejected < quorum_size(epoch_value); }
+  bool is_current(std::int64_t of_attempt) const { return !is_finished && attempt == of_attempt; }
+  /// The value that a promise reports. It is left out where the acceptor knows that this process has it.
+  const RegisterValue& reported_value(const Promise& promise) const {
+    return promise.value_known ? known_value->value : promise.value;
+  }
 };
 
-Register::Register(net::TimerQueue& later, Voters& voters, std::uint64_t proposer)
-    : timers_(later), voters_(voters), proposer_(proposer), random_(proposer) {}
+Register::Register(net::TimerQueue& timers, AcceptorTransport& transport, std::uint64_t proposer)
+    : timers_(timers), transport_(transport), proposer_(proposer), random_state_(proposer) {}
+
+// ---- What is learnt
 
-void Register::learn_epoch(const RegisterValue& initial) {
-  if (initial.epoch <= initial_.epoch) return;
-  initial_ = initial;
+void Register::observe_epoch(const RegisterValue& epoch_value) {
+  if (epoch_value.epoch <= epoch_value_.epoch) return;
+  epoch_value_ = epoch_value;
   accepted_.reset();
   entered_.clear();
 }
 
-void Register::learn_accepted(std::int64_t epoch, const Ballot& ballot, const RegisterValue& value) {
-  if (epoch != initial_.epoch || (accepted_ && !(accepted_->ballot < ballot))) return;
+void Register::observe_accepted(std::int64_t epoch, const Ballot& ballot, const RegisterValue& value) {
+  if (epoch != epoch_value_.epoch || (accepted_ && !(accepted_->ballot < ballot))) return;
   accepted_ = std::make_shared<const AcceptedValue>(AcceptedValue{epoch, ballot, value});
 }
 
-const RegisterValue& Register::value_of(const Round& round, const Promise& promise) {
-  return promise.value_known ? round.known->value : promise.value;
+void Register::observe_chosen(const RegisterValue& value, const RegisterValue& epoch_value) {
+  observe_epoch(epoch_value);
+  common::check_invariant(common::Invariant::one_value_under_a_number,
+                          !known_value_ || known_value_->number != value.number ||
+                              (known_value_->config_version == value.config_version &&
+                               known_value_->map_version == value.map_version),
+                          [&] { return describe_conflict(*known_value_, value); });
+  if (known_value_ && known_value_->number >= value.number) return;
+  known_value_ = value;
+  if (chosen_callback_) chosen_callback_(value);
 }
 
-void Register::learn_chosen(const RegisterValue& value, const RegisterValue& initial) {
-  learn_epoch(initial);
-  common::check_invariant(
-      common::Invariant::one_value_under_a_number,
-      !known_ || known_->number != value.number ||
-          (known_->config_version == value.config_version && known_->map_version == value.map_version),
-      [&] {
-        return "number " + std::to_string(value.number) + ": version " +
-               std::to_string(value.config_version) + " and " + std::to_string(known_->config_version) +
-               ", map " + std::to_string(value.map_version) + " and " + std::to_string(known_->map_version);
-      });
-  if (known_ && known_->number >= value.number) return;
-  known_ = value;
-  if (told_) told_(value);
-}
+// ---- Operations and their attempts
 
-void Register::change(Change change, Span most, Done done) {
-  auto round = std::make_shared<Round>();
-  round->change = std::move(change);
-  round->done = std::move(done);
-  round->until = timers_.now() + most;
-  begin(round);
+void Register::change(Change change, Span timeout, Callback callback) {
+  auto operation = std::make_shared<Operation>();
+  operation->change = std::move(change);
+  operation->callback = std::move(callback);
+  operation->deadline = timers_.now() + timeout;
+  start_attempt(operation);
 }
 
-void Register::finish(const std::shared_ptr<Round>& round, absl::StatusOr<RegisterValue> result) {
-  if (round->over) return;
-  round->over = true;
-  timers_.cancel(round->due);
-  const bool proposed = proposing_ == round;
-  round->done(std::move(result));
-  if (proposed) let_next_propose();
+void Register::finish(const OperationPtr& operation, absl::StatusOr<RegisterValue> result) {
+  if (operation->is_finished) return;
+  operation->is_finished = true;
+  timers_.cancel(operation->timer);
+  const bool was_proposing = proposing_ == operation;
+  operation->callback(std::move(result));
+  if (was_proposing) release_proposer();
 }
 
-// False: it waits until it may, or until its time is over.
-bool Register::may_propose(const std::shared_ptr<Round>& round) {
-  if (!proposing_) proposing_ = round;
-  if (proposing_ == round) return true;
-  ++round->turn;
-  timers_.cancel(round->due);
-  round->due = timers_.at(round->until, [this, round] {
-    std::erase(waiting_, round);
-    finish(round, absl::DeadlineExceededError("others were before it"));
+/// Whether the operation may propose now. If not, it is queued until it may, or until its deadline.
+bool Register::acquire_proposer(const OperationPtr& operation) {
+  if (!proposing_) proposing_ = operation;
+  if (proposing_ == operation) return true;
+  ++operation->attempt;
+  timers_.cancel(operation->timer);
+  operation->timer = timers_.at(operation->deadline, [this, operation] {
+    std::erase(waiting_, operation);
+    finish(operation, absl::DeadlineExceededError("others were before it"));
   });
-  waiting_.push_back(round);
+  waiting_.push_back(operation);
   return false;
 }
 
-void Register::let_next_propose() {
+void Register::release_proposer() {
   proposing_.reset();
   if (waiting_.empty()) return;
-  const std::shared_ptr<Round> next = waiting_.front();
+  const OperationPtr next = waiting_.front();
   waiting_.pop_front();
   proposing_ = next;
-  next->look_only = true;  // what it waited for may be all that it wants
-  begin(next);
+  next->is_read_only = true;  // the change that it waited for may have made its own unnecessary
+  start_attempt(next);
+}
+
+void Register::start_attempt(const OperationPtr& operation) {
+  if (operation->is_finished) return;
+  if (epoch_value_.epoch == 0) return finish(operation, absl::UnavailableError("no acceptors known yet"));
+  if (timers_.now() >= operation->deadline)
+    return finish(operation, absl::DeadlineExceededError("no majority in time"));
+  if (!operation->is_read_only && !acquire_proposer(operation)) return;
+  ++operation->attempt;
+  operation->epoch_value = epoch_value_;
+  operation->promises.clear();
+  operation->granted = operation->rejected = 0;
+  operation->is_accepting = false;
+  if (!operation->is_read_only) operation->ballot = {++highest_round_, static_cast<std::int64_t>(proposer_)};
+  timers_.cancel(operation->timer);
+  operation->timer = timers_.at(std::min(operation->deadline, timers_.now() + attempt_timeout),
+                                [this, operation] { retry_later(operation); });
+  operation->known_value = accepted_;
+  send_prepares(operation);
 }
 
-// The first try only looks: where a majority holds one accepted value, that is chosen, and a read is over.
-void Register::begin(const std::shared_ptr<Round>& round) {
-  if (round->over) return;
-  if (initial_.epoch == 0) return finish(round, absl::UnavailableError("no acceptors known yet"));
-  if (timers_.now() >= round->until) return finish(round, absl::DeadlineExceededError("no majority in time"));
-  if (!round->look_only && !may_propose(round)) return;
-  ++round->turn;
-  round->initial = initial_;
-  round->promises.clear();
-  round->yes = round->no = 0;
-  round->deciding = false;
-  if (!round->look_only) round->ballot = {++highest_, static_cast<std::int64_t>(proposer_)};
-  const std::int64_t turn = round->turn;
-  timers_.cancel(round->due);
-  round->due =
-      timers_.at(std::min(round->until, timers_.now() + round_most), [this, round] { again(round); });
-  round->known = accepted_;
-  Prepare ask{round->initial.epoch, round->ballot, {}, round->look_only, {}};
-  if (round->known) ask.known_ballot = round->known->ballot;
-  for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
-    const std::string to = round->initial.acceptors[i].address;
-    ask.initial = entered_.contains(to) ? RegisterValue{} : round->initial;
-    voters_.prepare(to, ask, [this, round, i, turn](absl::StatusOr<Promise> got) {
-      on_promise(round, i, turn, std::move(got));
+void Register::send_prepares(const OperationPtr& operation) {
+  const std::int64_t attempt = operation->attempt;
+  Prepare request{operation->epoch_value.epoch, operation->ballot, {}, operation->is_read_only, {}};
+  if (operation->known_value) request.known_ballot = operation->known_value->ballot;
+  for (std::size_t i = 0; i < operation->acceptor_count(); ++i) {
+    const std::string address = operation->epoch_value.acceptors[i].address;
+    request.initial = entered_.contains(address) ? RegisterValue{} : operation->epoch_value;
+    transport_.prepare(address, request, [this, operation, i, attempt](absl::StatusOr<Promise> reply) {
+      on_promise(operation, i, attempt, std::move(reply));
     });
-    if (round->over || round->turn != turn) return;
+    if (!operation->is_current(attempt)) return;
   }
 }
 
-void Register::again(const std::shared_ptr<Round>& round) {
-  if (round->over) return;
-  ++round->turn;  // what is still on its way is no answer any more
-  random_ = XXH3_64bits(&random_, sizeof random_);
-  const double part = static_cast<double>(random_ >> 11U) * 0x1p-53;
-  timers_.cancel(round->due);
-  const double spread = static_cast<double>(1 << std::min(round->in_vain++, doublings_most));
-  const TimePoint next = timers_.now() + pause_least + pause_spread * spread * part;
-  round->due = timers_.at(std::min(round->until, next), [this, round] { begin(round); });
+void Register::restart_in_newer_epoch(const OperationPtr& operation, const RegisterValue& epoch_value) {
+  observe_epoch(epoch_value);
+  ++operation->attempt;
+  start_attempt(operation);
 }
 
-void Register::on_promise(const std::shared_ptr<Round>& round, std::size_t from, std::int64_t turn,
-                          absl::StatusOr<Promise> got) {
-  if (round->over || round->turn != turn || round->deciding) return;
-  if (got.ok()) {
-    highest_ = std::max(highest_, got->promised.round);
-    auto verdict = static_cast<Verdict>(got->verdict);
-    note_entered(round->initial, from, *got);
-    // Not asked for: an answer to another question.
-    if (got->value_known && (!round->known || round->known->ballot != got->accepted))
-      verdict = Verdict::stranger;
-    if (verdict == Verdict::moved) {
-      learn_epoch(got->initial);
-      ++round->turn;
-      begin(round);
-      return;
-    }
-    if (verdict == Verdict::yes) {
-      round->promises.push_back(std::move(*got));
-      ++round->yes;
-    } else {
-      ++round->no;
-    }
+/// Abandons the attempt and starts another after a random pause that grows with each failure.
+void Register::retry_later(const OperationPtr& operation) {
+  if (operation->is_finished) return;
+  ++operation->attempt;
+  random_state_ = XXH3_64bits(&random_state_, sizeof random_state_);
+  const double random_unit = static_cast<double>(random_state_ >> 11U) * 0x1p-53;
+  timers_.cancel(operation->timer);
+  const int doublings = std::min(operation->failed_attempts++, max_backoff_doublings);
+  const TimePoint next =
+      timers_.now() + min_backoff + backoff_jitter * static_cast<double>(1 << doublings) * random_unit;
+  operation->timer =
+      timers_.at(std::min(operation->deadline, next), [this, operation] { start_attempt(operation); });
+}
+
+// ---- Phase 1: prepare
+
+void Register::on_promise(const OperationPtr& operation, std::size_t acceptor_index, std::int64_t attempt,
+                          absl::StatusOr<Promise> reply) {
+  if (!operation->is_current(attempt) || operation->is_accepting) return;
+  auto status = AcceptorStatus::not_a_member;
+  if (reply.ok()) {
+    highest_round_ = std::max(highest_round_, reply->promised.round);
+    update_entered(operation->epoch_value, acceptor_index, *reply);
+    status = static_cast<AcceptorStatus>(reply->verdict);
+    const std::shared_ptr<const AcceptedValue>& known = operation->known_value;
+    // It leaves out a value that this request did not name: the answer to another request.
+    if (reply->value_known && (!known || known->ballot != reply->accepted))
+      status = AcceptorStatus::not_a_member;
+  }
+  if (status == AcceptorStatus::epoch_ended) return restart_in_newer_epoch(operation, reply->initial);
+  if (status == AcceptorStatus::ok) {
+    operation->promises.push_back(std::move(*reply));
+    ++operation->granted;
   } else {
-    ++round->no;
+    ++operation->rejected;
   }
-  const std::size_t all = round->initial.acceptors.size();
-  if (round->yes >= majority(round->initial)) {
-    if (!round->look_only) {
-      round->deciding = true;
-      decide(round);
-      return;
-    }
-    // Only looked: enough where some one ballot's value is at a majority and nothing later is seen.
-    const Promise* newest = nullptr;
-    std::size_t alike = 0;
-    for (const Promise& p : round->promises) {
-      if (newest == nullptr || newest->accepted < p.accepted) newest = &p, alike = 0;
-    }
-    for (const Promise& p : round->promises) alike += p.accepted == newest->accepted ? 1 : 0;
-    const bool quiet = alike >= majority(round->initial);
-    const RegisterValue& seen = value_of(*round, *newest);
-    if (quiet) learn_accepted(round->initial.epoch, newest->accepted, seen);
-    if (quiet && !sealed(seen) && !round->change(seen)) {
-      const RegisterValue value = seen;
-      learn_chosen(value, round->initial);
-      return finish(round, value);
-    }
-    if (!quiet && round->yes + round->no < all) return;  // another answer may tell
-    round->look_only = false;
-    begin(round);
-    return;
+  if (operation->has_quorum()) {
+    if (operation->is_read_only) return on_read_quorum(operation);
+    operation->is_accepting = true;
+    return propose_next_value(operation);
   }
-  if (all - round->no < majority(round->initial)) {
-    round->look_only = false;
-    again(round);
+  if (operation->is_quorum_out_of_reach()) {
+    operation->is_read_only = false;
+    retry_later(operation);
   }
 }
 
-// An acceptor that has answered in an epoch has its first value on disk: it need not be sent again.
-void Register::note_entered(const RegisterValue& initial, std::size_t from, const Promise& got) {
-  const std::string& address = initial.acceptors[from].address;
-  if (initial.epoch != initial_.epoch) return;
-  if (got.epoch == initial.epoch && static_cast<Verdict>(got.verdict) != Verdict::stranger) {
+/// A majority has answered the read-only attempt. Its value is known to be chosen where a majority has
+/// accepted it under one ballot and none of those that answered has accepted under a later one.
+void Register::on_read_quorum(const OperationPtr& operation) {
+  const Promise& newest = newest_promise(operation->promises);
+  const auto accepted_newest = static_cast<std::size_t>(
+      std::count_if(operation->promises.begin(), operation->promises.end(),
+                    [&](const Promise& promise) { return promise.accepted == newest.accepted; }));
+  const bool is_chosen = accepted_newest >= quorum_size(operation->epoch_value);
+  const RegisterValue& found = operation->reported_value(newest);
+  if (is_chosen) observe_accepted(operation->epoch_value.epoch, newest.accepted, found);
+  if (is_chosen && !is_sealed(found) && !operation->change(found)) {
+    const RegisterValue value = found;
+    observe_chosen(value, operation->epoch_value);
+    return finish(operation, value);
+  }
+  const bool all_have_replied = operation->granted + operation->rejected >= operation->acceptor_count();
+  if (!is_chosen && !all_have_replied) return;  // another reply may complete the majority
+  operation->is_read_only = false;
+  start_attempt(operation);
+}
+
+/// An acceptor that has replied in an epoch has its initial value on disk: it need not be sent again.
+void Register::update_entered(const RegisterValue& epoch_value, std::size_t acceptor_index,
+                              const Promise& reply) {
+  const std::string& address = epoch_value.acceptors[acceptor_index].address;
+  if (epoch_value.epoch != epoch_value_.epoch) return;
+  const bool is_member = static_cast<AcceptorStatus>(reply.verdict) != AcceptorStatus::not_a_member;
+  if (reply.epoch == epoch_value.epoch && is_member) {
     entered_.insert(address);
   } else {
     entered_.erase(address);
   }
 }
 
-void Register::decide(const std::shared_ptr<Round>& round) {
-  const Promise* newest = &round->promises.front();
-  for (const Promise& p : round->promises) {
-    if (newest->accepted < p.accepted) newest = &p;
-  }
-  const RegisterValue current = value_of(*round, *newest);
-  learn_accepted(round->initial.epoch, newest->accepted, current);
-  if (!sealed(current)) {
-    if (std::optional<RegisterValue> wanted = round->change(current)) {
-      wanted->number = current.number + 1;
-      propose(round, current, std::move(*wanted));
-      return;
+void Register::propose_next_value(const OperationPtr& operation) {
+  const Promise& newest = newest_promise(operation->promises);
+  const RegisterValue current = operation->reported_value(newest);
+  observe_accepted(operation->epoch_value.epoch, newest.accepted, current);
+  if (!is_sealed(current)) {
+    if (std::optional<RegisterValue> next = operation->change(current)) {
+      next->number = current.number + 1;
+      return send_accepts(operation, current, std::move(*next));
     }
   }
-  // It stands, and has to be chosen before it is told of: what was lost to it must not come back.
-  propose(round, current, current);
+  // The current value stands. It must be chosen before it is reported: a value that this one replaced, in the
+  // eyes of the caller, must not come back.
+  send_accepts(operation, current, current);
 }
 
-void Register::propose(const std::shared_ptr<Round>& round, const RegisterValue& found, RegisterValue value) {
-  round->value = std::move(value);
-  round->yes = round->no = 0;
-  const std::string record = common::encoded(round->value);
-  round->difference = common::value_difference(found.number, common::encoded(found), record);
-  if (round->difference.content.data.size() > record.size() / 2) round->difference = {};
-  const std::int64_t turn = round->turn;
-  for (std::size_t i = 0; i < round->initial.acceptors.size(); ++i) {
-    ask_accept(round, i, turn, !common::is_difference(round->difference));
-    if (round->over || round->turn != turn) return;
+// ---- Phase 2: accept
+
+/// `found`: the newest value that phase 1 has found accepted, so the one that most acceptors have.
+void Register::send_accepts(const OperationPtr& operation, const RegisterValue& found, RegisterValue value) {
+  operation->value = std::move(value);
+  operation->granted = operation->rejected = 0;
+  const std::string record = common::encoded(operation->value);
+  operation->difference = common::value_difference(found.number, common::encoded(found), record);
+  if (operation->difference.content.data.size() > record.size() / 2) operation->difference = {};
+  const std::int64_t attempt = operation->attempt;
+  for (std::size_t i = 0; i < operation->acceptor_count(); ++i) {
+    send_accept(operation, i, !common::is_difference(operation->difference));
+    if (!operation->is_current(attempt)) return;
   }
 }
 
-void Register::ask_accept(const std::shared_ptr<Round>& round, std::size_t to, std::int64_t turn,
-                          bool whole) {
-  Accept ask{round->initial.epoch, round->ballot, {}, {}};
-  if (whole) {
-    ask.value = round->value;
+void Register::send_accept(const OperationPtr& operation, std::size_t acceptor_index, bool full_value) {
+  Accept request{operation->epoch_value.epoch, operation->ballot, {}, {}};
+  if (full_value) {
+    request.value = operation->value;
   } else {
-    ask.difference = round->difference;
+    request.difference = operation->difference;
   }
-  voters_.accept(round->initial.acceptors[to].address, ask,
-                 [this, round, to, turn, whole](absl::StatusOr<Accepted> got) {
-                   if (round->over || round->turn != turn) return;
-                   if (got.ok()) highest_ = std::max(highest_, got->promised.round);
-                   const auto verdict = got.ok() ? static_cast<Verdict>(got->verdict) : Verdict::later;
-                   if (verdict == Verdict::whole && !whole) return ask_accept(round, to, turn, true);
-                   const bool yes = verdict == Verdict::yes;
-                   ++(yes ? round->yes : round->no);
-                   if (yes && round->yes == majority(round->initial)) {
-                     chosen(round);
-                   } else if (round->initial.acceptors.size() - round->no < majority(round->initial)) {
-                     again(round);
-                   }
-                 });
+  const std::int64_t attempt = operation->attempt;
+  transport_.accept(operation->epoch_value.acceptors[acceptor_index].address, request,
+                    [this, operation, acceptor_index, attempt, full_value](absl::StatusOr<Accepted> reply) {
+                      if (operation->is_current(attempt))
+                        on_accepted(operation, acceptor_index, full_value, reply);
+                    });
 }
 
-void Register::chosen(const std::shared_ptr<Round>& round) {
-  if (sealed(round->value)) {  // the epoch is over: on to the next, which begins with what this one held
-    learn_epoch(opened(round->value));
-    ++round->turn;
-    begin(round);
-    return;
+void Register::on_accepted(const OperationPtr& operation, std::size_t acceptor_index, bool full_value,
+                           const absl::StatusOr<Accepted>& reply) {
+  if (reply.ok()) highest_round_ = std::max(highest_round_, reply->promised.round);
+  const auto status =
+      reply.ok() ? static_cast<AcceptorStatus>(reply->verdict) : AcceptorStatus::ballot_outdated;
+  if (status == AcceptorStatus::full_value_required && !full_value)
+    return send_accept(operation, acceptor_index, true);
+  const bool is_accepted = status == AcceptorStatus::ok;
+  ++(is_accepted ? operation->granted : operation->rejected);
+  if (is_accepted && operation->granted == quorum_size(operation->epoch_value)) {
+    on_value_chosen(operation);
+  } else if (operation->is_quorum_out_of_reach()) {
+    retry_later(operation);
   }
-  const RegisterValue value = round->value;
-  learn_accepted(round->initial.epoch, round->ballot, value);
-  learn_chosen(value, round->initial);
-  finish(round, value);
+}
+
+void Register::on_value_chosen(const OperationPtr& operation) {
+  // A sealed value ends the epoch: the operation goes on in the next one, which begins with what it held.
+  if (is_sealed(operation->value))
+    return restart_in_newer_epoch(operation, next_epoch_value(operation->value));
+  const RegisterValue value = operation->value;
+  observe_accepted(operation->epoch_value.epoch, operation->ballot, value);
+  observe_chosen(value, operation->epoch_value);
+  finish(operation, value);
 }
 
 }  // namespace chutevane::control
--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -55,7 +55,8 @@
     field.on_accepted = [this](Machine& m) {  // as control_plane.cpp's accept_here
       Member& member = member_of(m);
       if (member.up)
-        member.proposer->reg.learn_accepted(m.acceptor->epoch(), m.acceptor->accepted(), m.acceptor->value());
+        member.proposer->reg.observe_accepted(m.acceptor->epoch(), m.acceptor->accepted_ballot(),
+                                              m.acceptor->accepted_value());
     };
     for (Machine& m : field.all) {
       members.emplace_back();
@@ -71,15 +72,15 @@
   void start(Member& member, bool first) {
     member.proposer = std::make_unique<Proposer>(field, ++proposers);
     Proposer& p = *member.proposer;
-    p.voters.own = member.machine->address;
+    p.transport.own = member.machine->address;
     member.told = -1;
     member.up = true;
     member.recent = {};
     member.heard_of.clear();
     for (Member& other : members) other.heard_of[&member].number = 0;  // the connections are new
     member.reading = false;
-    if (first) p.reg.learn_epoch(field.first_set(3));
-    p.reg.learn_epoch(member.machine->acceptor->initial());
+    if (first) p.reg.observe_epoch(field.first_set(3));
+    p.reg.observe_epoch(member.machine->acceptor->epoch_value());
     p.reg.on_chosen([this, &member, &p](const RegisterValue& v) {
       if (member.proposer.get() != &p) return;  // it has ended
       check(v.number > member.told, "told an older value after a newer one");
@@ -93,7 +94,7 @@
     if (!member.up) return;
     member.up = member.machine->up = false;
     member.away = true;
-    member.proposer->voters.cut_off = true;
+    member.proposer->transport.cut_off = true;
     ended.push_back(std::move(member.proposer));
     calm_from(now() + away);
     field.clock.later.after(away, [this, &member, power] {
@@ -149,13 +150,13 @@
   // The others hear of it by word, as from control_plane.cpp; it is lost where one of the two is not there.
   void tell(Member& from) {
     const Register& reg = from.proposer->reg;
-    if (!reg.known() || cut(from)) return;
+    if (!reg.known_value() || cut(from)) return;
     for (Member& to : members) {
       if (&to == &from || cut(to)) continue;
       control::PeerState state = from.heard_of[&to];
-      if (state.number >= reg.known()->number) continue;
+      if (state.number >= reg.known_value()->number) continue;
       const common::Chosen word = control::chosen_word(from.recent, reg, state);
-      from.heard_of[&to].number = reg.known()->number;
+      from.heard_of[&to].number = reg.known_value()->number;
       if (field.counting) bytes_chosen += common::encoded(word).size();
       field.clock.later.after(field.way(), [this, &to, p = to.proposer.get(), word] {
         if (to.proposer.get() != p || !to.up) return;
@@ -166,25 +167,25 @@
   }
 
   bool frozen(const Member& m) const { return m.machine->frozen_until > now(); }
-  bool cut(const Member& m) const { return !m.up || m.proposer->voters.cut_off || frozen(m); }
+  bool cut(const Member& m) const { return !m.up || m.proposer->transport.cut_off || frozen(m); }
 
   // What gossip and catch_up do: who hears of a later epoch or number asks for it.
   void gossip() {
     for (Member& to : members) {
       if (cut(to)) continue;
       Register& reg = to.proposer->reg;
-      bool behind = !reg.known();
+      bool behind = !reg.known_value();
       for (Member& from : members) {
         if (&from == &to || cut(from)) continue;
         const Register& other = from.proposer->reg;
-        to.heard_of[&from].epoch = other.initial().epoch;
+        to.heard_of[&from].epoch = other.epoch_value().epoch;
         to.heard_of[&from].number = std::max(to.heard_of[&from].number, from.told);
-        if (other.initial().epoch > reg.initial().epoch) {
-          const RegisterValue initial = other.initial();
-          reg.learn_epoch(initial);
+        if (other.epoch_value().epoch > reg.epoch_value().epoch) {
+          const RegisterValue initial = other.epoch_value();
+          reg.observe_epoch(initial);
           behind = true;
         }
-        behind = behind || (other.known() && other.known()->number > to.told);
+        behind = behind || (other.known_value() && other.known_value()->number > to.told);
       }
       behind = behind || to.machine->acceptor->accepted_number() > to.told;
       if (!behind) {
@@ -218,7 +219,7 @@
     const RegisterValue* newest_set = nullptr;
     for (const Member& m : members) {
       if (!m.up) continue;
-      const RegisterValue& initial = m.proposer->reg.initial();
+      const RegisterValue& initial = m.proposer->reg.epoch_value();
       if (newest_set == nullptr || newest_set->epoch < initial.epoch) newest_set = &initial;
     }
     return newest_set != nullptr &&
@@ -233,12 +234,12 @@
   // As the roster does: places of those that are gone go to those that are there.
   void change_set() {
     for (Member& by : members) {
-      if (cut(by) || !by.proposer->reg.known()) continue;
+      if (cut(by) || !by.proposer->reg.known_value()) continue;
       std::vector<Acceptor> next;
       for (const Member& m : members) {
         if (!cut(m) && next.size() < 3) next.push_back({m.machine->address, m.machine->disk_id});
       }
-      if (next.size() < 3 || next == by.proposer->reg.initial().acceptors) return;
+      if (next.size() < 3 || next == by.proposer->reg.epoch_value().acceptors) return;
       by.proposer->reg.change(
           [next](const RegisterValue& current) -> std::optional<RegisterValue> {
             if (current.acceptors == next) return std::nullopt;
@@ -277,11 +278,11 @@
         break;
       case 4:  // cut off: it asks nobody, and nobody asks it
         if (!member.up) break;
-        member.proposer->voters.cut_off = true;
+        member.proposer->transport.cut_off = true;
         m.frozen_until = now() + most;
         calm_from(m.frozen_until);
         field.clock.later.after(most, [&member, p = member.proposer.get()] {
-          if (member.proposer.get() == p) p->voters.cut_off = false;
+          if (member.proposer.get() == p) p->transport.cut_off = false;
         });
         break;
       default:  // another disk, and soon another set
@@ -408,15 +409,15 @@
   RegisterValue later = first;
   later.epoch = 2;
   later.number = 4;
-  from.reg.learn_epoch(first);
-  to.reg.learn_epoch(first);
+  from.reg.observe_epoch(first);
+  to.reg.observe_epoch(first);
   common::RecentValues recent, none;
-  from.reg.learn_chosen(later, later);
+  from.reg.observe_chosen(later, later);
   recent.add(later);
   const common::Chosen left_out = control::chosen_word(recent, from.reg, {2, 0});
   CHECK_FALSE(control::take_chosen(to.reg, none, left_out));
-  CHECK_FALSE(to.reg.known().has_value());
+  CHECK_FALSE(to.reg.known_value().has_value());
   const common::Chosen with_first = control::chosen_word(recent, from.reg, {1, 0});
   CHECK_TRUE(control::take_chosen(to.reg, none, with_first));
-  CHECK_TRUE(*to.reg.known() == later && to.reg.initial() == later);
+  CHECK_TRUE(*to.reg.known_value() == later && to.reg.epoch_value() == later);
 }
--- a/tests/control/losses_test.cpp
+++ b/tests/control/losses_test.cpp
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "control/acceptor.hpp"
 #include "control/register.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
@@ -32,7 +33,7 @@
   Core() {
     std::vector<Acceptor> first;
     for (std::size_t i = 0; i < newcomer; ++i) first.push_back({address(i), ""});
-    first_value_ = control::first_value(first);
+    first_value_ = control::first_epoch_value(first);
     for (std::size_t i = 0; i < size; ++i) {
       machines_.push_back(std::make_unique<Machine>());
       start(i);
@@ -72,7 +73,8 @@
         Span::ms(2000), [&](absl::StatusOr<RegisterValue> got) { taken = got.ok(); });
     clock.play(Span::ms(500));
     for (std::size_t i = 0; i < size; ++i) {
-      if (reg(proposer).known()) reg(i).learn_chosen(*reg(proposer).known(), reg(proposer).initial());
+      if (reg(proposer).known_value())
+        reg(i).observe_chosen(*reg(proposer).known_value(), reg(proposer).epoch_value());
     }
     return taken;
   }
@@ -81,7 +83,7 @@
   void replace_third(std::size_t proposer, std::function<void()> done) {
     reg(proposer).change(
         [](const RegisterValue& current) -> std::optional<RegisterValue> {
-          if (control::names(current.acceptors, address(newcomer))) return std::nullopt;
+          if (control::contains_address(current.acceptors, address(newcomer))) return std::nullopt;
           RegisterValue out = current;
           out.next_acceptors = {
               {address(0), disk_name(0)}, {address(1), disk_name(1)}, {address(3), disk_name(3)}};
@@ -91,7 +93,7 @@
         [this, proposer, done = std::move(done)](absl::StatusOr<RegisterValue> got) {
           if (!got.ok()) return;
           for (std::size_t i = 0; i < size; ++i) {
-            if (machines_[i]->up) reg(i).learn_chosen(*got, reg(proposer).initial());
+            if (machines_[i]->up) reg(i).observe_chosen(*got, reg(proposer).epoch_value());
           }
           done();
         });
@@ -101,7 +103,7 @@
   void gossip() {
     for (const auto& from : machines_) {
       for (const auto& to : machines_) {
-        if (from->up && to->up) to->reg->learn_epoch(from->reg->initial());
+        if (from->up && to->up) to->reg->observe_epoch(from->reg->epoch_value());
       }
     }
   }
@@ -125,18 +127,18 @@
  private:
   struct Machine;
   // One message at a time; nothing comes from or to a machine that is down.
-  class Wire final : public control::Voters {
+  class Wire final : public control::AcceptorTransport {
    public:
     Wire(Core& core, std::size_t from) : core_(core), from_(from) {}
     void prepare(const std::string& address, const Prepare& ask,
                  std::function<void(absl::StatusOr<Promise>)> answered) override {
       send<Promise>(address, std::move(answered),
-                    [ask](control::AcceptorState& a) { return a.prepare(ask); });
+                    [ask](control::DurableAcceptor& a) { return a.prepare(ask); });
     }
     void accept(const std::string& address, const Accept& ask,
                 std::function<void(absl::StatusOr<Accepted>)> answered) override {
       send<Accepted>(address, std::move(answered),
-                     [ask](control::AcceptorState& a) { return a.accept(ask); });
+                     [ask](control::DurableAcceptor& a) { return a.accept(ask); });
     }
 
    private:
@@ -165,8 +167,8 @@
 
   struct Machine {
     common::MemoryDisk disk;
-    std::unique_ptr<control::AcceptorState> acceptor;
-    std::unique_ptr<Wire> voters;
+    std::unique_ptr<control::DurableAcceptor> acceptor;
+    std::unique_ptr<Wire> transport;
     std::unique_ptr<control::Register> reg;
     bool up = false;
     Span slower;
@@ -183,21 +185,21 @@
   // As ControlPlane::open does it.
   void start(std::size_t i) {
     Machine& m = *machines_[i];
-    m.acceptor = std::make_unique<control::AcceptorState>(m.disk, address(i), disk_name(i), i != newcomer);
+    m.acceptor = std::make_unique<control::DurableAcceptor>(m.disk, address(i), disk_name(i), i != newcomer);
     m.up = m.acceptor->open().ok();
     if (m.reg) old_.push_back(std::move(m.reg));  // its timers are still there
-    if (m.voters) old_voters_.push_back(std::move(m.voters));
-    m.voters = std::make_unique<Wire>(*this, i);
-    m.reg = std::make_unique<control::Register>(clock.later, *m.voters, 10 * ++starts_ + i);
-    m.acceptor->on_entered([&m](const RegisterValue& initial) { m.reg->learn_epoch(initial); });
-    if (i != newcomer) m.reg->learn_epoch(first_value_);
-    m.reg->learn_epoch(m.acceptor->initial());
+    if (m.transport) old_transports_.push_back(std::move(m.transport));
+    m.transport = std::make_unique<Wire>(*this, i);
+    m.reg = std::make_unique<control::Register>(clock.later, *m.transport, 10 * ++starts_ + i);
+    m.acceptor->on_epoch_entered([&m](const RegisterValue& initial) { m.reg->observe_epoch(initial); });
+    if (i != newcomer) m.reg->observe_epoch(first_value_);
+    m.reg->observe_epoch(m.acceptor->epoch_value());
   }
 
   RegisterValue first_value_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<std::unique_ptr<control::Register>> old_;
-  std::vector<std::unique_ptr<Wire>> old_voters_;
+  std::vector<std::unique_ptr<Wire>> old_transports_;
   std::size_t delivered_ = 0, point_ = 0;
   std::uint64_t starts_ = 0;
   std::function<void()> at_point_;
@@ -238,7 +240,7 @@
       });
       core.clock.play(Span::ms(2500));
       CHECK_WHERE(core.all_read(), where + ": while it leaves");
-      if (!core.reg(2).released(Core::address(2))) continue;
+      if (!core.reg(2).is_released(Core::address(2))) continue;
       ++released;
       core.lose(2);
       CHECK_WHERE(core.all_read(), where + ": after it left");
@@ -286,17 +288,17 @@
   for (std::size_t point = 0; point <= steps + 1; ++point) {
     for (std::uint64_t luck = 0; luck < 8; ++luck) {
       common::MemoryDisk disk;
-      control::AcceptorState acceptor(disk, "m0", "d0", false);
+      control::DurableAcceptor acceptor(disk, "m0", "d0", false);
       CHECK_TRUE(acceptor.open().ok());
       const std::size_t before = disk.steps();
       std::int64_t told = 0;
-      acceptor.on_entered([&](const RegisterValue& value) { told = value.epoch; });
+      acceptor.on_epoch_entered([&](const RegisterValue& value) { told = value.epoch; });
       if (point <= steps && steps > 0) disk.fail_from(before + point);
       const bool answered = acceptor.prepare(ask).ok();
       if (point == 0 && luck == 0 && steps == 0) steps = disk.steps() - before;
       CHECK_EQUAL(answered ? 4 : 0, static_cast<int>(told));
       disk.power_cycle(luck);
-      control::AcceptorState again(disk, "m0", "d0", false);
+      control::DurableAcceptor again(disk, "m0", "d0", false);
       const bool opened = again.open().ok();
       CHECK_WHERE(told == 0 || (opened && again.epoch() == 4),
                   numbered("step ", static_cast<long long>(point)));
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -29,8 +29,8 @@
 struct Pair {
   explicit Pair(std::size_t remembered = remembered_configurations)
       : field(3, 5), a(field, 1, remembered), b(field, 2, remembered) {
-    a.reg.learn_epoch(field.first_set(3));
-    b.reg.learn_epoch(field.first_set(3));
+    a.reg.observe_epoch(field.first_set(3));
+    b.reg.observe_epoch(field.first_set(3));
   }
   int replace(ControlProcess& at, std::int64_t base, const std::string& sent) {
     int status = 0;
@@ -234,11 +234,11 @@
   Pair pair;
   // The first try reaches a majority's promises and then `accepts` acceptors: its proposer ends.
   void half_done(std::int64_t base, const std::string& body, std::size_t accepts) {
-    pair.a.voters.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
+    pair.a.transport.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
     bool answered = false;
     pair.a.replace(base, body, [&](const common::HttpResponse&) { answered = true; });
     pair.field.clock.play(Span::ms(1000));
-    CHECK_TRUE(pair.a.voters.ended && !answered);
+    CHECK_TRUE(pair.a.transport.ended && !answered);
   }
   void down(std::size_t i) { pair.field.all[i].up = false; }
   std::size_t holding(std::int64_t version) {
@@ -288,7 +288,7 @@
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
   LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(6, "next")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
-  CHECK_EQUAL(static_cast<std::size_t>(2), pair.b.reg.known()->applied_configurations.size());
+  CHECK_EQUAL(static_cast<std::size_t>(2), pair.b.reg.known_value()->applied_configurations.size());
 }
 
 // Chosen, but its proposer ended before it said so.
@@ -367,10 +367,10 @@
 // The first try lies at one acceptor; the repeat decides, and what it decides stands.
 TEST(RetireOrders, HalfDoneAndSentAgain) {
   pair.storage_nodes(4);
-  pair.a.voters.sends_left = 3 + 3 + 1;
+  pair.a.transport.sends_left = 3 + 3 + 1;
   pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const common::HttpResponse&) {});
   pair.field.clock.play(Span::ms(1000));
-  CHECK_TRUE(pair.a.voters.ended);
+  CHECK_TRUE(pair.a.transport.ended);
   pair.field.all[0].up = false;
   LONGS_EQUAL(200, initiate(pair.b, "s2"));
   LONGS_EQUAL(409, initiate(pair.b, "s1"));
--- a/tests/control/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -94,16 +94,16 @@
   void start_process(std::size_t i) {
     if (processes_.size() <= i) processes_.resize(i + 1);
     if (processes_[i]) {
-      processes_[i]->voters.ended = true;
+      processes_[i]->transport.ended = true;
       ended_.push_back(std::move(processes_[i]));
     }
     processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.remembered);
-    processes_[i]->reg.learn_epoch(newest_set());
+    processes_[i]->reg.observe_epoch(newest_set());
   }
   const RegisterValue& newest_set() const {
     const RegisterValue* newest = &first_;
     for (const auto& p : processes_) {
-      if (p && p->reg.initial().epoch > newest->epoch) newest = &p->reg.initial();
+      if (p && p->reg.epoch_value().epoch > newest->epoch) newest = &p->reg.epoch_value();
     }
     return *newest;
   }
@@ -112,14 +112,14 @@
   void end_process() {
     const std::size_t i = field_.luck.below(processes_.size());
     ControlProcess& p = *processes_[i];
-    if (p.voters.ended || p.voters.sends_left) return;
+    if (p.transport.ended || p.transport.sends_left) return;
     ++came_.ends;
-    p.voters.on_end = [this, i, ended = &p] {
+    p.transport.on_end = [this, i, ended = &p] {
       field_.clock.later.after(Span::ms(50 + 400 * field_.luck.unit()), [this, i, ended] {
         if (processes_[i].get() == ended) start_process(i);
       });
     };
-    p.voters.sends_left = field_.luck.below(14);
+    p.transport.sends_left = field_.luck.below(14);
   }
 
   // ---- acceptors
@@ -143,8 +143,8 @@
       }
     } else if (kind < 0.8) {
       ControlProcess& p = luck_process();
-      p.voters.cut_off = true;
-      field_.clock.later.after(Span::ms(700 * field_.luck.unit()), [&p] { p.voters.cut_off = false; });
+      p.transport.cut_off = true;
+      field_.clock.later.after(Span::ms(700 * field_.luck.unit()), [&p] { p.transport.cut_off = false; });
     }
   }
   // One disk of the set, while all others are there: as much as is borne until another set is in force.
@@ -208,7 +208,7 @@
   }
   void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
     ControlProcess& at = luck_process();
-    if (at.voters.ended) return;
+    if (at.transport.ended) return;
     at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpResponse& answer) {
       history_.answered(sending->key, sent, now(), answer.status);
       if (lost()) return;
@@ -243,7 +243,7 @@
   }
 
   void read_back(ControlProcess& at, Operator* by = nullptr) {
-    if (at.voters.ended) return;
+    if (at.transport.ended) return;
     at.call("GET", "/v1/Configuration.Retrieve", "", "",
             [this, by, sent = now()](const common::HttpResponse& answer) {
               if (answer.status != 200 && answer.status != 404) return;
--- a/tests/control/register_test.cpp
+++ b/tests/control/register_test.cpp
@@ -27,14 +27,14 @@
 using common::Prepare;
 using common::Promise;
 using common::RegisterValue;
-using control::AcceptorState;
-using control::first_value;
+using control::AcceptorStatus;
+using control::DurableAcceptor;
+using control::first_epoch_value;
 using control::Register;
-using control::Verdict;
 using simulated::Field;
 using simulated::Machine;
 using simulated::Proposer;
-using simulated::verdict;
+using simulated::status_of;
 using simulated::Weather;
 
 namespace {
@@ -135,7 +135,7 @@
     for (std::uint64_t i = 0; i < 3; ++i) {
       proposers.push_back(std::make_unique<Proposer>(field, 100 + i));
       Proposer& p = *proposers.back();
-      p.reg.learn_epoch(value_of_first);
+      p.reg.observe_epoch(value_of_first);
       p.reg.on_chosen([this, last = std::int64_t{-1}](const RegisterValue& v) mutable {
         watcher.check(v.number > last, "numbers told do not rise");
         last = v.number;
@@ -162,7 +162,7 @@
     };
     if (kind < 0.35) return p.reg.read(Span::ms(1500), done);
     if (plan.other_sets && kind < 0.45) return change_set(p, done);
-    const std::int64_t base = p.reg.known() ? p.reg.known()->config_version : 0;
+    const std::int64_t base = p.reg.known_value() ? p.reg.known_value()->config_version : 0;
     const std::int64_t hash = ++hashes, version = base + 1 + static_cast<std::int64_t>(field.luck.below(3));
     p.reg.change(replacing(base, version, hash), Span::ms(1500),
                  [this, floor, base, hash, done](absl::StatusOr<RegisterValue> got) {
@@ -177,8 +177,8 @@
   }
 
   // As the roster does it: decided on one value, and not taken on another.
-  void change_set(Proposer& p, const Register::Done& done) {
-    const std::int64_t number = p.reg.known() ? p.reg.known()->number : 0;
+  void change_set(Proposer& p, const Register::Callback& done) {
+    const std::int64_t number = p.reg.known_value() ? p.reg.known_value()->number : 0;
     const std::vector<Acceptor> next = some_set();
     p.reg.change(
         [number, next](const RegisterValue& current) -> std::optional<RegisterValue> {
@@ -204,7 +204,7 @@
   void wipe_one() {
     const RegisterValue* newest = nullptr;
     for (const auto& p : proposers) {
-      if (newest == nullptr || newest->epoch < p->reg.initial().epoch) newest = &p->reg.initial();
+      if (newest == nullptr || newest->epoch < p->reg.epoch_value().epoch) newest = &p->reg.epoch_value();
     }
     if (newest->epoch == wiped_in) return;
     for (const Machine& m : field.all) {
@@ -241,15 +241,16 @@
       wipe_one();
     } else if (kind < 0.6) {
       Proposer& p = *proposers[field.luck.below(proposers.size())];
-      p.voters.cut_off = true;
-      field.clock.later.after(Span::ms(400 * field.luck.unit()), [&p] { p.voters.cut_off = false; });
+      p.transport.cut_off = true;
+      field.clock.later.after(Span::ms(400 * field.luck.unit()), [&p] { p.transport.cut_off = false; });
     }
     if (plan.words) {  // what is chosen goes round by word too, late or never
       Proposer& from = *proposers[field.luck.below(proposers.size())];
       Proposer& to = *proposers[field.luck.below(proposers.size())];
-      if (from.reg.known()) {
-        const RegisterValue value = *from.reg.known(), initial = from.reg.initial();
-        field.clock.later.after(field.way(), [&to, value, initial] { to.reg.learn_chosen(value, initial); });
+      if (from.reg.known_value()) {
+        const RegisterValue value = *from.reg.known_value(), initial = from.reg.epoch_value();
+        field.clock.later.after(field.way(),
+                                [&to, value, initial] { to.reg.observe_chosen(value, initial); });
       }
     }
   }
@@ -257,9 +258,9 @@
   // An epoch begins with one value, whoever opened it, and wherever.
   void look_at_epochs() {
     for (const Machine& m : field.all) {
-      if (!m.up || !m.acceptor->voting()) continue;
-      const auto [at, fresh] = opened_with.emplace(m.acceptor->epoch(), m.acceptor->initial());
-      watcher.check(fresh || at->second == m.acceptor->initial(),
+      if (!m.up || !m.acceptor->is_voting()) continue;
+      const auto [at, fresh] = opened_with.emplace(m.acceptor->epoch(), m.acceptor->epoch_value());
+      watcher.check(fresh || at->second == m.acceptor->epoch_value(),
                     numbered("epoch ", m.acceptor->epoch()) + " was opened with two values");
     }
   }
@@ -285,15 +286,15 @@
       }
     }
     // The newest set goes round by gossip.
-    const RegisterValue* newest = &proposers[0]->reg.initial();
+    const RegisterValue* newest = &proposers[0]->reg.epoch_value();
     for (const auto& p : proposers) {
-      if (newest->epoch < p->reg.initial().epoch) newest = &p->reg.initial();
+      if (newest->epoch < p->reg.epoch_value().epoch) newest = &p->reg.epoch_value();
     }
     const RegisterValue initial = *newest;
     std::size_t ends = 0;
     for (const auto& p : proposers) {
-      p->voters.cut_off = false;
-      p->reg.learn_epoch(initial);
+      p->transport.cut_off = false;
+      p->reg.observe_epoch(initial);
       const std::int64_t floor = watcher.floor();
       p->reg.read(Span::ms(3000), [&, floor](absl::StatusOr<RegisterValue> got) {
         ++ends;
@@ -387,8 +388,8 @@
 field.weather = weather;
 Proposer a(field, 1), b(field, 2);
 const RegisterValue first = field.first_set(3);
-a.reg.learn_epoch(first);
-b.reg.learn_epoch(first);
+a.reg.observe_epoch(first);
+b.reg.observe_epoch(first);
 Came came[2] = {Came::nothing, Came::nothing};
 const auto order = [&](Proposer& p, int which) {
   p.reg.change(
@@ -458,7 +459,7 @@
 
 // A repeat of an order that is in force changes nothing.
 TEST(RegisterOrders, RepeatIsKnown) {
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   std::vector<std::int64_t> numbers;
   for (int n = 0; n < 3; ++n) {
     p.reg.change(replacing(0, 4, 9), Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
@@ -473,7 +474,7 @@
 
 TEST(RegisterOrders, OneOfThreeIsGone) {
   field.all[1].up = false;
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   bool taken = false;
   p.reg.change(replacing(0, 4, 9), Span::ms(2000),
                [&](absl::StatusOr<RegisterValue> got) { taken = got.ok() && had(*got, 9); });
@@ -484,7 +485,7 @@
 // Without a majority an order ends by its time, once.
 TEST(RegisterOrders, NoMajorityEndsInTime) {
   field.all[0].up = field.all[1].up = false;
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   int told = 0;
   const TimePoint start = field.clock.system.now();
   TimePoint end;
@@ -500,7 +501,7 @@
 
 // A read alone writes nothing: it is asked for several times a second.
 TEST(RegisterOrders, ReadOfAChosenValueWritesNothing) {
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   p.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   std::vector<std::size_t> before;
@@ -515,7 +516,7 @@
 // Values go over the ways only to who does not have them.
 TEST(RegisterOrders, SecondReadBringsNoValues) {
   field.counting = true;
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   p.reg.change(
       [](const RegisterValue& current) -> std::optional<RegisterValue> {
         RegisterValue out = current;
@@ -536,7 +537,7 @@
 
 // Orders of one process do not outbid one another: all that come at once are taken, each in its turn.
 TEST(RegisterOrders, ManyAtOnceAreTakenOneAfterAnother) {
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   std::size_t taken = 0;
   for (std::int64_t order = 1; order <= 20; ++order) {
     p.reg.change(
@@ -556,7 +557,7 @@
 // One that waits for others of its process ends by its own time.
 TEST(RegisterOrders, OneThatWaitsEndsInTime) {
   field.all[0].up = field.all[1].up = false;
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   const TimePoint start = field.clock.system.now();
   std::vector<Span> ends;
   for (const double most : {2000.0, 500.0, 1000.0}) {
@@ -580,7 +581,7 @@
       return out;
     };
   };
-  p.reg.learn_epoch(field.first_set(3));
+  p.reg.observe_epoch(field.first_set(3));
   p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   field.all[2].up = false;  // it misses one
@@ -593,16 +594,16 @@
                [&](absl::StatusOr<RegisterValue> got) { taken = got.ok(); });
   field.clock.play(Span::ms(1100));
   CHECK_TRUE(taken);
-  CHECK_TRUE(field.all[2].acceptor->value().config.data.back() == 'c');
-  CHECK_TRUE(field.all[2].acceptor->value() == field.all[1].acceptor->value());
+  CHECK_TRUE(field.all[2].acceptor->accepted_value().config.data.back() == 'c');
+  CHECK_TRUE(field.all[2].acceptor->accepted_value() == field.all[1].acceptor->accepted_value());
 }
 
 // The set is changed by a sealed value, which nobody is told of: the next epoch begins with what it held.
 TEST(RegisterOrders, SealedAndOpened) {
   Field five(5, 3);
   Proposer q(five, 1), late(five, 2);
-  q.reg.learn_epoch(five.first_set(3));
-  late.reg.learn_epoch(five.first_set(3));
+  q.reg.observe_epoch(five.first_set(3));
+  late.reg.observe_epoch(five.first_set(3));
   std::vector<RegisterValue> told;
   q.reg.on_chosen([&](const RegisterValue& v) { told.push_back(v); });
   q.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
@@ -644,30 +645,30 @@
     v.config.data = config;
     return {initial.epoch, {round, proposer}, v};
   }
-  const RegisterValue initial = first_value({{"m0", ""}, {"m1", ""}, {"m2", ""}});
+  const RegisterValue initial = first_epoch_value({{"m0", ""}, {"m1", ""}, {"m2", ""}});
 };
 
 // Guards every promise and every accepted value that was told, at each step of the disk.
 TEST(RegisterAcceptor, WhatItSaidStandsAfterLossOfPowerAtEveryStep) {
-  const auto speak = [&](AcceptorState& a, Ballot& promised, Ballot& accepted, std::string& value) {
+  const auto speak = [&](DurableAcceptor& a, Ballot& promised, Ballot& accepted, std::string& value) {
     for (std::int64_t round = 1; round < 12; ++round) {
       if (round % 3 != 0) {
         const auto got = a.prepare(prepare(initial, round));
         if (!got.ok()) return;
-        CHECK_TRUE(verdict(got->verdict) == Verdict::yes);
+        CHECK_TRUE(status_of(got->verdict) == AcceptorStatus::ok);
         promised = {round, 1};
       }
       if (round % 2 == 0) {
         const auto got = a.accept(accept(initial, round, numbered("v", round)));
         if (!got.ok()) return;
-        CHECK_TRUE(verdict(got->verdict) == Verdict::yes);
+        CHECK_TRUE(status_of(got->verdict) == AcceptorStatus::ok);
         promised = accepted = {round, 1};
         value = numbered("v", round);
       }
     }
   };
   common::MemoryDisk whole;
-  AcceptorState counted(whole, "m0", "d0", true);
+  DurableAcceptor counted(whole, "m0", "d0", true);
   CHECK_TRUE(counted.open().ok());
   Ballot promised, accepted;
   std::string value;
@@ -678,14 +679,14 @@
     for (std::uint64_t luck = 0; luck < 30; ++luck) {
       const std::string where = numbered("point ", point) + numbered(", luck ", luck);
       common::MemoryDisk disk;
-      AcceptorState a(disk, "m0", "d0", true);
+      DurableAcceptor a(disk, "m0", "d0", true);
       CHECK_TRUE(a.open().ok());
       disk.fail_from(point);
       promised = accepted = {};
       value.clear();
       speak(a, promised, accepted, value);
       disk.power_cycle(luck);
-      AcceptorState again(disk, "m0", "d0", true);
+      DurableAcceptor again(disk, "m0", "d0", true);
       const absl::Status opened = again.open();
       if (promised == Ballot{} && !opened.ok()) continue;  // it had said nothing yet
       CHECK_WHERE(opened.ok(), where);
@@ -709,7 +710,7 @@
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
                                   numbered(", steps ", length);
         common::MemoryDisk disk;
-        AcceptorState a(disk, "m0", "d0", true);
+        DurableAcceptor a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
         disk.fail(fault, from, from + length);
         Ballot promised, accepted;
@@ -719,7 +720,7 @@
           for (std::uint64_t luck = 0; luck < 6; ++luck) {
             common::MemoryDisk dark = disk;
             dark.power_cycle(luck);
-            AcceptorState again(dark, "m0", "d0", true);
+            DurableAcceptor again(dark, "m0", "d0", true);
             if (promised == Ballot{} && !again.open().ok()) continue;
             if (promised != Ballot{}) CHECK_WHERE(again.open().ok(), where);
             const auto got = again.prepare(prepare(initial, 0, 0, true));
@@ -737,19 +738,19 @@
           check();
           const auto voted = a.accept(accept(initial, round, numbered("v", round)));
           // A first promise that the disk refused has not opened the epoch: that is told, and is no vote.
-          const bool yes = voted.ok() && verdict(voted->verdict) == Verdict::yes;
+          const bool yes = voted.ok() && status_of(voted->verdict) == AcceptorStatus::ok;
           if (yes) promised = accepted = {round, 1};
           refused += voted.ok() ? 0 : 1;
           check();
           // Who only looks is told what is on disk, also meanwhile.
           const auto look = a.prepare(prepare(initial, 0, 0, true));
-          if (look.ok() && verdict(look->verdict) == Verdict::yes)
+          if (look.ok() && status_of(look->verdict) == AcceptorStatus::ok)
             CHECK_WHERE(look->accepted == accepted && look->promised == promised, where);
         }
         if (from < 12 && length > 1) CHECK_WHERE(refused > 0, where);
         CHECK_WHERE(promised == (Ballot{13, 1}) && accepted == (Ballot{13, 1}),
                     where + ": the disk works again");
-        CHECK_FALSE(a.disk_failing());
+        CHECK_FALSE(a.is_disk_failing());
       }
     }
   }
@@ -765,13 +766,13 @@
     const std::uint64_t lucks = size > (1U << 20U) ? 2 : size > (1U << 16U) ? 6 : 30;
     // So many rounds that the log is at the switch.
     const std::int64_t rounds = 2 + static_cast<std::int64_t>((512U << 10U) / size);
-    const auto fill = [&](AcceptorState& a) {
+    const auto fill = [&](DurableAcceptor& a) {
       for (std::int64_t round = 1; round <= rounds; ++round)
         CHECK_TRUE(a.prepare(prepare(initial, round)).ok() &&
                    a.accept(accept(initial, round, text + std::to_string(round))).ok());
     };
     common::MemoryDisk filled;
-    AcceptorState before(filled, "m0", "d0", true);
+    DurableAcceptor before(filled, "m0", "d0", true);
     CHECK_TRUE(before.open().ok());
     fill(before);
     for (std::size_t point = 0; point < 14; ++point) {
@@ -780,7 +781,7 @@
                                   numbered(", step ", static_cast<long long>(point)) +
                                   numbered(", luck ", static_cast<long long>(luck));
         common::MemoryDisk disk = filled;
-        AcceptorState a(disk, "m0", "d0", true);
+        DurableAcceptor a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
         std::int64_t promised = rounds, accepted = rounds, tried = rounds;
         disk.fail_from(disk.steps() + point);
@@ -793,7 +794,7 @@
         }
         if (luck % 2 == 0) disk.power_cycle(luck);
         disk.fail_from(static_cast<std::size_t>(-1));
-        AcceptorState again(disk, "m0", "d0", true);
+        DurableAcceptor again(disk, "m0", "d0", true);
         CHECK_WHERE(again.open().ok(), where);
         const auto got = again.prepare(prepare(initial, 0, 0, true));
         CHECK_WHERE(got->promised.round >= promised && got->promised.round <= promised + 1, where);
@@ -810,17 +811,17 @@
 // Without a request it takes up again what it has as soon as the disk does.
 TEST(RegisterAcceptor, WritesAgainOnceTheDiskWorks) {
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
   CHECK_TRUE(a.accept(accept(initial, 1, "x")).ok());
   disk.fail(common::DiskFault::full, disk.steps(), disk.steps() + 9);
   CHECK_FALSE(a.prepare(prepare(initial, 2)).ok());
-  CHECK_TRUE(a.disk_failing());
-  while (!a.write_again().ok()) CHECK_TRUE(disk.steps() < 40);
-  CHECK_FALSE(a.disk_failing());
+  CHECK_TRUE(a.is_disk_failing());
+  while (!a.retry_write().ok()) CHECK_TRUE(disk.steps() < 40);
+  CHECK_FALSE(a.is_disk_failing());
   disk.power_cycle(1);
-  AcceptorState again(disk, "m0", "d0", true);
+  DurableAcceptor again(disk, "m0", "d0", true);
   CHECK_TRUE(again.open().ok());
   const auto got = again.prepare(prepare(initial, 0, 0, true));
   CHECK_TRUE(got->promised == (Ballot{1, 1}) && got->value.config.data == "x");
@@ -828,15 +829,15 @@
 
 TEST(RegisterAcceptor, EarlierBallotsAreTurnedAway) {
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
-  CHECK_TRUE(verdict(a.prepare(prepare(initial, 5))->verdict) == Verdict::yes);
-  CHECK_TRUE(verdict(a.prepare(prepare(initial, 5))->verdict) == Verdict::yes);  // repeated
-  CHECK_TRUE(verdict(a.prepare(prepare(initial, 4))->verdict) == Verdict::later);
-  CHECK_TRUE(verdict(a.prepare(prepare(initial, 5, 0))->verdict) == Verdict::later);
-  CHECK_TRUE(verdict(a.accept(accept(initial, 4, "x"))->verdict) == Verdict::later);
-  CHECK_TRUE(verdict(a.accept(accept(initial, 5, "x"))->verdict) == Verdict::yes);
-  CHECK_TRUE(verdict(a.accept(accept(initial, 5, "x"))->verdict) == Verdict::yes);  // repeated
+  CHECK_TRUE(status_of(a.prepare(prepare(initial, 5))->verdict) == AcceptorStatus::ok);
+  CHECK_TRUE(status_of(a.prepare(prepare(initial, 5))->verdict) == AcceptorStatus::ok);  // repeated
+  CHECK_TRUE(status_of(a.prepare(prepare(initial, 4))->verdict) == AcceptorStatus::ballot_outdated);
+  CHECK_TRUE(status_of(a.prepare(prepare(initial, 5, 0))->verdict) == AcceptorStatus::ballot_outdated);
+  CHECK_TRUE(status_of(a.accept(accept(initial, 4, "x"))->verdict) == AcceptorStatus::ballot_outdated);
+  CHECK_TRUE(status_of(a.accept(accept(initial, 5, "x"))->verdict) == AcceptorStatus::ok);
+  CHECK_TRUE(status_of(a.accept(accept(initial, 5, "x"))->verdict) == AcceptorStatus::ok);  // repeated
   const auto look = a.prepare(prepare(initial, 0, 0, true));
   CHECK_TRUE(look->value.config.data == "x" && look->accepted == (Ballot{5, 1}));
 }
@@ -844,11 +845,11 @@
 // Guards the asker's own copy: it stands in for the value of the ballot that it names, and of no other.
 TEST(RegisterAcceptor, ValueIsLeftOutOnlyForTheBallotThatWasNamed) {
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   Prepare ask = prepare(initial, 5);
   CHECK_FALSE(a.prepare(ask)->value_known);  // accepted under no ballot yet: none can be named
-  CHECK_TRUE(verdict(a.accept(accept(initial, 5, "x"))->verdict) == Verdict::yes);
+  CHECK_TRUE(status_of(a.accept(accept(initial, 5, "x"))->verdict) == AcceptorStatus::ok);
   ask.ballot = {6, 1};
   ask.known_ballot = {5, 1};
   const auto named = a.prepare(ask);
@@ -872,21 +873,22 @@
   for (const bool on_its_base : {true, false}) {
     for (const bool spoilt : {false, true}) {
       common::MemoryDisk disk;
-      AcceptorState a(disk, "m0", "d0", true);
+      DurableAcceptor a(disk, "m0", "d0", true);
       CHECK_TRUE(a.open().ok());
       CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
       Accept first{1, {1, 1}, on_its_base ? base : other, {}};
-      CHECK_TRUE(verdict(a.accept(first)->verdict) == Verdict::yes);
-      CHECK_TRUE(verdict(a.prepare(prepare(initial, 2))->verdict) == Verdict::yes);
+      CHECK_TRUE(status_of(a.accept(first)->verdict) == AcceptorStatus::ok);
+      CHECK_TRUE(status_of(a.prepare(prepare(initial, 2))->verdict) == AcceptorStatus::ok);
       Accept ask{1, {2, 1}, {}, common::value_difference(1, common::encoded(base), common::encoded(next))};
       if (spoilt) ask.difference.content.data.back() ^= 1;
       const bool good = on_its_base && !spoilt;
-      CHECK_TRUE(verdict(a.accept(ask)->verdict) == (good ? Verdict::yes : Verdict::whole));
-      CHECK_TRUE(a.value() == (good ? next : first.value));
-      CHECK_TRUE(a.accepted() == (good ? ask.ballot : first.ballot));
-      CHECK_TRUE(verdict(a.accept({1, {2, 1}, next, {}})->verdict) == Verdict::yes);
-      CHECK_TRUE(verdict(a.accept(ask)->verdict) == Verdict::yes);  // repeated: it has that value
-      CHECK_TRUE(a.value() == next);
+      CHECK_TRUE(status_of(a.accept(ask)->verdict) ==
+                 (good ? AcceptorStatus::ok : AcceptorStatus::full_value_required));
+      CHECK_TRUE(a.accepted_value() == (good ? next : first.value));
+      CHECK_TRUE(a.accepted_ballot() == (good ? ask.ballot : first.ballot));
+      CHECK_TRUE(status_of(a.accept({1, {2, 1}, next, {}})->verdict) == AcceptorStatus::ok);
+      CHECK_TRUE(status_of(a.accept(ask)->verdict) == AcceptorStatus::ok);  // repeated: it has that value
+      CHECK_TRUE(a.accepted_value() == next);
     }
   }
 }
@@ -901,18 +903,18 @@
   }();
   for (const RegisterValue& epoch : {initial, named}) {
     common::MemoryDisk disk;
-    AcceptorState wiped(disk, "m0", "another", false);
+    DurableAcceptor wiped(disk, "m0", "another", false);
     CHECK_TRUE(wiped.open().ok());
-    CHECK_FALSE(wiped.voting());
-    CHECK_TRUE(verdict(wiped.prepare(prepare(epoch, 5))->verdict) == Verdict::stranger);
-    CHECK_TRUE(verdict(wiped.prepare(prepare(epoch, 0, 0, true))->verdict) == Verdict::stranger);
-    CHECK_TRUE(verdict(wiped.accept(accept(epoch, 5, "x"))->verdict) == Verdict::stranger);
+    CHECK_FALSE(wiped.is_voting());
+    CHECK_TRUE(status_of(wiped.prepare(prepare(epoch, 5))->verdict) == AcceptorStatus::not_a_member);
+    CHECK_TRUE(status_of(wiped.prepare(prepare(epoch, 0, 0, true))->verdict) == AcceptorStatus::not_a_member);
+    CHECK_TRUE(status_of(wiped.accept(accept(epoch, 5, "x"))->verdict) == AcceptorStatus::not_a_member);
     // A later epoch names its new disk.
     RegisterValue next = named;
     next.epoch = 3;
     next.acceptors[0].disk = "another";
-    CHECK_TRUE(verdict(wiped.prepare(prepare(next, 1))->verdict) == Verdict::yes);
-    CHECK_TRUE(verdict(wiped.accept(accept(next, 1, "x"))->verdict) == Verdict::yes);
+    CHECK_TRUE(status_of(wiped.prepare(prepare(next, 1))->verdict) == AcceptorStatus::ok);
+    CHECK_TRUE(status_of(wiped.accept(accept(next, 1, "x"))->verdict) == AcceptorStatus::ok);
   }
 }
 
@@ -921,26 +923,26 @@
   RegisterValue second = initial;
   second.epoch = 2;
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
-  CHECK_TRUE(verdict(a.prepare(prepare(second, 1))->verdict) == Verdict::stranger);
-  CHECK_TRUE(verdict(a.prepare(prepare(initial, 1))->verdict) == Verdict::yes);
+  CHECK_TRUE(status_of(a.prepare(prepare(second, 1))->verdict) == AcceptorStatus::not_a_member);
+  CHECK_TRUE(status_of(a.prepare(prepare(initial, 1))->verdict) == AcceptorStatus::ok);
 }
 
 TEST(RegisterAcceptor, EarlierEpochsAreToldOfTheLater) {
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
-  CHECK_TRUE(verdict(a.prepare(prepare(initial, 9))->verdict) == Verdict::yes);
+  CHECK_TRUE(status_of(a.prepare(prepare(initial, 9))->verdict) == AcceptorStatus::ok);
   RegisterValue second = initial;
   second.epoch = 2;
   second.acceptors = {{"m0", "d0"}};
-  CHECK_TRUE(verdict(a.prepare(prepare(second, 1))->verdict) == Verdict::yes);
+  CHECK_TRUE(status_of(a.prepare(prepare(second, 1))->verdict) == AcceptorStatus::ok);
   const auto got = a.prepare(prepare(initial, 10));
-  CHECK_TRUE(verdict(got->verdict) == Verdict::moved);
+  CHECK_TRUE(status_of(got->verdict) == AcceptorStatus::epoch_ended);
   CHECK_TRUE(got->initial == second);
-  CHECK_TRUE(verdict(a.accept(accept(initial, 10, "x"))->verdict) == Verdict::moved);
-  AcceptorState again(disk, "m0", "d0", true);
+  CHECK_TRUE(status_of(a.accept(accept(initial, 10, "x"))->verdict) == AcceptorStatus::epoch_ended);
+  DurableAcceptor again(disk, "m0", "d0", true);
   CHECK_TRUE(again.open().ok());
   CHECK_EQUAL(2, static_cast<int>(again.epoch()));
 }
@@ -948,23 +950,23 @@
 // An accept that comes before anybody has prepared this acceptor for the epoch is no vote of that epoch.
 TEST(RegisterAcceptor, AcceptAloneDoesNotOpenAnEpoch) {
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
-  CHECK_TRUE(verdict(a.accept(accept(initial, 1, "x"))->verdict) == Verdict::stranger);
+  CHECK_TRUE(status_of(a.accept(accept(initial, 1, "x"))->verdict) == AcceptorStatus::not_a_member);
 }
 
 // Its log is long and is folded into a slot: nothing is lost on the way.
 TEST(RegisterAcceptor, LongLogIsFolded) {
   common::MemoryDisk disk;
-  AcceptorState a(disk, "m0", "d0", true);
+  DurableAcceptor a(disk, "m0", "d0", true);
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
   const std::string large(60000, 'c');
   for (std::int64_t round = 2; round < 24; ++round)
-    CHECK_TRUE(verdict(a.accept(accept(initial, round, large + std::to_string(round)))->verdict) ==
-               Verdict::yes);
+    CHECK_TRUE(status_of(a.accept(accept(initial, round, large + std::to_string(round)))->verdict) ==
+               AcceptorStatus::ok);
   disk.power_cycle(1);
-  AcceptorState again(disk, "m0", "d0", true);
+  DurableAcceptor again(disk, "m0", "d0", true);
   CHECK_TRUE(again.open().ok());
   const auto got = again.prepare(prepare(initial, 0, 0, true));
   CHECK_TRUE(got->accepted == (Ballot{23, 1}) && got->value.config.data == large + "23");
--- a/tests/control/simulated_control.hpp
+++ b/tests/control/simulated_control.hpp
@@ -17,7 +17,7 @@
   using Answered = std::function<void(common::HttpResponse)>;
 
   ControlProcess(Field& field, std::uint64_t proposer, std::size_t remembered)
-      : voters(field), reg(field.clock.later, voters, proposer), api_(reg, *this, 1, remembered) {}
+      : transport(field), reg(field.clock.later, transport, proposer), api_(reg, *this, 1, remembered) {}
 
   // Nothing is answered by a process that has ended.
   void call(const std::string& method, const std::string& target, const std::string& fields,
@@ -27,7 +27,7 @@
     http::Parser parser(http::Side::request, {.head = 16 * 1024, .body = 8U << 20U, .fields = 100});
     parser.feed(bytes);
     api_.serve(parser, [this, answered = std::move(answered)](common::HttpResponse answer) {
-      if (!voters.ended) answered(std::move(answer));
+      if (!transport.ended) answered(std::move(answer));
     });
   }
   void replace(std::int64_t base, const std::string& body, Answered answered) {
@@ -35,7 +35,7 @@
          body, std::move(answered));
   }
 
-  PlayedVoters voters;
+  SimulatedTransport transport;
   control::Register reg;
   std::vector<common::Member> known_members;
   bool all_members_known = true;
--- a/tests/control/simulated_register.hpp
+++ b/tests/control/simulated_register.hpp
@@ -11,6 +11,7 @@
 #include <utility>
 #include <vector>
 
+#include "control/acceptor.hpp"
 #include "control/register.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
@@ -24,29 +25,30 @@
 using common::Prepare;
 using common::Promise;
 using common::RegisterValue;
-using control::AcceptorState;
-using control::first_value;
+using control::AcceptorStatus;
+using control::DurableAcceptor;
+using control::first_epoch_value;
 using control::Register;
-using control::Verdict;
 
-inline Verdict verdict(std::int64_t v) { return static_cast<Verdict>(v); }
+inline AcceptorStatus status_of(std::int64_t v) { return static_cast<AcceptorStatus>(v); }
 
 // What the acceptor of one disk has answered: it stands, whatever becomes of the machine.
 class Answered {
  public:
   // Empty, or what this answer takes back.
   std::string hear(const Prepare& ask, const Promise& got) {
-    const Verdict v = verdict(got.verdict);
-    if (v == Verdict::stranger) return ask.epoch > epoch_ ? "" : "is a stranger where it has voted";
+    const AcceptorStatus v = status_of(got.verdict);
+    if (v == AcceptorStatus::not_a_member)
+      return ask.epoch > epoch_ ? "" : "is a stranger where it has voted";
     if (got.epoch < epoch_) return "went back an epoch";
-    if (v == Verdict::moved) return "";
+    if (v == AcceptorStatus::epoch_ended) return "";
     if (got.epoch == epoch_ && (got.promised < promised_ || got.accepted < accepted_))
       return "forgot what it promised or accepted";
     keep(got.epoch, got.promised, got.accepted);
     return "";
   }
   std::string hear(const Accept& ask, const Accepted& got) {
-    if (verdict(got.verdict) != Verdict::yes) return "";
+    if (status_of(got.verdict) != AcceptorStatus::ok) return "";
     if (ask.epoch < epoch_) return "accepted in an epoch that it had left";
     if (ask.epoch == epoch_ && ask.ballot < promised_)
       return "accepted under an earlier ballot than promised";
@@ -69,12 +71,12 @@
   std::string address, disk_id;
   bool first = true;
   std::unique_ptr<common::MemoryDisk> disk = std::make_unique<common::MemoryDisk>();
-  std::unique_ptr<AcceptorState> acceptor;
+  std::unique_ptr<DurableAcceptor> acceptor;
   bool up = false;
   TimePoint frozen_until;  // what comes before is done then
 
   void start() {
-    acceptor = std::make_unique<AcceptorState>(*disk, address, disk_id, first);
+    acceptor = std::make_unique<DurableAcceptor>(*disk, address, disk_id, first);
     const absl::Status s = acceptor->open();
     if (absl::IsDataLoss(s)) {  // as the control plane does: it is another disk from here on
       wipe();
@@ -117,7 +119,7 @@
   RegisterValue first_set(std::size_t n) const {
     std::vector<Acceptor> set;
     for (std::size_t i = 0; i < n; ++i) set.push_back({all[i].address, ""});
-    return first_value(set);
+    return first_epoch_value(set);
   }
   Span way() { return luck.chance(weather.slow) ? Span::ms(900 * luck.unit()) : weather.most * luck.unit(); }
   // A disk that fails ends its machine: nothing is answered.
@@ -137,7 +139,7 @@
     const std::string wrong = answered[m.disk_id].hear(what, *got);
     if (!wrong.empty() && broken.empty()) broken = m.disk_id + " " + wrong;
     if constexpr (std::is_same_v<Ask, Accept>) {
-      if (verdict(got->verdict) == Verdict::yes && on_accepted) on_accepted(m);
+      if (status_of(got->verdict) == AcceptorStatus::ok && on_accepted) on_accepted(m);
     }
     return got;
   }
@@ -159,9 +161,9 @@
 };
 
 // One proposer's ways: exactly one answer to each message, as a held connection gives it.
-class PlayedVoters final : public control::Voters {
+class SimulatedTransport final : public control::AcceptorTransport {
  public:
-  explicit PlayedVoters(Field& field) : field_(field) {}
+  explicit SimulatedTransport(Field& field) : field_(field) {}
   void prepare(const std::string& address, const Prepare& ask,
                std::function<void(absl::StatusOr<Promise>)> answered) override {
     send(address, ask, std::move(answered));
@@ -220,8 +222,9 @@
 };
 
 struct Proposer {
-  Proposer(Field& field, std::uint64_t number) : voters(field), reg(field.clock.later, voters, number) {}
-  PlayedVoters voters;
+  Proposer(Field& field, std::uint64_t number)
+      : transport(field), reg(field.clock.later, transport, number) {}
+  SimulatedTransport transport;
   Register reg;
 };
 
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -6,7 +6,7 @@
 
 #include <fstream>
 
-#include "control/register.hpp"
+#include "control/acceptor.hpp"
 #include "played.hpp"
 #include "storage/store.hpp"
 
@@ -60,10 +60,10 @@
     CHECK(slots.append_change(common::encoded(record)).ok());
   }
   void write_acceptor() {
-    control::AcceptorState state(disk, "10.0.0.1:1", "d1", true);
+    control::DurableAcceptor state(disk, "10.0.0.1:1", "d1", true);
     CHECK(state.open().ok());
     common::Prepare prepare;
-    prepare.initial = control::first_value({{"10.0.0.1:1", ""}});
+    prepare.initial = control::first_epoch_value({{"10.0.0.1:1", ""}});
     prepare.epoch = 1;
     prepare.ballot = {3, 0xabc};
     CHECK(state.prepare(prepare).ok());
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -16,8 +16,8 @@
 
 #include "common/disk.hpp"
 #include "common/messages.hpp"
+#include "control/acceptor.hpp"
 #include "control/control_plane.hpp"
-#include "control/register.hpp"
 #include "ctl/folder.hpp"
 #include "golden_data.hpp"
 #include "handover/post.hpp"
@@ -145,7 +145,7 @@
 TEST(GoldenFiles, Acceptor) {
   golden::Stored stored("files.txt");
   MemoryDisk disk;
-  control::AcceptorState acceptor(disk, seed_address, disk_id, true);
+  control::DurableAcceptor acceptor(disk, seed_address, disk_id, true);
   ASSERT_TRUE(acceptor.open().ok());
   for (const std::int64_t epoch : {1, 2}) {
     common::Prepare prepare;
@@ -170,13 +170,13 @@
   fill(before, stored, "acceptor_record/");
   const common::AcceptorRecord record = holdings_of(before).acceptor;
   EXPECT_EQ(record.promised, (common::Ballot{9, 78}));
-  control::AcceptorState opened(before, seed_address, disk_id, true);
+  control::DurableAcceptor opened(before, seed_address, disk_id, true);
   ASSERT_TRUE(opened.open().ok());
   common::RegisterValue value = value_of_epoch(2);
-  EXPECT_EQ(opened.initial(), value);
+  EXPECT_EQ(opened.epoch_value(), value);
   ++value.number;
-  EXPECT_EQ(opened.value(), value);
-  EXPECT_EQ(opened.accepted(), (common::Ballot{6, 77}));
+  EXPECT_EQ(opened.accepted_value(), value);
+  EXPECT_EQ(opened.accepted_ballot(), (common::Ballot{6, 77}));
   EXPECT_EQ(opened.epoch(), 2);
 }
 
@@ -210,7 +210,7 @@
   const common::ControllerRecord record = holdings_of(before).controller;
   EXPECT_EQ(record.disk, disk_id);
   EXPECT_TRUE(record.first);
-  EXPECT_EQ(record.initial, control::first_value({{seed_address, ""}}));
+  EXPECT_EQ(record.initial, control::first_epoch_value({{seed_address, ""}}));
   settings.initial_start = false;  // a new disk would have another record
   ASSERT_TRUE(open(before).ok());
   compare_files(stored, "control_first_start/", before);
--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -11,7 +11,7 @@
 #include "common/messages.hpp"
 #include "common/rpc.hpp"
 #include "common/value_difference.hpp"
-#include "control/register.hpp"
+#include "control/acceptor.hpp"
 #include "golden_data.hpp"
 #include "net/buffer.hpp"
 #include "storage/placement.hpp"
@@ -439,12 +439,12 @@
 
 // Verdicts go over the wire as numbers.
 TEST(GoldenNumbers, OfVerdicts) {
-  using Control = control::Verdict;
-  EXPECT_EQ(static_cast<int>(Control::yes), 0);
-  EXPECT_EQ(static_cast<int>(Control::later), 1);
-  EXPECT_EQ(static_cast<int>(Control::moved), 2);
-  EXPECT_EQ(static_cast<int>(Control::stranger), 3);
-  EXPECT_EQ(static_cast<int>(Control::whole), 4);
+  using Control = control::AcceptorStatus;
+  EXPECT_EQ(static_cast<int>(Control::ok), 0);
+  EXPECT_EQ(static_cast<int>(Control::ballot_outdated), 1);
+  EXPECT_EQ(static_cast<int>(Control::epoch_ended), 2);
+  EXPECT_EQ(static_cast<int>(Control::not_a_member), 3);
+  EXPECT_EQ(static_cast<int>(Control::full_value_required), 4);
   using Storage = storage::ReplicaStatus;
   EXPECT_EQ(static_cast<int>(Storage::ok), 0);
   EXPECT_EQ(static_cast<int>(Storage::caller_map_stale), 1);
