--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -30,11 +30,11 @@
                      [this](const http::Parser& request, common::HttpServer::Reply reply) {
                        operator_api_.serve(request, std::move(reply));
                      }),
-      list_duty_("list", seed_of(settings.node + "list", scheduler.now())),
-      roster_duty_("roster", seed_of(settings.node + "roster", scheduler.now())),
+      endpoint_list_election_("list", seed_of(settings.node + "list", scheduler.now())),
+      membership_election_("roster", seed_of(settings.node + "roster", scheduler.now())),
       platform_(scheduler, timers_, settings.platform, settings.platform_rate),
-      holder_(seed_of(settings.node + "holder", scheduler.now())),
-      contact_(static_cast<std::int64_t>(holder_)),
+      incarnation_(seed_of(settings.node + "holder", scheduler.now())),
+      contact_(static_cast<std::int64_t>(incarnation_)),
       roster_(settings.machine_losses) {}
 
 absl::Status ControlPlane::open() {
@@ -105,10 +105,11 @@
       [this](common::RpcServer::Connection&, std::uint64_t, common::Gossip& word) { on_gossip(word); });
   rpc_server_.on<common::VoteRequest>(
       [this](common::RpcServer::Connection& connection, std::uint64_t number, common::VoteRequest& ask) {
-        Duty& duty = ask.role == list_duty_.name() ? list_duty_ : roster_duty_;
+        LeaderElection& election =
+            ask.role == endpoint_list_election_.role() ? endpoint_list_election_ : membership_election_;
         common::VoteReply out;
-        out.granted = !leaving_ && duty.vote(ask.term, timers_.now());
-        out.term = duty.term();
+        out.granted = !leaving_ && election.grant_vote(ask.term, timers_.now());
+        out.term = election.term();
         connection.reply(number, out);
       });
   rpc_server_.on<common::EndpointList>(
@@ -226,8 +227,8 @@
 void ControlPlane::begin_shutdown() {
   if (leaving_) return;
   leaving_ = true;
-  list_duty_.give_up(timers_.now());
-  roster_duty_.give_up(timers_.now());
+  endpoint_list_election_.step_down(timers_.now());
+  membership_election_.step_down(timers_.now());
   gossip();
   // Operators' orders that are under way come to their end.
   const TimePoint latest = timers_.now() + settings_.grace - grace_spare;
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -19,7 +19,7 @@
 #include "common/value_update.hpp"
 #include "control/acceptor.hpp"
 #include "control/chosen_word.hpp"
-#include "control/duty.hpp"
+#include "control/leader_election.hpp"
 #include "control/operator_api.hpp"
 #include "control/platform.hpp"
 #include "control/quorum_contact.hpp"
@@ -95,8 +95,8 @@
   void acknowledged();
 
   void work_duties();
-  void stand(Duty& duty);
-  void ballot(Duty& duty, std::int64_t term);
+  void campaign(LeaderElection& election);
+  void request_votes(LeaderElection& election, std::int64_t term);
   void read_list();
   void read_list_now();  // where the duty is this one's
   void list_was_read(std::vector<common::EndpointEntry> entries);
@@ -139,9 +139,9 @@
   std::uint64_t full_stamp_ = 0;
   bool catching_up_ = false, leaving_ = false, finished_ = false;
   std::optional<TimePoint> behind_since_;
-  Duty list_duty_, roster_duty_;
+  LeaderElection endpoint_list_election_, membership_election_;
   Platform platform_;
-  const std::uint64_t holder_;  // of duties: this process, told from all others
+  const std::uint64_t incarnation_;  // of duties: this process, told from all others
   QuorumContact contact_;
   common::EndpointTable list_;
   std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -13,34 +13,34 @@
 
 }  // namespace
 
-void ControlPlane::ballot(Duty& duty, std::int64_t term) {
+void ControlPlane::request_votes(LeaderElection& election, std::int64_t term) {
   struct Count {
     std::size_t yes = 0, asked = 0, answered = 0;
     bool over = false;
   };
   auto count = std::make_shared<Count>();
   const std::size_t needed = quorum_size(register_.epoch_value());
-  const auto hear = [this, count, &duty, term, needed](bool yes) {
+  const auto hear = [this, count, &election, term, needed](bool yes) {
     ++count->answered;
     count->yes += yes ? 1 : 0;
     if (count->over) return;
     if (count->yes >= needed) {
       count->over = true;
-      duty.won(term, timers_.now());
-      common::log_info("duty.won", duty.name() + ", term " + std::to_string(term));
+      election.on_elected(term, timers_.now());
+      common::log_info("duty.won", election.role() + ", term " + std::to_string(term));
       gossip();
-      if (&duty == &list_duty_) read_list_now();
+      if (&election == &endpoint_list_election_) read_list_now();
     } else if (count->answered == count->asked) {
       count->over = true;
-      duty.lost(timers_.now());
-      stand(duty);
+      election.on_campaign_lost(timers_.now());
+      campaign(election);
     }
   };
   const std::vector<common::Acceptor> voters = register_.epoch_value().acceptors;
   count->asked = voters.size();
   for (const common::Acceptor& a : voters) {
     if (a.address == address_) {
-      hear(duty.vote(term, timers_.now()));
+      hear(election.grant_vote(term, timers_.now()));
       continue;
     }
     common::RpcClient* const to = link(a.address);
@@ -49,37 +49,38 @@
       continue;
     }
     to->call<common::VoteReply>(
-        common::VoteRequest{duty.name(), term, settings_.node}, vote_most,
+        common::VoteRequest{election.role(), term, settings_.node}, vote_most,
         [hear](absl::StatusOr<common::VoteReply> got) { hear(got.ok() && got->granted); });
   }
 }
 
-void ControlPlane::stand(Duty& duty) {
+void ControlPlane::campaign(LeaderElection& election) {
   const TimePoint now = timers_.now();
-  std::int64_t term = 0;
   if (leaving_ || register_.epoch_value().epoch == 0) return;
-  if (duty.stand(now, term)) return ballot(duty, term);
-  const TimePoint again = duty.look_again();
+  if (const std::optional<Term> term = election.start_campaign(now)) return request_votes(election, *term);
+  const std::optional<TimePoint> next = election.next_campaign_at();
+  if (!next || *next <= now) return;
   // Not with the loop's step: those who began together would go on together.
-  if (again > now)
-    timers_.at(again, [this, &duty, again] {
-      if (duty.look_again() == again) stand(duty);
-    });
+  timers_.at(*next, [this, &election, next] {
+    if (election.next_campaign_at() == next) campaign(election);
+  });
 }
 
 void ControlPlane::work_duties() {
   if (leaving_) return;
   const TimePoint now = timers_.now();
-  for (Duty* duty : {&list_duty_, &roster_duty_}) {
-    const bool just_won = now - duty->won_at() < duty_vacant_after;  // its ballots stand for the echoes
-    if (duty->mine() && !just_won && !quorum_reached(duty_vacant_after)) duty->give_up(now);
-    stand(*duty);
+  for (LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
+    const bool just_won =
+        now - election->elected_at() < leader_lease_duration;  // its ballots stand for the echoes
+    if (election->is_leader() && !just_won && !quorum_reached(leader_lease_duration))
+      election->step_down(now);
+    campaign(*election);
   }
-  if (roster_duty_.mine()) {
+  if (membership_election_.is_leader()) {
     if (!had_roster_) roster_.restart();
     keep_roster();
   }
-  had_roster_ = roster_duty_.mine();
+  had_roster_ = membership_election_.is_leader();
 }
 
 void ControlPlane::read_list() {
@@ -88,9 +89,9 @@
 }
 
 void ControlPlane::read_list_now() {
-  if (!list_duty_.mine() || platform_.reading()) return;
+  if (!endpoint_list_election_.is_leader() || platform_.reading()) return;
   platform_.read([this](std::optional<std::vector<common::EndpointEntry>> entries) {
-    if (entries && list_duty_.mine()) list_was_read(std::move(*entries));
+    if (entries && endpoint_list_election_.is_leader()) list_was_read(std::move(*entries));
   });
 }
 
@@ -98,7 +99,7 @@
   for (common::EndpointEntry& e : entries)
     e.slow_start_ms = e.slow_start_ms > 0 ? 1 : 0;  // falls with time: no news by itself
   const std::int64_t term = list_.term(), number = list_.number();
-  if (!list_.update(told_term(list_duty_.term(), holder_), entries)) return;
+  if (!list_.update(make_fencing_token(endpoint_list_election_.term(), incarnation_), entries)) return;
   for (auto& [address, peer] : peers_) {
     for (const common::EndpointList& change : list_.since(term, number)) peer.link->send(change);
   }
@@ -112,7 +113,7 @@
 
 // A list that would be turned away by those who follow this one need not be read.
 void ControlPlane::step_down_if_overtaken(std::int64_t told) {
-  if (list_duty_.mine()) list_duty_.learn_told(told, holder_);
+  if (endpoint_list_election_.is_leader()) endpoint_list_election_.observe_fencing_token(told, incarnation_);
 }
 
 void ControlPlane::list_changed() {
@@ -150,7 +151,7 @@
 }
 
 void ControlPlane::keep_roster() {
-  if (changing_roster_ || !register_.known_value() || !quorum_reached(duty_vacant_after)) return;
+  if (changing_roster_ || !register_.known_value() || !quorum_reached(leader_lease_duration)) return;
   const TimePoint now = timers_.now();
   const common::RegisterValue& value = *register_.known_value();
   // One whose disk fails can't vote: it is counted as gone, so that another takes its place.
--- a/src/control/control_plane_peers.cpp
+++ b/src/control/control_plane_peers.cpp
@@ -96,8 +96,8 @@
   out.list_number = later_followed ? 0 : list_.number();
   out.incarnation = contact_.life();
   out.stamp = (timers_.now() - TimePoint()).as_us();
-  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine() && !leaving_) out.held_roles.push_back({duty->name(), duty->term()});
+  for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
+    if (election->is_leader() && !leaving_) out.held_roles.push_back({election->role(), election->term()});
   }
   return out;
 }
@@ -159,14 +159,15 @@
   contact_.received({{word.address, word.disk}, word.first, word.epoch, word.accepted}, word.echo_incarnation,
                     TimePoint() + Span::us(word.echo_stamp));
   for (const std::string& one : word.controllers) know(one);
-  for (Duty* duty : {&list_duty_, &roster_duty_}) {
+  for (LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
     const auto held = std::find_if(word.held_roles.begin(), word.held_roles.end(),
-                                   [&](const common::HeldRole& d) { return d.name == duty->name(); });
-    duty->heard(word.node, held != word.held_roles.end(), held != word.held_roles.end() ? held->term : 0,
-                now);
+                                   [&](const common::HeldRole& d) { return d.name == election->role(); });
+    const std::optional<Term> led_term =
+        held == word.held_roles.end() ? std::nullopt : std::optional<Term>(held->term);
+    election->on_heartbeat(word.node, led_term, now);
   }
   step_down_if_overtaken(word.list_term);
-  if (list_duty_.mine()) {
+  if (endpoint_list_election_.is_leader()) {
     for (const common::EndpointList& change : list_.since(word.list_term, word.list_number))
       peer.link->send(change);
   }
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -31,7 +31,7 @@
     session.list_term = hello.list_term;
     session.list_number = hello.list_number;
   }
-  list_duty_.learn_told(hello.list_term, holder_);
+  endpoint_list_election_.observe_fencing_token(hello.list_term, incarnation_);
   followed_list_term_ = std::max(followed_list_term_, hello.list_term);
   if (fresh || session.first) push(connection.id(), session);
   if (fresh) {
@@ -128,8 +128,8 @@
 
 ControlStatus ControlPlane::status() const {
   ControlStatus out{settings_.node, fresh_age(), {}, list_.entries().size(), timers_.now()};
-  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine()) out.duties.push_back({duty->name(), duty->term()});
+  for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
+    if (election->is_leader()) out.duties.push_back({election->role(), election->term()});
   }
   return out;
 }
@@ -170,8 +170,8 @@
         static_cast<double>(list_.entries().size()));
   out.begin(common::MetricsWriter::Type::gauge, "chutevane_duty_held", "",
             "1 while this controller holds the duty.");
-  for (const Duty* duty : {&list_duty_, &roster_duty_})
-    out.sample(duty->mine() ? 1 : 0, {{"duty", duty->name()}});
+  for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_})
+    out.sample(election->is_leader() ? 1 : 0, {{"duty", election->role()}});
   gauge("chutevane_acceptor_voting", "", "1 while this controller's disk votes.",
         acceptor_->is_voting() ? 1 : 0);
   gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", disk_health_.is_healthy() ? 0 : 1);
