--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -35,7 +35,8 @@
       platform_(scheduler, timers_, settings.platform, settings.platform_rate),
       incarnation_(seed_of(settings.node + "holder", scheduler.now())),
       contact_(static_cast<std::int64_t>(incarnation_)),
-      roster_(settings.machine_losses) {}
+      acceptor_planner_(settings.machine_losses),
+      storage_planner_(settings.machine_losses) {}
 
 absl::Status ControlPlane::open() {
   const auto got = record_slots_.recover();
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -18,13 +18,14 @@
 #include "common/settings.hpp"
 #include "common/value_update.hpp"
 #include "control/acceptor.hpp"
+#include "control/acceptor_set_planner.hpp"
 #include "control/chosen_word.hpp"
 #include "control/leader_election.hpp"
 #include "control/operator_api.hpp"
 #include "control/platform.hpp"
 #include "control/quorum_contact.hpp"
 #include "control/register.hpp"
-#include "control/roster.hpp"
+#include "control/storage_map_planner.hpp"
 
 namespace chutevane::control {
 
@@ -147,7 +148,8 @@
   std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
   bool changing_roster_ = false;
   bool had_roster_ = false;
-  Roster roster_;
+  AcceptorSetPlanner acceptor_planner_;
+  StorageMapPlanner storage_planner_;
   std::int64_t retention_version_ = -1;  // of the configuration that longest_retention_ is of
   Span longest_retention_;
   struct Waiting {  // an operator's change that is chosen: answered once all sidecars here have it
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -77,7 +77,10 @@
     campaign(*election);
   }
   if (membership_election_.is_leader()) {
-    if (!had_roster_) roster_.restart();
+    if (!had_roster_) {
+      acceptor_planner_.restart();
+      storage_planner_.restart();
+    }
     keep_roster();
   }
   had_roster_ = membership_election_.is_leader();
@@ -161,10 +164,10 @@
     if (peer.last && !peer.last->disk_failing && now - peer.heard < peer_heard)
       live.push_back({address, peer.last->disk, peer.last->first, !peer.last->draining});
   }
-  const auto next = roster_.acceptors(value, live, now);
+  const auto next = acceptor_planner_.plan(value, live, now);
   const std::vector<common::Member> all = members();
-  if (copies_may_outlive(value, all)) roster_.turns_are_kept_for(longest_retention(value));
-  const auto wanted = next ? std::nullopt : roster_.storage_nodes(value, all, now);
+  if (copies_may_outlive(value, all)) storage_planner_.set_longest_retention(longest_retention(value));
+  const auto wanted = next ? std::nullopt : storage_planner_.plan(value, all, now);
   if (!next && !wanted) return;
   changing_roster_ = true;
   const std::int64_t number = value.number;
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -7,7 +7,7 @@
 
 #include "common/configuration.hpp"
 #include "common/log.hpp"
-#include "control/roster.hpp"
+#include "control/retirement.hpp"
 #include "json/value.hpp"
 
 namespace chutevane::control {
@@ -209,7 +209,8 @@
   register_.change(
       [this, node](const common::RegisterValue& current) -> std::optional<common::RegisterValue> {
         common::RegisterValue out = current;
-        if (retire(out, node, machine_losses_) != RetireVerdict::taken) return std::nullopt;
+        if (request_retirement(out, node, machine_losses_) != RetirementOutcome::accepted)
+          return std::nullopt;
         return out;
       },
       order_most,
@@ -219,8 +220,8 @@
           host_.announce(*got);
           return reply({200, "{\"state\":\"active\"}", {}});
         }
-        const RetireVerdict verdict = retire(*got, node, machine_losses_);
-        if (verdict == RetireVerdict::too_few) return reply(problem(409, "too few would be left"));
+        const RetirementOutcome verdict = request_retirement(*got, node, machine_losses_);
+        if (verdict == RetirementOutcome::too_few_left) return reply(problem(409, "too few would be left"));
         reply(no_such_storage_machine(node));
       });
 }
--- /dev/null
+++ b/src/control/storage_map_planner.cpp
@@ -0,0 +1,228 @@
+#include "control/storage_map_planner.hpp"
+
+#include <algorithm>
+#include <iterator>
+#include <string>
+
+#include "common/storage_map.hpp"
+#include "control/replica_count.hpp"
+#include "control/retirement.hpp"
+
+namespace chutevane::control {
+namespace {
+
+using common::Member;
+using common::RegisterValue;
+using common::RetiredNode;
+using common::StorageNode;
+
+const Member* find_storage_member(const std::vector<Member>& live, const std::string& node) {
+  const auto found = std::find_if(live.begin(), live.end(), [&](const Member& member) {
+    return member.plane == "storage" && member.node == node;
+  });
+  return found == live.end() ? nullptr : &*found;
+}
+
+std::string key_of(const char* what, const StorageNode& node) { return what + node.node + " " + node.disk; }
+
+/// Adds a member that the map does not name. A request to retire it stands, also where it was gone in
+/// between. Where it was absent while its replicas were needed, it brings them back, or its disk counts as
+/// replaced.
+bool add_node(RegisterValue& value, const Member& member) {
+  const RetiredNode* const retirement = find_retirement(value, member.node);
+  if (member.draining || (retirement != nullptr && retirement->completed)) return false;
+  StorageNode node;
+  node.node = member.node;
+  node.disk = member.disk;
+  node.address = member.address;
+  node.zone = member.zone;
+  node.draining = retirement != nullptr;
+  node.bootstrapping = true;
+  const auto absent = std::find_if(value.absent_nodes.begin(), value.absent_nodes.end(),
+                                   [&](const StorageNode& other) { return other.node == member.node; });
+  if (absent != value.absent_nodes.end()) {
+    node.disk_replaced = absent->disk_replaced || absent->disk != member.disk;
+    value.absent_nodes.erase(absent);
+  }
+  value.storage_nodes.push_back(std::move(node));
+  return true;
+}
+
+/// Takes over another disk or address of a node that the map names.
+bool update_identity(StorageNode& node, const Member& member) {
+  if (node.disk == member.disk && node.address == member.address) return false;
+  // Its replicas went with the former disk: whoever takes over has to know of that loss.
+  node.disk_replaced = node.disk_replaced || node.disk != member.disk;
+  node.disk = member.disk;
+  node.address = member.address;
+  node.zone = member.zone;
+  return true;
+}
+
+/// Marks a node as draining that is to be retired, or that got SIGTERM and may take its disk with it: the
+/// others take over while it is there. Clears the mark where it was only restarted.
+bool update_draining(RegisterValue& value, StorageNode& node, const Member& member, std::size_t losses) {
+  const bool is_retiring = find_retirement(value, node.node) != nullptr;
+  const bool enough_stay = staying_without(value, node.node) >= replicas_for(losses);
+  const bool draining = is_retiring || (member.draining && enough_stay);
+  if (draining == node.draining) return false;
+  node.draining = draining;
+  return true;
+}
+
+/// Whether the node has taken over all that is its own by this map, on the disk that the map names.
+bool is_complete(const RegisterValue& value, const StorageNode& node, const std::vector<Member>& live) {
+  const Member* const member = find_storage_member(live, node.node);
+  return member != nullptr && member->disk == node.disk && member->complete_map_version >= value.map_version;
+}
+
+/// Whether all staying nodes are complete. They have then all that the draining ones hold.
+bool are_staying_complete(const RegisterValue& value, const std::vector<Member>& live) {
+  return std::all_of(value.storage_nodes.begin(), value.storage_nodes.end(), [&](const StorageNode& node) {
+    return node.draining || is_complete(value, node, live);
+  });
+}
+
+/// Clears marks and absent nodes whose replicas have been made up for. Once all staying nodes are complete,
+/// every replica group has all of its turns. before that a replaced disk is made up for by its own node
+/// alone, and only where no absent node's replicas are needed and no node is bootstrapping or draining. True:
+/// the change is worth a new map.
+bool clear_repaired(RegisterValue& value, const std::vector<Member>& live) {
+  const std::size_t missing_before = common::missing_replicas(value);
+  if (are_staying_complete(value, live)) {
+    value.absent_nodes.clear();
+    for (StorageNode& node : value.storage_nodes) node.disk_replaced = node.bootstrapping = false;
+    return missing_before > 0;
+  }
+  if (!value.absent_nodes.empty()) return false;
+  for (StorageNode& node : value.storage_nodes)
+    node.bootstrapping = node.bootstrapping && !is_complete(value, node, live);
+  const bool is_moving =
+      std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
+                  [](const StorageNode& node) { return node.bootstrapping || node.draining; });
+  if (is_moving) return false;
+  for (StorageNode& node : value.storage_nodes)
+    node.disk_replaced = node.disk_replaced && !is_complete(value, node, live);
+  return common::missing_replicas(value) < missing_before;
+}
+
+/// Removes the first draining node; a request to retire it is completed.
+bool remove_drained_node(RegisterValue& value) {
+  const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
+                                  [](const StorageNode& node) { return node.draining; });
+  if (found == value.storage_nodes.end()) return false;
+  for (RetiredNode& retired : value.retired_nodes)
+    retired.completed = retired.completed || retired.node == found->node;
+  value.storage_nodes.erase(found);
+  return true;
+}
+
+/// Members in contact whose disk works. One whose disk fails stores nothing: it counts as absent.
+std::vector<Member> with_working_disk(const std::vector<Member>& members) {
+  std::vector<Member> out;
+  std::copy_if(members.begin(), members.end(), std::back_inserter(out),
+               [](const Member& member) { return !member.disk_failing; });
+  return out;
+}
+
+}  // namespace
+
+/// Shorter where the node is not needed: groups that it belongs to have one reply less in the meantime.
+Span StorageMapPlanner::absence_timeout(std::size_t staying, TimePoint now) const {
+  if (last_join_ && now - *last_join_ < successor_window) return succeeded_node_absence_timeout;
+  return staying > replicas_for(losses_) ? surplus_node_absence_timeout : storage_node_absence_timeout;
+}
+
+/// Adds new members and takes over what has changed of known ones.
+bool StorageMapPlanner::update_nodes(RegisterValue& value, const std::vector<Member>& live, TimePoint now) {
+  bool has_changed = false;
+  for (const Member& member : live) {
+    if (member.plane != "storage") continue;
+    const auto known = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
+                                    [&](const StorageNode& node) { return node.node == member.node; });
+    if (known == value.storage_nodes.end()) {
+      if (!add_node(value, member)) continue;
+      last_join_ = now;
+      has_changed = true;
+    } else {
+      has_changed |= update_identity(*known, member);
+      has_changed |= update_draining(value, *known, member, losses_);
+    }
+  }
+  return has_changed;
+}
+
+/// Moves nodes that were out of contact for their timeout to the absent ones.
+///
+/// An absent node may come back with the only replicas that are left, or never. It is removed only where the
+/// staying ones can make up for it without it: while fewer disks are lost, absent or out of contact than may
+/// be. It is remembered as absent until they have, as it may have to bring its replicas back if another disk
+/// is lost meanwhile.
+bool StorageMapPlanner::remove_absent_nodes(RegisterValue& value, const std::vector<Member>& live,
+                                            TimePoint now) {
+  const auto is_silent = [&](const StorageNode& node) {
+    return find_storage_member(live, node.node) == nullptr;
+  };
+  std::vector<StorageNode> overdue;
+  for (const StorageNode& node : value.storage_nodes) {
+    const Span timeout = absence_timeout(staying_without(value, node.node), now);
+    if (absence_.update(key_of("storage_node ", node), !is_silent(node), timeout, now))
+      overdue.push_back(node);
+  }
+  bool has_changed = false;
+  for (const StorageNode& node : overdue) {
+    const auto silent_count = static_cast<std::size_t>(
+        std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(), is_silent));
+    if (common::missing_replicas(value) + silent_count > losses_) break;
+    if (staying_without(value, node.node) < replicas_for(losses_)) continue;
+    std::erase_if(value.storage_nodes, [&](const StorageNode& other) { return other.node == node.node; });
+    value.absent_nodes.push_back(node);
+    has_changed = true;
+  }
+  return has_changed;
+}
+
+bool StorageMapPlanner::has_expired(const char* what, const StorageNode& node, bool is_present,
+                                    TimePoint now) {
+  return absence_.update(key_of(what, node), is_present, replica_expiry_, now);
+}
+
+/// Stops waiting for replicas that have expired by now: of absent nodes, of replaced disks, and of nodes that
+/// were out of contact for as long.
+bool StorageMapPlanner::drop_expired_replicas(RegisterValue& value, const std::vector<Member>& live,
+                                              TimePoint now) {
+  bool has_changed = std::erase_if(value.absent_nodes, [&](const StorageNode& node) {
+                       return has_expired("absent ", node, false, now);
+                     }) > 0;
+  for (std::size_t i = 0; i < value.storage_nodes.size();) {
+    StorageNode& node = value.storage_nodes[i];
+    const bool was_replaced = node.disk_replaced;
+    node.disk_replaced = node.disk_replaced && !has_expired("lost disk ", node, false, now);
+    has_changed |= was_replaced != node.disk_replaced;
+    const bool is_present = find_storage_member(live, node.node) != nullptr;
+    const bool is_overdue = has_expired("away ", node, is_present, now);
+    if (is_overdue && staying_without(value, node.node) >= replicas_for(losses_)) {
+      value.storage_nodes.erase(value.storage_nodes.begin() + static_cast<std::ptrdiff_t>(i));
+      has_changed = true;
+    } else {
+      ++i;
+    }
+  }
+  return has_changed;
+}
+
+std::optional<RegisterValue> StorageMapPlanner::plan(const RegisterValue& current,
+                                                     const std::vector<Member>& members, TimePoint now) {
+  const std::vector<Member> live = with_working_disk(members);
+  RegisterValue next = current;
+  bool has_changed = clear_repaired(next, live);
+  has_changed |= update_nodes(next, live, now);
+  has_changed |= remove_absent_nodes(next, live, now);
+  has_changed |= drop_expired_replicas(next, live, now);
+  if (!has_changed) has_changed = are_staying_complete(next, live) && remove_drained_node(next);
+  if (!has_changed) return std::nullopt;
+  ++next.map_version;
+  return next;
+}
+
+}  // namespace chutevane::control
--- /dev/null
+++ b/tests/control/storage_map_planner_test.cpp
@@ -0,0 +1,468 @@
+// The map of storage nodes: nodes are removed after their time and not sooner, retired only when all that
+// stay are complete, and remembered while their replicas are needed.
+#include "control/storage_map_planner.hpp"
+
+#include <algorithm>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "common/storage_map.hpp"
+#include "control/replica_count.hpp"
+#include "control/retirement.hpp"
+#include "simulated_system.hpp"
+#include "unit.hpp"
+
+using chutevane::Span;
+using chutevane::TimePoint;
+using chutevane::common::Member;
+using chutevane::common::RegisterValue;
+using chutevane::common::StorageNode;
+using chutevane::control::replicas_for;
+using chutevane::control::request_retirement;
+using chutevane::control::RetirementOutcome;
+using chutevane::control::storage_node_absence_timeout;
+using chutevane::control::StorageMapPlanner;
+
+namespace {
+
+constexpr Span tick_interval = Span::ms(250);
+
+StorageNode storage_node(int n) {
+  const std::string s = std::to_string(n);
+  return {"n" + s, "d" + s, "a" + s, "z", false};
+}
+
+RegisterValue with_storage_nodes(std::initializer_list<int> numbers, std::int64_t map = 7) {
+  RegisterValue out;
+  out.map_version = map;
+  for (const int n : numbers) out.storage_nodes.push_back(storage_node(n));
+  return out;
+}
+
+Member member(int n, std::int64_t whole) {
+  const std::string s = std::to_string(n);
+  Member out;
+  out.node = "n" + s;
+  out.plane = "storage";
+  out.disk = "d" + s;
+  out.address = "a" + s;
+  out.zone = "z";
+  out.complete_map_version = whole;
+  return out;
+}
+
+std::vector<Member> members(std::initializer_list<int> numbers, std::int64_t whole) {
+  std::vector<Member> out;
+  for (const int n : numbers) out.push_back(member(n, whole));
+  return out;
+}
+
+bool lists(const RegisterValue& value, const std::string& node) {
+  return std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
+                     [&](const StorageNode& c) { return c.node == node; });
+}
+
+}  // namespace
+
+TEST_GROUP(StorageMapPlanning) {
+  StorageMapPlanner planner{1};
+  TimePoint now = TimePoint::at_ms(1e6);
+  std::optional<RegisterValue> watched(const RegisterValue& value, const std::vector<Member>& live, Span most,
+                                       Span* took) {
+    const TimePoint start = now;
+    while (now - start <= most) {
+      if (auto next = planner.plan(value, live, now)) {
+        *took = now - start;
+        return next;
+      }
+      now = now + tick_interval;
+    }
+    return std::nullopt;
+  }
+  Span after;
+};
+
+TEST(StorageMapPlanning, NothingChangesWhileAllAreThere) {
+  CHECK_FALSE(
+      watched(with_storage_nodes({1, 2, 3}), members({1, 2, 3}, 7), Span::ms(30000), &after).has_value());
+}
+
+TEST(StorageMapPlanning, ANewOneJoinsAtOnce) {
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  Member other = member(9, 0);
+  other.plane = "edge";  // of another plane
+  live.push_back(other);
+  const auto next = planner.plan(with_storage_nodes({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value() && next->map_version == 8 && next->storage_nodes.size() == 4);
+  StorageNode newcomer = storage_node(4);
+  newcomer.bootstrapping = true;
+  CHECK_TRUE(next->storage_nodes.back() == newcomer);
+}
+
+// The same node with an empty disk: the map tells, so that it takes over anew what is its own.
+TEST(StorageMapPlanning, AWipedOneIsNamedAtOnceWithItsNewDisk) {
+  std::vector<Member> live = members({1, 2, 3}, 7);
+  live[1].disk = "new";
+  const auto next = planner.plan(with_storage_nodes({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value() && next->map_version == 8 && next->storage_nodes.size() == 3);
+  CHECK_TRUE(next->storage_nodes[1].disk == "new" && next->storage_nodes[1].node == "n2");
+}
+
+TEST(StorageMapPlanning, GoneAfterItsTimeAndNotSooner) {
+  const RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  CHECK_FALSE(planner.plan(value, members({1, 2, 3, 4}, 7), now).has_value());
+  const auto next = watched(value, members({1, 2, 4}, 7), Span::ms(30000), &after);
+  CHECK_TRUE(next.has_value());
+  CHECK_TRUE(after > storage_node_absence_timeout && after <= storage_node_absence_timeout + tick_interval);
+  CHECK_TRUE(!lists(*next, "n3") && next->storage_nodes.size() == 3 && next->map_version == 8);
+}
+
+// Two of three copies lie on machines of which one is gone and replaced: the next loss may come `catchUpS`
+// after the successor began. What is noticed after 1.3 s without a session, and taken over in some hundred
+// ms, has to be given up well before.
+TEST(StorageMapPlanning, OneThatWasReplacedIsGivenUpSoon) {
+  constexpr Span catch_up = Span::ms(4100), noticed = Span::ms(1300), take_over = Span::ms(800);
+  for (const bool newcomer_first : {false, true}) {
+    StorageMapPlanner watching(1);
+    RegisterValue value = with_storage_nodes({1, 2, 3});
+    if (newcomer_first) {
+      value = *watching.plan(value, members({1, 2, 3, 4}, 7), now);
+    } else {
+      now = now + tick_interval;
+      CHECK_FALSE(watching.plan(value, members({1, 2, 3}, 7), now).has_value());
+      value = *watching.plan(value, members({1, 2, 4}, 7), now);
+    }
+    const TimePoint start = now;
+    std::optional<RegisterValue> next;
+    while (!next && now - start < Span::ms(10000)) {
+      now = now + tick_interval;
+      next = watching.plan(value, members({1, 2, 4}, value.map_version), now);
+    }
+    CHECK_TRUE(next.has_value() && !lists(*next, "n3") && next->storage_nodes.size() == 3);
+    CHECK_TRUE(noticed + (now - start) + tick_interval + take_over < catch_up);
+  }
+}
+
+// The copies lie there: fewer than bear the losses are not left in the map.
+// One whose disk takes nothing is there and keeps nothing: another takes its part, and it comes back with its
+// disk.
+TEST(StorageMapPlanning, OneWhoseDiskFailsCountsAsGone) {
+  const RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  CHECK_FALSE(planner.plan(value, live, now).has_value());
+  live[2].disk_failing = true;
+  const auto next = watched(value, live, Span::ms(30000), &after);
+  CHECK_TRUE(next.has_value() && !lists(*next, "n3"));
+  CHECK_TRUE(after > storage_node_absence_timeout && after <= storage_node_absence_timeout + tick_interval);
+  CHECK_FALSE(watched(*next, live, Span::ms(5000), &after).has_value());
+  live[2].disk_failing = false;
+  const auto again = planner.plan(*next, live, now);
+  CHECK_TRUE(again.has_value() && lists(*again, "n3"));
+}
+
+TEST(StorageMapPlanning, TheLastCopiesStayInTheMap) {
+  CHECK_FALSE(
+      watched(with_storage_nodes({1, 2, 3}), members({1, 2}, 7), Span::ms(30000), &after).has_value());
+  CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), {}, Span::ms(30000), &after).has_value());
+}
+
+// Emptied only when each that stays has what lay there, by this map and on this disk.
+TEST(StorageMapPlanning, RetiredOnlyWhenAllThatStayAreWhole) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted);
+  CHECK_EQUAL(8, static_cast<int>(value.map_version));
+  CHECK_TRUE(value.storage_nodes[3].draining && !value.retired_nodes[0].completed);
+  for (int behind = 1; behind <= 3; ++behind) {  // one is not whole by the newest map
+    std::vector<Member> live = members({1, 2, 3, 4}, 8);
+    live[static_cast<std::size_t>(behind - 1)].complete_map_version = 7;
+    CHECK_FALSE(watched(value, live, Span::ms(10000), &after).has_value());
+  }
+  for (int gone = 1; gone <= 3; ++gone) {  // one is not heard of
+    StorageMapPlanner fresh(1);
+    std::vector<Member> live = members({1, 2, 3, 4}, 8);
+    live.erase(live.begin() + gone - 1);
+    CHECK_FALSE(fresh.plan(value, live, now).has_value());
+  }
+  for (int wiped = 1; wiped <= 3; ++wiped) {  // one has another disk: the map is told of it first
+    StorageMapPlanner fresh(1);
+    std::vector<Member> live = members({1, 2, 3, 4}, 8);
+    live[static_cast<std::size_t>(wiped - 1)].disk = "new";
+    const auto next = fresh.plan(value, live, now);
+    CHECK_TRUE(next.has_value() && lists(*next, "n4") && !next->retired_nodes[0].completed &&
+               next->map_version == 9);
+    CHECK_FALSE(fresh.plan(*next, live, now).has_value());  // it was whole by the map before
+  }
+  const auto next = planner.plan(value, members({1, 2, 3, 4}, 8), now);
+  CHECK_TRUE(next.has_value() && !lists(*next, "n4"));
+  CHECK_TRUE(next->retired_nodes[0].completed && next->map_version == 9);
+  // Its machine is not taken in again.
+  CHECK_FALSE(planner.plan(*next, members({1, 2, 3, 4}, 9), now).has_value());
+}
+
+// The one that leaves need not be whole, nor be there.
+TEST(StorageMapPlanning, TheLeavingOneItselfIsNotWaitedFor) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted);
+  const auto next = planner.plan(value, members({1, 2, 3}, 8), now);
+  CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired_nodes[0].completed);
+}
+
+// A machine that got SIGTERM may hold one of the last copies: it is emptied first, where enough stay.
+TEST(StorageMapPlanning, OneThatGotSigtermIsEmptiedFirst) {
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  live[3].draining = true;
+  const auto marked = planner.plan(with_storage_nodes({1, 2, 3, 4}), live, now);
+  CHECK_TRUE(marked.has_value() && marked->map_version == 8 && marked->storage_nodes.size() == 4);
+  CHECK_TRUE(marked->storage_nodes[3].draining && marked->retired_nodes.empty());
+  CHECK_FALSE(watched(*marked, live, Span::ms(10000), &after).has_value());  // nobody has taken over yet
+  for (int behind = 0; behind < 3; ++behind) {
+    for (Member& m : live) m.complete_map_version = 8;
+    live[static_cast<std::size_t>(behind)].complete_map_version = 7;
+    CHECK_FALSE(planner.plan(*marked, live, now).has_value());
+  }
+  for (Member& m : live) m.complete_map_version = 8;
+  const auto given_up = planner.plan(*marked, live, now);
+  CHECK_TRUE(given_up.has_value() && !lists(*given_up, "n4") && given_up->retired_nodes.empty());
+  // While its process comes to its end it is not taken in again; its next one is.
+  for (Member& m : live) m.complete_map_version = 9;
+  CHECK_FALSE(planner.plan(*given_up, live, now).has_value());
+  live[3].draining = false;
+  const auto back = planner.plan(*given_up, live, now);
+  CHECK_TRUE(back.has_value() && lists(*back, "n4") && !back->storage_nodes.back().draining);
+}
+
+// With just enough it keeps its place: it is lost while it is away, and comes back with its disk.
+TEST(StorageMapPlanning, SigtermWithoutAnotherChangesNothing) {
+  std::vector<Member> live = members({1, 2, 3}, 7);
+  live[2].draining = true;
+  CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), live, Span::ms(10000), &after).has_value());
+}
+
+// It ended before it was emptied, and is started again: it has its place. An order to empty it would stand.
+TEST(StorageMapPlanning, StartedAgainItHasItsPlace) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  value.storage_nodes[3].draining = true;
+  const auto next = planner.plan(value, members({1, 2, 3, 4}, 6), now);
+  CHECK_TRUE(next.has_value() && !next->storage_nodes[3].draining && next->map_version == 8);
+  value.retired_nodes.push_back({"n4", false});
+  CHECK_FALSE(planner.plan(value, members({1, 2, 3, 4}, 6), now).has_value());
+}
+
+TEST(StorageMapPlanning, TwoLeaveOneAfterTheOther) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4, 5});
+  CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted &&
+             request_retirement(value, "n5", 1) == RetirementOutcome::accepted);
+  const auto next = planner.plan(value, members({1, 2, 3, 4, 5}, 9), now);
+  CHECK_TRUE(next.has_value() && next->storage_nodes.size() == 4 && next->map_version == 10);
+  CHECK_FALSE(planner.plan(*next, members({1, 2, 3, 4, 5}, 9), now).has_value());
+  const auto then = planner.plan(*next, members({1, 2, 3, 5}, 10), now);
+  CHECK_TRUE(then.has_value() && then->storage_nodes.size() == 3);
+  CHECK_TRUE(then->retired_nodes[0].completed && then->retired_nodes[1].completed);
+}
+
+TEST(StorageMapPlanning, TooFewAreRefused) {
+  for (const std::size_t losses : {0U, 1U, 2U}) {
+    RegisterValue value;
+    for (int n = 0; n < static_cast<int>(replicas_for(losses)); ++n)
+      value.storage_nodes.push_back(storage_node(n));
+    const RegisterValue before = value;
+    CHECK_TRUE(request_retirement(value, "n0", losses) == RetirementOutcome::too_few_left);
+    CHECK_TRUE(value == before);
+    value.storage_nodes.push_back(storage_node(90));
+    CHECK_TRUE(request_retirement(value, "n0", losses) == RetirementOutcome::accepted);
+    // The one that leaves does not count for the next.
+    const RegisterValue left = value;
+    CHECK_TRUE(request_retirement(value, "n90", losses) == RetirementOutcome::too_few_left);
+    CHECK_TRUE(value == left);
+  }
+}
+
+TEST(StorageMapPlanning, UnknownAndRepeatedOrders) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  CHECK_TRUE(request_retirement(value, "n8", 1) == RetirementOutcome::unknown_node);
+  CHECK_TRUE(request_retirement(value, "n1", 1) == RetirementOutcome::accepted);
+  const RegisterValue before = value;
+  CHECK_TRUE(request_retirement(value, "n1", 1) == RetirementOutcome::already_requested);
+  CHECK_TRUE(value == before);
+}
+
+TEST_GROUP(StorageMapRetiringAndLost) { TimePoint now = TimePoint::at_ms(1e6); };
+
+// A machine that is to be emptied is gone for longer than its time, and comes back: the order stands, it gets
+// nothing new, and it comes to its end.
+TEST(StorageMapRetiringAndLost, TheOrderStands) {
+  StorageMapPlanner planner(1);
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted);
+  std::vector<Member> three = members({1, 2, 3}, 0);  // not whole yet: it is not emptied
+  for (int i = 0; i < 40; ++i) {
+    if (auto next = planner.plan(value, three, now)) value = *next;
+    now = now + tick_interval;
+  }
+  if (auto next = planner.plan(value, members({1, 2, 3, 4}, 0), now)) value = *next;
+  for (const StorageNode& c : value.storage_nodes)
+    CHECK_WHERE(c.node != "n4" || c.draining, "it gets turns again");
+  for (int i = 0; i < 40 && !value.retired_nodes[0].completed; ++i) {
+    if (auto next = planner.plan(value, members({1, 2, 3, 4}, value.map_version), now)) value = *next;
+    now = now + tick_interval;
+  }
+  CHECK_WHERE(value.retired_nodes[0].completed, "the order never ends");
+}
+
+// Copies that are missing: of lost disks, and of nodes that were given up while silent. Guards turns whose
+// only copies left are away.
+TEST_GROUP(StorageMapAbsent) {
+  TimePoint now = TimePoint::at_ms(1e6);
+  StorageMapPlanner planner{1};
+  // What the map becomes while these are there and whole by the newest map; it has not changed for so long.
+  RegisterValue simulated(RegisterValue value, const std::vector<int>& present, const std::vector<int>& whole,
+                          Span most) {
+    const TimePoint end = now + most;
+    while (now < end) {
+      if (const auto next = planner.plan(value, live(value, present, whole), now)) value = *next;
+      now = now + tick_interval;
+    }
+    return value;
+  }
+  std::vector<Member> live(const RegisterValue& value, const std::vector<int>& present,
+                           const std::vector<int>& whole) const {
+    std::vector<Member> out;
+    for (const int n : present) {
+      const bool is_whole = std::find(whole.begin(), whole.end(), n) != whole.end();
+      out.push_back(member(n, is_whole ? value.map_version : 0));
+      const auto disk = disks.find(n);
+      if (disk != disks.end()) out.back().disk = disk->second;
+    }
+    return out;
+  }
+  std::map<int, std::string> disks;  // other than the first ones
+};
+
+TEST(StorageMapAbsent, ASilentOneIsNotGivenUpBesideALostDisk) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  disks[2] = "new";
+  value = simulated(value, {1, 2, 3}, {1, 3}, Span::ms(60000));  // 2 needs what 4 has
+  CHECK_TRUE(lists(value, "n4") && value.absent_nodes.empty());
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
+  // It is back, and 2 is whole: made up for.
+  value = simulated(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
+  // From here on it may be given up.
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(10000));
+  CHECK_FALSE(lists(value, "n4"));
+}
+
+TEST(StorageMapAbsent, GivenUpItIsRememberedUntilTheOthersAreWhole) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  value = simulated(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
+  CHECK_TRUE(!lists(value, "n4") && value.absent_nodes.size() == 1 && value.absent_nodes[0].disk == "d4");
+  // A disk is lost meanwhile: both are missing.
+  disks[2] = "new";
+  value = simulated(value, {1, 2, 3}, {1}, Span::ms(10000));
+  LONGS_EQUAL(2, chutevane::common::missing_replicas(value));
+  // The silent one brings its copies back: only the lost disk is missing.
+  value = simulated(value, {1, 2, 3, 4}, {1}, Span::ms(1000));
+  CHECK_TRUE(lists(value, "n4") && value.absent_nodes.empty());
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
+  value = simulated(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
+}
+
+TEST(StorageMapAbsent, OneThatComesBackWithoutItsDiskHasLostIt) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  value = simulated(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
+  LONGS_EQUAL(1, value.absent_nodes.size());
+  disks[4] = "new";
+  value = simulated(value, {1, 2, 3, 4}, {1, 2}, Span::ms(1000));
+  CHECK_TRUE(value.absent_nodes.empty() && value.storage_nodes.back().disk_replaced);
+}
+
+TEST(StorageMapAbsent, OfTwoSilentOnesNeitherIsGivenUp) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4, 5});
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(60000));
+  LONGS_EQUAL(5, value.storage_nodes.size());
+  // Where two may be lost both are.
+  StorageMapPlanner bears_two(2);
+  RegisterValue larger = with_storage_nodes({1, 2, 3, 4, 5, 6, 7});
+  for (int i = 0; i < 80; ++i, now = now + tick_interval) {
+    const auto next = bears_two.plan(larger, live(larger, {1, 2, 3, 4, 5}, {1, 2, 3}), now);
+    if (next) larger = *next;
+  }
+  LONGS_EQUAL(5, larger.storage_nodes.size());
+  LONGS_EQUAL(2, larger.absent_nodes.size());
+}
+
+// One node alone makes up for its lost disk, also while another stands still: a second loss may come then.
+TEST(StorageMapAbsent, ALostDiskIsMadeUpForByItsOwnNode) {
+  RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+  disks[2] = "new";
+  value = simulated(value, {1, 2, 3, 4}, {1, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(600));  // 4 has just fallen silent
+  LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
+  // Not where one has come that is not whole yet: its part may lie at the lost disk's node no more.
+  RegisterValue other = with_storage_nodes({1, 2, 3, 4});
+  disks[2] = "newer";
+  other = simulated(other, {1, 2, 3, 4, 5}, {1, 2, 3, 4}, Span::ms(1000));
+  LONGS_EQUAL(1, chutevane::common::missing_replicas(other));
+}
+
+// What a disk that never comes back holds is past its time some day: nothing waits for ever.
+TEST(StorageMapAbsent, WhatIsPastItsTimeIsNotWaitedFor) {
+  using chutevane::control::min_replica_expiry;
+  for (const bool longer : {false, true}) {
+    StorageMapPlanner watching(1);
+    const Span retention = min_replica_expiry * (longer ? 2.0 : 0.5);
+    watching.set_longest_retention(retention);
+    const Span needed = std::max(retention, min_replica_expiry);
+    RegisterValue value = with_storage_nodes({1, 2, 3, 4});
+    disks[2] = "new";
+    TimePoint at = now;
+    const TimePoint begin = at;
+    std::optional<Span> given_up;
+    while (!given_up && at - begin < needed * 2) {
+      if (const auto next = watching.plan(value, live(value, {1, 2, 3}, {1, 3}), at)) value = *next;
+      if (chutevane::common::missing_replicas(value) == 0 && at > begin) given_up = at - begin;
+      at = at + tick_interval;
+    }
+    CHECK_TRUE(given_up.has_value());
+    CHECK_TRUE(*given_up > needed && *given_up < needed + Span::ms(2000));
+  }
+}
+
+TEST_GROUP(StorageMapSurplus) { TimePoint now = TimePoint::at_ms(1e6); };
+
+// With one more than is needed a silent one is not waited for; with just enough it has its longer time.
+TEST(StorageMapSurplus, ASilentOneGoesSoonerWhereOneIsToSpare) {
+  using chutevane::control::surplus_node_absence_timeout;
+  for (const bool spare : {true, false}) {
+    StorageMapPlanner planner(1);
+    const RegisterValue value =
+        spare ? with_storage_nodes({1, 2, 3, 4, 5}) : with_storage_nodes({1, 2, 3, 4});
+    const auto live = spare ? members({2, 3, 4, 5}, 7) : members({2, 3, 4}, 7);
+    const Span after = spare ? surplus_node_absence_timeout : storage_node_absence_timeout;
+    Span waited;
+    while (!planner.plan(value, live, now + waited)) {
+      waited = waited + Span::ms(50);
+      CHECK_TRUE(waited < Span::ms(10000));
+    }
+    CHECK_TRUE(waited > after && waited <= after + Span::ms(100));
+  }
+}
+
+// The map says which disk took the place of a lost one, and keeps saying so; one that is new is no loss.
+TEST(StorageMapSurplus, ALostDiskIsMarked) {
+  StorageMapPlanner planner(1);
+  std::vector<Member> live = members({1, 2, 3, 4}, 7);
+  live[0].disk = "another";
+  const auto next = planner.plan(with_storage_nodes({1, 2, 3}), live, now);
+  CHECK_TRUE(next.has_value());
+  for (const StorageNode& c : next->storage_nodes) CHECK_WHERE(c.disk_replaced == (c.node == "n1"), c.node);
+  live[0].address = "moved";
+  const auto then = planner.plan(*next, live, now);
+  CHECK_TRUE(then.has_value());
+  for (const StorageNode& c : then->storage_nodes) CHECK_WHERE(c.disk_replaced == (c.node == "n1"), c.node);
+}
