--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -100,7 +100,7 @@
         if (got.ok() && number != 0) connection.reply(number, *got);
       });
   rpc_server_.on<common::Chosen>([this](common::RpcServer::Connection&, std::uint64_t, common::Chosen& word) {
-    take_chosen(register_, recent_, word);
+    apply_chosen_notification(register_, recent_, word);
   });
   rpc_server_.on<common::Gossip>(
       [this](common::RpcServer::Connection&, std::uint64_t, common::Gossip& word) { on_gossip(word); });
@@ -182,11 +182,11 @@
   for (auto& [address, peer] : peers_) {
     // A peer that does not read gets no more: it reads the register when it is there again.
     if (!peer.link->up() || peer.link->unsent() > common::PushCursor::max_unsent_bytes) continue;
-    PeerState state;
+    PeerPosition state;
     if (peer.last) state = {peer.last->epoch, peer.last->known_number};
     state.number = std::max(state.number, peer.told);
     if (state.number >= number) continue;
-    peer.link->send(chosen_word(recent_, register_, state));
+    peer.link->send(make_chosen_notification(recent_, register_, state));
     peer.told = number;
   }
 }
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -19,13 +19,13 @@
 #include "common/value_update.hpp"
 #include "control/acceptor.hpp"
 #include "control/acceptor_set_planner.hpp"
-#include "control/chosen_word.hpp"
 #include "control/leader_election.hpp"
 #include "control/operator_api.hpp"
-#include "control/platform.hpp"
+#include "control/platform_client.hpp"
 #include "control/quorum_contact.hpp"
 #include "control/register.hpp"
 #include "control/storage_map_planner.hpp"
+#include "control/value_notification.hpp"
 
 namespace chutevane::control {
 
@@ -109,9 +109,9 @@
 
   // What the operators' API asks for.
   void announce(const common::RegisterValue& value) override;
-  void when_acknowledged(std::int64_t number, std::function<void()> then) override;
+  void notify_when_acknowledged(std::int64_t number, std::function<void()> then) override;
   std::vector<common::Member> members() const override;
-  bool members_complete() const override;
+  bool are_members_complete() const override;
   ControlStatus status() const override;
 
   net::Scheduler& scheduler_;
@@ -141,7 +141,7 @@
   bool catching_up_ = false, leaving_ = false, finished_ = false;
   std::optional<TimePoint> behind_since_;
   LeaderElection endpoint_list_election_, membership_election_;
-  Platform platform_;
+  PlatformClient platform_;
   const std::uint64_t incarnation_;  // of duties: this process, told from all others
   QuorumContact contact_;
   common::EndpointTable list_;
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -92,8 +92,8 @@
 }
 
 void ControlPlane::read_list_now() {
-  if (!endpoint_list_election_.is_leader() || platform_.reading()) return;
-  platform_.read([this](std::optional<std::vector<common::EndpointEntry>> entries) {
+  if (!endpoint_list_election_.is_leader() || platform_.is_fetching()) return;
+  platform_.fetch_endpoints([this](std::optional<std::vector<common::EndpointEntry>> entries) {
     if (entries && endpoint_list_election_.is_leader()) list_was_read(std::move(*entries));
   });
 }
--- a/src/control/control_plane_peers.cpp
+++ b/src/control/control_plane_peers.cpp
@@ -56,7 +56,7 @@
     const TimePoint since = std::max(it->second.heard, it->second.known_since);
     if (!votes && now - since > peer_forgotten && peers_.size() > 1) {
       parted_.push_back(std::move(it->second.link));
-      contact_.forget(it->first);
+      contact_.remove_peer(it->first);
       it = peers_.erase(it);
     } else {
       ++it;
@@ -94,7 +94,7 @@
   const bool later_followed = followed_list_term_ > list_.term();
   out.list_term = later_followed ? followed_list_term_ : list_.term();
   out.list_number = later_followed ? 0 : list_.number();
-  out.incarnation = contact_.life();
+  out.incarnation = contact_.incarnation();
   out.stamp = (timers_.now() - TimePoint()).as_us();
   for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
     if (election->is_leader() && !leaving_) out.held_roles.push_back({election->role(), election->term()});
@@ -156,8 +156,8 @@
     last.members = std::move(peer.last->members);
   }
   peer.last = std::move(last);
-  contact_.received({{word.address, word.disk}, word.first, word.epoch, word.accepted}, word.echo_incarnation,
-                    TimePoint() + Span::us(word.echo_stamp));
+  contact_.on_report({{word.address, word.disk}, word.first, word.epoch, word.accepted},
+                     word.echo_incarnation, TimePoint() + Span::us(word.echo_stamp));
   for (const std::string& one : word.controllers) know(one);
   for (LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
     const auto held = std::find_if(word.held_roles.begin(), word.held_roles.end(),
@@ -183,14 +183,14 @@
 // Whether messages went to a quorum of the acceptors and back, the first of them sent no longer ago.
 bool ControlPlane::quorum_reached(Span within) const {
   const TimePoint now = timers_.now();
-  const auto at = contact_.reached(register_.epoch_value().acceptors, own_report(), now);
+  const auto at = contact_.last_contact(register_.epoch_value().acceptors, own_report(), now);
   return at && now - *at < within;
 }
 
 void ControlPlane::confirm_contact() {
   if (!register_.known_value()) return;
-  const auto at = contact_.confirmed(register_.epoch_value().acceptors, own_report(),
-                                     register_.known_value()->number, timers_.now());
+  const auto at = contact_.confirmed_until(register_.epoch_value().acceptors, own_report(),
+                                           register_.known_value()->number, timers_.now());
   if (at) fresh_at_ = std::max(fresh_at_, *at);
 }
 
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -107,7 +107,7 @@
   }
 }
 
-void ControlPlane::when_acknowledged(std::int64_t number, std::function<void()> then) {
+void ControlPlane::notify_when_acknowledged(std::int64_t number, std::function<void()> then) {
   waiting_.push_back({number, timers_.now() + acks_most, std::move(then)});
   timers_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
   acknowledged();
@@ -121,7 +121,7 @@
 
 // A member's session is told of by a peer's next full word; one that had to look for another control machine
 // has found it by then too.
-bool ControlPlane::members_complete() const {
+bool ControlPlane::are_members_complete() const {
   return quorum_reached(peer_heard) && all_peers_heard() &&
          timers_.now() - in_contact_since_ >= members_settled_after;
 }
@@ -129,7 +129,7 @@
 ControlStatus ControlPlane::status() const {
   ControlStatus out{settings_.node, fresh_age(), {}, list_.entries().size(), timers_.now()};
   for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
-    if (election->is_leader()) out.duties.push_back({election->role(), election->term()});
+    if (election->is_leader()) out.led_roles.push_back({election->role(), election->term()});
   }
   return out;
 }
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -1,11 +1,11 @@
-// The operator's API of a control machine, by api/operators.yaml: configurations, retirements, status. It
-// reads and changes the register, and asks the control plane around it for the rest.
-//
-// What it refuses (4xx) was decided by a value that a majority has chosen, or by the call alone. Whatever
-// else it cannot tell is 503 with Retry-After: the call is sent again unchanged.
+/// The operators' HTTP API of a controller (api/operators.yaml): configurations, retirements, status.
+///
+/// A rejection (4xx) rests on a value that a majority has chosen, or on the request alone. Whatever else
+/// cannot be decided is answered with 503 and Retry-After: the caller sends the same request again.
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <string>
@@ -16,71 +16,70 @@
 #include "common/messages.hpp"
 #include "common/metrics.hpp"
 #include "common/rate_limited_log.hpp"
-#include "control/configuration_order.hpp"
+#include "control/configuration_submission.hpp"
+#include "control/control_status.hpp"
 #include "control/register.hpp"
 #include "http/parser.hpp"
 
 namespace chutevane::control {
 
-// What a control machine knows of itself without asking anybody.
-struct ControlStatus {
-  std::string node;
-  Span fresh_age;                        // since its knowledge of the register was last confirmed
-  std::vector<common::HeldRole> duties;  // its own
-  std::size_t endpoints = 0;             // in its list
-  TimePoint now;                         // by its steady clock
-};
-
 class OperatorApi {
  public:
-  // The control plane, as far as this API needs it.
+  /// What this API needs of the controller around it.
   class Host {
    public:
-    // Tells the other control machines of a value that was chosen here.
+    /// Notifies the other controllers of a value that was chosen here.
     virtual void announce(const common::RegisterValue& chosen) = 0;
-    // Calls back once the edges with a session here have that value, or after a bounded time.
-    virtual void when_acknowledged(std::int64_t number, std::function<void()> then) = 0;
-    // Edges and storage machines with a session at this or another control machine.
+    /// Calls back once the edges with a session here have the value of that number, or after a timeout.
+    virtual void notify_when_acknowledged(std::int64_t number, std::function<void()> callback) = 0;
+    /// Edges and storage nodes with a session at this or another controller.
     virtual std::vector<common::Member> members() const = 0;
-    // Whether members() holds all that are in touch: false after a start and while a peer is out of contact.
-    virtual bool members_complete() const = 0;
+    /// Whether members() holds all that are in contact: false after a start and while a peer is out of
+    /// contact.
+    virtual bool are_members_complete() const = 0;
     virtual ControlStatus status() const = 0;
 
    protected:
     ~Host() = default;
   };
 
-  // `remembered`: taken configurations whose repeats are known, the same at all control machines.
-  OperatorApi(Register& control_register, Host& host, std::size_t machine_losses,
-              std::size_t remembered = remembered_configurations);
-  // Answers one call: at once or later, exactly once.
+  /// `losses`: storage nodes that may be lost at once. `history_limit`: accepted configurations whose retries
+  /// are recognized; it must be the same at all controllers.
+  OperatorApi(Register& reg, Host& host, std::size_t losses,
+              std::size_t history_limit = configuration_history_limit);
+
+  /// Answers one request: at once or later, exactly once.
   void serve(const http::Parser& request, common::HttpServer::Reply reply);
   void write_metrics(common::MetricsWriter& out) const;
 
  private:
-  // What became of a configuration, or of a read.
-  enum class Outcome : std::uint8_t { taken, invalid, superseded, unclear, read, read_unclear };
-  static constexpr std::size_t outcomes = static_cast<std::size_t>(Outcome::read_unclear) + 1;
-  static std::string_view name_of(Outcome outcome);
-  // Counts it; what was refused or left unclear is told with all that the decision rested on.
-  void note(Outcome outcome, const ConfigurationOrder& order, std::string_view cause);
+  /// Of a submission or a read; the labels of the metric `chutevane_control_orders`.
+  enum class Outcome : std::uint8_t { accepted, invalid, superseded, undetermined, read, read_undetermined };
+  static constexpr std::size_t outcome_count = static_cast<std::size_t>(Outcome::read_undetermined) + 1;
+  static std::string_view label_of(Outcome outcome);
+  /// Counts the outcome. Rejections and undetermined outcomes are logged with all that the decision rests on.
+  void record(Outcome outcome, const ConfigurationSubmission& submission, std::string_view cause);
 
-  void replace(const http::Parser& request, common::HttpServer::Reply reply);
-  void acknowledge(const common::RegisterValue& chosen, std::int64_t version,
-                   common::HttpServer::Reply reply);
-  void retrieve(common::HttpServer::Reply reply);
-  void history(common::HttpServer::Reply reply);
-  void initiate_retire(const std::string& node, common::HttpServer::Reply reply);
-  void retrieve_retire(const std::string& node, common::HttpServer::Reply reply);
-  common::HttpResponse no_such_storage_machine(const std::string& node) const;
-  void status(common::HttpServer::Reply reply);
+  void replace_configuration(const http::Parser& request, common::HttpServer::Reply reply);
+  void submit(ConfigurationSubmission submission, common::HttpServer::Reply reply);
+  void answer_submission(const ConfigurationSubmission& submission,
+                         const absl::StatusOr<common::RegisterValue>& chosen,
+                         const common::HttpServer::Reply& reply);
+  void answer_when_acknowledged(const common::RegisterValue& chosen, std::int64_t version,
+                                const common::HttpServer::Reply& reply);
+  void retrieve_configuration(const common::HttpServer::Reply& reply);
+  void retrieve_history(const common::HttpServer::Reply& reply);
+  void initiate_retirement(const std::string& node, const common::HttpServer::Reply& reply);
+  void retrieve_retirement(const std::string& node, const common::HttpServer::Reply& reply);
+  common::HttpResponse unknown_node_response(const std::string& node) const;
 
   Register& register_;
   Host& host_;
-  const std::size_t machine_losses_, remembered_;
-  static constexpr int lines_most = 10;  // a second
-  std::array<std::uint64_t, outcomes> counts_{};
-  common::RateLimitedLog refusals_{"order.not_taken", lines_most};
+  const std::size_t losses_;
+  const std::size_t history_limit_;
+  static constexpr int max_log_lines_per_second = 10;
+  std::array<std::uint64_t, outcome_count> outcomes_{};
+  common::RateLimitedLog rejection_log_{"order.not_taken", max_log_lines_per_second};
 };
 
 }  // namespace chutevane::control
--- a/src/control/quorum_contact.hpp
+++ b/src/control/quorum_contact.hpp
@@ -30,30 +30,35 @@
 
 /// What a peer's message says of its acceptor, and the stamp that it echoes.
 struct AcceptorReport {
-  common::Acceptor acceptor;  // address and name of the disk
-  bool disk_of_first =
-      false;  // the disk was new when the whole system was: it is the one the first set means
+  common::Acceptor acceptor;      // address and name of the disk
+  bool has_initial_disk = false;  // the disk that the first set of acceptors means (DurableAcceptor)
   std::int64_t epoch = 0;
   std::int64_t accepted = 0;  // number of the value, 0: none in this epoch
 };
 
+/// Collects the echoes and reports of the peers and answers for what time they prove contact. To be called
+/// from one thread; times are of this process's steady clock.
 class QuorumContact {
  public:
-  /// `life`: drawn anew at each start of the process, so that an echo of an earlier life proves nothing.
-  explicit QuorumContact(std::int64_t life) : life_(life) {}
-  std::int64_t life() const { return life_; }
+  /// `incarnation`: drawn anew at each start of the process, so that an echo of an earlier incarnation proves
+  /// nothing.
+  explicit QuorumContact(std::int64_t incarnation) : incarnation_(incarnation) {}
+  std::int64_t incarnation() const { return incarnation_; }
 
-  /// A peer's message has come. `echo_life`, `echo_stamp`: what it returns of this controller's messages.
-  void received(const AcceptorReport& report, std::int64_t echo_life, TimePoint echo_stamp);
-  void forget(const std::string& address) { peers_.erase(address); }
+  /// A peer's message has come. `echo_incarnation`, `echo_stamp`: what it returns of this controller's
+  /// messages.
+  void on_report(const AcceptorReport& report, std::int64_t echo_incarnation, TimePoint echo_stamp);
+  /// Drops what that peer has proven.
+  void remove_peer(const std::string& address) { peers_.erase(address); }
 
   /// The newest time since which a quorum has received from this controller and it from them, whatever they
   /// have accepted: what a lease rests on. Nothing: there was none.
-  std::optional<TimePoint> reached(const std::vector<common::Acceptor>& acceptors, const AcceptorReport& own,
-                                   TimePoint now) const;
+  std::optional<TimePoint> last_contact(const std::vector<common::Acceptor>& acceptors,
+                                        const AcceptorReport& own, TimePoint now) const;
   /// The newest time T such that no value chosen before T has a number above `known`.
-  std::optional<TimePoint> confirmed(const std::vector<common::Acceptor>& acceptors,
-                                     const AcceptorReport& own, std::int64_t known, TimePoint now) const;
+  std::optional<TimePoint> confirmed_until(const std::vector<common::Acceptor>& acceptors,
+                                           const AcceptorReport& own, std::int64_t known,
+                                           TimePoint now) const;
 
  private:
   struct Peer {
@@ -64,7 +69,7 @@
   std::optional<TimePoint> newest_of_quorum(const std::vector<common::Acceptor>& acceptors,
                                             const AcceptorReport& own, TimePoint now, Agrees agrees) const;
 
-  const std::int64_t life_;
+  const std::int64_t incarnation_;
   std::map<std::string, Peer> peers_;  // by address
 };
 
--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -13,7 +13,7 @@
 
 #include "changing_value.hpp"
 #include "common/value_difference.hpp"
-#include "control/chosen_word.hpp"
+#include "control/value_notification.hpp"
 #include "simulated_register.hpp"
 #include "unit.hpp"
 
@@ -46,7 +46,7 @@
   bool up = false, away = false, reading = false;  // away: it comes back by itself
   TimePoint behind_since;
   common::RecentValues recent;
-  std::map<const Member*, control::PeerState> heard_of;
+  std::map<const Member*, control::PeerPosition> heard_of;
 };
 
 struct Storm {
@@ -153,15 +153,15 @@
     if (!reg.known_value() || cut(from)) return;
     for (Member& to : members) {
       if (&to == &from || cut(to)) continue;
-      control::PeerState state = from.heard_of[&to];
+      control::PeerPosition state = from.heard_of[&to];
       if (state.number >= reg.known_value()->number) continue;
-      const common::Chosen word = control::chosen_word(from.recent, reg, state);
+      const common::Chosen word = control::make_chosen_notification(from.recent, reg, state);
       from.heard_of[&to].number = reg.known_value()->number;
       if (field.counting) bytes_chosen += common::encoded(word).size();
       field.clock.later.after(field.way(), [this, &to, p = to.proposer.get(), word] {
         if (to.proposer.get() != p || !to.up) return;
         ++words;
-        unused += control::take_chosen(p->reg, to.recent, word) ? 0 : 1;
+        unused += control::apply_chosen_notification(p->reg, to.recent, word) ? 0 : 1;
       });
     }
   }
@@ -414,10 +414,10 @@
   common::RecentValues recent, none;
   from.reg.observe_chosen(later, later);
   recent.add(later);
-  const common::Chosen left_out = control::chosen_word(recent, from.reg, {2, 0});
-  CHECK_FALSE(control::take_chosen(to.reg, none, left_out));
+  const common::Chosen left_out = control::make_chosen_notification(recent, from.reg, {2, 0});
+  CHECK_FALSE(control::apply_chosen_notification(to.reg, none, left_out));
   CHECK_FALSE(to.reg.known_value().has_value());
-  const common::Chosen with_first = control::chosen_word(recent, from.reg, {1, 0});
-  CHECK_TRUE(control::take_chosen(to.reg, none, with_first));
+  const common::Chosen with_first = control::make_chosen_notification(recent, from.reg, {1, 0});
+  CHECK_TRUE(control::apply_chosen_notification(to.reg, none, with_first));
   CHECK_TRUE(*to.reg.known_value() == later && to.reg.epoch_value() == later);
 }
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -14,10 +14,10 @@
 namespace control = chutevane::control;
 namespace common = chutevane::common;
 using chutevane::Span;
-using chutevane::control::ConfigurationOrder;
-using chutevane::control::judge;
-using chutevane::control::OrderVerdict;
-using chutevane::control::remembered_configurations;
+using chutevane::control::configuration_history_limit;
+using chutevane::control::ConfigurationSubmission;
+using chutevane::control::evaluate;
+using chutevane::control::SubmissionStatus;
 using chutevane::simulated::configuration;
 using chutevane::simulated::ControlProcess;
 using chutevane::simulated::Field;
@@ -27,8 +27,8 @@
 
 // Three acceptors and two control machines that reach them.
 struct Pair {
-  explicit Pair(std::size_t remembered = remembered_configurations)
-      : field(3, 5), a(field, 1, remembered), b(field, 2, remembered) {
+  explicit Pair(std::size_t history_limit = configuration_history_limit)
+      : field(3, 5), a(field, 1, history_limit), b(field, 2, history_limit) {
     a.reg.observe_epoch(field.first_set(3));
     b.reg.observe_epoch(field.first_set(3));
   }
@@ -93,7 +93,7 @@
   return out;
 }
 
-ConfigurationOrder order(std::int64_t base, std::int64_t version, std::int64_t hash) {
+ConfigurationSubmission order(std::int64_t base, std::int64_t version, std::int64_t hash) {
   return {base, version, hash, ""};
 }
 
@@ -102,30 +102,32 @@
 TEST_GROUP(OrderJudged){};
 
 TEST(OrderJudged, OnItsBaseIsApplicable) {
-  CHECK_TRUE(judge(RegisterValue(), order(0, 3, 9)) == OrderVerdict::applicable);
-  CHECK_TRUE(judge(with_record(4), order(4, 5, 9)) == OrderVerdict::applicable);
+  CHECK_TRUE(evaluate(RegisterValue(), order(0, 3, 9)) == SubmissionStatus::applicable);
+  CHECK_TRUE(evaluate(with_record(4), order(4, 5, 9)) == SubmissionStatus::applicable);
 }
 
 TEST(OrderJudged, ARepeatHasTheSameBaseVersionAndBytes) {
   const RegisterValue value = with_record(5, 2);  // 2, 4, 6, 8, 10
-  CHECK_TRUE(judge(value, order(0, 2, 14)) == OrderVerdict::taken);
-  CHECK_TRUE(judge(value, order(4, 6, 42)) == OrderVerdict::taken);
-  CHECK_TRUE(judge(value, order(8, 10, 70)) == OrderVerdict::taken);
-  CHECK_TRUE(judge(value, order(4, 6, 43)) == OrderVerdict::superseded);  // the same number, another body
-  CHECK_TRUE(judge(value, order(2, 6, 42)) == OrderVerdict::superseded);  // the same body, another base
-  CHECK_TRUE(judge(value, order(5, 6, 42)) == OrderVerdict::superseded);
-  CHECK_TRUE(judge(value, order(4, 7, 42)) == OrderVerdict::superseded);  // a number that was left out
+  CHECK_TRUE(evaluate(value, order(0, 2, 14)) == SubmissionStatus::accepted);
+  CHECK_TRUE(evaluate(value, order(4, 6, 42)) == SubmissionStatus::accepted);
+  CHECK_TRUE(evaluate(value, order(8, 10, 70)) == SubmissionStatus::accepted);
+  CHECK_TRUE(evaluate(value, order(4, 6, 43)) ==
+             SubmissionStatus::superseded);  // the same number, another body
+  CHECK_TRUE(evaluate(value, order(2, 6, 42)) ==
+             SubmissionStatus::superseded);  // the same body, another base
+  CHECK_TRUE(evaluate(value, order(5, 6, 42)) == SubmissionStatus::superseded);
+  CHECK_TRUE(evaluate(value, order(4, 7, 42)) == SubmissionStatus::superseded);  // a number that was left out
 }
 
 TEST(OrderJudged, NotAboveItsBaseIsInvalidWhateverIsCurrent) {
-  CHECK_TRUE(judge(RegisterValue(), order(3, 3, 1)) == OrderVerdict::not_above_base);
-  CHECK_TRUE(judge(with_record(5), order(5, 4, 28)) == OrderVerdict::not_above_base);
-  CHECK_TRUE(judge(with_record(5), order(9, 8, 1)) == OrderVerdict::not_above_base);
+  CHECK_TRUE(evaluate(RegisterValue(), order(3, 3, 1)) == SubmissionStatus::not_above_base);
+  CHECK_TRUE(evaluate(with_record(5), order(5, 4, 28)) == SubmissionStatus::not_above_base);
+  CHECK_TRUE(evaluate(with_record(5), order(9, 8, 1)) == SubmissionStatus::not_above_base);
 }
 
 TEST(OrderJudged, ABaseThatMayStillComeIsUnclear) {
-  CHECK_TRUE(judge(with_record(5), order(6, 7, 1)) == OrderVerdict::unclear);
-  CHECK_TRUE(judge(with_record(7), order(6, 8, 1)) == OrderVerdict::superseded);
+  CHECK_TRUE(evaluate(with_record(5), order(6, 7, 1)) == SubmissionStatus::undetermined);
+  CHECK_TRUE(evaluate(with_record(7), order(6, 8, 1)) == SubmissionStatus::superseded);
 }
 
 // At each length of the record: what it reaches is known, what it does not reach is never refused.
@@ -134,18 +136,18 @@
     RegisterValue value;
     for (std::size_t i = 1; i <= taken; ++i) {
       const auto version = static_cast<std::int64_t>(i);
-      value = control::applied(value, order(version - 1, version, version), 8);
+      value = control::apply_submission(value, order(version - 1, version, version), 8);
     }
     CHECK_TRUE(value.applied_configurations.size() <= 8);
     for (std::size_t i = 1; i <= taken; ++i) {
       const auto version = static_cast<std::int64_t>(i);
-      const OrderVerdict again = judge(value, order(version - 1, version, version), 8);
+      const SubmissionStatus again = evaluate(value, order(version - 1, version, version), 8);
       const bool reached = taken < 8 || taken - i < 7;
       const std::string where =
           numbered("taken ", static_cast<long long>(taken)) + numbered(", version ", version);
-      CHECK_WHERE(again == (reached ? OrderVerdict::taken : OrderVerdict::unclear), where);
-      const OrderVerdict other = judge(value, order(version - 1, version, -version), 8);
-      CHECK_WHERE(other == (reached ? OrderVerdict::superseded : OrderVerdict::unclear), where);
+      CHECK_WHERE(again == (reached ? SubmissionStatus::accepted : SubmissionStatus::undetermined), where);
+      const SubmissionStatus other = evaluate(value, order(version - 1, version, -version), 8);
+      CHECK_WHERE(other == (reached ? SubmissionStatus::superseded : SubmissionStatus::undetermined), where);
     }
   }
 }
@@ -154,13 +156,14 @@
 TEST(OrderJudged, AFullRecordIsSmall) {
   RegisterValue value;
   std::int64_t version = 0;
-  for (std::size_t i = 0; i < remembered_configurations + 100; ++i) {
+  for (std::size_t i = 0; i < configuration_history_limit + 100; ++i) {
     const std::int64_t base = version;
     version += 1 + static_cast<std::int64_t>(i % 3);
     const std::string body = numbered("body ", version);
-    value = control::applied(value, order(base, version, static_cast<std::int64_t>(common::hash_of(body))));
+    value = control::apply_submission(value,
+                                      order(base, version, static_cast<std::int64_t>(common::hash_of(body))));
   }
-  CHECK_EQUAL(remembered_configurations, value.applied_configurations.size());
+  CHECK_EQUAL(configuration_history_limit, value.applied_configurations.size());
   const std::size_t bytes = common::encoded(value).size();
   CHECK_WHERE(bytes < 64 * 1024, numbered("bytes: ", static_cast<long long>(bytes)));
 }
--- a/tests/control/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -16,7 +16,7 @@
 namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::control::remembered_configurations;
+using chutevane::control::configuration_history_limit;
 using chutevane::simulated::configuration;
 using chutevane::simulated::ControlProcess;
 using chutevane::simulated::Field;
@@ -34,7 +34,7 @@
 struct Plan {
   Weather weather = {.lost = 0.05, .repeated = 0.1, .slow = 0.05};
   std::size_t orders = 14;
-  std::size_t remembered = remembered_configurations;
+  std::size_t history_limit = configuration_history_limit;
   bool ends = true, losses_of_power = true, wipe = false;
 };
 
@@ -97,7 +97,7 @@
       processes_[i]->transport.ended = true;
       ended_.push_back(std::move(processes_[i]));
     }
-    processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.remembered);
+    processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.history_limit);
     processes_[i]->reg.observe_epoch(newest_set());
   }
   const RegisterValue& newest_set() const {
@@ -276,7 +276,7 @@
         status = answer.status;
       });
       field_.clock.play(Span::ms(4000), [&] { return status != 0; });
-      const bool record_is_whole = plan_.remembered == remembered_configurations;
+      const bool record_is_whole = plan_.history_limit == configuration_history_limit;
       const bool ahead = sending->key.base > newest_read_ && status == 503;
       if (status == 0) unfinished_ = "an order was not answered once it was calm";
       if (status == 503 && record_is_whole && !ahead) unfinished_ = "an order was unclear once it was calm";
@@ -355,5 +355,5 @@
 
 // The record reaches back four configurations: what it does not reach is unclear, and never refused.
 TEST(OrdersOfOperators, AShortRecord) {
-  search(4000000, 300, {.orders = 30, .remembered = 4, .losses_of_power = false});
+  search(4000000, 300, {.orders = 30, .history_limit = 4, .losses_of_power = false});
 }
--- a/tests/control/quorum_contact_test.cpp
+++ b/tests/control/quorum_contact_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::int64_t life = 77;
+constexpr std::int64_t incarnation = 77;
 
 std::vector<Acceptor> set_of(int count) {
   std::vector<Acceptor> out;
@@ -38,78 +38,78 @@
 
 TEST_GROUP(quorum_contact) {
   const std::vector<Acceptor> acceptors = set_of(3);
-  QuorumContact contact{life};
+  QuorumContact contact{incarnation};
 };
 
 TEST(quorum_contact, nothing_is_confirmed_without_echoes) {
-  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
-  CHECK(!contact.reached(acceptors, report(0, 5), at(1000)));
+  CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
+  CHECK(!contact.last_contact(acceptors, report(0, 5), at(1000)));
 }
 
 TEST(quorum_contact, time_of_the_echoed_stamp_counts_and_not_that_of_arrival) {
-  contact.received(report(1, 5), life, at(400));
-  CHECK(*contact.confirmed(acceptors, report(0, 5), 5, at(20400)) == at(400));
-  CHECK(*contact.reached(acceptors, report(0, 5), at(20400)) == at(400));
+  contact.on_report(report(1, 5), incarnation, at(400));
+  CHECK(*contact.confirmed_until(acceptors, report(0, 5), 5, at(20400)) == at(400));
+  CHECK(*contact.last_contact(acceptors, report(0, 5), at(20400)) == at(400));
 }
 
 TEST(quorum_contact, messages_without_an_echo_prove_nothing) {
-  contact.received(report(1, 5), 0, TimePoint());
-  contact.received(report(2, 5), 0, TimePoint());
-  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  contact.on_report(report(1, 5), 0, TimePoint());
+  contact.on_report(report(2, 5), 0, TimePoint());
+  CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
 }
 
-TEST(quorum_contact, echo_of_an_earlier_life_proves_nothing) {
-  contact.received(report(1, 5), life + 1, at(900));
-  CHECK(!contact.reached(acceptors, report(0, 5), at(1000)));
+TEST(quorum_contact, echo_of_an_earlier_incarnation_proves_nothing) {
+  contact.on_report(report(1, 5), incarnation + 1, at(900));
+  CHECK(!contact.last_contact(acceptors, report(0, 5), at(1000)));
 }
 
 TEST(quorum_contact, an_acceptor_that_has_accepted_more_does_not_agree) {
-  contact.received(report(1, 6), life, at(900));
-  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
-  CHECK(*contact.reached(acceptors, report(0, 5), at(1000)) == at(900));
-  CHECK(*contact.confirmed(acceptors, report(0, 6), 6, at(1000)) == at(900));
+  contact.on_report(report(1, 6), incarnation, at(900));
+  CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
+  CHECK(*contact.last_contact(acceptors, report(0, 5), at(1000)) == at(900));
+  CHECK(*contact.confirmed_until(acceptors, report(0, 6), 6, at(1000)) == at(900));
 }
 
 TEST(quorum_contact, another_epoch_does_not_agree) {
-  contact.received(report(1, 5, 3), life, at(900));
-  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  contact.on_report(report(1, 5, 3), incarnation, at(900));
+  CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
 }
 
 TEST(quorum_contact, a_replaced_disk_is_no_acceptor) {
   AcceptorReport wiped = report(1, 0);
   wiped.acceptor.disk = "new";
-  contact.received(wiped, life, at(900));
-  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  contact.on_report(wiped, incarnation, at(900));
+  CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
   AcceptorReport own = report(0, 0);
   own.acceptor.disk = "new";
-  contact.received(report(1, 5), life, at(900));
-  CHECK(!contact.confirmed(acceptors, own, 5, at(1000)));
+  contact.on_report(report(1, 5), incarnation, at(900));
+  CHECK(!contact.confirmed_until(acceptors, own, 5, at(1000)));
 }
 
 TEST(quorum_contact, the_first_set_means_disks_that_were_new_with_the_system) {
   std::vector<Acceptor> first = acceptors;
   for (Acceptor& a : first) a.disk.clear();
   AcceptorReport own = report(0, 5), old = report(1, 5), later = report(1, 5);
-  own.disk_of_first = old.disk_of_first = true;
-  contact.received(later, life, at(900));
-  CHECK(!contact.confirmed(first, own, 5, at(1000)));
-  contact.received(old, life, at(950));
-  CHECK(*contact.confirmed(first, own, 5, at(1000)) == at(950));
+  own.has_initial_disk = old.has_initial_disk = true;
+  contact.on_report(later, incarnation, at(900));
+  CHECK(!contact.confirmed_until(first, own, 5, at(1000)));
+  contact.on_report(old, incarnation, at(950));
+  CHECK(*contact.confirmed_until(first, own, 5, at(1000)) == at(950));
 }
 
 TEST(quorum_contact, an_overtaken_message_changes_nothing) {
-  contact.received(report(1, 7), life, at(900));
-  contact.received(report(1, 5), life, at(300));
-  CHECK(!contact.confirmed(acceptors, report(0, 5), 5, at(1000)));
+  contact.on_report(report(1, 7), incarnation, at(900));
+  contact.on_report(report(1, 5), incarnation, at(300));
+  CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
 }
 
 TEST(quorum_contact, a_quorum_of_five_is_as_old_as_its_third) {
   const std::vector<Acceptor> five = set_of(5);
-  contact.received(report(1, 5), life, at(900));
-  CHECK(!contact.confirmed(five, report(0, 5), 5, at(1000)));
-  contact.received(report(2, 5), life, at(700));
-  contact.received(report(3, 5), life, at(800));
-  CHECK(*contact.confirmed(five, report(0, 5), 5, at(1000)) == at(800));
+  contact.on_report(report(1, 5), incarnation, at(900));
+  CHECK(!contact.confirmed_until(five, report(0, 5), 5, at(1000)));
+  contact.on_report(report(2, 5), incarnation, at(700));
+  contact.on_report(report(3, 5), incarnation, at(800));
+  CHECK(*contact.confirmed_until(five, report(0, 5), 5, at(1000)) == at(800));
 }
 
 // A register reduced to numbers: each change is accepted by some, and chosen once a majority has it. Whoever
@@ -122,7 +122,7 @@
     RandomSource luck(static_cast<std::uint64_t>(run) + 1);
     const int count = luck.chance(0.5) ? 3 : 5;
     const std::vector<Acceptor> set = set_of(count);
-    QuorumContact watcher(life);
+    QuorumContact watcher(incarnation);
     struct Message {
       TimePoint arrives;
       TimePoint stamp;
@@ -175,10 +175,10 @@
           const Message got = each.in.front();
           each.in.pop_front();
           if (got.stamp > TimePoint())
-            watcher.received(report(static_cast<int>(p), got.accepted), life, got.stamp);
+            watcher.on_report(report(static_cast<int>(p), got.accepted), incarnation, got.stamp);
         }
       }
-      const auto since = watcher.confirmed(set, report(0, accepted[0]), known, now);
+      const auto since = watcher.confirmed_until(set, report(0, accepted[0]), known, now);
       if (!since) continue;
       ++claims;
       for (const auto& [when, number] : chosen)
--- a/tests/control/simulated_control.hpp
+++ b/tests/control/simulated_control.hpp
@@ -16,8 +16,8 @@
  public:
   using Answered = std::function<void(common::HttpResponse)>;
 
-  ControlProcess(Field& field, std::uint64_t proposer, std::size_t remembered)
-      : transport(field), reg(field.clock.later, transport, proposer), api_(reg, *this, 1, remembered) {}
+  ControlProcess(Field& field, std::uint64_t proposer, std::size_t history_limit)
+      : transport(field), reg(field.clock.later, transport, proposer), api_(reg, *this, 1, history_limit) {}
 
   // Nothing is answered by a process that has ended.
   void call(const std::string& method, const std::string& target, const std::string& fields,
@@ -42,9 +42,9 @@
 
  private:
   void announce(const common::RegisterValue&) override {}
-  void when_acknowledged(std::int64_t, std::function<void()> then) override { then(); }
+  void notify_when_acknowledged(std::int64_t, std::function<void()> then) override { then(); }
   std::vector<common::Member> members() const override { return known_members; }
-  bool members_complete() const override { return all_members_known; }
+  bool are_members_complete() const override { return all_members_known; }
   control::ControlStatus status() const override { return {}; }
 
   control::OperatorApi api_;
