--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -30,12 +30,13 @@
                      [this](const http::Parser& request, common::HttpServer::Reply reply) {
                        operator_api_.serve(request, std::move(reply));
                      }),
-      list_duty_("list", seed_of(settings.node + "list", scheduler.now())),
-      roster_duty_("roster", seed_of(settings.node + "roster", scheduler.now())),
+      endpoint_list_election_("list", seed_of(settings.node + "list", scheduler.now())),
+      membership_election_("roster", seed_of(settings.node + "roster", scheduler.now())),
       platform_(scheduler, timers_, settings.platform, settings.platform_rate),
-      holder_(seed_of(settings.node + "holder", scheduler.now())),
-      contact_(static_cast<std::int64_t>(holder_)),
-      roster_(settings.machine_losses) {}
+      incarnation_(seed_of(settings.node + "holder", scheduler.now())),
+      contact_(static_cast<std::int64_t>(incarnation_)),
+      acceptor_planner_(settings.machine_losses),
+      storage_planner_(settings.machine_losses) {}
 
 absl::Status ControlPlane::open() {
   const auto got = record_slots_.recover();
@@ -52,7 +53,7 @@
         const auto port = static_cast<std::uint16_t>(settings_.first_port + common::control_plane_port);
         seeds.push_back({common::internal_control_address(seed, port), ""});
       }
-      record_.initial = first_value(std::move(seeds));
+      record_.initial = first_epoch_value(std::move(seeds));
     }
     if (absl::Status s = record_slots_.write_checkpoint(common::encoded(record_)); !s.ok()) return s;
   }
@@ -67,9 +68,10 @@
   } else if (!s.ok()) {
     return s;
   }
-  acceptor_->on_entered([this](const common::RegisterValue& initial) { register_.learn_epoch(initial); });
-  register_.learn_epoch(record_.initial);
-  register_.learn_epoch(acceptor_->initial());
+  acceptor_->on_epoch_entered(
+      [this](const common::RegisterValue& initial) { register_.observe_epoch(initial); });
+  register_.observe_epoch(record_.initial);
+  register_.observe_epoch(acceptor_->epoch_value());
   register_.on_chosen([this](const common::RegisterValue& value) { chosen(value); });
   for (const sockaddr_in& seed : settings_.seeds)
     know(common::internal_control_address(
@@ -80,7 +82,7 @@
   tick();
   read_list();
   common::log_info("control.open", "disk " + record_.disk + (record_.first ? ", first start" : "") +
-                                       ", epoch " + std::to_string(register_.initial().epoch));
+                                       ", epoch " + std::to_string(register_.epoch_value().epoch));
   return absl::OkStatus();
 }
 
@@ -98,16 +100,17 @@
         if (got.ok() && number != 0) connection.reply(number, *got);
       });
   rpc_server_.on<common::Chosen>([this](common::RpcServer::Connection&, std::uint64_t, common::Chosen& word) {
-    take_chosen(register_, recent_, word);
+    apply_chosen_notification(register_, recent_, word);
   });
   rpc_server_.on<common::Gossip>(
       [this](common::RpcServer::Connection&, std::uint64_t, common::Gossip& word) { on_gossip(word); });
   rpc_server_.on<common::VoteRequest>(
       [this](common::RpcServer::Connection& connection, std::uint64_t number, common::VoteRequest& ask) {
-        Duty& duty = ask.role == list_duty_.name() ? list_duty_ : roster_duty_;
+        LeaderElection& election =
+            ask.role == endpoint_list_election_.role() ? endpoint_list_election_ : membership_election_;
         common::VoteReply out;
-        out.granted = !leaving_ && duty.vote(ask.term, timers_.now());
-        out.term = duty.term();
+        out.granted = !leaving_ && election.grant_vote(ask.term, timers_.now());
+        out.term = election.term();
         connection.reply(number, out);
       });
   rpc_server_.on<common::EndpointList>(
@@ -141,8 +144,8 @@
 // The register here knows what its own acceptor has: others need not send it back.
 absl::StatusOr<common::Accepted> ControlPlane::accept_here(const common::Accept& ask) {
   auto got = acceptor_->accept(ask);
-  if (got.ok() && static_cast<Verdict>(got->verdict) == Verdict::yes)
-    register_.learn_accepted(ask.epoch, acceptor_->accepted(), acceptor_->value());
+  if (got.ok() && static_cast<AcceptorStatus>(got->verdict) == AcceptorStatus::ok)
+    register_.observe_accepted(ask.epoch, acceptor_->accepted_ballot(), acceptor_->accepted_value());
   return got;
 }
 
@@ -168,42 +171,42 @@
   for (auto& [id, session] : sessions_) {
     if (session.first) push(id, session);
   }
-  if (record_.initial.epoch < register_.initial().epoch) store_known();
+  if (record_.initial.epoch < register_.epoch_value().epoch) store_known();
 }
 
 // The others hear of a change from who made it, not only by asking: of the newest value known here, which is
 // that one or a later one.
 void ControlPlane::announce(const common::RegisterValue&) {
-  if (!register_.known()) return;
-  const std::int64_t number = register_.known()->number;
+  if (!register_.known_value()) return;
+  const std::int64_t number = register_.known_value()->number;
   for (auto& [address, peer] : peers_) {
     // A peer that does not read gets no more: it reads the register when it is there again.
     if (!peer.link->up() || peer.link->unsent() > common::PushCursor::max_unsent_bytes) continue;
-    PeerState state;
+    PeerPosition state;
     if (peer.last) state = {peer.last->epoch, peer.last->known_number};
     state.number = std::max(state.number, peer.told);
     if (state.number >= number) continue;
-    peer.link->send(chosen_word(recent_, register_, state));
+    peer.link->send(make_chosen_notification(recent_, register_, state));
     peer.told = number;
   }
 }
 
 // So that it finds the others again, whatever the seeds of its settings are by then.
 void ControlPlane::store_known() {
-  record_.initial = register_.initial();
+  record_.initial = register_.epoch_value();
   record_.controllers = controller_addresses();
   note_disk(record_slots_.write_checkpoint(common::encoded(record_)));
 }
 
 // A request that wrote nothing succeeds on a disk that fails, too.
 void ControlPlane::note_disk(const absl::Status& outcome) {
-  if (outcome.ok() && (acceptor_->disk_failing() || record_slots_.needs_checkpoint())) return;
+  if (outcome.ok() && (acceptor_->is_disk_failing() || record_slots_.needs_checkpoint())) return;
   disk_health_.record_outcome(outcome);
 }
 
 // A disk that has failed is tried again with each step of the loop, not only with the next request.
 void ControlPlane::try_disk_again() {
-  if (acceptor_->disk_failing()) note_disk(acceptor_->write_again());
+  if (acceptor_->is_disk_failing()) note_disk(acceptor_->retry_write());
   if (record_slots_.needs_checkpoint()) store_known();
 }
 
@@ -225,8 +228,8 @@
 void ControlPlane::begin_shutdown() {
   if (leaving_) return;
   leaving_ = true;
-  list_duty_.give_up(timers_.now());
-  roster_duty_.give_up(timers_.now());
+  endpoint_list_election_.step_down(timers_.now());
+  membership_election_.step_down(timers_.now());
   gossip();
   // Operators' orders that are under way come to their end.
   const TimePoint latest = timers_.now() + settings_.grace - grace_spare;
@@ -236,12 +239,12 @@
 // Its disk may go with it, and the machine that replaces it may have been there for long: the next loss would
 // then leave no majority. So it votes until its place is another's.
 bool ControlPlane::may_go() const {
-  const std::vector<common::Acceptor>& set = register_.initial().acceptors;
-  if (!names(set, address_)) return register_.released(address_) || set.empty();
+  const std::vector<common::Acceptor>& set = register_.epoch_value().acceptors;
+  if (!contains_address(set, address_)) return register_.is_released(address_) || set.empty();
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& one) {
     const auto& [address, peer] = one;
     return peer.last && !peer.last->draining && timers_.now() - peer.heard < peer_heard &&
-           !names(set, address);
+           !contains_address(set, address);
   });
 }
 
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -17,17 +17,19 @@
 #include "common/rpc.hpp"
 #include "common/settings.hpp"
 #include "common/value_update.hpp"
-#include "control/chosen_word.hpp"
-#include "control/duty.hpp"
+#include "control/acceptor.hpp"
+#include "control/acceptor_set_planner.hpp"
+#include "control/leader_election.hpp"
 #include "control/operator_api.hpp"
-#include "control/platform.hpp"
+#include "control/platform_client.hpp"
 #include "control/quorum_contact.hpp"
 #include "control/register.hpp"
-#include "control/roster.hpp"
+#include "control/storage_map_planner.hpp"
+#include "control/value_notification.hpp"
 
 namespace chutevane::control {
 
-class ControlPlane final : public common::Plane, Voters, OperatorApi::Host {
+class ControlPlane final : public common::Plane, AcceptorTransport, OperatorApi::Host {
  public:
   ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
                std::unique_ptr<common::Disk> disk);
@@ -94,8 +96,8 @@
   void acknowledged();
 
   void work_duties();
-  void stand(Duty& duty);
-  void ballot(Duty& duty, std::int64_t term);
+  void campaign(LeaderElection& election);
+  void request_votes(LeaderElection& election, std::int64_t term);
   void read_list();
   void read_list_now();  // where the duty is this one's
   void list_was_read(std::vector<common::EndpointEntry> entries);
@@ -107,9 +109,9 @@
 
   // What the operators' API asks for.
   void announce(const common::RegisterValue& value) override;
-  void when_acknowledged(std::int64_t number, std::function<void()> then) override;
+  void notify_when_acknowledged(std::int64_t number, std::function<void()> then) override;
   std::vector<common::Member> members() const override;
-  bool members_complete() const override;
+  bool are_members_complete() const override;
   ControlStatus status() const override;
 
   net::Scheduler& scheduler_;
@@ -119,7 +121,7 @@
   common::DurableState record_slots_;
   common::ControllerRecord record_;
   const std::string address_;
-  std::optional<AcceptorState> acceptor_;
+  std::optional<DurableAcceptor> acceptor_;
   common::DiskHealth disk_health_;
   Register register_;
   common::RpcServer rpc_server_;
@@ -138,15 +140,16 @@
   std::uint64_t full_stamp_ = 0;
   bool catching_up_ = false, leaving_ = false, finished_ = false;
   std::optional<TimePoint> behind_since_;
-  Duty list_duty_, roster_duty_;
-  Platform platform_;
-  const std::uint64_t holder_;  // of duties: this process, told from all others
+  LeaderElection endpoint_list_election_, membership_election_;
+  PlatformClient platform_;
+  const std::uint64_t incarnation_;  // of duties: this process, told from all others
   QuorumContact contact_;
   common::EndpointTable list_;
   std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
   bool changing_roster_ = false;
   bool had_roster_ = false;
-  Roster roster_;
+  AcceptorSetPlanner acceptor_planner_;
+  StorageMapPlanner storage_planner_;
   std::int64_t retention_version_ = -1;  // of the configuration that longest_retention_ is of
   Span longest_retention_;
   struct Waiting {  // an operator's change that is chosen: answered once all sidecars here have it
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -31,13 +31,13 @@
     session.list_term = hello.list_term;
     session.list_number = hello.list_number;
   }
-  list_duty_.learn_told(hello.list_term, holder_);
+  endpoint_list_election_.observe_fencing_token(hello.list_term, incarnation_);
   followed_list_term_ = std::max(followed_list_term_, hello.list_term);
   if (fresh || session.first) push(connection.id(), session);
   if (fresh) {
     common::ControlHeartbeat word;
     word.knowledge_age_ms = static_cast<std::int64_t>(fresh_age().as_ms());
-    word.number = register_.known() ? register_.known()->number : 0;
+    word.number = register_.known_value() ? register_.known_value()->number : 0;
     word.echo_stamp = hello.stamp;
     word.controllers = controller_addresses();
     connection.send(word);
@@ -66,7 +66,7 @@
 void ControlPlane::heartbeat() {
   common::ControlHeartbeat word;
   word.knowledge_age_ms = static_cast<std::int64_t>(fresh_age().as_ms());
-  word.number = register_.known() ? register_.known()->number : 0;
+  word.number = register_.known_value() ? register_.known_value()->number : 0;
   const TimePoint now = timers_.now();
   const std::vector<Member> all = members();
   word.edge_count = std::count_if(all.begin(), all.end(), [](const Member& m) { return m.plane == "edge"; });
@@ -107,7 +107,7 @@
   }
 }
 
-void ControlPlane::when_acknowledged(std::int64_t number, std::function<void()> then) {
+void ControlPlane::notify_when_acknowledged(std::int64_t number, std::function<void()> then) {
   waiting_.push_back({number, timers_.now() + acks_most, std::move(then)});
   timers_.after(acks_most + Span::ms(1), [this] { acknowledged(); });
   acknowledged();
@@ -121,15 +121,15 @@
 
 // A member's session is told of by a peer's next full word; one that had to look for another control machine
 // has found it by then too.
-bool ControlPlane::members_complete() const {
+bool ControlPlane::are_members_complete() const {
   return quorum_reached(peer_heard) && all_peers_heard() &&
          timers_.now() - in_contact_since_ >= members_settled_after;
 }
 
 ControlStatus ControlPlane::status() const {
   ControlStatus out{settings_.node, fresh_age(), {}, list_.entries().size(), timers_.now()};
-  for (const Duty* duty : {&list_duty_, &roster_duty_}) {
-    if (duty->mine()) out.duties.push_back({duty->name(), duty->term()});
+  for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_}) {
+    if (election->is_leader()) out.led_roles.push_back({election->role(), election->term()});
   }
   return out;
 }
@@ -138,13 +138,13 @@
   const auto gauge = [&](std::string_view name, std::string_view unit, std::string_view help, double value) {
     out.gauge(name, unit, help, value);
   };
-  const std::optional<common::RegisterValue>& known = register_.known();
+  const std::optional<common::RegisterValue>& known = register_.known_value();
   const auto number = [](std::int64_t value) { return static_cast<double>(value); };
   operator_api_.write_metrics(out);
   gauge("chutevane_register_number", "", "Number of the newest value known to be chosen.",
         known ? number(known->number) : 0);
   gauge("chutevane_register_epoch", "", "Epoch of the newest set of acceptors known.",
-        number(register_.initial().epoch));
+        number(register_.epoch_value().epoch));
   gauge("chutevane_register_ballot_round", "",
         "Round under which the known value was accepted; 0: not known.",
         number(register_.known_ballot().round));
@@ -170,10 +170,10 @@
         static_cast<double>(list_.entries().size()));
   out.begin(common::MetricsWriter::Type::gauge, "chutevane_duty_held", "",
             "1 while this controller holds the duty.");
-  for (const Duty* duty : {&list_duty_, &roster_duty_})
-    out.sample(duty->mine() ? 1 : 0, {{"duty", duty->name()}});
+  for (const LeaderElection* election : {&endpoint_list_election_, &membership_election_})
+    out.sample(election->is_leader() ? 1 : 0, {{"duty", election->role()}});
   gauge("chutevane_acceptor_voting", "", "1 while this controller's disk votes.",
-        acceptor_->voting() ? 1 : 0);
+        acceptor_->is_voting() ? 1 : 0);
   gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", disk_health_.is_healthy() ? 0 : 1);
 }
 
