--- a/src/common/disk_health.hpp
+++ b/src/common/disk_health.hpp
@@ -1,4 +1,4 @@
-// Whether a process's disk takes what is written, as far as the last try tells; logs each change of that.
+/// Whether a process's disk accepts writes, judged by the outcome of the latest one.
 #pragma once
 
 #include "absl/status/status.h"
@@ -6,9 +6,10 @@
 
 namespace chutevane::common {
 
+/// Logs each change: `disk.failed` with the error, `disk.works` once a write succeeds again. Not thread-safe.
 class DiskHealth {
  public:
-  // The outcome of an order to the disk; true where it has lasted.
+  /// The outcome of a write that had to be durable. Returns is_healthy().
   bool record_outcome(const absl::Status& outcome) {
     if (outcome.ok() == healthy_) return healthy_;
     healthy_ = outcome.ok();
@@ -19,6 +20,7 @@
     }
     return healthy_;
   }
+  /// True before the first outcome.
   bool is_healthy() const { return healthy_; }
 
  private:
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 
+#include "common/disk.hpp"
 #include "common/log.hpp"
 #include "control/control_plane_limits.hpp"
 
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -11,7 +11,9 @@
 
 #include "common/configuration.hpp"
 #include "common/control_sessions.hpp"
+#include "common/disk.hpp"
 #include "common/disk_health.hpp"
+#include "common/durable_state.hpp"
 #include "common/http_server.hpp"
 #include "common/process.hpp"
 #include "common/rpc.hpp"
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -18,6 +18,7 @@
 
 #include "absl/status/statusor.h"
 #include "common/disk.hpp"
+#include "common/durable_state.hpp"
 #include "common/messages.hpp"
 #include "net/timer_queue.hpp"
 
--- a/src/ctl/folder.cpp
+++ b/src/ctl/folder.cpp
@@ -9,6 +9,8 @@
 #include <cerrno>
 #include <memory>
 
+#include "common/durable_state.hpp"
+#include "common/record_framing.hpp"
 #include "storage/store.hpp"
 
 namespace chutevane::ctl {
@@ -157,8 +159,7 @@
       out.unknown.push_back(name);
     } else if (name.find(".slot") != std::string::npos) {
       // The older slot may be one whose writing was cut short.
-      std::size_t good = 0;
-      common::unframed(text, 0, &good);
+      const std::size_t good = common::parse_frames(text, 0).valid_size;
       if (good < text.size()) out.torn.push_back({name, good, text.size() - good});
     }
   }
--- a/src/simulation/disk.hpp
+++ b/src/simulation/disk.hpp
@@ -7,6 +7,7 @@
 #include "base/pcg.hpp"
 #include "chutevane/types.hpp"
 #include "common/disk.hpp"
+#include "common/memory_disk.hpp"
 
 namespace chutevane::simulation {
 
--- a/src/storage/main.cpp
+++ b/src/storage/main.cpp
@@ -1,4 +1,5 @@
 // chutevane-storage: a storage sidecar.
+#include "common/posix_disk.hpp"
 #include "common/process.hpp"
 #include "storage/storage_plane.hpp"
 
@@ -11,6 +12,6 @@
       [](net::Scheduler& scheduler,
          const common::ProcessSettings& settings) -> std::unique_ptr<common::Plane> {
         return std::make_unique<storage::StoragePlane>(
-            scheduler, settings, std::make_unique<common::FolderDisk>(settings.data_dir));
+            scheduler, settings, std::make_unique<common::PosixDisk>(settings.data_dir));
       });
 }
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "common/disk.hpp"
 #include "common/invariant.hpp"
 #include "common/log.hpp"
 
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -12,7 +12,9 @@
 #include <vector>
 
 #include "common/control_sessions.hpp"
+#include "common/disk.hpp"
 #include "common/disk_health.hpp"
+#include "common/durable_state.hpp"
 #include "common/invariant.hpp"
 #include "common/process.hpp"
 #include "common/rate_limited_log.hpp"
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <charconv>
 
+#include "common/record_framing.hpp"
+
 namespace chutevane::storage {
 namespace {
 
@@ -28,7 +30,7 @@
 void Store::put(const M& record) {
   std::string text(1, static_cast<char>(M::kind));
   text += common::encoded(record);
-  pending_ += common::framed(text, segment_salt ^ current_);
+  pending_ += common::frame_record(text, segment_salt ^ current_);
 }
 
 std::optional<std::uint64_t> Store::segment_of(const std::string& name) {
@@ -41,7 +43,9 @@
 
 std::vector<std::string> Store::records(std::string_view file, std::uint64_t segment,
                                         std::size_t* good_size) {
-  return common::unframed(file, segment_salt ^ segment, good_size);
+  common::ParsedFrames frames = common::parse_frames(file, segment_salt ^ segment);
+  if (good_size != nullptr) *good_size = frames.valid_size;
+  return std::move(frames.records);
 }
 
 absl::Status Store::open(TimePoint now) {
--- a/tests/common/disk_test.cpp
+++ b/tests/common/disk_test.cpp
@@ -7,15 +7,17 @@
 #include <string>
 #include <vector>
 
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
 
 using chutevane::common::Disk;
 using chutevane::common::DiskFault;
 using chutevane::common::DurableState;
-using chutevane::common::framed;
+using chutevane::common::frame_record;
 using chutevane::common::MemoryDisk;
-using chutevane::common::unframed;
+using chutevane::common::parse_frames;
 
 namespace {
 
@@ -88,7 +90,7 @@
   MemoryDisk disk;
   DurableState slots(disk, "s");
   give_all(slots, {}, orders());
-  return disk.steps();
+  return disk.step_count();
 }
 
 // Opens, and says what is there; a first write that was torn counts as nothing, it had told nobody.
@@ -140,7 +142,7 @@
     for (std::uint64_t luck = 0; luck < lucks; ++luck) {
       MemoryDisk disk;
       DurableState slots(disk, "s");
-      disk.fail_from(point);
+      disk.lose_power_at(point);
       const Run before = give_all(slots, {}, orders());
       disk.power_cycle(luck);
       DurableState again(disk, "s");
@@ -160,13 +162,13 @@
         const std::string where = place(first, luck) + numbered(", second ", second);
         MemoryDisk disk;
         DurableState slots(disk, "s");
-        disk.fail_from(first);
+        disk.lose_power_at(first);
         const Run before = give_all(slots, {}, orders());
         disk.power_cycle(luck * 77 + first);
         DurableState again(disk, "s");
         const Held there = open_again(again, before, where);
         if (!there.there) continue;  // it would begin as a new disk does
-        disk.fail_from(disk.steps() + second);
+        disk.lose_power_at(disk.step_count() + second);
         const Run then = give_all(again, there, more);
         disk.power_cycle(luck * 131 + second);
         DurableState last(disk, "s");
@@ -182,9 +184,9 @@
   for (std::size_t point = 0; point <= points; ++point) {
     MemoryDisk disk;
     DurableState slots(disk, "s");
-    disk.fail_from(point);
+    disk.lose_power_at(point);
     const Run before = give_all(slots, {}, orders());
-    disk.fail_from(static_cast<std::size_t>(-1));
+    disk.lose_power_at(MemoryDisk::no_step);
     DurableState again(disk, "s");
     check_held(open_again(again, before, place(point, 0)), before, place(point, 0));
   }
@@ -199,9 +201,9 @@
     for (std::uint64_t luck = 0; luck < 10; ++luck) {
       MemoryDisk disk;
       DurableState slots(disk, "s");
-      disk.fail_from(point);
+      disk.lose_power_at(point);
       const Run before = give_all(slots, {}, orders());
-      disk.fail_from(static_cast<std::size_t>(-1));
+      disk.lose_power_at(MemoryDisk::no_step);
       CHECK_FALSE((Order{false, "behind"}.give(slots).ok()));
       MemoryDisk other = disk;
       DurableState written(other, "s");
@@ -259,10 +261,10 @@
       for (std::size_t step = 0; step < 3; ++step) {
         MemoryDisk disk;
         DurableState slots(disk, "s");
-        disk.fail_from(point);
+        disk.lose_power_at(point);
         const Run before = give_all(slots, {}, orders());
         disk.power_cycle(luck);
-        disk.fail_from(disk.steps() + step);
+        disk.lose_power_at(disk.step_count() + step);
         DurableState torn(disk, "s");
         (void)torn.recover();
         disk.power_cycle(luck + 7);
@@ -386,28 +388,30 @@
   std::string file;
   std::vector<std::size_t> ends;
   for (const std::string& one : all) {
-    file += framed(one, 5);
+    file += frame_record(one, 5);
     ends.push_back(file.size());
   }
   for (std::size_t cut = 0; cut <= file.size(); ++cut) {
-    std::size_t whole = 0, size = 0;
+    std::size_t whole = 0;
     while (whole < ends.size() && ends[whole] <= cut) ++whole;
-    const auto got = unframed(std::string_view(file).substr(0, cut), 5, &size);
+    const auto [got, size] = parse_frames(std::string_view(file).substr(0, cut), 5);
     CHECK_EQUAL(whole, got.size());
     for (std::size_t i = 0; i < got.size(); ++i) CHECK_TRUE(got[i] == all[i]);
     CHECK_EQUAL(whole > 0 ? ends[whole - 1] : 0, size);
   }
 }
 
-TEST(DiskFrames, AnotherSaltReadsNothing) { CHECK_TRUE(unframed(framed("record", 5), 6).empty()); }
+TEST(DiskFrames, AnotherSaltReadsNothing) {
+  CHECK_TRUE(parse_frames(frame_record("record", 5), 6).records.empty());
+}
 
 TEST(DiskFrames, ZerosAndNoiseAreNoRecords) {
-  CHECK_TRUE(unframed(std::string(4096, '\0'), 7).empty());
+  CHECK_TRUE(parse_frames(std::string(4096, '\0'), 7).records.empty());
   chutevane::simulated::RandomSource luck(3);
   for (int n = 0; n < 2000; ++n) {
     std::string noise(luck.below(200), '\0');
     for (char& c : noise) c = static_cast<char>(luck.next());
-    CHECK_TRUE(unframed(noise, 7).empty());
+    CHECK_TRUE(parse_frames(noise, 7).records.empty());
   }
 }
 
@@ -421,9 +425,9 @@
     for (std::uint64_t luck = 0; luck < lucks; ++luck) {
       MemoryDisk disk;
       DurableState slots(disk, "s");
-      disk.fail_from(point);
+      disk.lose_power_at(point);
       const Run before = give_all(slots, {}, orders());
-      disk.fail_from(static_cast<std::size_t>(-1));  // killed: the files are as they were
+      disk.lose_power_at(MemoryDisk::no_step);  // killed: the files are as they were
       DurableState again(disk, "s");
       const auto told = again.recover();
       if (!told.ok()) continue;
@@ -460,14 +464,15 @@
 // that failed is given again, as a whole state, until the disk takes it.
 TEST(DiskSlotsFaults, GoesOnAfterAFaultAtEveryStep) {
   const std::size_t points = steps_of_all();
-  for (const DiskFault fault : {DiskFault::full, DiskFault::sync_loses, DiskFault::sync_unsure}) {
+  for (const DiskFault fault :
+       {DiskFault::full, DiskFault::sync_drops_writes, DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from <= points; ++from) {
       for (const std::size_t length : {1, 2, 4, 9}) {
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
                                   numbered(", steps ", length);
         MemoryDisk disk;
         DurableState slots(disk, "s");
-        disk.fail(fault, from, from + length);
+        disk.inject_fault(fault, from, from + length);
         Held sure;
         for (const Order& order : orders()) {
           std::vector<Held> tried;
@@ -492,7 +497,8 @@
   MemoryDisk disk;
   DurableState slots(disk, "s");
   CHECK_TRUE(slots.write_checkpoint("first").ok());
-  disk.fail(DiskFault::sync_unsure, disk.steps() + 4, disk.steps() + 5);  // the last step of a write
+  disk.inject_fault(DiskFault::sync_outcome_unknown, disk.step_count() + 4,
+                    disk.step_count() + 5);  // the last step of a write
   CHECK_FALSE(slots.write_checkpoint("second").ok());
   CHECK_TRUE(absl::IsFailedPrecondition(slots.append_change("change of the first")));
   CHECK_TRUE(slots.write_checkpoint("third").ok());
@@ -508,7 +514,7 @@
   MemoryDisk disk;
   DurableState slots(disk, "s");
   CHECK_TRUE(slots.write_checkpoint("state").ok() && slots.append_change("change").ok());
-  disk.fail(DiskFault::full, disk.steps(), disk.steps() + 1000);
+  disk.inject_fault(DiskFault::full, disk.step_count(), disk.step_count() + 1000);
   DurableState again(disk, "s");
   const auto got = again.recover();
   CHECK_TRUE(got.ok() && got->checkpoint == "state" && got->changes.size() == 1);
--- a/tests/common/folder_disk_test.cpp
+++ b/tests/common/posix_disk_test.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "common/disk.hpp"
+#include "common/posix_disk.hpp"
 #include "unit.hpp"
 
 namespace {
@@ -53,7 +53,7 @@
 };
 
 TEST(FolderDiskNames, ANewFilesNameIsSyncedWithIt) {
-  chutevane::common::FolderDisk disk(folder);
+  chutevane::common::PosixDisk disk(folder);
   CHECK_TRUE(disk.append("a", "text").ok());
   CHECK_TRUE(disk.sync("a").ok());
   CHECK_EQUAL(1, syncs_of(folder + "/a"));
@@ -61,14 +61,14 @@
 }
 
 TEST(FolderDiskNames, AFileThatIsMadeByACutToo) {
-  chutevane::common::FolderDisk disk(folder);
+  chutevane::common::PosixDisk disk(folder);
   CHECK_TRUE(disk.truncate("a", 0).ok());
   CHECK_TRUE(disk.sync("a").ok());
   CHECK_EQUAL(1, syncs_of(folder));
 }
 
 TEST(FolderDiskNames, TheFolderIsSyncedOncePerNewFile) {
-  chutevane::common::FolderDisk disk(folder);
+  chutevane::common::PosixDisk disk(folder);
   for (int n = 0; n < 5; ++n) {
     CHECK_TRUE(disk.append("a", "text").ok());
     CHECK_TRUE(disk.sync("a").ok());
@@ -83,11 +83,11 @@
 // A process before this one may have been killed between making a file and syncing its name.
 TEST(FolderDiskNames, AFileOfAProcessBeforeIsSyncedWithItsName) {
   {
-    chutevane::common::FolderDisk before(folder);
+    chutevane::common::PosixDisk before(folder);
     CHECK_TRUE(before.append("a", "text").ok());
   }
   synced.clear();
-  chutevane::common::FolderDisk disk(folder);
+  chutevane::common::PosixDisk disk(folder);
   CHECK_TRUE(disk.read("a").ok());
   CHECK_TRUE(disk.sync("a").ok());
   CHECK_EQUAL(1, syncs_of(folder));
--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -12,6 +12,8 @@
 #include <vector>
 
 #include "changing_value.hpp"
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "common/value_difference.hpp"
 #include "control/chosen_word.hpp"
 #include "simulated_register.hpp"
@@ -100,7 +102,7 @@
       Machine& m = *member.machine;
       m.acceptor.reset();
       if (power) m.disk->power_cycle(field.luck.next());
-      m.disk->fail_from(static_cast<std::size_t>(-1));
+      m.disk->lose_power_at(common::MemoryDisk::no_step);
       m.start();
       member.away = false;
       start(member, false);
@@ -264,9 +266,9 @@
     ++troubles;
     switch (field.luck.below(6)) {
       case 0:  // power is lost at a numbered step of what it writes next
-        m.disk->fail_from(m.disk->steps() + field.luck.below(12));
+        m.disk->lose_power_at(m.disk->step_count() + field.luck.below(12));
         calm_from(now() + Span::ms(1000));
-        field.clock.later.after(Span::ms(1000), [&m] { m.disk->fail_from(static_cast<std::size_t>(-1)); });
+        field.clock.later.after(Span::ms(1000), [&m] { m.disk->lose_power_at(common::MemoryDisk::no_step); });
         break;
       case 1: stop(member, most, false); break;
       case 2: stop(member, most, true); break;
--- a/tests/control/losses_test.cpp
+++ b/tests/control/losses_test.cpp
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "common/memory_disk.hpp"
 #include "control/register.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
@@ -288,12 +289,12 @@
       common::MemoryDisk disk;
       control::AcceptorState acceptor(disk, "m0", "d0", false);
       CHECK_TRUE(acceptor.open().ok());
-      const std::size_t before = disk.steps();
+      const std::size_t before = disk.step_count();
       std::int64_t told = 0;
       acceptor.on_entered([&](const RegisterValue& value) { told = value.epoch; });
-      if (point <= steps && steps > 0) disk.fail_from(before + point);
+      if (point <= steps && steps > 0) disk.lose_power_at(before + point);
       const bool answered = acceptor.prepare(ask).ok();
-      if (point == 0 && luck == 0 && steps == 0) steps = disk.steps() - before;
+      if (point == 0 && luck == 0 && steps == 0) steps = disk.step_count() - before;
       CHECK_EQUAL(answered ? 4 : 0, static_cast<int>(told));
       disk.power_cycle(luck);
       control::AcceptorState again(disk, "m0", "d0", false);
--- a/tests/control/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "common/memory_disk.hpp"
 #include "order_history.hpp"
 #include "simulated_control.hpp"
 #include "unit.hpp"
@@ -136,7 +137,7 @@
     Machine& m = field_.all[field_.luck.below(field_.all.size())];
     if (plan_.ends && kind < 0.4) return end_process();
     if (plan_.losses_of_power && kind < 0.6 && m.up)
-      return m.disk->fail_from(m.disk->steps() + field_.luck.below(9));
+      return m.disk->lose_power_at(m.disk->step_count() + field_.luck.below(9));
     if (plan_.losses_of_power && kind < 0.65) {  // all at once
       for (Machine& one : field_.all) {
         if (one.up) field_.died(one);
@@ -262,7 +263,7 @@
   void calm() {
     field_.weather = {};
     for (Machine& m : field_.all) {
-      m.disk->fail_from(static_cast<std::size_t>(-1));
+      m.disk->lose_power_at(common::MemoryDisk::no_step);
       if (m.up) continue;
       m.lose_power(field_.luck.next());
       m.start();
--- a/tests/control/register_test.cpp
+++ b/tests/control/register_test.cpp
@@ -11,6 +11,8 @@
 #include <string>
 #include <vector>
 
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "common/value_update.hpp"
 #include "simulated_register.hpp"
 #include "unit.hpp"
@@ -227,7 +229,8 @@
     const double kind = field.luck.unit();
     Machine& m = field.all[field.luck.below(field.all.size())];
     if (plan.losses_of_power && kind < 0.3 && m.up) {
-      m.disk->fail_from(m.disk->steps() + field.luck.below(9));  // at a numbered point of what it does next
+      m.disk->lose_power_at(m.disk->step_count() +
+                            field.luck.below(9));  // at a numbered point of what it does next
     } else if (plan.losses_of_power && kind < 0.4 && m.up) {
       m.up = false;
       back_later(m);
@@ -278,7 +281,7 @@
     // Calm again: a read comes to its end within the time that an order has.
     field.weather = {};
     for (Machine& m : field.all) {
-      m.disk->fail_from(static_cast<std::size_t>(-1));
+      m.disk->lose_power_at(common::MemoryDisk::no_step);
       if (!m.up) {
         m.lose_power(field.luck.next());
         m.start();
@@ -504,12 +507,12 @@
   p.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   field.clock.play(Span::ms(1000));
   std::vector<std::size_t> before;
-  for (const Machine& m : field.all) before.push_back(m.disk->steps());
+  for (const Machine& m : field.all) before.push_back(m.disk->step_count());
   bool read = false;
   p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) { read = got.ok() && had(*got, 9); });
   field.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
-  for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], field.all[i].disk->steps());
+  for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], field.all[i].disk->step_count());
 }
 
 // Values go over the ways only to who does not have them.
@@ -672,7 +675,7 @@
   Ballot promised, accepted;
   std::string value;
   speak(counted, promised, accepted, value);
-  const std::size_t points = whole.steps();
+  const std::size_t points = whole.step_count();
   CHECK_TRUE(points > 20);
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t luck = 0; luck < 30; ++luck) {
@@ -680,7 +683,7 @@
       common::MemoryDisk disk;
       AcceptorState a(disk, "m0", "d0", true);
       CHECK_TRUE(a.open().ok());
-      disk.fail_from(point);
+      disk.lose_power_at(point);
       promised = accepted = {};
       value.clear();
       speak(a, promised, accepted, value);
@@ -702,8 +705,8 @@
 // The disk is full, or syncs fail, at each step in turn and for some steps. It goes on in memory: what it
 // told, before and between and after, stands whenever power is lost.
 TEST(RegisterAcceptor, WhatItSaidStandsThroughFaultsAtEveryStep) {
-  for (const common::DiskFault fault :
-       {common::DiskFault::full, common::DiskFault::sync_loses, common::DiskFault::sync_unsure}) {
+  for (const common::DiskFault fault : {common::DiskFault::full, common::DiskFault::sync_drops_writes,
+                                        common::DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from < 30; ++from) {
       for (const std::size_t length : {1, 3, 8}) {
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
@@ -711,7 +714,7 @@
         common::MemoryDisk disk;
         AcceptorState a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
-        disk.fail(fault, from, from + length);
+        disk.inject_fault(fault, from, from + length);
         Ballot promised, accepted;
         std::size_t refused = 0;
         // After a loss of power it has promised and accepted no less than was told.
@@ -783,7 +786,7 @@
         AcceptorState a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
         std::int64_t promised = rounds, accepted = rounds, tried = rounds;
-        disk.fail_from(disk.steps() + point);
+        disk.lose_power_at(disk.step_count() + point);
         for (std::int64_t round = rounds + 1; round <= rounds + 3; ++round) {
           if (!a.prepare(prepare(initial, round)).ok()) break;
           promised = round;
@@ -792,7 +795,7 @@
           accepted = round;
         }
         if (luck % 2 == 0) disk.power_cycle(luck);
-        disk.fail_from(static_cast<std::size_t>(-1));
+        disk.lose_power_at(common::MemoryDisk::no_step);
         AcceptorState again(disk, "m0", "d0", true);
         CHECK_WHERE(again.open().ok(), where);
         const auto got = again.prepare(prepare(initial, 0, 0, true));
@@ -814,10 +817,10 @@
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(a.prepare(prepare(initial, 1)).ok());
   CHECK_TRUE(a.accept(accept(initial, 1, "x")).ok());
-  disk.fail(common::DiskFault::full, disk.steps(), disk.steps() + 9);
+  disk.inject_fault(common::DiskFault::full, disk.step_count(), disk.step_count() + 9);
   CHECK_FALSE(a.prepare(prepare(initial, 2)).ok());
   CHECK_TRUE(a.disk_failing());
-  while (!a.write_again().ok()) CHECK_TRUE(disk.steps() < 40);
+  while (!a.write_again().ok()) CHECK_TRUE(disk.step_count() < 40);
   CHECK_FALSE(a.disk_failing());
   disk.power_cycle(1);
   AcceptorState again(disk, "m0", "d0", true);
--- a/tests/control/simulated_register.hpp
+++ b/tests/control/simulated_register.hpp
@@ -11,6 +11,7 @@
 #include <utility>
 #include <vector>
 
+#include "common/memory_disk.hpp"
 #include "control/register.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -6,6 +6,9 @@
 
 #include <fstream>
 
+#include "common/disk.hpp"
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "control/register.hpp"
 #include "played.hpp"
 #include "storage/store.hpp"
--- a/tests/ctl/wire_test.cpp
+++ b/tests/ctl/wire_test.cpp
@@ -12,6 +12,7 @@
 #include <thread>
 
 #include "common/log.hpp"
+#include "common/memory_disk.hpp"
 #include "control/control_plane.hpp"
 #include "ctl/run.hpp"
 #include "played.hpp"
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -15,6 +15,8 @@
 #include <vector>
 
 #include "common/disk.hpp"
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "common/messages.hpp"
 #include "control/control_plane.hpp"
 #include "control/register.hpp"
--- a/tests/storage/storage_plane_test.cpp
+++ b/tests/storage/storage_plane_test.cpp
@@ -10,6 +10,7 @@
 #include <optional>
 #include <string>
 
+#include "common/memory_disk.hpp"
 #include "harness.hpp"
 
 namespace chutevane::edge::harness {
--- a/tests/storage/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "common/memory_disk.hpp"
 #include "simulated_system.hpp"
 #include "storage/placement.hpp"
 #include "storage/store.hpp"
@@ -423,7 +424,7 @@
       RandomSource luck(seed);
       Ledgered work;
       work.run(store, now, luck, 30);
-      points = disk.steps();
+      points = disk.step_count();
     }
     CHECK_TRUE(points > 20);
     for (std::size_t point = 0; point <= points; ++point) {
@@ -433,7 +434,7 @@
         MemoryDisk disk;
         Store store(disk, room);
         CHECK_TRUE(store.open(now).ok());
-        disk.fail_from(point);
+        disk.lose_power_at(point);
         RandomSource luck(seed);
         Ledgered work;
         work.run(store, now, luck, 30);
@@ -448,7 +449,7 @@
           for (const Reservation& r : account.entries) then.sure.entries[{program, r.attempt}] = r;
         }
         then.tried = then.sure;
-        disk.fail_from(disk.steps() + loss * 2);
+        disk.lose_power_at(disk.step_count() + loss * 2);
         then.run(again, now, luck, 12, 100);
         disk.power_cycle(loss + 100);
         Store last(disk, room);
@@ -462,7 +463,8 @@
 // The disk is full, or syncs fail, at each step in turn and for some steps, and the store goes on: what
 // commit() has said OK to is there whenever power is lost, and all of it once the disk works again.
 TEST(StorageLosses, GoesOnAfterAFaultAtEveryStep) {
-  for (const DiskFault fault : {DiskFault::full, DiskFault::sync_loses, DiskFault::sync_unsure}) {
+  for (const DiskFault fault :
+       {DiskFault::full, DiskFault::sync_drops_writes, DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from < 24; ++from) {
       for (const std::size_t length : {1, 2, 5}) {
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
@@ -470,7 +472,7 @@
         MemoryDisk disk;
         Store store(disk, room);
         CHECK_TRUE(store.open(now).ok());
-        disk.fail(fault, from, from + length);
+        disk.inject_fault(fault, from, from + length);
         RandomSource luck(from);
         Ledgered work;
         std::size_t failed = 0;
@@ -485,7 +487,7 @@
             work.check(again, where + numbered(", part ", part));
           }
         }
-        while (!store.commit(now).ok()) CHECK_WHERE(disk.steps() < from + length + 9, where);
+        while (!store.commit(now).ok()) CHECK_WHERE(disk.step_count() < from + length + 9, where);
         work.sure = work.tried;
         disk.power_cycle(from);
         Store last(disk, room);
@@ -509,11 +511,11 @@
   for (int n = 0; n < 9; ++n) store.keep(turn(numbered("t", n), "", 1000, 500000), now);
   CHECK_TRUE(store.commit(now).ok());  // over the size of a segment: the next goes to another
   store.keep(turn("b", "", 1e9), now);
-  disk.fail(DiskFault::full, disk.steps(), disk.steps() + 1000);
+  disk.inject_fault(DiskFault::full, disk.step_count(), disk.step_count() + 1000);
   CHECK_FALSE(store.commit(now).ok());
-  const std::size_t steps = disk.steps();
+  const std::size_t steps = disk.step_count();
   for (int n = 0; n < 20; ++n) store.sweep(now + Span::ms(151000 + 2000 * n));
-  CHECK_EQUAL(steps, disk.steps());
+  CHECK_EQUAL(steps, disk.step_count());
 }
 
 // While old segments are written again and removed, power is lost at each step.
@@ -530,7 +532,7 @@
     store.keep(turn("next", "", 1e9), now);
     if (!store.commit(now).ok()) return;
     *lasting = true;
-    if (point != 0) disk.fail_from(disk.steps() + point - 1);
+    if (point != 0) disk.lose_power_at(disk.step_count() + point - 1);
     store.sweep(now + Span::ms(2000));
     const TimePoint old = now + Span::ms(151000);
     store.reserve("p", "c", 1, now + Span::ms(100000));
@@ -725,11 +727,11 @@
       MemoryDisk disk;
       Store store(disk, room);
       CHECK_TRUE(store.open(now).ok());
-      disk.fail_from(point);
+      disk.lose_power_at(point);
       store.keep(turn("a1", ""), now);
       store.reserve("p", "a1", 40, now);
       (void)store.commit(now);
-      disk.fail_from(static_cast<std::size_t>(-1));
+      disk.lose_power_at(MemoryDisk::no_step);
       Store again(disk, room);
       CHECK_TRUE(again.open(now).ok());
       CHECK_TRUE(again.keep(turn("a1", ""), now));
