--- a/tests/control/simulated_register.hpp
+++ b/tests/control/simulated_register.hpp
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "control/acceptor.hpp"
+#include "common/memory_disk.hpp"
 #include "control/register.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -7,6 +7,9 @@
 #include <fstream>
 
 #include "control/acceptor.hpp"
+#include "common/disk.hpp"
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "played.hpp"
 #include "storage/store.hpp"
 
