--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -180,8 +180,8 @@
   service_ = plane_.service_for(*route_);
   streaming_ = route_->type == common::RouteType::streaming && request_.method != "HEAD";
   if (route_->affinity) {
-    placing_.affinity = true;
-    placing_.parts = request_.parts;
+    placing_.has_affinity = true;
+    placing_.prompt = request_.parts;
   }
   if (route_->retained) {
     prepare();
@@ -226,7 +226,7 @@
 }
 
 void Client::reserve() {
-  placing_.bytes = static_cast<double>(body_.size());
+  placing_.body_bytes = static_cast<double>(body_.size());
   if (!holds_budget()) return attempt();
   if (request_.attempt_id.empty())
     return answer_own(Cause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -12,7 +12,7 @@
 #include "edge/endpoints.hpp"
 #include "edge/failure.hpp"
 #include "edge/request.hpp"
-#include "edge/tier.hpp"
+#include "edge/service_balancer.hpp"
 #include "http/parser.hpp"
 #include "net/channel.hpp"
 #include "net/timer_queue.hpp"
@@ -73,7 +73,7 @@
   void attempt();
   void send_attempt();
   void attempt_due();
-  void attempt_over(Ended how);
+  void attempt_over(AttemptOutcome how);
   void begin_attempt(const Endpoint& to, TimePoint now);
   void first_event_came(TimePoint now);
   void after_failure(bool may_have_run);
@@ -147,7 +147,7 @@
   // The attempt in hand.
   EndpointConnection* connection_ = nullptr;
   std::string endpoint_;
-  Placing placing_;
+  AttemptContext placing_;
   TimePoint sent_;
   bool measured_ceiling_ =
       false;  // the estimate holds the attempt, not the class deadline or the client's time
--- a/src/edge/client_answers.cpp
+++ b/src/edge/client_answers.cpp
@@ -207,7 +207,7 @@
   bool reached_endpoint = may_have_run_;
   if (connection_ != nullptr)
     reached_endpoint = plane_.endpoints_.give_up(*std::exchange(connection_, nullptr)) || reached_endpoint;
-  attempt_over(Ended::left);
+  attempt_over(AttemptOutcome::cancelled);
   if (head_out_) {
     settle_budget();  // no more of it reaches the client
   } else if (!reached_endpoint && (stage_ == Stage::preparing || stage_ == Stage::asking)) {
--- a/src/edge/client_attempts.cpp
+++ b/src/edge/client_attempts.cpp
@@ -22,17 +22,18 @@
                           [&] { return request_.attempt_id; });
   const TimePoint now = plane_.timers_.now();
   const Span time = left();
-  Tier& tier = plane_.tier(service_);
-  if (Tier::spent(time)) return give_up(Cause::time_spent);
-  if (tries_ > 0 && !tier.worth_retry(time, now)) return give_up(Cause::time_spent);
+  ServiceBalancer& balancer = plane_.balancer_for(service_);
+  if (ServiceBalancer::is_expired(time)) return give_up(Cause::time_spent);
+  if (tries_ > 0 && !balancer.allows_retry(time, now)) return give_up(Cause::time_spent);
   const std::size_t most_attempts = std::max<std::size_t>(route_->max_attempts, 1);
   if (attempts_ >= most_attempts || tries_ > turned_away_most + attempts_)
     return give_up(last_attempt_ == LastAttempt::turned_away ? Cause::endpoints_full : Cause::no_endpoint);
   std::shared_ptr<Endpoint> to;
   // What may be repeated goes once more to where it has been, rather than to nobody with time left.
-  if (route_->repeatable() && !placing_.avoid.empty() && !tier.place(placing_, now)) placing_.avoid.clear();
+  if (route_->repeatable() && !placing_.avoid.empty() && !balancer.choose_endpoint(placing_, now))
+    placing_.avoid.clear();
   const std::size_t avoided = placing_.avoid.size();
-  while (const auto chosen = tier.place(placing_, now)) {
+  while (const auto chosen = balancer.choose_endpoint(placing_, now)) {
     to = plane_.endpoints_.find(*chosen);
     if (to && plane_.room_at(*to)) break;
     to = nullptr;
@@ -45,9 +46,9 @@
   const Span class_deadline = std::min(route_->timeout, time);
   // One that nothing can follow can't be sent again: it is held to the class deadline and the client's time.
   const bool may_follow = route_->repeatable() && (!streaming_ || attempts_ < most_attempts);
-  const Span ceiling = tier.ceiling(route_->timeout, time, may_follow, now);
+  const Span ceiling = balancer.attempt_timeout(route_->timeout, time, may_follow, now);
   measured_ceiling_ = ceiling < class_deadline;
-  tier.sent(endpoint_, placing_, now);
+  balancer.on_attempt_sent(endpoint_, placing_, now);
   plane_.timers_.cancel(timer_);
   timer_ = plane_.timers_.after(ceiling, guarded([this] { attempt_due(); }));
   OwnFields own;
@@ -80,7 +81,7 @@
 
 void Client::first_event_came(TimePoint now) {
   if (std::exchange(first_event_seen_, true)) return;
-  plane_.tier(service_).answered(endpoint_, placing_, now - sent_, now);
+  plane_.balancer_for(service_).on_response(endpoint_, placing_, now - sent_, now);
   stage_ = Stage::relaying;
   if (!measured_ceiling_) return;
   measured_ceiling_ = false;
@@ -88,9 +89,9 @@
   timer_ = plane_.timers_.after(left(), guarded([this] { attempt_due(); }));
 }
 
-void Client::attempt_over(Ended how) {
+void Client::attempt_over(AttemptOutcome how) {
   if (!std::exchange(attempt_open_, false)) return;
-  plane_.tier(service_).ended(endpoint_, placing_, how, plane_.timers_.now());
+  plane_.balancer_for(service_).on_attempt_ended(endpoint_, placing_, how, plane_.timers_.now());
 }
 
 // Its ceiling has passed. What cannot be repeated is only held to the class deadline and the client's time.
@@ -98,7 +99,7 @@
   if (stage_ == Stage::keeping) return;
   ++plane_.counters_.cut;
   if (connection_ != nullptr) plane_.endpoints_.give_up(*std::exchange(connection_, nullptr));
-  attempt_over(measured_ceiling_ ? Ended::cut : Ended::failed);
+  attempt_over(measured_ceiling_ ? AttemptOutcome::adaptive_timeout : AttemptOutcome::failed);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::timed_out;
   if (head_out_) return resume_or_break_off(Cause::stream_timeout);
@@ -119,7 +120,7 @@
   if (const auto load = response.find("X-Chutevane-Server-Load")) {
     double running = 0, waiting = 0, slots = 0;
     if (std::sscanf(std::string(*load).c_str(), "%lf,%lf,%lf", &running, &waiting, &slots) == 3)
-      plane_.tier(service_).load(endpoint_, running, waiting, slots, plane_.timers_.now());
+      plane_.balancer_for(service_).on_load_report(endpoint_, running, waiting, plane_.timers_.now());
   }
   turned_away_ = response.find("X-Chutevane-Not-Executed").has_value() || status_ == 421;
   if (status_ / 100 == 2) {
@@ -137,7 +138,7 @@
 
 void Client::answer_failed(Failure how) {
   connection_ = nullptr;
-  attempt_over(Ended::failed);
+  attempt_over(AttemptOutcome::failed);
   if (how == Failure::unsent) --attempts_;
   const bool may_run = how == Failure::broken && !turned_away_;  // a rejection's head is proof enough
   last_attempt_ = may_run        ? LastAttempt::broke_off
@@ -170,22 +171,22 @@
   connection_ = nullptr;
   const TimePoint now = plane_.timers_.now();
   if (turned_away_) {
-    attempt_over(Ended::turned_away);
+    attempt_over(AttemptOutcome::rejected);
     last_attempt_ = LastAttempt::turned_away;
     placing_.avoid.push_back(endpoint_);
     if (status_ == 400 && !head_out_) return deliver();
     return attempt();
   }
   if (bad_answer_) {
-    attempt_over(Ended::failed);
+    attempt_over(AttemptOutcome::failed);
     last_attempt_ = LastAttempt::bad_answer;
     placing_.avoid.push_back(endpoint_);
     if (head_out_) return resume_or_break_off(Cause::stream_bad);
     return after_failure(true);
   }
   if (status_ / 100 == 2) {
-    if (!streaming_) plane_.tier(service_).answered(endpoint_, placing_, now - sent_, now);
-    attempt_over(Ended::served);
+    if (!streaming_) plane_.balancer_for(service_).on_response(endpoint_, placing_, now - sent_, now);
+    attempt_over(AttemptOutcome::served);
     if (streaming_ && status_ == 200) {
       relay(true);
       return finish_stream();
@@ -195,7 +196,7 @@
   }
   // It has run, or a promise that only an endpoint could give is missing.
   // A 500 is the request's own, and its endpoint works.
-  attempt_over(status_ > 500 ? Ended::failed : Ended::served);
+  attempt_over(status_ > 500 ? AttemptOutcome::failed : AttemptOutcome::served);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::server_error;
   if (head_out_) return resume_or_break_off(Cause::stream_broke_off);
@@ -213,7 +214,7 @@
   if (head_out_) return break_off(cause_of_break());
   if (may_have_run_) {
     ++plane_.counters_.failed;
-    const int status = Tier::spent(left()) ? 504 : 502;
+    const int status = ServiceBalancer::is_expired(left()) ? 504 : 502;
     return answer_own(cause_of_last_attempt(), status, "the endpoint gave no whole answer");
   }
   budget_.release();
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -76,8 +76,8 @@
       [&] { return std::to_string(value.config_version) + " after " + std::to_string(version_in_force_); });
   version_in_force_ = value.config_version;
   configuration_ = std::make_shared<const common::Configuration>(std::move(*read));
-  forget_split_draws();
-  settle_tiers();
+  remove_stale_splitters();
+  update_balancers();
   common::log_info("config.in_force", "version " + std::to_string(configuration_->version));
 }
 
@@ -97,25 +97,25 @@
     all.push_back(std::move(e));
   }
   endpoints_.listed(all);
-  settle_tiers();
+  update_balancers();
 }
 
-Tier& DataPlane::tier(const std::string& service) {
-  auto& at = tiers_[service];
+ServiceBalancer& DataPlane::balancer_for(const std::string& service) {
+  auto& at = balancers_[service];
   if (!at)
-    at = std::make_unique<Tier>(settings_.zone,
-                                XXH3_64bits_withSeed(service.data(), service.size(), random_.next()));
+    at = std::make_unique<ServiceBalancer>(
+        settings_.zone, XXH3_64bits_withSeed(service.data(), service.size(), random_.next()));
   return *at;
 }
 
 const std::string& DataPlane::service_for(const common::Route& route) {
   if (route.split.size() == 1) return route.split.front().service;
-  return route.split[split_draws_[route.name].next(route.split, random_)].service;
+  return route.split[splitters_[route.name].next(route.split, random_)].service;
 }
 
 // Those of routes that are gone.
-void DataPlane::forget_split_draws() {
-  std::erase_if(split_draws_, [this](const auto& one) {
+void DataPlane::remove_stale_splitters() {
+  std::erase_if(splitters_, [this](const auto& one) {
     return std::none_of(configuration_->routes.begin(), configuration_->routes.end(),
                         [&](const common::Route& route) { return route.name == one.first; });
   });
@@ -133,7 +133,7 @@
   std::size_t attempts = 0;
   for (std::size_t i = 0; i < clients_.size(); ++i) attempts += clients_[i].attempt_open() ? 1 : 0;
   double charged = 0;
-  for (const auto& [service, tier] : tiers_) charged += tier->in_flight();
+  for (const auto& [service, balancer] : balancers_) charged += balancer->in_flight();
   common::check_invariant(
       common::Invariant::places_held_by_attempts, charged <= static_cast<double>(attempts),
       [&] { return std::to_string(charged) + " charged, " + std::to_string(attempts) + " under way"; });
@@ -148,15 +148,14 @@
   return static_cast<double>(endpoint.connections) < std::max(part, connections_least);
 }
 
-void DataPlane::settle_tiers() {
+void DataPlane::update_balancers() {
   if (!configuration_) return;
   for (const common::Service& s : configuration_->services) {
-    Tier& at = tier(s.name);
-    std::vector<Tier::Known> known;
-    for (const auto& e : endpoints_.of_service(s.name))
-      known.push_back({e->id, e->zone, e->capacity, e->cold});
-    at.listed(known, timers_.now());
-    if (s.engine) at.engine(s.engine->kv_capacity, s.engine->capacity);
+    ServiceBalancer& at = balancer_for(s.name);
+    std::vector<ServiceBalancer::EndpointInfo> known;
+    for (const auto& e : endpoints_.of_service(s.name)) known.push_back({e->id, e->zone, e->capacity});
+    at.update_endpoints(known, timers_.now());
+    if (s.engine) at.set_engine(s.engine->kv_capacity, s.engine->capacity);
   }
 }
 
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -13,8 +13,8 @@
 #include "edge/endpoints.hpp"
 #include "edge/failure.hpp"
 #include "edge/ledger.hpp"
-#include "edge/split_draw.hpp"
-#include "edge/tier.hpp"
+#include "edge/service_balancer.hpp"
+#include "edge/traffic_splitter.hpp"
 #include "net/task_group.hpp"
 
 namespace chutevane::edge {
@@ -40,14 +40,14 @@
   friend class Client;
   void value_came(const common::RegisterValue& value);
   void list_came(const common::EndpointTable& list);
-  void settle_tiers();
-  Tier& tier(const std::string& service);
+  void update_balancers();
+  ServiceBalancer& balancer_for(const std::string& service);
   // Whether this sidecar may open one more connection to it: an endpoint resets those over its bound, which
   // all sidecars share, and what was sent on one that is reset may have run.
   bool room_at(const Endpoint& endpoint) const;
   // The service of the route's split that takes the next request.
   const std::string& service_for(const common::Route& route);
-  void forget_split_draws();
+  void remove_stale_splitters();
   void describe_knowledge(FailureReport& report) const;
   void check_books();  // that nothing is charged that no exchange holds
   void end_now();
@@ -63,11 +63,11 @@
   Pcg random_;
   Counters counters_;
   FailureCounters failures_;
-  std::map<std::string, SplitDraw> split_draws_;  // by route
+  std::map<std::string, TrafficSplitter> splitters_;  // by route
   std::shared_ptr<const common::Configuration> configuration_;
   std::int64_t version_in_force_ = 0;
   Endpoints endpoints_;
-  std::map<std::string, std::unique_ptr<Tier>> tiers_;
+  std::map<std::string, std::unique_ptr<ServiceBalancer>> balancers_;
   Ledger ledger_;
   common::HttpServer readiness_port_;
   net::Listener front_;
--- a/src/edge/engine_model.cpp
+++ b/src/edge/engine_model.cpp
@@ -1,3 +1,4 @@
+/// Smoothed observations and the queueing estimate of EngineModel.
 #include "edge/engine_model.hpp"
 
 #include <algorithm>
@@ -7,40 +8,51 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr double gain = 0.05;         // per observation: smooths over about 40 of them
-constexpr double tokens_least = 200;  // of a prompt that tells how fast prompts are read
-constexpr double least_variance = 1e-6;
+constexpr double smoothing_gain = 0.05;     // per observation: smooths over about 40 of them
+constexpr double min_prefill_tokens = 200;  // a shorter prompt says nothing of how fast prompts are read
+constexpr double min_variance = 1e-6;
+constexpr double min_slot_ms = 0.1;
+constexpr double min_latency_ms = 0.01;
 
 void smooth(double& value, double observed) {
-  value = value > 0 ? value + (observed - value) * gain : observed;
+  value = value > 0 ? value + (observed - value) * smoothing_gain : observed;
 }
 
 }  // namespace
 
-void EngineModel::place_held(Span time) { smooth(place_ms_, std::max(time.as_ms(), 0.1)); }
+void EngineModel::observe_slot_time(Span duration) {
+  smooth(slot_ms_, std::max(duration.as_ms(), min_slot_ms));
+}
 
-void EngineModel::prompt_read(double tokens, Span latency) {
-  mean_unread_ += (tokens - mean_unread_) * gain;
-  if (tokens < tokens_least) return;
-  // One that has waited for its place says little of how fast it was read.
-  const double ms = std::max(latency.as_ms(), 0.01) / tokens;
-  ms_per_token_ += (std::min(ms, ms_per_token_ * 2) - ms_per_token_) * gain;
+void EngineModel::observe_prefill(double tokens, Span latency) {
+  mean_prefill_tokens_ += (tokens - mean_prefill_tokens_) * smoothing_gain;
+  if (tokens < min_prefill_tokens) return;
+  // The latency holds the wait for a slot too. A long wait must not pass for
+  // slow reading.
+  const double ms_per_token = std::max(latency.as_ms(), min_latency_ms) / tokens;
+  prefill_ms_per_token_ +=
+      (std::min(ms_per_token, prefill_ms_per_token_ * 2) - prefill_ms_per_token_) * smoothing_gain;
 }
 
-void EngineModel::others_told(double others) { mean_others_ += (others - mean_others_) * gain; }
+void EngineModel::observe_other_requests(double requests) {
+  mean_other_requests_ += (requests - mean_other_requests_) * smoothing_gain;
+}
 
-double EngineModel::others_now(double told, Span age) const {
-  if (place_ms_ <= 0) return told;
-  return mean_others_ + (told - mean_others_) * std::exp(-age.as_ms() / place_ms_);
+double EngineModel::expected_other_requests(double reported, Span age) const {
+  if (slot_ms_ <= 0) return reported;
+  return mean_other_requests_ + (reported - mean_other_requests_) * std::exp(-age.as_ms() / slot_ms_);
 }
 
-double EngineModel::wait_ms(double own, double others, double capacity) const {
-  if (capacity <= 0) return 0;
-  return mean_excess(own + others + 1 - capacity, others) * place_ms_ / capacity;
+// The number of other requests is taken as Poisson distributed (variance =
+// mean), its excess over the free slots as normal; each request of the excess
+// waits for one slot to become free.
+double EngineModel::expected_wait_ms(double own, double others, double slots) const {
+  if (slots <= 0) return 0;
+  return expected_excess(own + others + 1 - slots, others) * slot_ms_ / slots;
 }
 
-double mean_excess(double mean, double variance) {
-  if (variance < least_variance) return std::max(mean, 0.0);
+double expected_excess(double mean, double variance) {
+  if (variance < min_variance) return std::max(mean, 0.0);
   const double deviation = std::sqrt(variance);
   const double z = mean / deviation;
   const double density = std::exp(-z * z / 2) / std::sqrt(2 * std::numbers::pi);
--- a/src/edge/request.cpp
+++ b/src/edge/request.cpp
@@ -28,8 +28,8 @@
 }
 
 // ID:TOKENS by commas. What is no such list is left alone: it only helps to choose.
-std::vector<Part> read_parts(std::string_view text, std::uint64_t model) {
-  std::vector<Part> out;
+std::vector<PromptBlock> read_parts(std::string_view text, std::uint64_t model) {
+  std::vector<PromptBlock> out;
   while (!text.empty() && out.size() < parts_most) {
     const std::size_t comma = std::min(text.find(','), text.size());
     const std::string_view one = text.substr(0, comma);
--- a/src/edge/request.hpp
+++ b/src/edge/request.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "edge/tier.hpp"
+#include "edge/service_balancer.hpp"
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
 
@@ -22,7 +22,7 @@
   std::optional<Span> left;              // that the client will wait
   std::optional<std::int64_t> budget;    // tokens of the whole program
   std::optional<std::int64_t> most_out;  // tokens that it may generate
-  std::vector<Part> parts;               // of its prompt
+  std::vector<PromptBlock> parts;        // of its prompt
 };
 
 // Empty where it is good; else what is wrong with which header.
--- a/tests/edge/split_draw_test.cpp
+++ b/tests/edge/traffic_splitter_test.cpp
@@ -1,5 +1,5 @@
 // The split of a route: each service gets its share within two requests, whatever the number of sidecars.
-#include "edge/split_draw.hpp"
+#include "edge/traffic_splitter.hpp"
 
 #include <cmath>
 #include <vector>
@@ -8,52 +8,52 @@
 
 using chutevane::Pcg;
 using chutevane::common::Weighted;
-using chutevane::edge::SplitDraw;
+using chutevane::edge::TrafficSplitter;
 
-TEST_GROUP(TrafficSplit) {
+TEST_GROUP(TrafficSplitting) {
   Pcg random{7};
-  static std::vector<double> counts(SplitDraw & draw, const std::vector<Weighted>& split, Pcg& random,
-                                    int requests) {
+  static std::vector<double> counts(TrafficSplitter & splitter, const std::vector<Weighted>& split,
+                                    Pcg& random, int requests) {
     std::vector<double> out(split.size());
-    for (int i = 0; i < requests; ++i) out[draw.next(split, random)] += 1;
+    for (int i = 0; i < requests; ++i) out[splitter.next(split, random)] += 1;
     return out;
   }
 };
 
-TEST(TrafficSplit, EachPartIsMetWithinTwoRequests) {
+TEST(TrafficSplitting, EachShareIsMetWithinTwoRequests) {
   const std::vector<Weighted> split = {{"a", 70}, {"b", 25}, {"c", 5}};
   for (int requests : {1, 3, 20, 300, 1000}) {
-    SplitDraw draw;
-    const auto got = counts(draw, split, random, requests);
+    TrafficSplitter splitter;
+    const auto got = counts(splitter, split, random, requests);
     for (std::size_t i = 0; i < split.size(); ++i)
       CHECK_TRUE(std::abs(got[i] - requests * split[i].weight / 100) <= 2);
   }
 }
 
 // Over sidecars that know nothing of each other the shares hold as well, with few requests at each.
-TEST(TrafficSplit, HoldsOverManySidecars) {
+TEST(TrafficSplitting, HoldsOverManySidecars) {
   const std::vector<Weighted> split = {{"a", 90}, {"b", 10}};
   double canary = 0;
   constexpr int sidecars = 300, requests = 3;
   for (int i = 0; i < sidecars; ++i) {
-    SplitDraw draw;
-    canary += counts(draw, split, random, requests)[1];
+    TrafficSplitter splitter;
+    canary += counts(splitter, split, random, requests)[1];
   }
   CHECK_TRUE(std::abs(canary / (sidecars * requests) - 0.1) < 0.03);
 }
 
-TEST(TrafficSplit, APartWithoutWeightGetsNothing) {
-  SplitDraw draw;
+TEST(TrafficSplitting, AServiceWithoutWeightGetsNothing) {
+  TrafficSplitter splitter;
   const std::vector<Weighted> split = {{"a", 1}, {"b", 0}};
-  DOUBLES_EQUAL(0, counts(draw, split, random, 500)[1], 0);
+  DOUBLES_EQUAL(0, counts(splitter, split, random, 500)[1], 0);
 }
 
-TEST(TrafficSplit, HoldsFromWhenTheSplitChanges) {
-  SplitDraw draw;
-  counts(draw, {{"a", 99}, {"b", 1}}, random, 50);
-  const auto got = counts(draw, {{"a", 50}, {"b", 50}}, random, 100);
+TEST(TrafficSplitting, HoldsFromWhenTheSplitChanges) {
+  TrafficSplitter splitter;
+  counts(splitter, {{"a", 99}, {"b", 1}}, random, 50);
+  const auto got = counts(splitter, {{"a", 50}, {"b", 50}}, random, 100);
   CHECK_TRUE(std::abs(got[0] - 50) <= 2);
   // Another number of services, too.
-  const auto more = counts(draw, {{"a", 1}, {"b", 1}, {"c", 2}}, random, 100);
+  const auto more = counts(splitter, {{"a", 1}, {"b", 1}, {"c", 2}}, random, 100);
   CHECK_TRUE(std::abs(more[2] - 50) <= 2);
 }
