--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -24,7 +24,7 @@
     : plane_(plane),
       channel_(plane.scheduler_, static_cast<net::Channel::Observer&>(*this)),
       parser_(http::Side::request),
-      budget_(plane.ledger_) {
+      budget_(plane.storage_) {
   set_request_timer();
 }
 
@@ -145,7 +145,7 @@
   told_to_go_on_ = false;
   body_.clear();
   output_.clear();
-  budget_.close();
+  budget_.abandon();
   may_have_run_ = head_out_ = false;
   attempts_ = tries_ = 0;
   events_ = 0;
@@ -200,25 +200,27 @@
     body_ = request_.body;
     return reserve();
   }
-  plane_.ledger_.find(request_.previous, request_.program, request_.attempt_id, storage_until(),
-                      guarded([this](Ledger::Chain chain) {
-                        if (chain.verdict == Ledger::Sought::unknown) {
-                          ++plane_.counters_.not_found;
-                          return answer_own(Cause::no_such_turn, 404, "no such turn");
-                        }
-                        if (chain.verdict == Ledger::Sought::unsure) {
-                          ++plane_.counters_.unsure;
-                          return answer_own(Cause::turn_uncertain, 503,
-                                            "not certain yet whether there is such a turn", ComeBack::yes);
-                        }
-                        std::size_t size = request_.body.size();
-                        for (const auto& t : chain.turns)
-                          size += t->input.data.size() + t->output.data.size();
-                        body_.reserve(size);
-                        for (const auto& t : chain.turns) body_.append(t->input.data).append(t->output.data);
-                        body_.append(request_.body);
-                        reserve();
-                      }));
+  plane_.storage_.find_chain(request_.previous, request_.program, request_.attempt_id, storage_until(),
+                             guarded([this](TurnChain chain) {
+                               if (chain.result == LookupResult::not_found) {
+                                 ++plane_.counters_.not_found;
+                                 return answer_own(Cause::no_such_turn, 404, "no such turn");
+                               }
+                               if (chain.result == LookupResult::unavailable) {
+                                 ++plane_.counters_.unsure;
+                                 return answer_own(Cause::turn_uncertain, 503,
+                                                   "not certain yet whether there is such a turn",
+                                                   ComeBack::yes);
+                               }
+                               std::size_t size = request_.body.size();
+                               for (const auto& t : chain.turns)
+                                 size += t->input.data.size() + t->output.data.size();
+                               body_.reserve(size);
+                               for (const auto& t : chain.turns)
+                                 body_.append(t->input.data).append(t->output.data);
+                               body_.append(request_.body);
+                               reserve();
+                             }));
 }
 
 TimePoint Client::storage_until() const {
@@ -233,20 +235,20 @@
   if (request_.program.empty()) return answer_own(Cause::missing_program, 400, "Program: missing");
   budget_.open(request_.program, request_.attempt_id);
   // One that does not say how much it may generate may generate all that there is.
-  plane_.ledger_.reserve(request_.program, request_.attempt_id, request_.most_out.value_or(*request_.budget),
-                         *request_.budget, storage_until(), guarded([this](Ledger::Granted granted) {
-                           if (granted == Ledger::Granted::spent) {
-                             ++plane_.counters_.spent;
-                             budget_.release();
-                             return answer_own(Cause::budget_spent, 402, "the budget is spent");
-                           }
-                           if (granted == Ledger::Granted::unclear) {
-                             budget_.release();
-                             return answer_own(Cause::budget_uncertain, 503,
-                                               "budgets cannot be set aside now", ComeBack::yes);
-                           }
-                           attempt();
-                         }));
+  plane_.storage_.reserve(request_.program, request_.attempt_id, request_.most_out.value_or(*request_.budget),
+                          *request_.budget, storage_until(), guarded([this](ReservationResult granted) {
+                            if (granted == ReservationResult::exhausted) {
+                              ++plane_.counters_.spent;
+                              budget_.release();
+                              return answer_own(Cause::budget_spent, 402, "the budget is spent");
+                            }
+                            if (granted == ReservationResult::unavailable) {
+                              budget_.release();
+                              return answer_own(Cause::budget_uncertain, 503,
+                                                "budgets cannot be set aside now", ComeBack::yes);
+                            }
+                            attempt();
+                          }));
 }
 
 // Only streams generate tokens: they alone are counted.
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "common/configuration.hpp"
-#include "edge/budget_hold.hpp"
+#include "edge/budget_reservation.hpp"
 #include "edge/endpoints.hpp"
 #include "edge/failure.hpp"
 #include "edge/request.hpp"
@@ -129,7 +129,7 @@
   std::string service_;
   TimePoint began_, deadline_;
   std::string body_;  // as the endpoint gets it
-  BudgetHold budget_;
+  BudgetReservation budget_;
   std::size_t attempts_ = 0, tries_ = 0;
   bool may_have_run_ = false;
   // How an attempt ended, for the cause that is told.
--- a/src/edge/client_answers.cpp
+++ b/src/edge/client_answers.cpp
@@ -90,7 +90,7 @@
   plane_.timers_.cancel(timer_);
   alive_.reset();
   exchange_open_ = head_out_ = false;
-  budget_.close();
+  budget_.abandon();
   // What is answered before a request is read whole says nothing of the one before.
   request_ = {};
   stage_ = Stage::reading;
@@ -171,7 +171,7 @@
 }
 
 void Client::settle_budget() {
-  if (const auto tokens = tokens_passed_on()) budget_.settle(*tokens);
+  if (const auto tokens = tokens_passed_on()) budget_.commit(*tokens);
 }
 
 // The answer ends, whole, only once the turn is safe: it counts from then on.
@@ -186,13 +186,13 @@
   turn.retention_ms = static_cast<std::int64_t>(route_->retention.as_ms());
   const std::int64_t tokens = tokens_passed_on().value_or(static_cast<std::int64_t>(events_));
   const std::int64_t used = budget_.is_open() ? tokens : -1;
-  plane_.ledger_.keep(turn, used, deadline_, guarded([this](bool kept) {
-                        if (!kept) return break_off(Cause::turn_not_kept);
-                        ++plane_.counters_.turns_kept;
-                        ++plane_.counters_.answered;
-                        channel_.out().append("0\r\n\r\n");
-                        end_exchange();
-                      }));
+  plane_.storage_.store_turn(turn, used, deadline_, guarded([this](bool kept) {
+                               if (!kept) return break_off(Cause::turn_not_kept);
+                               ++plane_.counters_.turns_kept;
+                               ++plane_.counters_.answered;
+                               channel_.out().append("0\r\n\r\n");
+                               end_exchange();
+                             }));
 }
 
 void Client::on_channel_closed(net::Channel&) { leave(Cause::client_left); }
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -33,9 +33,9 @@
       random_(seed_of(settings, scheduler.now())),
       endpoints_(scheduler, timers_,
                  static_cast<std::size_t>(static_cast<double>(settings.descriptors) * endpoint_part)),
-      ledger_(scheduler, timers_, settings.zone, settings.machine_losses,
-              static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
-              seed_of(settings, scheduler.now())),
+      storage_(scheduler, timers_, settings.zone, settings.machine_losses,
+               static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
+               seed_of(settings, scheduler.now())),
       readiness_port_(scheduler, 64 * 1024,
                       [this](const http::Parser& request, common::HttpServer::Reply reply) {
                         readiness(request, std::move(reply));
@@ -62,7 +62,7 @@
 }
 
 void DataPlane::value_came(const common::RegisterValue& value) {
-  ledger_.map_came(value.map_version, value.storage_nodes);
+  storage_.on_storage_map(value.map_version, value.storage_nodes);
   if (value.config_version == 0 || (configuration_ && configuration_->version >= value.config_version))
     return;
   common::Findings findings;
@@ -125,7 +125,7 @@
   report.sessions = sessions_->usable_count();
   report.session_age = sessions_->knowledge_age();
   report.configuration_version = configuration_ ? configuration_->version : 0;
-  report.map = ledger_.map();
+  report.map = storage_.map_version();
 }
 
 void DataPlane::check_books() {
@@ -165,7 +165,7 @@
   if (!configuration_ || endpoints_.size() == 0) return false;
   // Turns need storage; where no route keeps any it is not waited for.
   const auto& routes = configuration_->routes;
-  return ledger_.usable() ||
+  return storage_.can_replicate() ||
          std::none_of(routes.begin(), routes.end(), [](const common::Route& r) { return r.retained; });
 }
 
@@ -188,7 +188,7 @@
   out.key("notFound").number(c.not_found).key("unsure").number(c.unsure);
   out.key("clients").number(clients_.size()).key("connectionsOpened").number(endpoints_.opened());
   out.key("configVersion").number(configuration_ ? static_cast<std::uint64_t>(configuration_->version) : 0);
-  out.key("turnsCached").number(ledger_.cached()).close('}');
+  out.key("turnsCached").number(storage_.cached_turns()).close('}');
   reply({200, out.result(), {}});
 }
 
@@ -224,8 +224,8 @@
   gauge("chutevane_configuration_version", "", "Configuration in force; 0: none.",
         configuration_ ? static_cast<double>(configuration_->version) : 0);
   gauge("chutevane_storage_map", "", "Number of the map of storage nodes.",
-        static_cast<double>(ledger_.map()));
-  gauge("chutevane_turns_cached", "", "Turns in memory.", static_cast<double>(ledger_.cached()));
+        static_cast<double>(storage_.map_version()));
+  gauge("chutevane_turns_cached", "", "Turns in memory.", static_cast<double>(storage_.cached_turns()));
   gauge("chutevane_ready", "", "1 while the readiness address answers 200.", ready() ? 1 : 0);
 }
 
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -12,8 +12,8 @@
 #include "edge/client.hpp"
 #include "edge/endpoints.hpp"
 #include "edge/failure.hpp"
-#include "edge/ledger.hpp"
 #include "edge/service_balancer.hpp"
+#include "edge/storage_client.hpp"
 #include "edge/traffic_splitter.hpp"
 #include "net/task_group.hpp"
 
@@ -68,7 +68,7 @@
   std::int64_t version_in_force_ = 0;
   Endpoints endpoints_;
   std::map<std::string, std::unique_ptr<ServiceBalancer>> balancers_;
-  Ledger ledger_;
+  StorageClient storage_;
   common::HttpServer readiness_port_;
   net::Listener front_;
   net::TaskGroup<Client> clients_;
--- a/src/simulation/edge_plane.cpp
+++ b/src/simulation/edge_plane.cpp
@@ -19,8 +19,8 @@
     : scheduler_(scheduler),
       settings_(settings),
       timers_(scheduler),
-      ledger_(scheduler, timers_, settings.zone, settings.machine_losses, cache_bytes,
-              seed_of(settings, scheduler.now())),
+      storage_(scheduler, timers_, settings.zone, settings.machine_losses, cache_bytes,
+               seed_of(settings, scheduler.now())),
       told_(std::move(told)) {}
 
 absl::Status EdgePlane::open() {
@@ -32,7 +32,7 @@
   self.counted = settings_.loss_counted;
   sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
   sessions_->on_value([this](const common::RegisterValue& value) {
-    ledger_.map_came(value.map_version, value.storage_nodes);
+    storage_.on_storage_map(value.map_version, value.storage_nodes);
     told_(value);
   });
   return absl::OkStatus();
--- a/src/simulation/edge_plane.hpp
+++ b/src/simulation/edge_plane.hpp
@@ -1,4 +1,5 @@
-// An edge without traffic: its sessions with control and its ledger, as the program of the edge holds them.
+// An edge without traffic: its sessions with control and its client of the storage nodes, as the program of
+// the edge holds them.
 #pragma once
 
 #include <functional>
@@ -7,7 +8,7 @@
 #include "common/control_sessions.hpp"
 #include "common/process.hpp"
 #include "common/settings.hpp"
-#include "edge/ledger.hpp"
+#include "edge/storage_client.hpp"
 #include "net/timer_queue.hpp"
 
 namespace chutevane::simulation {
@@ -22,14 +23,14 @@
   bool finished() const override { return finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
 
-  edge::Ledger& ledger() { return ledger_; }
+  edge::StorageClient& storage() { return storage_; }
   net::TimerQueue& later() { return timers_; }
 
  private:
   net::Scheduler& scheduler_;
   common::ProcessSettings settings_;
   net::TimerQueue timers_;
-  edge::Ledger ledger_;
+  edge::StorageClient storage_;
   std::unique_ptr<common::ControlSessions> sessions_;
   Told told_;
   bool finished_ = false;
--- a/src/simulation/programs.cpp
+++ b/src/simulation/programs.cpp
@@ -76,19 +76,19 @@
 void Programs::find(const std::shared_ptr<Line>& line, Machine& edge) {
   EdgePlane& plane = *edge.edge();
   const std::uint64_t number = line->attempt;
-  plane.ledger().find(line->last, line->program->id, "", plane.later().now() + ask_within,
-                      [this, line, at = &edge, number, wanted = line->last](edge::Ledger::Chain chain) {
-                        found(wanted, chain, at->name());
-                        if (line->attempt != number) return;
-                        if (chain.verdict != edge::Ledger::Sought::whole) return next(line);
-                        reserve(line, *at);
-                      });
+  plane.storage().find_chain(line->last, line->program->id, "", plane.later().now() + ask_within,
+                             [this, line, at = &edge, number, wanted = line->last](edge::TurnChain chain) {
+                               found(wanted, chain, at->name());
+                               if (line->attempt != number) return;
+                               if (chain.result != edge::LookupResult::complete) return next(line);
+                               reserve(line, *at);
+                             });
 }
 
-void Programs::found(const std::string& wanted, const edge::Ledger::Chain& chain, const std::string& by) {
-  if (chain.verdict == edge::Ledger::Sought::unknown)
+void Programs::found(const std::string& wanted, const edge::TurnChain& chain, const std::string& by) {
+  if (chain.result == edge::LookupResult::not_found)
     return checker_.broken("turn-lost", by + " does not know turn " + wanted);
-  if (chain.verdict != edge::Ledger::Sought::whole) return;
+  if (chain.result != edge::LookupResult::complete) return;
   ++found_;
   std::string previous;
   for (const auto& turn : chain.turns) {
@@ -110,11 +110,11 @@
     Machine& edge = *edges[chance_.next() % edges.size()];
     line->found_again = false;
     EdgePlane& plane = *edge.edge();
-    plane.ledger().find(line->last, line->program->id, "", plane.later().now() + ask_within,
-                        [this, line, at = &edge, wanted = line->last](const edge::Ledger::Chain& chain) {
-                          found(wanted, chain, at->name());
-                          line->found_again = chain.verdict == edge::Ledger::Sought::whole;
-                        });
+    plane.storage().find_chain(line->last, line->program->id, "", plane.later().now() + ask_within,
+                               [this, line, at = &edge, wanted = line->last](const edge::TurnChain& chain) {
+                                 found(wanted, chain, at->name());
+                                 line->found_again = chain.result == edge::LookupResult::complete;
+                               });
     edge.process().poke();
   }
 }
@@ -129,13 +129,13 @@
   EdgePlane& plane = *edge.edge();
   const std::uint64_t number = line->attempt;
   const std::string id = new_id();
-  plane.ledger().reserve(line->program->id, id, load_.most, load_.budget, plane.later().now() + ask_within,
-                         [this, line, at = &edge, number, id](edge::Ledger::Granted granted) {
-                           if (line->attempt != number) return;
-                           if (granted == edge::Ledger::Granted::spent) line->program->spent = true;
-                           if (granted != edge::Ledger::Granted::yes) return next(line);
-                           run(line, *at, id);
-                         });
+  plane.storage().reserve(line->program->id, id, load_.most, load_.budget, plane.later().now() + ask_within,
+                          [this, line, at = &edge, number, id](edge::ReservationResult granted) {
+                            if (line->attempt != number) return;
+                            if (granted == edge::ReservationResult::exhausted) line->program->spent = true;
+                            if (granted != edge::ReservationResult::granted) return next(line);
+                            run(line, *at, id);
+                          });
 }
 
 void Programs::run(const std::shared_ptr<Line>& line, Machine& edge, const std::string& id) {
@@ -162,15 +162,15 @@
                     std::int64_t used) {
   EdgePlane& plane = *edge.edge();
   const std::uint64_t number = line->attempt;
-  plane.ledger().keep(turn, used, plane.later().now() + ask_within,
-                      [this, line, number, id = turn.id](bool kept) {
-                        if (line->attempt != number) return;
-                        if (kept) {
-                          line->last = id;
-                          line->last_kept = deployment_.world().now();
-                        }
-                        next(line);
-                      });
+  plane.storage().store_turn(turn, used, plane.later().now() + ask_within,
+                             [this, line, number, id = turn.id](bool kept) {
+                               if (line->attempt != number) return;
+                               if (kept) {
+                                 line->last = id;
+                                 line->last_kept = deployment_.world().now();
+                               }
+                               next(line);
+                             });
 }
 
 }  // namespace chutevane::simulation
--- a/src/simulation/programs.hpp
+++ b/src/simulation/programs.hpp
@@ -50,7 +50,7 @@
   void next(const std::shared_ptr<Line>& line);
   void attempt(const std::shared_ptr<Line>& line);
   void find(const std::shared_ptr<Line>& line, Machine& edge);
-  void found(const std::string& wanted, const edge::Ledger::Chain& chain, const std::string& by);
+  void found(const std::string& wanted, const edge::TurnChain& chain, const std::string& by);
   void reserve(const std::shared_ptr<Line>& line, Machine& edge);
   void run(const std::shared_ptr<Line>& line, Machine& edge, const std::string& id);
   void keep(const std::shared_ptr<Line>& line, Machine& edge, const common::Turn& turn, std::int64_t used);
--- a/tests/edge/ledger_test.cpp
+++ b/tests/edge/storage_client_test.cpp
@@ -1,6 +1,6 @@
 // What a sidecar of the traffic asks of storage, where none of it answers: one answer to each, in time, and
 // never one that promises what nobody has kept.
-#include "edge/ledger.hpp"
+#include "edge/storage_client.hpp"
 
 #include <string>
 #include <vector>
@@ -12,7 +12,10 @@
 using chutevane::TimePoint;
 using chutevane::common::StorageNode;
 using chutevane::common::Turn;
-using chutevane::edge::Ledger;
+using chutevane::edge::LookupResult;
+using chutevane::edge::ReservationResult;
+using chutevane::edge::StorageClient;
+using chutevane::edge::TurnChain;
 using chutevane::simulated::Clockwork;
 
 namespace {
@@ -31,26 +34,26 @@
 
 }  // namespace
 
-TEST_GROUP(LedgerAlone) {
+TEST_GROUP(StorageClientAlone) {
   Clockwork clock;
-  Ledger ledger{clock.scheduler, clock.later, "z", 1, 1U << 20U, 5};
+  StorageClient client{clock.scheduler, clock.later, "z", 1, 1U << 20U, 5};
   TimePoint in(double ms) const { return clock.system.now() + Span::ms(ms); }
 };
 
-TEST(LedgerAlone, UsableWithMoreThanTheLosses) {
-  CHECK_FALSE(ledger.usable());
-  ledger.map_came(1, storage_nodes(1));
-  CHECK_FALSE(ledger.usable());
-  ledger.map_came(2, storage_nodes(3, 2));
-  CHECK_FALSE(ledger.usable());
-  ledger.map_came(3, storage_nodes(3, 1));
-  CHECK_TRUE(ledger.usable());
-  ledger.map_came(2, storage_nodes(1));  // an older map is no news
-  CHECK_TRUE(ledger.usable());
+TEST(StorageClientAlone, ReplicatesWithMoreNodesThanLosses) {
+  CHECK_FALSE(client.can_replicate());
+  client.on_storage_map(1, storage_nodes(1));
+  CHECK_FALSE(client.can_replicate());
+  client.on_storage_map(2, storage_nodes(3, 2));
+  CHECK_FALSE(client.can_replicate());
+  client.on_storage_map(3, storage_nodes(3, 1));
+  CHECK_TRUE(client.can_replicate());
+  client.on_storage_map(2, storage_nodes(1));  // an older map is no news
+  CHECK_TRUE(client.can_replicate());
 }
 
 // What an answer was, and when; checked once all has been played: a failed check does not leave a coroutine.
-struct Told {
+struct Outcome {
   int times = 0;
   bool promised = false;
   TimePoint at;
@@ -61,60 +64,61 @@
   }
 };
 
-TEST(LedgerAlone, OneAnswerAndNoPromise) {
+TEST(StorageClientAlone, OneAnswerAndNoPromise) {
   for (const int n : {0, 1, 2, 3, 5}) {
-    ledger.map_came(n + 1, storage_nodes(n));
-    Told reserved, kept, found;
+    client.on_storage_map(n + 1, storage_nodes(n));
+    Outcome reserved, kept, found;
     const TimePoint until = in(800);
-    ledger.reserve("p", "a", 10, 100, until,
-                   [&](Ledger::Granted g) { reserved(g != Ledger::Granted::unclear, clock.system.now()); });
+    client.reserve("p", "a", 10, 100, until, [&](ReservationResult g) {
+      reserved(g != ReservationResult::unavailable, clock.system.now());
+    });
     const Turn turn{std::string("a"), "", std::string("p"), {}, {}, 60000};
-    ledger.keep(turn, 5, until, [&](bool yes) { kept(yes, clock.system.now()); });
-    ledger.find("b", "p", "", until, [&](const Ledger::Chain& chain) {
-      found(chain.verdict != Ledger::Sought::unsure || !chain.turns.empty(), clock.system.now());
+    client.store_turn(turn, 5, until, [&](bool yes) { kept(yes, clock.system.now()); });
+    client.find_chain("b", "p", "", until, [&](const TurnChain& chain) {
+      found(chain.result != LookupResult::unavailable || !chain.turns.empty(), clock.system.now());
     });
-    ledger.settle("p", "a", 3);
-    ledger.release("p", "c");
+    client.commit_usage("p", "a", 3);
+    client.release("p", "c");
     clock.play(Span::ms(4000));
-    for (const Told* told : {&reserved, &kept, &found}) {
-      CHECK_WHERE(told->times == 1, numbered("of ", n));
-      CHECK_WHERE(!told->promised, numbered("of ", n));
+    for (const Outcome* outcome : {&reserved, &kept, &found}) {
+      CHECK_WHERE(outcome->times == 1, numbered("of ", n));
+      CHECK_WHERE(!outcome->promised, numbered("of ", n));
     }
     CHECK_WHERE(reserved.at <= until + Span::ms(60), numbered("of ", n));
     CHECK_WHERE(kept.at <= until + Span::ms(60), numbered("of ", n));
-    CHECK_EQUAL(static_cast<std::size_t>(0), ledger.cached());
+    CHECK_EQUAL(static_cast<std::size_t>(0), client.cached_turns());
   }
 }
 
 // A turn that goes on from none has its chain at once.
-TEST(LedgerAlone, EmptyChainIsWhole) {
+TEST(StorageClientAlone, EmptyChainIsComplete) {
   bool whole = false;
-  ledger.find("", "p", "", in(100), [&](Ledger::Chain chain) {
-    whole = chain.verdict == Ledger::Sought::whole && chain.turns.empty();
+  client.find_chain("", "p", "", in(100), [&](TurnChain chain) {
+    whole = chain.result == LookupResult::complete && chain.turns.empty();
   });
   CHECK_TRUE(whole);
 }
 
 // Connections that do not come up are asked for again with pauses, not in a ring.
-TEST(LedgerAlone, ConnectsWithPauses) {
-  ledger.map_came(1, storage_nodes(3));
+TEST(StorageClientAlone, ConnectsWithBackoff) {
+  client.on_storage_map(1, storage_nodes(3));
   clock.play(Span::ms(10000));
   CHECK_TRUE(clock.system.connects() >= 6 && clock.system.connects() < 1000);
 }
 
-TEST_GROUP(LedgerFindInTime) {
+TEST_GROUP(StorageClientLookup) {
   Clockwork clock;
-  Ledger ledger{clock.scheduler, clock.later, "z", 1, 1U << 20U, 5};
+  StorageClient client{clock.scheduler, clock.later, "z", 1, 1U << 20U, 5};
 };
 
 // The client's time is over by then: a later answer only holds the request.
-TEST(LedgerFindInTime, AnswersByItsTime) {
+TEST(StorageClientLookup, EndsByItsDeadline) {
   for (const int n : {0, 1, 3, 5}) {
     for (const double most : {100.0, 800.0}) {
-      ledger.map_came(ledger.usable() ? 100 + n : n + 1, storage_nodes(n));
+      client.on_storage_map(client.can_replicate() ? 100 + n : n + 1, storage_nodes(n));
       const TimePoint until = clock.system.now() + Span::ms(most);
-      Told found;
-      ledger.find("b", "p", "", until, [&](const Ledger::Chain&) { found(false, clock.system.now()); });
+      Outcome found;
+      client.find_chain("b", "p", "", until, [&](const TurnChain&) { found(false, clock.system.now()); });
       clock.play(Span::ms(4000));
       CHECK_WHERE(found.times == 1, numbered("of ", n));
       CHECK_WHERE(
