--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -33,9 +33,9 @@
       random_(seed_of(settings, scheduler.now())),
       endpoints_(scheduler, timers_,
                  static_cast<std::size_t>(static_cast<double>(settings.descriptors) * endpoint_part)),
-      ledger_(scheduler, timers_, settings.zone, settings.machine_losses,
-              static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
-              seed_of(settings, scheduler.now())),
+      storage_(scheduler, timers_, settings.zone, settings.machine_losses,
+               static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
+               seed_of(settings, scheduler.now())),
       readiness_port_(scheduler, 64 * 1024,
                       [this](const http::Parser& request, common::HttpServer::Reply reply) {
                         readiness(request, std::move(reply));
@@ -62,7 +62,7 @@
 }
 
 void DataPlane::value_came(const common::RegisterValue& value) {
-  ledger_.map_came(value.map_version, value.storage_nodes);
+  storage_.on_storage_map(value.map_version, value.storage_nodes);
   if (value.config_version == 0 || (configuration_ && configuration_->version >= value.config_version))
     return;
   common::Findings findings;
@@ -76,8 +76,8 @@
       [&] { return std::to_string(value.config_version) + " after " + std::to_string(version_in_force_); });
   version_in_force_ = value.config_version;
   configuration_ = std::make_shared<const common::Configuration>(std::move(*read));
-  forget_split_draws();
-  settle_tiers();
+  remove_stale_splitters();
+  update_balancers();
   common::log_info("config.in_force", "version " + std::to_string(configuration_->version));
 }
 
@@ -97,25 +97,25 @@
     all.push_back(std::move(e));
   }
   endpoints_.listed(all);
-  settle_tiers();
+  update_balancers();
 }
 
-Tier& DataPlane::tier(const std::string& service) {
-  auto& at = tiers_[service];
+ServiceBalancer& DataPlane::balancer_for(const std::string& service) {
+  auto& at = balancers_[service];
   if (!at)
-    at = std::make_unique<Tier>(settings_.zone,
-                                XXH3_64bits_withSeed(service.data(), service.size(), random_.next()));
+    at = std::make_unique<ServiceBalancer>(
+        settings_.zone, XXH3_64bits_withSeed(service.data(), service.size(), random_.next()));
   return *at;
 }
 
 const std::string& DataPlane::service_for(const common::Route& route) {
   if (route.split.size() == 1) return route.split.front().service;
-  return route.split[split_draws_[route.name].next(route.split, random_)].service;
+  return route.split[splitters_[route.name].next(route.split, random_)].service;
 }
 
 // Those of routes that are gone.
-void DataPlane::forget_split_draws() {
-  std::erase_if(split_draws_, [this](const auto& one) {
+void DataPlane::remove_stale_splitters() {
+  std::erase_if(splitters_, [this](const auto& one) {
     return std::none_of(configuration_->routes.begin(), configuration_->routes.end(),
                         [&](const common::Route& route) { return route.name == one.first; });
   });
@@ -125,7 +125,7 @@
   report.sessions = sessions_->usable_count();
   report.session_age = sessions_->knowledge_age();
   report.configuration_version = configuration_ ? configuration_->version : 0;
-  report.map = ledger_.map();
+  report.map = storage_.map_version();
 }
 
 void DataPlane::check_books() {
@@ -133,7 +133,7 @@
   std::size_t attempts = 0;
   for (std::size_t i = 0; i < clients_.size(); ++i) attempts += clients_[i].attempt_open() ? 1 : 0;
   double charged = 0;
-  for (const auto& [service, tier] : tiers_) charged += tier->in_flight();
+  for (const auto& [service, balancer] : balancers_) charged += balancer->in_flight();
   common::check_invariant(
       common::Invariant::places_held_by_attempts, charged <= static_cast<double>(attempts),
       [&] { return std::to_string(charged) + " charged, " + std::to_string(attempts) + " under way"; });
@@ -148,15 +148,14 @@
   return static_cast<double>(endpoint.connections) < std::max(part, connections_least);
 }
 
-void DataPlane::settle_tiers() {
+void DataPlane::update_balancers() {
   if (!configuration_) return;
   for (const common::Service& s : configuration_->services) {
-    Tier& at = tier(s.name);
-    std::vector<Tier::Known> known;
-    for (const auto& e : endpoints_.of_service(s.name))
-      known.push_back({e->id, e->zone, e->capacity, e->cold});
-    at.listed(known, timers_.now());
-    if (s.engine) at.engine(s.engine->kv_capacity, s.engine->capacity);
+    ServiceBalancer& at = balancer_for(s.name);
+    std::vector<ServiceBalancer::EndpointInfo> known;
+    for (const auto& e : endpoints_.of_service(s.name)) known.push_back({e->id, e->zone, e->capacity});
+    at.update_endpoints(known, timers_.now());
+    if (s.engine) at.set_engine(s.engine->kv_capacity, s.engine->capacity);
   }
 }
 
@@ -166,7 +165,7 @@
   if (!configuration_ || endpoints_.size() == 0) return false;
   // Turns need storage; where no route keeps any it is not waited for.
   const auto& routes = configuration_->routes;
-  return ledger_.usable() ||
+  return storage_.can_replicate() ||
          std::none_of(routes.begin(), routes.end(), [](const common::Route& r) { return r.retained; });
 }
 
@@ -189,7 +188,7 @@
   out.key("notFound").number(c.not_found).key("unsure").number(c.unsure);
   out.key("clients").number(clients_.size()).key("connectionsOpened").number(endpoints_.opened());
   out.key("configVersion").number(configuration_ ? static_cast<std::uint64_t>(configuration_->version) : 0);
-  out.key("turnsCached").number(ledger_.cached()).close('}');
+  out.key("turnsCached").number(storage_.cached_turns()).close('}');
   reply({200, out.result(), {}});
 }
 
@@ -225,8 +224,8 @@
   gauge("chutevane_configuration_version", "", "Configuration in force; 0: none.",
         configuration_ ? static_cast<double>(configuration_->version) : 0);
   gauge("chutevane_storage_map", "", "Number of the map of storage nodes.",
-        static_cast<double>(ledger_.map()));
-  gauge("chutevane_turns_cached", "", "Turns in memory.", static_cast<double>(ledger_.cached()));
+        static_cast<double>(storage_.map_version()));
+  gauge("chutevane_turns_cached", "", "Turns in memory.", static_cast<double>(storage_.cached_turns()));
   gauge("chutevane_ready", "", "1 while the readiness address answers 200.", ready() ? 1 : 0);
 }
 
