--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -310,8 +310,8 @@
       chance_(in_force_.seed),
       name_(in_force_.name),
       where_(in_force_.listen),
-      place_(handover::meeting_place(folder, name_)),
-      given_(handover::ask(place_, ask_most)),
+      place_(hot_restart::socket_path_for(folder, name_)),
+      given_(hot_restart::request_transfer(place_, ask_most)),
       sidecar_(scheduler, within(started_with(in_force_), scheduler.system())) {
   inherit();
 }
@@ -323,8 +323,8 @@
       chance_(0),
       model_(within(model, scheduler.system())),
       name_(model.name),
-      place_(handover::meeting_place(folder, name_)),
-      given_(handover::ask(place_, ask_most)),
+      place_(hot_restart::socket_path_for(folder, name_)),
+      given_(hot_restart::request_transfer(place_, ask_most)),
       sidecar_(scheduler, model_) {
   for (const std::string& one : model.listen) where_ += (where_.empty() ? "" : ", ") + one;
   inherit();
@@ -395,7 +395,7 @@
 }
 
 void Daemon::inherit() {
-  if (given_.busy) throw std::runtime_error("another successor starts at " + place_);
+  if (given_.is_refused) throw std::runtime_error("another successor starts at " + place_);
   if (store_) save_at_ = scheduler_.now() + in_force_.snapshot_every * chance_.unit();
   if (given_.link >= 0 && reading_) {
     try {
@@ -409,20 +409,20 @@
   sidecar_.recall(known_);
 }
 
-handover::Estate Daemon::estate() const {
+hot_restart::TransferPayload Daemon::estate() const {
   return {sidecar_.listeners(), reading_ ? sidecar_.hand_over() : std::string("{}")};
 }
 
 void Daemon::meet() {
-  const handover::Link &before = post_->before(), &after = post_->after();
-  sidecar_.beside(after.serves(), before.serves(), before.lives() || after.lives());
+  const hot_restart::PeerLink &before = post_->predecessor(), &after = post_->successor();
+  sidecar_.beside(after.is_serving(), before.is_serving(), before.is_connected() || after.is_connected());
   // The successor that served is gone, or ends: clients are this one's again, and so are successors.
-  const bool mine = !sidecar_.ending() && !after.serves();
+  const bool mine = !sidecar_.ending() && !after.is_serving();
   if (mine && !std::exchange(serves_, mine)) {
-    post_->open();
-    post_->say(true);
+    post_->listen();
+    post_->announce(true);
   } else if (!mine && std::exchange(serves_, mine)) {
-    post_->say(false);
+    post_->announce(false);
   }
 }
 
@@ -441,7 +441,7 @@
   if (!place_.empty()) {
     post_.emplace(
         scheduler_, place_, [this] { return estate(); }, [this] { meet(); });
-    if (given_.link >= 0) post_->follow(std::exchange(given_.link, -1));
+    if (given_.link >= 0) post_->adopt_predecessor(std::exchange(given_.link, -1));
     meet();
   }
   return true;
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -5,7 +5,7 @@
 
 #include "admin/server.hpp"
 #include "config/config.hpp"
-#include "handover/post.hpp"
+#include "hot_restart/hot_restart_channel.hpp"
 #include "net/scheduler.hpp"
 #include "net/signals.hpp"
 #include "net/task.hpp"
@@ -132,7 +132,7 @@
   static opfile::Model within(opfile::Model model, net::System& system);
   void inherit();
   void meet();
-  handover::Estate estate() const;
+  hot_restart::TransferPayload estate() const;
   void look_back();
   void save(bool ended);
   void tell_of_store();
@@ -151,9 +151,9 @@
   bool store_fails_ = false;  // as last told
   opfile::Model model_;
   std::string name_, where_, place_;
-  handover::Given given_;
+  hot_restart::ReceivedTransfer given_;
   Sidecar sidecar_;
-  std::optional<handover::Post> post_;
+  std::optional<hot_restart::HotRestartChannel> post_;
   bool serves_ = false;  // as last told to the other process
 };
 
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -1,5 +1,5 @@
 // The files on disk: written today byte by byte as those stored in tests/golden/, and those read with all
-// that they hold. And what a sidecar leaves for its next process, in a file and over the handover's socket.
+// that they hold. And what a sidecar leaves for its next process, in a file and over the hot restart channel.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -20,8 +20,8 @@
 #include "control/register.hpp"
 #include "ctl/folder.hpp"
 #include "golden_data.hpp"
-#include "handover/post.hpp"
 #include "harness.hpp"
+#include "hot_restart/hot_restart_channel.hpp"
 #include "net/scheduler.hpp"
 #include "snapshot/form.hpp"
 #include "snapshot/store.hpp"
@@ -373,21 +373,21 @@
 }
 
 // No file: a socket's name and the bytes that the process before sends to the next one.
-TEST(GoldenHandover, BytesAsStored) {
+TEST(GoldenHotRestart, BytesAsStored) {
   golden::Stored stored("handover.txt");
   const Folder folder;
-  const std::string place = handover::meeting_place(folder.file(""), "edge 1");
-  stored.compare("socket_name", place.substr(folder.file("").size()));
+  const std::string socket_path = hot_restart::socket_path_for(folder.file(""), "edge 1");
+  stored.compare("socket_name", socket_path.substr(folder.file("").size()));
   net::Scheduler scheduler;
-  handover::Estate given;
-  given.state = "what is known";
-  given.listeners = {0};
-  handover::Post post(
-      scheduler, place, [&] { return given; }, [] {});
-  post.open();
+  hot_restart::TransferPayload payload;
+  payload.state = "what is known";
+  payload.listeners = {0};
+  hot_restart::HotRestartChannel channel(
+      scheduler, socket_path, [&] { return payload; }, [] {});
+  channel.listen();
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
-  place.copy(at.sun_path, sizeof at.sun_path - 1);
+  socket_path.copy(at.sun_path, sizeof at.sun_path - 1);
   const auto connect = [&] {
     const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
@@ -403,7 +403,7 @@
   std::string all = receive(successor);
   all += receive(successor);  // what comes with descriptors comes by itself
   stored.compare("given_and_does_not_serve", all);
-  post.say(true);
+  channel.announce(true);
   stored.compare("serves", receive(successor));
   const int third = connect();
   stored.compare("too_many", receive(third));
