--- a/bench/route_bench.cpp
+++ b/bench/route_bench.cpp
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "limit/limiter.hpp"
-#include "pool/split.hpp"
-#include "route/table.hpp"
+#include "pool/traffic_split.hpp"
+#include "route/route_table.hpp"
 
 namespace chutevane {
 namespace {
@@ -21,13 +21,13 @@
     r.host = "service-" + std::to_string(i / 100) + ".example.org";
     r.path_kind = Route::PathKind::prefix;
     r.path = "/api/v1/part-" + std::to_string(i % 100);
-    if (i % 10 == 9) r.headers.push_back({"x-version", route::HeaderRule::Kind::exact, "2"});
+    if (i % 10 == 9) r.headers.push_back({"x-version", route::HeaderMatcher::Kind::exact, "2"});
     out.push_back(r);
   }
   return out;
 }
 
-struct Asked final : route::Request {
+struct Asked final : route::RequestView {
   std::string h, p;
   std::string_view host() const override { return h; }
   std::string_view path() const override { return p; }
@@ -50,10 +50,10 @@
 
 void compiled(benchmark::State& state) {
   const int n = static_cast<int>(state.range(0));
-  const route::Table table(routes(n));
+  const route::RouteTable table(routes(n));
   const std::vector<Asked> requests = asked(n);
   std::size_t i = 0;
-  for (auto _ : state) benchmark::DoNotOptimize(table.choose(requests[i++ % requests.size()]));
+  for (auto _ : state) benchmark::DoNotOptimize(table.match(requests[i++ % requests.size()]));
   state.counters["bytes"] = static_cast<double>(table.bytes());
 }
 BENCHMARK(compiled)->Arg(10)->Arg(1000)->Arg(10000);
@@ -67,7 +67,7 @@
     const Asked& request = requests[i++ % requests.size()];
     const Route* best = nullptr;
     for (const Route& r : all) {
-      if (fits(r, request) && (best == nullptr || compare_precision(r, *best) < 0)) best = &r;
+      if (matches(r, request) && (best == nullptr || compare_specificity(r, *best) < 0)) best = &r;
     }
     benchmark::DoNotOptimize(best);
   }
@@ -76,29 +76,29 @@
 
 void built(benchmark::State& state) {
   const std::vector<Route> all = routes(static_cast<int>(state.range(0)));
-  for (auto _ : state) benchmark::DoNotOptimize(route::Table(all));
+  for (auto _ : state) benchmark::DoNotOptimize(route::RouteTable(all));
 }
 BENCHMARK(built)->Arg(10000)->Unit(benchmark::kMillisecond);
 
 void split(benchmark::State& state) {
-  const pool::Split two(std::vector<pool::Side>{{"current", 95}, {"next", 5}});
+  const pool::TrafficSplit two(std::vector<pool::SplitTarget>{{"current", 95}, {"next", 5}});
   const std::string key = "user-4711";
   for (auto _ : state) benchmark::DoNotOptimize(two.choose(key));
 }
 BENCHMARK(split);
 
 void limited(benchmark::State& state) {
-  limit::LimitSpec spec;
-  spec.in_flight = 1000;
-  spec.client_rate = {1e9, 1e9};
-  limit::Limiter limiter(spec, 1, TimePoint());
+  limit::LimitConfig config;
+  config.max_in_flight = 1000;
+  config.client_rate = {1e9, 1e9};
+  limit::Limiter limiter(config, 1, TimePoint());
   std::vector<std::string> clients;
   for (int i = 0; i < state.range(0); ++i) clients.push_back("client-" + std::to_string(i));
   std::int64_t us = 0;
   std::size_t i = 0;
   for (auto _ : state) {
     const limit::Admission a = limiter.admit(clients[i++ % clients.size()], TimePoint() + Span::us(++us));
-    if (a.refusal == limit::Refusal::none) limiter.ended(a.place);
+    if (a.rejection == limit::Rejection::none) limiter.release(a.client_slot);
   }
   state.counters["bytes"] = static_cast<double>(limiter.bytes());
 }
--- a/src/limit/limiter.cpp
+++ b/src/limit/limiter.cpp
@@ -7,131 +7,153 @@
 namespace chutevane::limit {
 namespace {
 
-constexpr std::uint32_t looked_at =
-    8;  // of the oldest, for one with nothing in flight: bounds the work of a call
+/// Entries that one admission looks at, the oldest first, for some to forget: bounds the work of a call.
+constexpr std::uint32_t max_eviction_scan = 8;
 
 }  // namespace
 
-std::string_view name_of(Refusal refusal) {
+std::string_view name_of(Rejection rejection) {
   static constexpr std::string_view names[] = {"none",        "service busy", "service rate",
                                                "client busy", "client rate",  "client share"};
-  return names[static_cast<std::size_t>(refusal)];
+  return names[static_cast<std::size_t>(rejection)];
 }
 
-Limiter::Limiter(const LimitSpec& spec, std::uint64_t seed, TimePoint now) : spec_(spec), seed_(seed) {
+Limiter::Limiter(const LimitConfig& config, std::uint64_t seed, TimePoint now)
+    : config_(config), seed_(seed) {
   clients_.resize(1);
-  clients_[shared_place].bucket = {spec.client_rate.burst, now};
-  bucket_ = {spec.rate.burst, now};
+  clients_[shared_slot].bucket = {config.client_rate.burst, now};
+  bucket_ = {config.rate.burst, now};
 }
 
-// How long until there is a token; zero when there is one now.
-Span Limiter::until_token(Bucket& b, const Rate& rate, TimePoint now) {
+/// Fills the bucket up to now. Zero: there is a token.
+Span Limiter::time_until_token(Bucket& bucket, const Rate& rate, TimePoint now) {
   if (rate.per_s <= 0.0) return Span();
-  const double most = std::max(1.0, rate.burst);
-  b.tokens = std::min(most, b.tokens + rate.per_s * std::max(0.0, (now - b.filled).as_ms()) / 1000.0);
-  b.filled = now;
-  return b.tokens >= 1.0 ? Span() : Span::ms((1.0 - b.tokens) / rate.per_s * 1000.0) + Span::us(1);
+  const double capacity = std::max(1.0, rate.burst);
+  const double elapsed_ms = std::max(0.0, (now - bucket.filled_at).as_ms());
+  bucket.tokens = std::min(capacity, bucket.tokens + rate.per_s * elapsed_ms / 1000.0);
+  bucket.filled_at = now;
+  if (bucket.tokens >= 1.0) return Span();
+  return Span::ms((1.0 - bucket.tokens) / rate.per_s * 1000.0) + Span::us(1);
 }
 
-void Limiter::unlink(std::uint32_t place) {
-  Client& c = clients_[place];
-  (c.newer == none ? newest_ : clients_[c.newer].older) = c.older;
-  (c.older == none ? oldest_ : clients_[c.older].newer) = c.newer;
-  c.newer = c.older = none;
+void Limiter::unlink(std::uint32_t slot) {
+  Client& client = clients_[slot];
+  (client.newer == none ? newest_ : clients_[client.newer].older) = client.older;
+  (client.older == none ? oldest_ : clients_[client.older].newer) = client.newer;
+  client.newer = client.older = none;
 }
 
-void Limiter::link_newest(std::uint32_t place) {
-  Client& c = clients_[place];
-  c.newer = none;
-  c.older = newest_;
-  if (newest_ != none) clients_[newest_].newer = place;
-  newest_ = place;
-  if (oldest_ == none) oldest_ = place;
+void Limiter::link_newest(std::uint32_t slot) {
+  Client& client = clients_[slot];
+  client.newer = none;
+  client.older = newest_;
+  if (newest_ != none) clients_[newest_].newer = slot;
+  newest_ = slot;
+  if (oldest_ == none) oldest_ = slot;
 }
 
-void Limiter::forget(std::uint32_t place) {
-  unlink(place);
-  index_.erase(clients_[place].key);
-  free_.push_back(place);
+void Limiter::forget(std::uint32_t slot) {
+  unlink(slot);
+  slot_by_key_.erase(clients_[slot].key);
+  free_slots_.push_back(slot);
 }
 
-std::uint32_t Limiter::place_of(std::string_view client, TimePoint now) {
-  if (client.empty() || !tells_clients()) return shared_place;
+std::uint32_t Limiter::slot_of(std::string_view client, TimePoint now) {
+  if (client.empty() || !needs_client_key()) return shared_slot;
   const std::uint64_t key = XXH3_64bits_withSeed(client.data(), client.size(), seed_);
-  const auto found = index_.find(key);
-  if (found != index_.end()) {
+  const auto found = slot_by_key_.find(key);
+  if (found != slot_by_key_.end()) {
     unlink(found->second);
     link_newest(found->second);
-    clients_[found->second].seen = now;
+    clients_[found->second].last_seen = now;
     return found->second;
   }
-  // Those that have been idle long go first, a few with each call; then, at the bound, the oldest.
-  std::uint32_t at = oldest_;
-  for (std::uint32_t i = 0; i < looked_at && at != none; ++i) {
-    const std::uint32_t next = clients_[at].newer;
-    const bool stale = now - clients_[at].seen > spec_.client_idle;
-    const bool full = index_.size() >= spec_.clients;
-    if (!stale && !full) break;
-    if (clients_[at].in_flight == 0) forget(at);
-    at = next;
+  evict(now);
+  return slot_by_key_.size() >= config_.max_clients ? shared_slot : new_slot(key, now);
+}
+
+/// Forgets clients that have been idle for long, and at the bound the oldest ones.
+void Limiter::evict(TimePoint now) {
+  std::uint32_t slot = oldest_;
+  for (std::uint32_t i = 0; i < max_eviction_scan && slot != none; ++i) {
+    const std::uint32_t next = clients_[slot].newer;
+    const bool is_stale = now - clients_[slot].last_seen > config_.client_idle_timeout;
+    const bool is_full = slot_by_key_.size() >= config_.max_clients;
+    if (!is_stale && !is_full) break;
+    if (clients_[slot].in_flight == 0) forget(slot);
+    slot = next;
   }
-  if (index_.size() >= spec_.clients) return shared_place;
-  std::uint32_t place = static_cast<std::uint32_t>(clients_.size());
-  if (free_.empty()) {
+}
+
+std::uint32_t Limiter::new_slot(std::uint64_t key, TimePoint now) {
+  std::uint32_t slot = static_cast<std::uint32_t>(clients_.size());
+  if (free_slots_.empty()) {
     clients_.emplace_back();
   } else {
-    place = free_.back();
-    free_.pop_back();
-    clients_[place] = Client();
+    slot = free_slots_.back();
+    free_slots_.pop_back();
+    clients_[slot] = Client();
   }
-  clients_[place].key = key;
-  clients_[place].seen = now;
-  clients_[place].bucket = {std::max(1.0, spec_.client_rate.burst), now};
-  index_.emplace(key, place);
-  link_newest(place);
-  return place;
+  clients_[slot].key = key;
+  clients_[slot].last_seen = now;
+  clients_[slot].bucket = {std::max(1.0, config_.client_rate.burst), now};
+  slot_by_key_.emplace(key, slot);
+  link_newest(slot);
+  return slot;
+}
+
+/// Of the limits on calls in flight, the one that one more call of this client would exceed.
+Rejection Limiter::exceeded_concurrency(const Client& client) const {
+  if (config_.max_client_in_flight > 0.0 && client.in_flight >= config_.max_client_in_flight)
+    return Rejection::client_in_flight;
+  if (config_.max_in_flight <= 0.0) return Rejection::none;
+  if (in_flight_ >= config_.max_in_flight) return Rejection::service_in_flight;
+  const double active_clients = active_clients_ + (client.in_flight == 0 ? 1.0 : 0.0);
+  const double even_share = config_.max_in_flight / std::max(1.0, active_clients);
+  const double unreserved = config_.max_in_flight * (1.0 - config_.reserved_share);
+  if (in_flight_ >= unreserved && client.in_flight >= std::min(even_share, unreserved))
+    return Rejection::client_share;
+  return Rejection::none;
 }
 
-Admission Limiter::admit(std::string_view client, TimePoint now) {
+Admission Limiter::admit(std::string_view key, TimePoint now) {
   Admission out;
-  out.place = place_of(client, now);
-  Client& c = clients_[out.place];
-  const auto refuse = [&](Refusal why, Span come_back) {
-    out.refusal = why;
-    out.come_back = come_back;
+  out.client_slot = slot_of(key, now);
+  Client& client = clients_[out.client_slot];
+  // All limits are checked before any token is taken: a call that one limit rejects costs nothing of the
+  // others.
+  out.retry_after = time_until_token(client.bucket, config_.client_rate, now);
+  if (out.retry_after > Span()) {
+    out.rejection = Rejection::client_rate;
+    return out;
+  }
+  out.rejection = exceeded_concurrency(client);
+  if (out.rejection != Rejection::none) {
+    out.retry_after = config_.retry_after;
+    return out;
+  }
+  out.retry_after = time_until_token(bucket_, config_.rate, now);
+  if (out.retry_after > Span()) {
+    out.rejection = Rejection::service_rate;
     return out;
-  };
-  // Both buckets are looked at before either is taken from: a call refused by one costs nothing of the other.
-  const Span client_wait = until_token(c.bucket, spec_.client_rate, now);
-  if (client_wait > Span()) return refuse(Refusal::client_rate, client_wait);
-  if (spec_.client_in_flight > 0.0 && c.in_flight >= spec_.client_in_flight)
-    return refuse(Refusal::client_busy, spec_.come_back);
-  if (spec_.in_flight > 0.0) {
-    if (in_flight_ >= spec_.in_flight) return refuse(Refusal::service_busy, spec_.come_back);
-    const double others = active_ + (c.in_flight == 0 ? 1.0 : 0.0);
-    const double even = spec_.in_flight / std::max(1.0, others);
-    const double open_to_all = spec_.in_flight * (1.0 - spec_.kept_for_quiet);
-    if (in_flight_ >= open_to_all && c.in_flight >= std::min(even, open_to_all))
-      return refuse(Refusal::client_share, spec_.come_back);
   }
-  const Span service_wait = until_token(bucket_, spec_.rate, now);
-  if (service_wait > Span()) return refuse(Refusal::service_rate, service_wait);
-  if (spec_.client_rate.per_s > 0.0) c.bucket.tokens -= 1.0;
-  if (spec_.rate.per_s > 0.0) bucket_.tokens -= 1.0;
+  if (config_.client_rate.per_s > 0.0) client.bucket.tokens -= 1.0;
+  if (config_.rate.per_s > 0.0) bucket_.tokens -= 1.0;
   in_flight_ += 1.0;
-  if (c.in_flight++ == 0) ++active_;
+  if (client.in_flight++ == 0) ++active_clients_;
   return out;
 }
 
-void Limiter::ended(std::uint32_t place) {
+void Limiter::release(std::uint32_t client_slot) {
   in_flight_ -= 1.0;
-  if (--clients_[place].in_flight == 0) --active_;
+  if (--clients_[client_slot].in_flight == 0) --active_clients_;
 }
 
 std::size_t Limiter::bytes() const {
-  constexpr std::size_t entry = 40;  // of the index's nodes, about
-  return sizeof *this + clients_.capacity() * sizeof(Client) + free_.capacity() * sizeof(std::uint32_t) +
-         index_.size() * entry + index_.bucket_count() * sizeof(void*);
+  constexpr std::size_t map_entry = 40;  // a node of the index, about
+  return sizeof *this + clients_.capacity() * sizeof(Client) +
+         free_slots_.capacity() * sizeof(std::uint32_t) + slot_by_key_.size() * map_entry +
+         slot_by_key_.bucket_count() * sizeof(void*);
 }
 
 }  // namespace chutevane::limit
--- a/src/opfile/explain.cpp
+++ b/src/opfile/explain.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <cctype>
 
-#include "pool/split.hpp"
+#include "pool/traffic_split.hpp"
 
 namespace chutevane::opfile {
 namespace {
 
 constexpr std::size_t others_shown = 5;
 
-class Asked final : public route::Request {
+class Asked final : public route::RequestView {
  public:
   explicit Asked(const Question& q) : q_(q), path_(q.path.substr(0, q.path.find('?'))) {}
   std::string_view host() const override { return q_.host; }
@@ -45,21 +45,21 @@
   if (r.path_kind == route::Route::PathKind::exact) out += ", path " + r.path;
   if (r.path_kind == route::Route::PathKind::prefix) out += ", path from " + r.path;
   if (!r.method.empty()) out += ", method " + r.method;
-  for (const route::HeaderRule& h : r.headers) {
+  for (const route::HeaderMatcher& h : r.headers) {
     out += ", " + h.name;
-    out += h.kind == route::HeaderRule::Kind::present ? " present"
-           : h.kind == route::HeaderRule::Kind::exact ? " = " + h.value
-                                                      : " begins with " + h.value;
+    out += h.kind == route::HeaderMatcher::Kind::present ? " present"
+           : h.kind == route::HeaderMatcher::Kind::exact ? " = " + h.value
+                                                         : " begins with " + h.value;
   }
   return out;
 }
 
-std::string limits_text(const limit::LimitSpec& l) {
+std::string limits_text(const limit::LimitConfig& l) {
   std::string out;
   const auto add = [&](const std::string& text) { out += (out.empty() ? "" : "; ") + text; };
-  if (l.in_flight > 0.0) add(text_of(l.in_flight) + " calls in flight");
+  if (l.max_in_flight > 0.0) add(text_of(l.max_in_flight) + " calls in flight");
   if (l.rate.per_s > 0.0) add(text_of(l.rate.per_s) + " calls/s, " + text_of(l.rate.burst) + " at once");
-  if (l.client_in_flight > 0.0) add(text_of(l.client_in_flight) + " in flight for each client");
+  if (l.max_client_in_flight > 0.0) add(text_of(l.max_client_in_flight) + " in flight for each client");
   if (l.client_rate.per_s > 0.0)
     add(text_of(l.client_rate.per_s) + " calls/s for each client, " + text_of(l.client_rate.burst) +
         " at once");
@@ -70,12 +70,12 @@
 
 std::string explain(const Model& m, const Question& q) {
   const Asked asked(q);
-  const std::uint32_t at = m.table.choose(asked);
-  if (at == route::Table::none) return "no route fits: 404\n";
+  const std::uint32_t at = m.table.match(asked);
+  if (at == route::RouteTable::none) return "no route fits: 404\n";
   std::string out = route_text(m, at) + "\n";
   std::size_t others = 0;
   for (std::size_t i = 0; i < m.routes.size(); ++i) {
-    if (i == at || !fits(m.routes[i].match, asked)) continue;
+    if (i == at || !matches(m.routes[i].match, asked)) continue;
     if (++others <= others_shown) out += "  fits too, less precise: " + route_text(m, i) + "\n";
   }
   if (others > others_shown) out += "  and " + std::to_string(others - others_shown) + " more\n";
@@ -83,12 +83,12 @@
   out += "service: " + s.name + "\n";
   std::size_t side = 0;
   if (s.sides.size() > 1) {
-    std::vector<pool::Side> weights;
+    std::vector<pool::SplitTarget> weights;
     double total = 0.0;
     for (const SideModel& one : s.sides) weights.push_back({one.name, one.weight}), total += one.weight;
     const auto key = s.split_header.empty() ? std::nullopt : asked.header(s.split_header);
     if (key) {
-      side = pool::Split(weights).choose(*key);
+      side = pool::TrafficSplit(weights).choose(*key);
       out += "side: " + s.sides[side].name + ", by " + s.split_header + " = " + std::string(*key) + "\n";
     } else {
       out += "side: drawn for each call:";
@@ -106,9 +106,9 @@
            ")";
   }
   const TrackModel& t = m.tracks[m.routes[at].track];
-  const char* effect = t.effect == pool::Effect::replayable   ? "replayable"
-                       : t.effect == pool::Effect::referenced ? "referenced"
-                                                              : "single-use";
+  const char* effect = t.effect == pool::Idempotency::idempotent ? "replayable"
+                       : t.effect == pool::Idempotency::keyed    ? "referenced"
+                                                                 : "single-use";
   out += "\ntrack: " + t.name + ", " + effect + ", soft limit " + text_of(t.soft_limit.as_ms()) +
          " ms, client timeout " + text_of(t.client_timeout.as_ms()) + " ms\n";
   out += "limits: " + limits_text(s.limits) + "\n";
--- a/src/opfile/file.cpp
+++ b/src/opfile/file.cpp
@@ -19,9 +19,9 @@
 constexpr std::size_t segments_most = 64;      // of a path: as many as the table looks at
 constexpr double sockets_least = 64;
 
-constexpr Word<pool::Effect> effect_words[] = {{"replayable", pool::Effect::replayable},
-                                               {"referenced", pool::Effect::referenced},
-                                               {"single-use", pool::Effect::single_use}};
+constexpr Word<pool::Idempotency> effect_words[] = {{"replayable", pool::Idempotency::idempotent},
+                                                    {"referenced", pool::Idempotency::keyed},
+                                                    {"single-use", pool::Idempotency::non_idempotent}};
 
 // Names to places, for references from one part of the file to another.
 class Names {
@@ -54,7 +54,7 @@
 TrackModel read_track(Table& t) {
   TrackModel out;
   out.name = t.text("name", std::nullopt);
-  out.effect = t.word<pool::Effect>("effect", effect_words, std::nullopt);
+  out.effect = t.word<pool::Idempotency>("effect", effect_words, std::nullopt);
   out.soft_limit = t.span("soft_limit_ms", std::nullopt, 1.0);
   out.client_timeout = t.span("client_timeout_ms", std::nullopt, 1.0);
   if (out.soft_limit > out.client_timeout) t.wrong("soft_limit_ms", "longer than client_timeout_ms");
@@ -63,7 +63,7 @@
   out.repeat_group = t.text("repeat_group", "all");
   if (out.repeat_group != "all" && out.repeat_group != "zone" && out.repeat_group != "cell")
     t.wrong("repeat_group", "'" + out.repeat_group + "' is none of all, zone, cell");
-  const bool referenced = out.effect == pool::Effect::referenced;
+  const bool referenced = out.effect == pool::Idempotency::keyed;
   out.remembered = t.span("repeat_window_ms", referenced ? std::nullopt : std::optional<double>(0.0));
   return out;
 }
@@ -153,24 +153,25 @@
   }
   if (const toml::table* f = t.table("failover")) {
     Table failover(*f, t.under("failover"), t.errors());
-    out.failover.whole_from = failover.number("whole_from", out.failover.whole_from, 0.05, 1.0);
+    out.failover.healthy_threshold = failover.number("whole_from", out.failover.healthy_threshold, 0.05, 1.0);
     out.failover.memory = failover.span("memory_ms", out.failover.memory.as_ms(), 100.0);
     out.failover.return_per_s = failover.number("return_per_s", out.failover.return_per_s, 0.001, 10.0);
     out.failover.growth = failover.number("growth", out.failover.growth, 0.0, 10.0);
     out.failover.unknown_per_s = failover.number("unknown_per_s", out.failover.unknown_per_s, 0.1, 1e6);
     out.failover.probe_per_s = failover.number("probe_per_s", out.failover.probe_per_s, 0.01, 1e6);
-    out.failover.panic_below = failover.number("panic_below", out.failover.panic_below, 0.0, 1.0);
+    out.failover.panic_threshold = failover.number("panic_below", out.failover.panic_threshold, 0.0, 1.0);
   }
   if (const toml::table* l = t.table("limits")) {
     Table limits(*l, t.under("limits"), t.errors());
-    out.limits.in_flight = limits.number("in_flight", 0.0, 0.0, 1e7);
+    out.limits.max_in_flight = limits.number("in_flight", 0.0, 0.0, 1e7);
     out.limits.rate = read_rate(limits, "");
-    out.limits.client_in_flight = limits.number("client_in_flight", 0.0, 0.0, 1e7);
+    out.limits.max_client_in_flight = limits.number("client_in_flight", 0.0, 0.0, 1e7);
     out.limits.client_rate = read_rate(limits, "client_");
-    out.limits.kept_for_quiet = limits.number("kept_for_quiet", out.limits.kept_for_quiet, 0.0, 0.9);
-    out.limits.clients = static_cast<std::size_t>(limits.whole("clients", 10000, 1, 10000000));
-    out.limits.come_back = limits.span("come_back_ms", out.limits.come_back.as_ms());
-    out.limits.client_idle = limits.span("client_idle_ms", out.limits.client_idle.as_ms(), 1.0);
+    out.limits.reserved_share = limits.number("kept_for_quiet", out.limits.reserved_share, 0.0, 0.9);
+    out.limits.max_clients = static_cast<std::size_t>(limits.whole("clients", 10000, 1, 10000000));
+    out.limits.retry_after = limits.span("come_back_ms", out.limits.retry_after.as_ms());
+    out.limits.client_idle_timeout =
+        limits.span("client_idle_ms", out.limits.client_idle_timeout.as_ms(), 1.0);
   }
   return out;
 }
@@ -199,13 +200,13 @@
   std::set<std::string> names;
   for (const toml::table* one : t.tables("header")) {
     Table h(*one, t.under("header"), t.errors());
-    route::HeaderRule rule;
+    route::HeaderMatcher rule;
     rule.name = h.text("name", std::nullopt);
     const std::string value = h.text("value", ""), starts = h.text("prefix", "");
     if (!value.empty() && !starts.empty()) h.wrong("prefix", "beside value: one of the two");
-    rule.kind = !value.empty()    ? route::HeaderRule::Kind::exact
-                : !starts.empty() ? route::HeaderRule::Kind::prefix
-                                  : route::HeaderRule::Kind::present;
+    rule.kind = !value.empty()    ? route::HeaderMatcher::Kind::exact
+                : !starts.empty() ? route::HeaderMatcher::Kind::prefix
+                                  : route::HeaderMatcher::Kind::present;
     rule.value = value.empty() ? starts : value;
     std::string lowered = rule.name;
     std::transform(lowered.begin(), lowered.end(), lowered.begin(),
@@ -309,8 +310,8 @@
   check_groups(out, services, errors);
   if (errors.lines.empty()) {
     try {
-      out.table = route::Table(matches);
-    } catch (const route::TieError& e) {
+      out.table = route::RouteTable(matches);
+    } catch (const route::AmbiguousRouteError& e) {
       const auto line = [&](std::size_t i) { return std::to_string(routes[i]->source().begin.line); };
       errors.add(*routes[e.second], "route",
                  "ties with the route of line " + line(e.first) + ": it " + e.what());
@@ -353,9 +354,9 @@
     out[at + "client_timeout_ms"] = number(t.client_timeout.as_ms());
     out[at + "payoff"] = number(t.payoff);
     out[at + "late_payoff"] = number(t.late_payoff);
-    out[at + "effect"] = t.effect == pool::Effect::replayable   ? "replayable"
-                         : t.effect == pool::Effect::referenced ? "referenced"
-                                                                : "single-use";
+    out[at + "effect"] = t.effect == pool::Idempotency::idempotent ? "replayable"
+                         : t.effect == pool::Idempotency::keyed    ? "referenced"
+                                                                   : "single-use";
     out[at + "repeat_group"] = t.repeat_group;
     out[at + "repeat_window_ms"] = number(t.remembered.as_ms());
   }
--- a/src/opfile/model.hpp
+++ b/src/opfile/model.hpp
@@ -8,15 +8,15 @@
 #include "chutevane/types.hpp"
 #include "discovery/list.hpp"
 #include "limit/limiter.hpp"
+#include "pool/cross_pool_retry.hpp"
 #include "pool/failover.hpp"
-#include "pool/onward.hpp"
-#include "route/table.hpp"
+#include "route/route_table.hpp"
 
 namespace chutevane::opfile {
 
 struct TrackModel {
   std::string name;
-  pool::Effect effect = pool::Effect::replayable;
+  pool::Idempotency effect = pool::Idempotency::idempotent;
   std::string repeat_group = "all";  // all, zone or cell
   Span remembered, soft_limit, client_timeout;
   double payoff = 1.0, late_payoff = 0.0;
@@ -48,8 +48,8 @@
   std::string name;
   std::vector<SideModel> sides;
   std::string split_header;  // whose value keeps a caller on its side; empty: each call is drawn
-  pool::FailoverSpec failover;
-  limit::LimitSpec limits;
+  pool::FailoverConfig failover;
+  limit::LimitConfig limits;
 };
 
 struct RouteModel {
@@ -74,7 +74,7 @@
   std::vector<PoolModel> pools;
   std::vector<ServiceModel> services;
   std::vector<RouteModel> routes;
-  route::Table table;
+  route::RouteTable table;
 };
 
 }  // namespace chutevane::opfile
--- a/src/pool/failover.cpp
+++ b/src/pool/failover.cpp
@@ -6,162 +6,185 @@
 namespace chutevane::pool {
 namespace {
 
-constexpr Span step_every = Span::ms(100);  // shares are worked out anew
-constexpr double evidence = 5.0;            // calls: fewer endings tell chance
-constexpr double forget_most_per_s =
-    0.002;                             // of the most ready: a fleet made smaller is whole again in minutes
-constexpr double carried_well = 0.95;  // of endings: what a pool must do well to be trusted with its rate
-constexpr double carried_fades_per_s = 0.01;  // of what is known: an hour-old peak says little
-constexpr int well_again = 3;  // calls running that end well in a pool in doubt: chance is no longer likely
-constexpr double rise_per_s = 5.0;  // of the way to a higher share: most of it within half a second
+constexpr Span update_interval = Span::ms(100);
+constexpr double min_results = 5.0;  // calls ended: fewer are chance
+// Of the most ready endpoints: a pool that has been made smaller counts as complete again within minutes.
+constexpr double max_ready_decay_per_s = 0.002;
+constexpr double proven_success_ratio = 0.95;     // from here on a pool has proven its rate
+constexpr double proven_rate_decay_per_s = 0.01;  // a rate of an hour ago says little
+constexpr int successes_for_recovery = 3;         // in a row, of an unhealthy pool: no longer chance
+// Of the way to a higher share: most of it is made within half a second.
+constexpr double failover_speed_per_s = 5.0;
 
 }  // namespace
 
-Failover::Failover(const FailoverSpec& spec, const std::vector<double>& stated, std::uint64_t seed,
+Failover::Failover(const FailoverConfig& config, const std::vector<double>& stated_rates, std::uint64_t seed,
                    TimePoint now)
-    : spec_(spec), chance_(seed), pools_(stated.size()), began_(now), stepped_(now) {
-  for (std::size_t i = 0; i < stated.size(); ++i) pools_[i].stated = stated[i];
-  pools_[0].share = pools_[0].kept = 1.0;
+    : config_(config), random_(seed), pools_(stated_rates.size()), started_at_(now), updated_at_(now) {
+  for (std::size_t i = 0; i < stated_rates.size(); ++i) pools_[i].stated_rate = stated_rates[i];
+  pools_[0].share = pools_[0].health_share = 1.0;
 }
 
-void Failover::ready(std::size_t pool, double endpoints, TimePoint now) {
+void Failover::set_ready(std::size_t pool, double endpoints, TimePoint now) {
   Pool& p = pools_[pool];
   p.ready = endpoints;
-  p.most_ready = std::max(p.most_ready, endpoints);
-  step(now);
+  p.max_ready = std::max(p.max_ready, endpoints);
+  update(now);
 }
 
-void Failover::ended(std::size_t pool, bool well, TimePoint now) {
-  step(now);
+void Failover::record_end(std::size_t pool, bool succeeded, TimePoint now) {
+  update(now);
   Pool& p = pools_[pool];
-  (well ? p.well : p.ill) += 1.0;
-  p.well_running = well ? p.well_running + 1 : 0;
+  (succeeded ? p.succeeded : p.failed) += 1.0;
+  p.successes_in_row = succeeded ? p.successes_in_row + 1 : 0;
 }
 
-// 0 to 1: the part of a pool that is there. Endpoints and endings are two looks at the same loss: the worse
-// one counts.
-double Failover::judge(const Pool& p) const {
-  if (p.ready <= 0.0) return 0.0;
-  double part = p.most_ready > 0.0 ? p.ready / p.most_ready : 1.0;
-  part = std::min(part, p.part);
-  return std::min(1.0, part / spec_.whole_from);
+void Failover::record_sent(std::size_t pool, TimePoint now) {
+  update(now);
+  pools_[pool].sent += 1.0;
 }
 
-// Calls/s that a pool is trusted with: what is stated, of the part that is ready; else what it has been seen
-// to carry and a little more, and at first something for each endpoint. Guards against failover that turns
-// one lost pool into two.
-double Failover::trusted(const Pool& p) const {
-  if (p.ready <= 0.0) return 0.0;
-  if (p.stated > 0.0) return p.stated * (p.most_ready > 0.0 ? p.ready / p.most_ready : 1.0);
-  return std::max(spec_.unknown_per_s * p.ready, p.carried * (1.0 + spec_.growth));
+bool Failover::has_capacity(std::size_t pool, TimePoint now) {
+  update(now);
+  const Pool& p = pools_[pool];
+  return p.ready > 0.0 && (pool == 0 || sent_rate(p, now) < sustainable_rate(p));
+}
+
+std::size_t Failover::choose(TimePoint now) {
+  update(now);
+  const double draw = random_.unit();
+  double sum = 0.0;
+  std::size_t chosen = pools_.size() - 1;
+  for (std::size_t i = 0; i < pools_.size(); ++i) {
+    sum += pools_[i].share;
+    if (draw < sum) {
+      chosen = i;
+      break;
+    }
+  }
+  pools_[chosen].sent += 1.0;
+  return chosen;
+}
+
+/// Ready endpoints and results are two views of the same loss: the worse one counts.
+double Failover::health_of(const Pool& pool) const {
+  if (pool.ready <= 0.0) return 0.0;
+  const double ready_ratio = pool.max_ready > 0.0 ? pool.ready / pool.max_ready : 1.0;
+  return std::min(1.0, std::min(ready_ratio, pool.success_ratio) / config_.healthy_threshold);
+}
+
+/// Calls/s that a pool is trusted with: the stated rate, by the ratio of its endpoints that are ready; else
+/// its proven rate and a little more, and at first something for each endpoint. Without this bound failover
+/// would turn the loss of one pool into the loss of two.
+double Failover::sustainable_rate(const Pool& pool) const {
+  if (pool.ready <= 0.0) return 0.0;
+  if (pool.stated_rate > 0.0)
+    return pool.stated_rate * (pool.max_ready > 0.0 ? pool.ready / pool.max_ready : 1.0);
+  return std::max(config_.unknown_per_s * pool.ready, pool.proven_rate * (1.0 + config_.growth));
 }
 
-void Failover::step(TimePoint now) {
-  const Span since = now - stepped_;
-  if (since < step_every) return;
-  stepped_ = now;
+/// Calls/s that a pool has been sent of late.
+double Failover::sent_rate(const Pool& pool, TimePoint now) const {
+  // Shortly after the start the memory is only partly filled.
+  const double filled = 1.0 - std::exp(std::max(update_interval, now - started_at_) / config_.memory * -1.0);
+  return pool.sent / (config_.memory.as_ms() / 1000.0 * filled);
+}
+
+void Failover::update(TimePoint now) {
+  const Span since = now - updated_at_;
+  if (since < update_interval) return;
+  updated_at_ = now;
   const double seconds = std::min(10.0, since.as_ms() / 1000.0);
-  const double fade = std::exp(-since.as_ms() / spec_.memory.as_ms());
-  double best = 0.0, ready = 0.0, asked = 0.0;
-  for (Pool& p : pools_) {
-    p.most_ready = std::max(p.ready, p.most_ready * (1.0 - forget_most_per_s * seconds));
-    const double endings = p.well + p.ill, rate = rate_of(p, now);
-    // What it has been seen to do well it can do again; a little more is tried while it does.
-    p.carried *= 1.0 - carried_fades_per_s * seconds;
-    if (endings >= evidence && p.well >= carried_well * endings) p.carried = std::max(p.carried, rate);
-    // What is known of a pool stays known while it gets hardly any calls. Guards against a silent one that is
-    // taken for whole again as soon as its failures have faded, time after time.
-    if (endings >= evidence)
-      p.part = p.well / endings;
-    else if (p.well_running >= well_again)
-      p.part = 1.0;
-    p.health = judge(p);
-    asked += rate;
-    p.well *= fade, p.ill *= fade, p.asked *= fade;
-    best = std::max(best, p.health);
-    ready += p.ready;
+  const double fade = std::exp(-since.as_ms() / config_.memory.as_ms());
+  double best_health = 0.0, ready = 0.0, total_rate = 0.0;
+  for (Pool& pool : pools_) {
+    total_rate += sent_rate(pool, now);
+    update_results(pool, seconds, fade, now);
+    best_health = std::max(best_health, pool.health);
+    ready += pool.ready;
   }
-  panic_ = best < spec_.panic_below && ready > 0.0;
+  panic_ = best_health < config_.panic_threshold && ready > 0.0;
   if (panic_) {
-    for (Pool& p : pools_) p.share = p.kept = p.ready / ready;
+    share_by_ready_endpoints(ready);
     return;
   }
-  // By health: each pool takes of what the ones before it leave. Away from a pool quickly, back to an earlier
-  // one slowly: a pool that flaps does not move its calls each time.
+  share_by_health(seconds);
+  limit_to_sustainable_rates(total_rate);
+  reserve_probes(total_rate);
+}
+
+void Failover::update_results(Pool& pool, double seconds, double fade, TimePoint now) {
+  pool.max_ready = std::max(pool.ready, pool.max_ready * (1.0 - max_ready_decay_per_s * seconds));
+  const double results = pool.succeeded + pool.failed;
+  pool.proven_rate *= 1.0 - proven_rate_decay_per_s * seconds;
+  if (results >= min_results && pool.succeeded >= proven_success_ratio * results)
+    pool.proven_rate = std::max(pool.proven_rate, sent_rate(pool, now));
+  // While a pool gets hardly any calls its last ratio holds: a silent pool must not pass for healthy as soon
+  // as its failures have faded, time after time.
+  if (results >= min_results)
+    pool.success_ratio = pool.succeeded / results;
+  else if (pool.successes_in_row >= successes_for_recovery)
+    pool.success_ratio = 1.0;
+  pool.health = health_of(pool);
+  pool.succeeded *= fade, pool.failed *= fade, pool.sent *= fade;
+}
+
+void Failover::share_by_ready_endpoints(double ready) {
+  for (Pool& pool : pools_) pool.share = pool.health_share = pool.ready / ready;
+}
+
+/// Each pool takes its health's part of what those before it leave. A share moves away from a pool quickly
+/// and back to one of higher priority slowly, so that a pool that flaps does not move its calls each time.
+void Failover::share_by_health(double seconds) {
   double left = 1.0, sum = 0.0;
-  for (const Pool& p : pools_) {
-    sum += left * p.health;
-    left -= left * p.health;
+  for (const Pool& pool : pools_) {
+    sum += left * pool.health;
+    left -= left * pool.health;
   }
-  double higher = 0.0, wanted_higher = 0.0, placed = 0.0;  // shares up to here: as kept, wanted, new
+  // Summed up to each pool: the shares so far, those that health asks for, the new ones.
+  double current = 0.0, wanted = 0.0, assigned = 0.0;
   left = 1.0;
   for (std::size_t i = 0; i < pools_.size(); ++i) {
-    Pool& p = pools_[i];
-    // Where all together lack something, what nobody has room for goes to each by what it has.
-    wanted_higher += sum > 0.0 ? left * p.health / sum : i == 0 ? 1.0 : 0.0;
-    left -= left * p.health;
-    higher += p.kept;
-    double next = wanted_higher > higher
-                      ? std::min(wanted_higher, higher + spec_.return_per_s * seconds)
-                      : higher + (wanted_higher - higher) * std::min(1.0, rise_per_s * seconds);
+    Pool& pool = pools_[i];
+    // Where all pools together are not healthy enough, each gets its part of what is missing as well.
+    wanted += sum > 0.0 ? left * pool.health / sum : i == 0 ? 1.0 : 0.0;
+    left -= left * pool.health;
+    current += pool.health_share;
+    double next = wanted > current
+                      ? std::min(wanted, current + config_.return_per_s * seconds)
+                      : current + (wanted - current) * std::min(1.0, failover_speed_per_s * seconds);
     if (i + 1 == pools_.size()) next = 1.0;
-    p.kept = std::max(0.0, next - placed);
-    placed = std::max(placed, next);
+    pool.health_share = std::max(0.0, next - assigned);
+    assigned = std::max(assigned, next);
   }
-  // By trust: what a pool is not known to carry stays with the first one, also when that is lost: its
-  // balancer refuses at once. This takes effect at once, in both directions.
+}
+
+/// Takes effect at once, in both directions. What the other pools are not known to sustain stays with the
+/// first one, also when that is lost: its balancer rejects without delay.
+void Failover::limit_to_sustainable_rates(double total_rate) {
   double rest = 1.0;
   for (std::size_t i = pools_.size(); i-- > 1;) {
-    Pool& p = pools_[i];
-    p.share = asked > 0.0 ? std::min(p.kept, trusted(p) / asked) : p.kept;
-    rest -= p.share;
+    Pool& pool = pools_[i];
+    pool.share = total_rate > 0.0 ? std::min(pool.health_share, sustainable_rate(pool) / total_rate)
+                                  : pool.health_share;
+    rest -= pool.share;
   }
   pools_[0].share = std::max(0.0, rest);
-  // A pool in doubt goes on getting a few calls, at the cost of the one that has most.
-  for (Pool& p : pools_) {
-    const double probes = asked > 0.0 ? std::min(0.5, spec_.probe_per_s / asked) : 0.0;
-    if (p.part >= spec_.whole_from || p.ready <= 0.0 || p.share >= probes) continue;
-    Pool& most = *std::max_element(pools_.begin(), pools_.end(),
-                                   [](const Pool& x, const Pool& y) { return x.share < y.share; });
-    if (&most == &p) continue;
-    const double given = std::min(probes - p.share, most.share);
-    p.share += given;
-    most.share -= given;
-  }
-}
-
-// Calls/s that a pool is sent of late.
-double Failover::rate_of(const Pool& p, TimePoint now) const {
-  // Not the whole memory has been filled yet at the start.
-  const double filled = 1.0 - std::exp(std::max(step_every, now - began_) / spec_.memory * -1.0);
-  return p.asked / (spec_.memory.as_ms() / 1000.0 * filled);
-}
-
-bool Failover::has_room(std::size_t pool, TimePoint now) {
-  step(now);
-  const Pool& p = pools_[pool];
-  return p.ready > 0.0 && (pool == 0 || rate_of(p, now) < trusted(p));
-}
-
-void Failover::sent(std::size_t pool, TimePoint now) {
-  step(now);
-  pools_[pool].asked += 1.0;
 }
 
-std::size_t Failover::choose(TimePoint now) {
-  step(now);
-  const double draw = chance_.unit();
-  double sum = 0.0;
-  std::size_t at = pools_.size() - 1;
-  for (std::size_t i = 0; i < pools_.size(); ++i) {
-    sum += pools_[i].share;
-    if (draw < sum) {
-      at = i;
-      break;
-    }
+/// An unhealthy pool goes on getting a few calls, at the cost of the pool with the largest share.
+void Failover::reserve_probes(double total_rate) {
+  for (Pool& pool : pools_) {
+    const double probes = total_rate > 0.0 ? std::min(0.5, config_.probe_per_s / total_rate) : 0.0;
+    if (pool.success_ratio >= config_.healthy_threshold || pool.ready <= 0.0 || pool.share >= probes)
+      continue;
+    Pool& largest = *std::max_element(pools_.begin(), pools_.end(),
+                                      [](const Pool& a, const Pool& b) { return a.share < b.share; });
+    if (&largest == &pool) continue;
+    const double given = std::min(probes - pool.share, largest.share);
+    pool.share += given;
+    largest.share -= given;
   }
-  pools_[at].asked += 1.0;
-  return at;
 }
 
 }  // namespace chutevane::pool
--- a/src/pool/failover.hpp
+++ b/src/pool/failover.hpp
@@ -1,8 +1,9 @@
-// Which pool a call goes to first, without I/O: pools in order of priority, each judged by how its calls end
-// and by its ready endpoints. What a pool lacks goes to the next one, rising in step with what is missing,
-// returning slowly, and never more than the next pool is known to carry.
-//
-// It chooses between pools only; within one the balancer decides as ever, and may refuse.
+/// Which of a service's pools a call goes to first. No I/O.
+///
+/// Pools are ordered by priority. Each is judged by the share of its endpoints that are ready and by the
+/// share of its calls that succeed, whichever is worse. What a pool lacks goes to the next: at once in step
+/// with the loss, back slowly, and never more than the next pool is known to sustain. Inside a pool its
+/// balancer decides, and may reject.
 #pragma once
 
 #include <cstdint>
@@ -13,61 +14,73 @@
 
 namespace chutevane::pool {
 
-struct FailoverSpec {
-  // A pool counts as whole down to this part of its endpoints and of its calls done: spare room that is
-  // there.
-  double whole_from = 0.8;
-  Span memory = Span::ms(1000);  // of how calls end: a pool is judged by about the last so many
-  double return_per_s = 0.05;    // of all calls: how fast a share comes back to a pool that is whole again
-  double growth = 0.2;           // of what a pool carries well: so much more it is tried with
-  double unknown_per_s = 5.0;    // calls for each ready endpoint of a pool of which nothing is known
-  double panic_below = 0.5;      // all pools below this part: spread over all, by their ready endpoints
-  double probe_per_s = 2.0;      // calls that a pool in doubt still gets: what tells that it is back
+struct FailoverConfig {
+  /// A pool is healthy down to this fraction of its endpoints and of its successful calls: the spare capacity
+  /// that it has. In the operator's file: `whole_from`.
+  double healthy_threshold = 0.8;
+  /// The time constant with which a pool's results fade.
+  Span memory = Span::ms(1000);
+  /// Of all calls, by how much the share of a recovered pool grows in a second.
+  double return_per_s = 0.05;
+  /// How much above its proven rate a pool is tried with, as a fraction of it.
+  double growth = 0.2;
+  /// Calls/s for each ready endpoint of a pool of which no rate is known.
+  double unknown_per_s = 5.0;
+  /// When no pool's health reaches this, calls are spread over all pools by their ready endpoints.
+  double panic_threshold = 0.5;
+  /// Calls/s that an unhealthy pool goes on getting: by these its recovery is seen.
+  double probe_per_s = 2.0;
 };
 
 class Failover {
  public:
-  // The pool of place 0 is the first choice.
-  // One pool at least. `stated`: calls/s that the operator says each pool carries when whole; 0: not stated.
-  Failover(const FailoverSpec& spec, const std::vector<double>& stated, std::uint64_t seed, TimePoint now);
+  /// At least one pool; index 0 has the highest priority. `stated_rates`: calls/s that the operator says each
+  /// pool sustains when healthy; 0: not stated.
+  Failover(const FailoverConfig& config, const std::vector<double>& stated_rates, std::uint64_t seed,
+           TimePoint now);
 
-  // The pool for a call that comes now.
+  /// The pool for a new call, which counts as sent there.
   std::size_t choose(TimePoint now);
-  // Whether a pool may be sent one more call that another has given up, and that it was.
-  bool has_room(std::size_t pool, TimePoint now);
-  void sent(std::size_t pool, TimePoint now);
-  // A call that was in that pool has ended; `well`: done, or the caller's own doing.
-  void ended(std::size_t pool, bool well, TimePoint now);
-  // How many endpoints a pool has ready, each counted for what it can do by now.
-  void ready(std::size_t pool, double endpoints, TimePoint now);
+  /// Whether a pool may get one more call that another has given up. If it does, record_sent() follows.
+  bool has_capacity(std::size_t pool, TimePoint now);
+  void record_sent(std::size_t pool, TimePoint now);
+  /// A call has ended in that pool.
+  void record_end(std::size_t pool, bool succeeded, TimePoint now);
+  void set_ready(std::size_t pool, double endpoints, TimePoint now);
 
-  // For logs and explanations.
-  double health(std::size_t pool) const { return pools_[pool].health; }
-  double share(std::size_t pool) const { return pools_[pool].share; }
+  // For logs and tests
+  double health(std::size_t pool) const { return pools_[pool].health; }  // 0 to 1
+  double share(std::size_t pool) const { return pools_[pool].share; }    // of all calls
   bool panic() const { return panic_; }
 
  private:
   struct Pool {
-    double ready = 0.0, most_ready = 0.0;  // the most of late: what a whole pool has
-    double well = 0.0, ill = 0.0;          // calls ended, fading
-    double asked = 0.0;                    // calls sent to it, fading: its rate
-    double part = 1.0;                     // of its calls that end well, as last seen
-    int well_running = 0;                  // since one last ended ill
-    double carried = 0.0;                  // calls/s that it has been seen to carry
-    double stated = 0.0;                   // the same as the operator says; 0: not said
+    double ready = 0.0;                    // endpoints
+    double max_ready = 0.0;                // the most of late: what a complete pool has
+    double succeeded = 0.0, failed = 0.0;  // calls ended, fading
+    double sent = 0.0;                     // calls, fading: its rate follows
+    double success_ratio = 1.0;            // as last measured
+    int successes_in_row = 0;
+    double proven_rate = 0.0;  // calls/s that it has been seen to sustain
+    double stated_rate = 0.0;  // the same as the operator says; 0: not stated
     double health = 1.0;
-    double kept = 0.0;   // of all calls, by health: falls quickly, returns slowly
-    double share = 0.0;  // of that, what it is trusted with
+    double health_share = 0.0;  // of all calls, by health: falls quickly, returns slowly
+    double share = 0.0;         // of that, what its rate allows
   };
-  void step(TimePoint now);
-  double judge(const Pool& p) const;
-  double trusted(const Pool& p) const;
-  double rate_of(const Pool& p, TimePoint now) const;
+  void update(TimePoint now);
+  void update_results(Pool& pool, double seconds, double fade, TimePoint now);
+  void share_by_ready_endpoints(double ready);
+  void share_by_health(double seconds);
+  void limit_to_sustainable_rates(double total_rate);
+  void reserve_probes(double total_rate);
+  double health_of(const Pool& pool) const;
+  double sustainable_rate(const Pool& pool) const;
+  double sent_rate(const Pool& pool, TimePoint now) const;
 
-  FailoverSpec spec_;
-  Pcg chance_;
+  FailoverConfig config_;
+  Pcg random_;
   std::vector<Pool> pools_;
-  TimePoint began_, stepped_;
+  TimePoint started_at_, updated_at_;
   bool panic_ = false;
 };
 
--- a/src/sidecar/callers.cpp
+++ b/src/sidecar/callers.cpp
@@ -110,7 +110,7 @@
   last_ = last_ || (!response.length() && !chunked_);  // its end is the connection's
   answer([&](net::Buffer& out) { all_.front_.write_begun(out, response, chunked_, last_); });
 }
-void CallerConnection::rejected(Span come_back, const pool::Spent& spent) {
+void CallerConnection::rejected(Span come_back, const pool::AttemptHistory& spent) {
   count_end(Result::declined);
   // Turned away at the door: elsewhere there may be room.
   if (spent.dispatches == 0 && all_.parting_.may_go(all_.size(), scheduler_.now())) {
@@ -119,7 +119,7 @@
   }
   answer([&](net::Buffer& out) { all_.front_.write_rejection(out, come_back, last_); });
 }
-void CallerConnection::broken_off(bool timed_out, const pool::Spent&) {
+void CallerConnection::broken_off(bool timed_out, const pool::AttemptHistory&) {
   count_end(Result::aborted);
   answer([&](net::Buffer& out) { all_.front_.write_broken_off(out, timed_out, last_); });
 }
--- a/src/sidecar/callers.hpp
+++ b/src/sidecar/callers.hpp
@@ -69,8 +69,8 @@
   const std::shared_ptr<Pipe>& body() const override { return body_; }
   void done(const http::Parser& response) override;
   void began(const http::Parser& response, const std::shared_ptr<Pipe>& body) override;
-  void rejected(Span come_back, const pool::Spent& spent) override;
-  void broken_off(bool timed_out, const pool::Spent& spent) override;
+  void rejected(Span come_back, const pool::AttemptHistory& spent) override;
+  void broken_off(bool timed_out, const pool::AttemptHistory& spent) override;
 
   std::size_t group_index = 0;
 
--- a/src/sidecar/driver.cpp
+++ b/src/sidecar/driver.cpp
@@ -109,8 +109,8 @@
 Caller* Driver::release(std::uint32_t at) { return std::exchange(calls_[at].caller, nullptr); }
 
 // What is still out may run yet. Guards rule 2 over pools: such a call has not been proven never to have run.
-pool::Spent Driver::spent_of(std::uint32_t at) const {
-  pool::Spent out = calls_[at].spent;
+pool::AttemptHistory Driver::spent_of(std::uint32_t at) const {
+  pool::AttemptHistory out = calls_[at].spent;
   if (calls_[at].out > 0 && !out.may_have_run) {
     out.may_have_run = true;
     out.first_sent = TimePoint();  // not known here: no memory of it is counted on
--- a/src/sidecar/driver.hpp
+++ b/src/sidecar/driver.hpp
@@ -11,7 +11,7 @@
 #include "config/config.hpp"
 #include "discovery/watch.hpp"
 #include "net/scheduler.hpp"
-#include "pool/onward.hpp"
+#include "pool/cross_pool_retry.hpp"
 #include "sidecar/counters.hpp"
 #include "sidecar/endpoints.hpp"
 #include "snapshot/evidence.hpp"
@@ -29,8 +29,8 @@
   virtual void done(const http::Parser& response) = 0;
   // The final answer too: its head now, the body in pieces.
   virtual void began(const http::Parser& response, const std::shared_ptr<Pipe>& body) = 0;
-  virtual void rejected(Span come_back, const pool::Spent& spent) = 0;
-  virtual void broken_off(bool timed_out, const pool::Spent& spent) = 0;
+  virtual void rejected(Span come_back, const pool::AttemptHistory& spent) = 0;
+  virtual void broken_off(bool timed_out, const pool::AttemptHistory& spent) = 0;
 
  protected:
   ~Caller() = default;
@@ -72,7 +72,7 @@
     Caller* caller = nullptr;  // none once answered, or left
     std::uint8_t out = 0;
     bool timed_out = false;  // how its last dispatch ended
-    pool::Spent spent;
+    pool::AttemptHistory spent;
     std::array<EndpointConnection*, dispatches_most> dispatches{};
   };
 
@@ -86,7 +86,7 @@
   void act(const Answer& answer);
   void dispatch(std::uint32_t at, const Answer& answer);
   Caller* release(std::uint32_t at);
-  pool::Spent spent_of(std::uint32_t at) const;
+  pool::AttemptHistory spent_of(std::uint32_t at) const;
   void tell_end(const Dispatch& dispatch, Outcome outcome, bool call_over, bool last);
   void withdraw_unsent(CallId call);
   void settle(std::uint32_t at);
--- a/src/sidecar/services.cpp
+++ b/src/sidecar/services.cpp
@@ -29,19 +29,19 @@
     all.count(*this, true);
     all.release(*this)->done(response);
   }
-  void rejected(Span come_back, const pool::Spent& more) override {
+  void rejected(Span come_back, const pool::AttemptHistory& more) override {
     all.count(*this, false);
-    const pool::Spent whole = with(more);
+    const pool::AttemptHistory whole = with(more);
     if (!all.goes_on(*this, whole)) all.release(*this)->rejected(come_back, whole);
   }
-  void broken_off(bool timed_out, const pool::Spent& more) override {
+  void broken_off(bool timed_out, const pool::AttemptHistory& more) override {
     all.count(*this, false);
-    const pool::Spent whole = with(more);
+    const pool::AttemptHistory whole = with(more);
     if (!all.goes_on(*this, whole)) all.release(*this)->broken_off(timed_out, whole);
   }
   // What earlier pools have done, and this one.
-  pool::Spent with(const pool::Spent& more) const {
-    pool::Spent out = spent;
+  pool::AttemptHistory with(const pool::AttemptHistory& more) const {
+    pool::AttemptHistory out = spent;
     out.dispatches += more.dispatches;
     if (more.may_have_run && !out.may_have_run) out.first_sent = more.first_sent;
     out.may_have_run = out.may_have_run || more.may_have_run;
@@ -57,7 +57,7 @@
   std::uint32_t starts = 0;
   ApiCall call;
   TimePoint taken;
-  pool::Spent spent;  // by pools that have given it up
+  pool::AttemptHistory spent;  // by pools that have given it up
 };
 
 config::Config pool_config(const opfile::Model& model, std::size_t at) {
@@ -103,14 +103,14 @@
   for (std::size_t i = 0; i < model.services.size(); ++i) {
     const opfile::ServiceModel& s = model.services[i];
     Service out{{}, {}, limit::Limiter(s.limits, model.seed + i, now)};
-    std::vector<pool::Side> weights;
+    std::vector<pool::SplitTarget> weights;
     for (const opfile::SideModel& side : s.sides) {
       std::vector<double> stated;
       for (const std::size_t p : side.pools) stated.push_back(model.pools[p].carries_per_s);
       out.sides.push_back({side.pools, pool::Failover(s.failover, stated, model.seed + i * 31U, now)});
       weights.push_back({side.name, side.weight});
     }
-    out.split = pool::Split(weights);
+    out.split = pool::TrafficSplit(weights);
     services_.push_back(std::move(out));
   }
   keeper_.start();
@@ -124,7 +124,8 @@
     for (Service& s : services_) {
       for (Side& side : s.sides) {
         for (std::size_t i = 0; i < side.pools.size(); ++i)
-          side.failover.ready(i, static_cast<double>(pools_[side.pools[i]]->driver.endpoints_ready()), now);
+          side.failover.set_ready(i, static_cast<double>(pools_[side.pools[i]]->driver.endpoints_ready()),
+                                  now);
       }
     }
     timer_.set(now + ready_every);
@@ -135,8 +136,8 @@
 Front::Kind Services::read(const http::Parser& request, ApiCall& call, std::uint32_t& way,
                            std::string_view& why) const {
   if (request.method() == "GET" && request.target() == "/ready") return Front::Kind::ready;
-  way = model_.table.choose(RoutedRequest(request));
-  if (way == route::Table::none) {
+  way = model_.table.match(RoutedRequest(request));
+  if (way == route::RouteTable::none) {
     why = "no route";
     return Front::Kind::nowhere;
   }
@@ -152,15 +153,15 @@
   sockaddr_in peer{};
   if (!model_.client_header.empty()) {
     client = caller.request().find(model_.client_header).value_or("");
-  } else if (s.limiter.tells_clients()) {  // else nobody asks the system for it
+  } else if (s.limiter.needs_client_key()) {  // else nobody asks the system for it
     peer = caller.peer();
     client = {reinterpret_cast<const char*>(&peer.sin_addr), sizeof peer.sin_addr};
   }
   const limit::Admission admission = s.limiter.admit(client, now);
-  if (admission.refusal != limit::Refusal::none) {
+  if (admission.rejection != limit::Rejection::none) {
     ++counters_.calls;
     ++counters_.limited;
-    caller.rejected(admission.come_back, {});
+    caller.rejected(admission.retry_after, {});
     return 0;
   }
   std::uint32_t place = static_cast<std::uint32_t>(flights_.size());
@@ -175,7 +176,7 @@
   f.id = ++last_id_;
   f.place = place;
   f.route = way;
-  f.limit_place = admission.place;
+  f.limit_place = admission.client_slot;
   f.tried = 0;
   f.call = call;
   f.taken = now;
@@ -214,7 +215,7 @@
   if (f.outer != nullptr && f.id == id && f.starts == mine) f.inner = inner;
 }
 
-bool Services::goes_on(Flight& f, const pool::Spent& spent) {
+bool Services::goes_on(Flight& f, const pool::AttemptHistory& spent) {
   const opfile::RouteModel& route = model_.routes[f.route];
   Side& side = services_[route.service].sides[f.side];
   if (ending_ || side.pools.size() < 2 || (f.body() && !f.body()->whole())) return false;
@@ -224,16 +225,16 @@
   for (std::size_t i = 0; i < std::min<std::size_t>(side.pools.size(), 64); ++i) {
     if ((f.tried >> i & 1U) != 0) continue;
     const opfile::PoolModel& to = model_.pools[side.pools[i]];
-    pool::Onward o;
-    o.effect = track.effect;
-    o.same_group = !from.empty() && from == to.reference_group;
-    o.group_is_whole = track.repeat_group == "all";
-    o.remembered = track.remembered;
-    o.most_dispatches = to.dispatches;
-    o.until = f.taken + f.call.left;
-    if (may_go_on(o, spent, now) != pool::OnwardNo::none) continue;
-    if (!side.failover.has_room(i, now)) continue;
-    side.failover.sent(i, now);
+    pool::CrossPoolRetry o;
+    o.idempotency = track.effect;
+    o.shares_key_memory = !from.empty() && from == to.reference_group;
+    o.memory_spans_group = track.repeat_group == "all";
+    o.key_retention = track.remembered;
+    o.max_dispatches = to.dispatches;
+    o.deadline = f.taken + f.call.left;
+    if (check_cross_pool_retry(o, spent, now) != pool::RetryDenial::none) continue;
+    if (!side.failover.has_capacity(i, now)) continue;
+    side.failover.record_sent(i, now);
     f.spent = spent;
     ++counters_.went_on;
     start(f, i);
@@ -243,12 +244,12 @@
 }
 
 void Services::count(const Flight& f, bool well) {
-  services_[model_.routes[f.route].service].sides[f.side].failover.ended(f.nth, well, scheduler_.now());
+  services_[model_.routes[f.route].service].sides[f.side].failover.record_end(f.nth, well, scheduler_.now());
 }
 
 Caller* Services::release(Flight& f) {
   Caller* const outer = std::exchange(f.outer, nullptr);
-  services_[model_.routes[f.route].service].limiter.ended(f.limit_place);
+  services_[model_.routes[f.route].service].limiter.release(f.limit_place);
   index_.erase(f.id);
   f.starts = 0;
   f.inner = 0;
--- a/src/sidecar/services.hpp
+++ b/src/sidecar/services.hpp
@@ -8,7 +8,7 @@
 #include "limit/limiter.hpp"
 #include "opfile/file.hpp"
 #include "pool/failover.hpp"
-#include "pool/split.hpp"
+#include "pool/traffic_split.hpp"
 #include "sidecar/callers.hpp"
 #include "sidecar/driver.hpp"
 
@@ -70,12 +70,12 @@
   };
   struct Service {
     std::vector<Side> sides;
-    pool::Split split;
+    pool::TrafficSplit split;
     limit::Limiter limiter;
   };
   void start(Flight& flight, std::size_t nth);
   // Whether another pool has been given the call.
-  bool goes_on(Flight& flight, const pool::Spent& spent);
+  bool goes_on(Flight& flight, const pool::AttemptHistory& spent);
   Caller* release(Flight& flight);
   void count(const Flight& flight, bool well);
   net::Task keep_ready();
@@ -99,7 +99,7 @@
 };
 
 // What a route's table looks at in a request.
-class RoutedRequest final : public route::Request {
+class RoutedRequest final : public route::RequestView {
  public:
   explicit RoutedRequest(const http::Parser& parser) : parser_(parser) {}
   std::string_view host() const override { return parser_.find("Host").value_or(""); }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -5,10 +5,10 @@
 #include <map>
 
 #include "limit/limiter.hpp"
+#include "pool/cross_pool_retry.hpp"
 #include "pool/failover.hpp"
-#include "pool/onward.hpp"
-#include "pool/split.hpp"
-#include "route/table.hpp"
+#include "pool/traffic_split.hpp"
+#include "route/route_table.hpp"
 
 namespace chutevane {
 namespace {
@@ -17,12 +17,12 @@
 
 // --- Routes ----------------------------------------------------------------------------------------
 
-using route::HeaderRule;
+using route::HeaderMatcher;
 using route::Route;
 using PathKind = Route::PathKind;
-using HeaderKind = HeaderRule::Kind;
+using HeaderKind = HeaderMatcher::Kind;
 
-struct Asked final : route::Request {
+struct Asked final : route::RequestView {
   std::string h, p, m;
   std::map<std::string, std::string> headers;
   Asked(std::string host_, std::string path_, std::string method_ = "GET",
@@ -38,20 +38,20 @@
   }
 };
 
-constexpr std::uint32_t none = route::Table::none;
+constexpr std::uint32_t none = route::RouteTable::none;
 
 TEST(Routes, TheMostPreciseHostWins) {
   const std::vector<Route> r = {{"", PathKind::any, "", "", {}},
                                 {"*.example.org", PathKind::any, "", "", {}},
                                 {"*.a.example.org", PathKind::any, "", "", {}},
                                 {"b.a.example.org", PathKind::any, "", "", {}}};
-  const route::Table t(r);
-  EXPECT_EQ(t.choose(Asked("else", "/")), 0U);
-  EXPECT_EQ(t.choose(Asked("example.org", "/")), 0U);  // a suffix is not the name itself
-  EXPECT_EQ(t.choose(Asked("x.example.org", "/")), 1U);
-  EXPECT_EQ(t.choose(Asked("x.a.example.org", "/")), 2U);
-  EXPECT_EQ(t.choose(Asked("B.A.Example.org.:8080", "/")), 3U);
-  EXPECT_EQ(t.choose(Asked(std::string(300, 'x') + ".example.org", "/")), 0U);
+  const route::RouteTable t(r);
+  EXPECT_EQ(t.match(Asked("else", "/")), 0U);
+  EXPECT_EQ(t.match(Asked("example.org", "/")), 0U);  // a suffix is not the name itself
+  EXPECT_EQ(t.match(Asked("x.example.org", "/")), 1U);
+  EXPECT_EQ(t.match(Asked("x.a.example.org", "/")), 2U);
+  EXPECT_EQ(t.match(Asked("B.A.Example.org.:8080", "/")), 3U);
+  EXPECT_EQ(t.match(Asked(std::string(300, 'x') + ".example.org", "/")), 0U);
 }
 
 TEST(Routes, PrefixesEndOnSegmentBordersAndTheLongestWins) {
@@ -59,22 +59,22 @@
                                 {"", PathKind::prefix, "/a/b/", "", {}},
                                 {"", PathKind::exact, "/a/b", "", {}},
                                 {"", PathKind::prefix, "/", "", {}}};
-  const route::Table t(r);
-  EXPECT_EQ(t.choose(Asked("h", "/a")), 0U);
-  EXPECT_EQ(t.choose(Asked("h", "/a/x")), 0U);
-  EXPECT_EQ(t.choose(Asked("h", "/ab")), 3U);
-  EXPECT_EQ(t.choose(Asked("h", "/a/b")), 2U);
-  EXPECT_EQ(t.choose(Asked("h", "/a/b/")), 1U);
-  EXPECT_EQ(t.choose(Asked("h", "/a/bc")), 0U);
+  const route::RouteTable t(r);
+  EXPECT_EQ(t.match(Asked("h", "/a")), 0U);
+  EXPECT_EQ(t.match(Asked("h", "/a/x")), 0U);
+  EXPECT_EQ(t.match(Asked("h", "/ab")), 3U);
+  EXPECT_EQ(t.match(Asked("h", "/a/b")), 2U);
+  EXPECT_EQ(t.match(Asked("h", "/a/b/")), 1U);
+  EXPECT_EQ(t.match(Asked("h", "/a/bc")), 0U);
 }
 
 TEST(Routes, AHostWithoutAFittingPathGivesWayToTheNext) {
   const std::vector<Route> r = {{"a.org", PathKind::exact, "/x", "", {}},
                                 {"*.org", PathKind::any, "", "PUT", {}}};
-  const route::Table t(r);
-  EXPECT_EQ(t.choose(Asked("a.org", "/x")), 0U);
-  EXPECT_EQ(t.choose(Asked("a.org", "/y", "PUT")), 1U);
-  EXPECT_EQ(t.choose(Asked("a.org", "/y", "GET")), none);
+  const route::RouteTable t(r);
+  EXPECT_EQ(t.match(Asked("a.org", "/x")), 0U);
+  EXPECT_EQ(t.match(Asked("a.org", "/y", "PUT")), 1U);
+  EXPECT_EQ(t.match(Asked("a.org", "/y", "GET")), none);
 }
 
 TEST(Routes, MethodThenHeadersDecide) {
@@ -83,24 +83,24 @@
                                 {"", PathKind::any, "", "", {{"v", HeaderKind::prefix, "2"}}},
                                 {"", PathKind::any, "", "", {{"v", HeaderKind::present, ""}}},
                                 {"", PathKind::any, "", "", {}}};
-  const route::Table t(r);
-  EXPECT_EQ(t.choose(Asked("h", "/", "GET", {{"v", "2"}})), 0U);
-  EXPECT_EQ(t.choose(Asked("h", "/", "GET", {{"v", "21"}})), 2U);
-  EXPECT_EQ(t.choose(Asked("h", "/", "GET", {{"v", "3"}})), 3U);
-  EXPECT_EQ(t.choose(Asked("h", "/", "GET")), 4U);
-  EXPECT_EQ(t.choose(Asked("h", "/", "POST", {{"v", "2"}})), 1U);
+  const route::RouteTable t(r);
+  EXPECT_EQ(t.match(Asked("h", "/", "GET", {{"v", "2"}})), 0U);
+  EXPECT_EQ(t.match(Asked("h", "/", "GET", {{"v", "21"}})), 2U);
+  EXPECT_EQ(t.match(Asked("h", "/", "GET", {{"v", "3"}})), 3U);
+  EXPECT_EQ(t.match(Asked("h", "/", "GET")), 4U);
+  EXPECT_EQ(t.match(Asked("h", "/", "POST", {{"v", "2"}})), 1U);
 }
 
 TEST(Routes, TiesAreNamedAndWhatExcludesOneAnotherIsNone) {
   const Route x{"", PathKind::any, "", "", {{"x", HeaderKind::exact, "1"}}};
   const Route other{"", PathKind::any, "", "", {{"x", HeaderKind::exact, "2"}}};
   const Route y{"", PathKind::any, "", "", {{"y", HeaderKind::exact, "1"}}};
-  EXPECT_NO_THROW(route::Table(std::vector<Route>{x, other}));
-  EXPECT_THROW(route::Table(std::vector<Route>{x, x}), route::TieError);
+  EXPECT_NO_THROW(route::RouteTable(std::vector<Route>{x, other}));
+  EXPECT_THROW(route::RouteTable(std::vector<Route>{x, x}), route::AmbiguousRouteError);
   try {
-    const route::Table t(std::vector<Route>{x, other, y});
+    const route::RouteTable t(std::vector<Route>{x, other, y});
     FAIL() << "x and y can both be there";
-  } catch (const route::TieError& e) {
+  } catch (const route::AmbiguousRouteError& e) {
     EXPECT_EQ(e.first, 0U);
     EXPECT_EQ(e.second, 2U);
   }
@@ -116,7 +116,7 @@
   for (const char* name : {"x", "y"}) {
     const int kind = *rc::gen::inRange(0, 6);
     if (kind > 2) continue;
-    HeaderRule h{name, static_cast<HeaderKind>(kind), ""};
+    HeaderMatcher h{name, static_cast<HeaderKind>(kind), ""};
     if (h.kind != HeaderKind::present) h.value = *rc::gen::element<std::string>("1", "2", "12");
     out.headers.push_back(h);
   }
@@ -130,12 +130,12 @@
     for (int i = *rc::gen::inRange(1, 25); i > 0; --i) {
       routes.push_back(any_route());
       try {
-        const route::Table t(routes);
-      } catch (const route::TieError&) {
+        const route::RouteTable t(routes);
+      } catch (const route::AmbiguousRouteError&) {
         routes.pop_back();
       }
     }
-    const route::Table table(routes);
+    const route::RouteTable table(routes);
     for (int i = 0; i < 20; ++i) {
       Asked asked(
           *rc::gen::element<std::string>("a.org", "b.a.org", "c.org", "A.ORG:80", "x", ".a.org", "b.b.a.org"),
@@ -147,10 +147,10 @@
       }
       std::uint32_t best = none;
       for (std::uint32_t r = 0; r < routes.size(); ++r) {
-        if (fits(routes[r], asked) && (best == none || compare_precision(routes[r], routes[best]) < 0))
+        if (matches(routes[r], asked) && (best == none || compare_specificity(routes[r], routes[best]) < 0))
           best = r;
       }
-      RC_ASSERT(table.choose(asked) == best);
+      RC_ASSERT(table.match(asked) == best);
     }
   });
   EXPECT_TRUE(held);
@@ -161,8 +161,8 @@
 std::string key(int i) { return "caller-" + std::to_string(i); }
 
 TEST(Split, FollowsTheWeightsAndKeepsACallerOnItsSide) {
-  const std::vector<pool::Side> sides = {{"old", 90}, {"new", 10}, {"none", 0}};
-  const pool::Split split(sides);
+  const std::vector<pool::SplitTarget> sides = {{"old", 90}, {"new", 10}, {"none", 0}};
+  const pool::TrafficSplit split(sides);
   std::array<int, 3> count{};
   for (int i = 0; i < 20000; ++i) {
     ++count[split.choose(key(i))];
@@ -177,8 +177,9 @@
 
 // Only the share that must move moves, and only to where the weight rose; order and other sides don't matter.
 TEST(Split, AChangeMovesOnlyWhatItMust) {
-  const pool::Split before(std::vector<pool::Side>{{"a", 80}, {"b", 10}, {"c", 10}});
-  const pool::Split after(std::vector<pool::Side>{{"c", 10}, {"a", 80}, {"b", 35}});  // b from 0.10 to 0.28
+  const pool::TrafficSplit before(std::vector<pool::SplitTarget>{{"a", 80}, {"b", 10}, {"c", 10}});
+  const pool::TrafficSplit after(
+      std::vector<pool::SplitTarget>{{"c", 10}, {"a", 80}, {"b", 35}});  // b from 0.10 to 0.28
   const std::array<std::size_t, 3> place = {1, 2, 0};
   int moved = 0, elsewhere = 0;
   for (int i = 0; i < 20000; ++i) {
@@ -194,9 +195,9 @@
 
 // Pools that carry so many calls a second and do the rest ill; steps of 10 ms.
 struct FailoverBench {
-  explicit FailoverBench(std::vector<double> stated = {0, 0}, const pool::FailoverSpec& spec = {})
-      : failover(spec, stated, 7, at(0)), capacity(stated.size(), 1e9), sent(stated.size(), 0) {
-    for (std::size_t i = 0; i < stated.size(); ++i) failover.ready(i, 10, at(0));
+  explicit FailoverBench(std::vector<double> stated = {0, 0}, const pool::FailoverConfig& config = {})
+      : failover(config, stated, 7, at(0)), capacity(stated.size(), 1e9), sent(stated.size(), 0) {
+    for (std::size_t i = 0; i < stated.size(); ++i) failover.set_ready(i, 10, at(0));
   }
   // `rate` calls/s for so long; the share that each pool got.
   void play(double ms, double rate = 200) {
@@ -207,7 +208,7 @@
       ++sent[p];
       // A pool does well what it has room for in the last 100 ms.
       if (now - window > 100) window = now, in_window.assign(capacity.size(), 0);
-      failover.ended(p, ++in_window[p] <= capacity[p] / 10, at(now));
+      failover.record_end(p, ++in_window[p] <= capacity[p] / 10, at(now));
     }
   }
   double part(std::size_t p) const {
@@ -230,7 +231,7 @@
 TEST(Failover, SpareRoomIsUsedBeforeAnythingMoves) {
   FailoverBench b;
   b.play(1000);
-  b.failover.ready(0, 8, at(b.now));  // 80% are there: what whole_from says is enough
+  b.failover.set_ready(0, 8, at(b.now));  // 80% are there: what whole_from says is enough
   b.play(3000);
   EXPECT_EQ(b.part(0), 1.0);
 }
@@ -238,7 +239,7 @@
 TEST(Failover, TheShareRisesInStepWithWhatIsMissing) {
   FailoverBench b({0, 1000});
   b.play(1000);
-  b.failover.ready(0, 4, at(b.now));  // 0.4 of 0.8: half is missing
+  b.failover.set_ready(0, 4, at(b.now));  // 0.4 of 0.8: half is missing
   b.play(1000);
   b.play(2000);
   EXPECT_NEAR(b.part(1), 0.5, 0.08);
@@ -248,7 +249,7 @@
 TEST(Failover, ALostPoolGivesAllAwayWithinASecond) {
   FailoverBench b({0, 1000});
   b.play(2000);
-  b.failover.ready(0, 0, at(b.now));
+  b.failover.set_ready(0, 0, at(b.now));
   b.play(1000);
   b.play(1000);
   EXPECT_GT(b.part(1), 0.95);
@@ -257,9 +258,9 @@
 TEST(Failover, ItReturnsSlowly) {
   FailoverBench b({0, 1000});
   b.play(1000);
-  b.failover.ready(0, 0, at(b.now));
+  b.failover.set_ready(0, 0, at(b.now));
   b.play(3000);
-  b.failover.ready(0, 10, at(b.now));
+  b.failover.set_ready(0, 10, at(b.now));
   b.play(4000);  // 0.05 a second: a fifth is back
   EXPECT_NEAR(b.failover.share(0), 0.2, 0.03);
   b.play(20000);
@@ -286,7 +287,7 @@
 TEST(Failover, TheNextPoolIsGivenNoMoreThanItIsKnownToCarry) {
   FailoverBench b({0, 80});
   b.play(1000);
-  b.failover.ready(0, 0, at(b.now));
+  b.failover.set_ready(0, 0, at(b.now));
   b.play(2000);
   b.play(2000);
   EXPECT_NEAR(b.part(1), 0.4, 0.06);  // 80 of 200 calls/s; the rest the first pool refuses
@@ -296,7 +297,7 @@
   FailoverBench b;
   b.capacity[1] = 150;
   b.play(1000);
-  b.failover.ready(0, 0, at(b.now));
+  b.failover.set_ready(0, 0, at(b.now));
   b.play(1000);
   const double first = b.failover.share(1);
   EXPECT_LT(first, 0.5);  // 5 calls/s for each of ten endpoints, of 200
@@ -310,7 +311,7 @@
   b.play(2000);
   double moved = 0.0, last = b.failover.share(0);
   for (int i = 0; i < 10; ++i) {
-    b.failover.ready(0, i % 2 == 0 ? 0 : 10, at(b.now));
+    b.failover.set_ready(0, i % 2 == 0 ? 0 : 10, at(b.now));
     b.play(1000);
     moved += std::abs(b.failover.share(0) - last);
     last = b.failover.share(0);
@@ -322,14 +323,14 @@
 TEST(Failover, TwoHalfLostPoolsShareAndPanicSpreads) {
   FailoverBench b({0, 1000});
   b.play(1000);
-  b.failover.ready(0, 4, at(b.now));
-  b.failover.ready(1, 4, at(b.now));
+  b.failover.set_ready(0, 4, at(b.now));
+  b.failover.set_ready(1, 4, at(b.now));
   b.play(3000);
   EXPECT_FALSE(b.failover.panic());
   EXPECT_GT(b.part(0), 0.45);
   EXPECT_GT(b.part(1), 0.2);
-  b.failover.ready(0, 1, at(b.now));
-  b.failover.ready(1, 3, at(b.now));
+  b.failover.set_ready(0, 1, at(b.now));
+  b.failover.set_ready(1, 3, at(b.now));
   b.play(500);
   b.play(2000);
   EXPECT_TRUE(b.failover.panic());
@@ -341,7 +342,7 @@
     FailoverBench b({0, 50, 0});
     for (int i = 0; i < 20; ++i) {
       const auto p = static_cast<std::size_t>(*rc::gen::inRange(0, 3));
-      b.failover.ready(p, *rc::gen::inRange(0, 12), at(b.now));
+      b.failover.set_ready(p, *rc::gen::inRange(0, 12), at(b.now));
       b.capacity[p] = *rc::gen::inRange(0, 300);
       b.play(*rc::gen::inRange(50, 1500));
       double sum = 0;
@@ -356,110 +357,110 @@
   EXPECT_TRUE(held);
 }
 
-// --- On to another pool ----------------------------------------------------------------------------
+// --- Retries in another pool --------------------------------------------------------------------------
 
-TEST(Onward, TheRulesOnRepeatsHoldOverPools) {
-  using pool::Effect;
-  using pool::OnwardNo;
-  pool::Onward o;
-  o.most_dispatches = 4;
-  o.until = at(1000);
-  o.remembered = Span::ms(5000);
-  pool::Spent fresh, ran;
+TEST(CrossPoolRetry, TheRulesOnRetriesHoldAcrossPools) {
+  using pool::Idempotency;
+  using pool::RetryDenial;
+  pool::CrossPoolRetry retry;
+  retry.max_dispatches = 4;
+  retry.deadline = at(1000);
+  retry.key_retention = Span::ms(5000);
+  pool::AttemptHistory fresh, ran;
   ran.dispatches = 1;
   ran.may_have_run = true;
   ran.first_sent = at(-100);
-  const auto asked = [&](Effect effect, const pool::Spent& spent) {
-    o.effect = effect;
-    return may_go_on(o, spent, at(0));
+  const auto denial = [&](Idempotency idempotency, const pool::AttemptHistory& history) {
+    retry.idempotency = idempotency;
+    return check_cross_pool_retry(retry, history, at(0));
   };
-  for (const Effect e : {Effect::replayable, Effect::referenced, Effect::single_use})
-    EXPECT_EQ(asked(e, fresh), OnwardNo::none);
-  EXPECT_EQ(asked(Effect::replayable, ran), OnwardNo::none);
-  EXPECT_EQ(asked(Effect::single_use, ran), OnwardNo::may_have_run);
-  EXPECT_EQ(asked(Effect::referenced, ran), OnwardNo::other_group);
-  o.same_group = true;
-  EXPECT_EQ(asked(Effect::referenced, ran), OnwardNo::none);
-  o.remembered = Span::ms(1050);  // the last moment at which the next pool may send is past it
-  EXPECT_EQ(asked(Effect::referenced, ran), OnwardNo::forgotten);
-  o.group_is_whole = false;
-  EXPECT_EQ(asked(Effect::referenced, ran), OnwardNo::other_group);
+  for (const Idempotency i : {Idempotency::idempotent, Idempotency::keyed, Idempotency::non_idempotent})
+    EXPECT_EQ(denial(i, fresh), RetryDenial::none);
+  EXPECT_EQ(denial(Idempotency::idempotent, ran), RetryDenial::none);
+  EXPECT_EQ(denial(Idempotency::non_idempotent, ran), RetryDenial::may_have_run);
+  EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::other_key_memory);
+  retry.shares_key_memory = true;
+  EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::none);
+  retry.key_retention = Span::ms(1050);  // the last moment at which the next pool may send is past it
+  EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::key_forgotten);
+  retry.memory_spans_group = false;
+  EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::other_key_memory);
   ran.dispatches = 4;
-  EXPECT_EQ(asked(Effect::replayable, ran), OnwardNo::no_dispatches);
-  EXPECT_EQ(may_go_on(o, fresh, at(1000)), OnwardNo::no_time);
+  EXPECT_EQ(denial(Idempotency::idempotent, ran), RetryDenial::dispatches_exhausted);
+  EXPECT_EQ(check_cross_pool_retry(retry, fresh, at(1000)), RetryDenial::deadline_passed);
 }
 
 // --- Limits ----------------------------------------------------------------------------------------
 
 using limit::Limiter;
-using limit::Refusal;
+using limit::Rejection;
 
 TEST(Limits, RatesRefuseAtOnceAndSayWhen) {
-  limit::LimitSpec spec;
-  spec.client_rate = {10, 2};
-  Limiter l(spec, 1, at(0));
-  EXPECT_EQ(l.admit("a", at(0)).refusal, Refusal::none);
-  EXPECT_EQ(l.admit("a", at(0)).refusal, Refusal::none);
+  limit::LimitConfig config;
+  config.client_rate = {10, 2};
+  Limiter l(config, 1, at(0));
+  EXPECT_EQ(l.admit("a", at(0)).rejection, Rejection::none);
+  EXPECT_EQ(l.admit("a", at(0)).rejection, Rejection::none);
   const limit::Admission no = l.admit("a", at(0));
-  EXPECT_EQ(no.refusal, Refusal::client_rate);
-  EXPECT_NEAR(no.come_back.as_ms(), 100.0, 0.1);
-  EXPECT_EQ(l.admit("b", at(0)).refusal, Refusal::none);
-  EXPECT_EQ(l.admit("a", at(0) + no.come_back).refusal, Refusal::none);
+  EXPECT_EQ(no.rejection, Rejection::client_rate);
+  EXPECT_NEAR(no.retry_after.as_ms(), 100.0, 0.1);
+  EXPECT_EQ(l.admit("b", at(0)).rejection, Rejection::none);
+  EXPECT_EQ(l.admit("a", at(0) + no.retry_after).rejection, Rejection::none);
 }
 
 TEST(Limits, ARefusalCostsNothingOfTheOtherBucket) {
-  limit::LimitSpec spec;
-  spec.rate = {1, 1};
-  spec.client_rate = {1, 1};
-  Limiter l(spec, 1, at(0));
-  EXPECT_EQ(l.admit("a", at(0)).refusal, Refusal::none);
-  EXPECT_EQ(l.admit("b", at(0)).refusal, Refusal::service_rate);
-  EXPECT_EQ(l.admit("a", at(0)).refusal, Refusal::client_rate);
-  EXPECT_EQ(l.admit("b", at(1001)).refusal, Refusal::none);  // its token was not taken
+  limit::LimitConfig config;
+  config.rate = {1, 1};
+  config.client_rate = {1, 1};
+  Limiter l(config, 1, at(0));
+  EXPECT_EQ(l.admit("a", at(0)).rejection, Rejection::none);
+  EXPECT_EQ(l.admit("b", at(0)).rejection, Rejection::service_rate);
+  EXPECT_EQ(l.admit("a", at(0)).rejection, Rejection::client_rate);
+  EXPECT_EQ(l.admit("b", at(1001)).rejection, Rejection::none);  // its token was not taken
 }
 
 // One noisy client leaves the others their even shares, whatever it tries.
 TEST(Limits, ANoisyClientLeavesTheOthersTheirShares) {
-  limit::LimitSpec spec;
-  spec.in_flight = 100;
-  Limiter l(spec, 1, at(0));
+  limit::LimitConfig config;
+  config.max_in_flight = 100;
+  Limiter l(config, 1, at(0));
   int noisy = 0;
   std::vector<std::uint32_t> places;
   for (int i = 0; i < 500; ++i) {
     const limit::Admission a = l.admit("noisy", at(0));
-    if (a.refusal == Refusal::none)
-      ++noisy, places.push_back(a.place);
+    if (a.rejection == Rejection::none)
+      ++noisy, places.push_back(a.client_slot);
     else
-      EXPECT_EQ(a.refusal, Refusal::client_share);
+      EXPECT_EQ(a.rejection, Rejection::client_share);
   }
   EXPECT_EQ(noisy, 80);
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(l.admit("quiet", at(1)).refusal, Refusal::none);
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(l.admit("quiet", at(1)).rejection, Rejection::none);
   const limit::Admission full = l.admit("third", at(1));
-  EXPECT_EQ(full.refusal, Refusal::service_busy);
-  EXPECT_EQ(full.come_back, spec.come_back);
+  EXPECT_EQ(full.rejection, Rejection::service_in_flight);
+  EXPECT_EQ(full.retry_after, config.retry_after);
   // As its calls end, the quiet ones come up to their even share before it gets any again.
-  for (int i = 0; i < 40; ++i) l.ended(places[static_cast<std::size_t>(i)]);
-  for (int i = 0; i < 200; ++i) l.admit("noisy", at(2));
+  for (int i = 0; i < 40; ++i) l.release(places[static_cast<std::size_t>(i)]);
+  for (int i = 0; i < 200; ++i) static_cast<void>(l.admit("noisy", at(2)));
   int quiet = 20;
-  while (l.admit("quiet", at(3)).refusal == Refusal::none) ++quiet;
+  while (l.admit("quiet", at(3)).rejection == Rejection::none) ++quiet;
   EXPECT_GE(quiet, 40);
 }
 
 // Keys that are new with every call: the table stays as bounded as it is stated, and the service's limit
 // holds.
 TEST(Limits, NewKeysWithEveryCallStayBounded) {
-  limit::LimitSpec spec;
-  spec.in_flight = 50;
-  spec.client_rate = {1, 1};
-  spec.clients = 1000;
-  Limiter l(spec, 1, at(0));
+  limit::LimitConfig config;
+  config.max_in_flight = 50;
+  config.client_rate = {1, 1};
+  config.max_clients = 1000;
+  Limiter l(config, 1, at(0));
   std::vector<std::uint32_t> places;
   int admitted = 0;
   for (int i = 0; i < 100000; ++i) {
     const limit::Admission a = l.admit(key(i), at(i * 0.1));
-    if (a.refusal == Refusal::none) ++admitted, places.push_back(a.place);
+    if (a.rejection == Rejection::none) ++admitted, places.push_back(a.client_slot);
     if (places.size() == 40) {
-      for (const std::uint32_t p : places) l.ended(p);
+      for (const std::uint32_t p : places) l.release(p);
       places.clear();
     }
     ASSERT_LE(l.clients(), 1000U);
@@ -469,20 +470,20 @@
 }
 
 TEST(Limits, IdleClientsAreForgottenAndBusyOnesAreNot) {
-  limit::LimitSpec spec;
-  spec.client_in_flight = 1;
-  spec.clients = 2;
-  Limiter l(spec, 1, at(0));
+  limit::LimitConfig config;
+  config.max_client_in_flight = 1;
+  config.max_clients = 2;
+  Limiter l(config, 1, at(0));
   const limit::Admission busy = l.admit("busy", at(0));
-  l.ended(l.admit("idle", at(1)).place);
-  l.admit("new", at(70000));
+  l.release(l.admit("idle", at(1)).client_slot);
+  static_cast<void>(l.admit("new", at(70000)));
   EXPECT_EQ(l.clients(), 2U);
-  EXPECT_EQ(l.admit("busy", at(70001)).refusal, Refusal::client_busy);
+  EXPECT_EQ(l.admit("busy", at(70001)).rejection, Rejection::client_in_flight);
   // No place is left: the next one shares a place with all such, and is still bounded by it.
-  EXPECT_EQ(l.admit("x", at(70002)).refusal, Refusal::none);
-  EXPECT_EQ(l.admit("y", at(70003)).refusal, Refusal::client_busy);
-  l.ended(busy.place);
-  EXPECT_EQ(l.admit("busy", at(70004)).refusal, Refusal::none);
+  EXPECT_EQ(l.admit("x", at(70002)).rejection, Rejection::none);
+  EXPECT_EQ(l.admit("y", at(70003)).rejection, Rejection::client_in_flight);
+  l.release(busy.client_slot);
+  EXPECT_EQ(l.admit("busy", at(70004)).rejection, Rejection::none);
 }
 
 }  // namespace
