--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -225,8 +225,8 @@
   const json::Value* known = root.find("known");
   if (known == nullptr) throw ConfigError("known", "missing");
   try {
-    out.known = discovery::read_list(*known);
-  } catch (const discovery::ListError& e) {
+    out.known = discovery::parse_endpoint_list(*known);
+  } catch (const discovery::EndpointListError& e) {
     throw ConfigError("known", e.what());
   }
   const json::Value* settings = root.find("settings");
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -7,7 +7,7 @@
 
 #include "chutevane/sidecar.hpp"
 #include "chutevane/types.hpp"
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace chutevane::config {
 
@@ -25,8 +25,8 @@
   Span snapshot_every = Span::ms(5000);
   double part_with = 0.0;  // of the callers' connections: so many a second at most end with a rejection
   Span ask_over;           // a start's first question to discovery is drawn over so long; zero: at once
-  discovery::List known;   // the list as this sidecar last had it
-  Settings settings;       // under this project's names
+  discovery::EndpointList known;  // the list as this sidecar last had it
+  Settings settings;              // under this project's names
   Span connect_timeout, idle_close, longest_timeout;
   Span drain_grace =
       Span::ms(500);  // after news of a drain; where none is told, half a second is short enough
--- a/src/opfile/file.cpp
+++ b/src/opfile/file.cpp
@@ -93,7 +93,7 @@
   std::set<std::string> ids, addresses;
   for (const toml::table* one : t.tables("endpoint")) {
     Table e(*one, t.under("endpoint"), t.errors());
-    discovery::Entry entry;
+    discovery::EndpointEntry entry;
     entry.address = address(e, "address", std::nullopt);
     entry.id = e.text("id", entry.address.empty() ? "none" : entry.address);
     entry.zone = e.text("zone", "");
--- a/src/opfile/model.hpp
+++ b/src/opfile/model.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "limit/limiter.hpp"
 #include "pool/cross_pool_retry.hpp"
 #include "pool/failover.hpp"
@@ -24,15 +24,15 @@
 
 struct PoolModel {
   std::string name;
-  std::string discovery;         // an address; empty: the endpoints below
-  discovery::List endpoints;     // static, or what is known at the start
-  std::string zone;              // of this sidecar; empty: none
-  std::string reference_group;   // pools of one group remember references together; empty: its own
-  double carries_per_s = 0.0;    // calls that it is stated to carry when whole; 0: not stated
-  int sidecars = 1;              // that share it
-  int place = 0;                 // of this one among them
-  int calls_per_connection = 1;  // that its endpoints take at once; more: sidecars keep to parts of them
-  int dispatches = 4;            // of one call, over all pools that it goes to
+  std::string discovery;              // an address; empty: the endpoints below
+  discovery::EndpointList endpoints;  // static, or what is known at the start
+  std::string zone;                   // of this sidecar; empty: none
+  std::string reference_group;        // pools of one group remember references together; empty: its own
+  double carries_per_s = 0.0;         // calls that it is stated to carry when whole; 0: not stated
+  int sidecars = 1;                   // that share it
+  int place = 0;                      // of this one among them
+  int calls_per_connection = 1;       // that its endpoints take at once; more: sidecars keep to parts of them
+  int dispatches = 4;                 // of one call, over all pools that it goes to
   bool cancel = true;
   Span connect_timeout, idle_close, most_retry_after, warm_after, fall_window;
   double cold_share = 0.2, fall_multiple = 3.0;
--- a/src/sidecar/driver.cpp
+++ b/src/sidecar/driver.cpp
@@ -33,6 +33,18 @@
   return at;
 }
 
+discovery::EndpointWatcherConfig watcher_config(const config::Config& config) {
+  discovery::EndpointWatcherConfig out;
+  out.address = config.discovery;
+  out.kind = text_or_none(config.settings, "discovery") == "subscribe" ? discovery::DiscoveryKind::service
+                                                                       : discovery::DiscoveryKind::agent;
+  out.seed = config.seed;
+  out.drain_grace = config.drain_grace;
+  out.start_spread = config.ask_over;
+  if (config.known.full) out.known_version = config.known.version;
+  return out;
+}
+
 constexpr net::Waker::Bits due = net::Waker::own;
 // So long news of an endpoint's end outlive an older list: drains and rollbacks of discovery are over by
 // then.
@@ -52,12 +64,7 @@
       timer_(scheduler, waker_, due),
       timekeeper_(keep_time()) {
   endpoints.tell(*this);
-  if (!config.discovery.empty())
-    watch_.emplace(scheduler, config.discovery,
-                   text_or_none(config.settings, "discovery") == "subscribe" ? discovery::Teller::service
-                                                                             : discovery::Teller::agent,
-                   config.seed, *this, config.drain_grace, config.ask_over,
-                   config.known.full ? std::optional(config.known.version) : std::nullopt);
+  if (!config.discovery.empty()) watch_.emplace(scheduler, watcher_config(config), *this);
   take_list(ListKind::cached, config.known);
   timekeeper_.start();
 }
@@ -188,12 +195,12 @@
   pump();
 }
 
-void Driver::list_came(const discovery::List& list) {
+void Driver::on_endpoint_list(const discovery::EndpointList& list) {
   ++counters_.lists;
   take_list(list.full ? ListKind::full : ListKind::changes, list);
 }
 
-void Driver::list_failed() { ++counters_.list_failures; }
+void Driver::on_endpoint_list_failure() { ++counters_.list_failures; }
 
 snapshot::Content Driver::learnt() const {
   snapshot::Content out;
@@ -219,7 +226,7 @@
   balancer_.carry(known.carried, scheduler_.now());
 }
 
-void Driver::note_closed(const discovery::Entry& e) {
+void Driver::note_closed(const discovery::EndpointEntry& e) {
   if (e.availability == Availability::ready) {
     closed_.erase(e.id);
   } else if (closed_.size() < closed_most) {
@@ -227,7 +234,7 @@
   }
 }
 
-Availability Driver::still_closed(const discovery::Entry& e) const {
+Availability Driver::still_closed(const discovery::EndpointEntry& e) const {
   const auto known = closed_.find(e.id);
   if (known == closed_.end()) return e.availability;
   // A new start of it is another process; where it is gone its start is not told.
@@ -236,7 +243,7 @@
   return known->second.availability;
 }
 
-void Driver::take_list(ListKind kind, const discovery::List& list) {
+void Driver::take_list(ListKind kind, const discovery::EndpointList& list) {
   // What the list takes back is told to the module after the list itself. Guards against its sending such a
   // call to the same endpoint again, which it would still take for ready.
   pumping_ = true;
@@ -245,9 +252,9 @@
   std::vector<ListedEndpoint> entries;
   entries.reserve(list.entries.size());
   std::erase_if(closed_, [&](const auto& one) { return scheduler_.now() - one.second.told > closed_for; });
-  for (const discovery::Entry& e : list.entries) {
-    const Availability availability = list.older ? still_closed(e) : e.availability;
-    if (!list.older) note_closed(e);
+  for (const discovery::EndpointEntry& e : list.entries) {
+    const Availability availability = list.is_stale ? still_closed(e) : e.availability;
+    if (!list.is_stale) note_closed(e);
     if (availability == Availability::gone) {
       listed_.erase(e.id);
     } else {
--- a/src/sidecar/driver.hpp
+++ b/src/sidecar/driver.hpp
@@ -9,7 +9,7 @@
 #include "base/slab.hpp"
 #include "chutevane/balancer.hpp"
 #include "config/config.hpp"
-#include "discovery/watch.hpp"
+#include "discovery/endpoint_watcher.hpp"
 #include "net/scheduler.hpp"
 #include "pool/cross_pool_retry.hpp"
 #include "sidecar/counters.hpp"
@@ -36,7 +36,7 @@
   ~Caller() = default;
 };
 
-class Driver final : public DispatchSink, public discovery::Sink {
+class Driver final : public DispatchSink, public discovery::EndpointListObserver {
  public:
   Driver(net::Scheduler& scheduler, const config::Config& config, Endpoints& endpoints, Counters& counters);
 
@@ -44,7 +44,7 @@
   CallId take(ApiCall call, Caller& caller);
   void caller_left(CallId call);
   void move_discovery(const std::string& address) {
-    if (watch_) watch_->move(address);
+    if (watch_) watch_->set_address(address);
   }
   std::size_t endpoints_listed() const { return endpoints_.listed(); }
   std::size_t endpoints_avoided() const { return balancer_.avoided(scheduler_.now()); }
@@ -62,8 +62,8 @@
                     const std::shared_ptr<Pipe>& body) override;
   void answer_broke(EndpointId endpoint) override { balancer_.broke(endpoint, scheduler_.now()); }
   void dispatch_over(const Dispatch& dispatch, Outcome outcome, const http::Parser* response) override;
-  void list_came(const discovery::List& list) override;
-  void list_failed() override;
+  void on_endpoint_list(const discovery::EndpointList& list) override;
+  void on_endpoint_list_failure() override;
 
  private:
   static constexpr std::size_t dispatches_most = 8;  // as many as the module can keep
@@ -76,10 +76,10 @@
     std::array<EndpointConnection*, dispatches_most> dispatches{};
   };
 
-  void take_list(ListKind kind, const discovery::List& list);
-  void note_closed(const discovery::Entry& entry);
+  void take_list(ListKind kind, const discovery::EndpointList& list);
+  void note_closed(const discovery::EndpointEntry& entry);
   // As an older list's entry is to be taken.
-  Availability still_closed(const discovery::Entry& entry) const;
+  Availability still_closed(const discovery::EndpointEntry& entry) const;
   void part_with_doubted();
   void apply(Answers answers);
   void pump();
@@ -97,8 +97,8 @@
   Counters& counters_;
   Balancer balancer_;
   std::vector<std::string> zones_, models_;
-  std::map<std::string, discovery::Entry> listed_;  // as discovery last told, by id
-  std::uint64_t version_ = 0;                       // of it
+  std::map<std::string, discovery::EndpointEntry> listed_;  // as discovery last told, by id
+  std::uint64_t version_ = 0;                               // of it
   // What was told to drain or be gone of late, by id: an older list does not take that back.
   struct Closed {
     Availability availability = Availability::gone;
@@ -111,7 +111,7 @@
   std::deque<Answer> answers_;    // still to be done, in order
   std::deque<DispatchEnd> ends_;  // still to be told
   bool pumping_ = false;
-  std::optional<discovery::Watch> watch_;  // none: the list is the one that was given
+  std::optional<discovery::EndpointWatcher> watch_;  // none: the list is the one that was given
   net::Waker waker_;
   net::Timer timer_;
   net::Task timekeeper_;
--- a/src/sidecar/endpoints.cpp
+++ b/src/sidecar/endpoints.cpp
@@ -252,7 +252,7 @@
   }));
 }
 
-EndpointId Endpoints::learn(const discovery::Entry& entry) {
+EndpointId Endpoints::learn(const discovery::EndpointEntry& entry) {
   const auto known = ids_.find(entry.id);
   if (known == ids_.end() && entry.availability == Availability::gone) return 0;
   const EndpointId id = known == ids_.end() ? ++last_id_ : known->second;
--- a/src/sidecar/endpoints.hpp
+++ b/src/sidecar/endpoints.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "http/parser.hpp"
 #include "net/buffer.hpp"
 #include "net/socket.hpp"
@@ -119,7 +119,7 @@
   // Takes over what discovery says; the id under which the module knows the endpoint, or 0 for one that is
   // gone and was not known. Nothing is kept of an endpoint once it is gone and its last connection is closed;
   // should it return, it is another.
-  EndpointId learn(const discovery::Entry& entry);
+  EndpointId learn(const discovery::EndpointEntry& entry);
   // All but these are gone.
   void forget_unnamed(std::vector<EndpointId> named);
   // Where only draining binds: those that the list calls gone, and that are kept until part_with().
--- a/src/snapshot/evidence.cpp
+++ b/src/snapshot/evidence.cpp
@@ -62,9 +62,9 @@
   return out;
 }
 
-Evidence against(Evidence evidence, const discovery::List& list) {
-  std::map<std::string, const discovery::Entry*> at;
-  for (const discovery::Entry& e : list.entries) {
+Evidence against(Evidence evidence, const discovery::EndpointList& list) {
+  std::map<std::string, const discovery::EndpointEntry*> at;
+  for (const discovery::EndpointEntry& e : list.entries) {
     if (e.availability == Availability::ready) at[e.id] = &e;
   }
   const double before = static_cast<double>(evidence.endpoints.size());
@@ -77,7 +77,8 @@
   return evidence;
 }
 
-const discovery::List& newer(const discovery::List& given, const Content& content, const Evidence& evidence) {
+const discovery::EndpointList& newer(const discovery::EndpointList& given, const Content& content,
+                                     const Evidence& evidence) {
   return evidence.list && content.list.version > given.version ? content.list : given;
 }
 
--- a/src/snapshot/evidence.hpp
+++ b/src/snapshot/evidence.hpp
@@ -27,8 +27,9 @@
 Evidence nothing(const std::string& why);
 // What is left of the limit and the rate, given the list that is at hand now: they are of the endpoints that
 // were there then.
-Evidence against(Evidence evidence, const discovery::List& list);
+Evidence against(Evidence evidence, const discovery::EndpointList& list);
 // Of two lists of one deployment the newer one.
-const discovery::List& newer(const discovery::List& given, const Content& content, const Evidence& evidence);
+const discovery::EndpointList& newer(const discovery::EndpointList& given, const Content& content,
+                                     const Evidence& evidence);
 
 }  // namespace chutevane::snapshot
--- a/src/snapshot/form.cpp
+++ b/src/snapshot/form.cpp
@@ -55,11 +55,11 @@
     out.key("started_ms").real(r.came_up.as_ms()).key("latency_ms").real(r.latency_ms).close('}');
   }
   out.close(']').key("list");
-  discovery::List list;
+  discovery::EndpointList list;
   list.version = c.list.version;
   list.entries.assign(c.list.entries.begin(), c.list.entries.begin() + static_cast<long>(entries));
   list.full = entries == c.list.entries.size() && c.list.full;  // what was cut is no list to start from
-  discovery::write_list(out, list);
+  discovery::write_endpoint_list(out, list);
   return out.close('}').result();
 }
 
@@ -127,8 +127,8 @@
                              figure(one, "latency_ms", latency_most)});
   }
   try {
-    out.list = discovery::read_list(member(root, "list", Kind::object));
-  } catch (const discovery::ListError& e) {
+    out.list = discovery::parse_endpoint_list(member(root, "list", Kind::object));
+  } catch (const discovery::EndpointListError& e) {
     throw FormError(std::string("list: ") + e.what());
   }
   return out;
--- a/src/snapshot/form.hpp
+++ b/src/snapshot/form.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "snapshot/age.hpp"
 
 namespace chutevane::snapshot {
@@ -36,7 +36,7 @@
   Stamp written;
   std::vector<Remembered> endpoints;
   Carried carried;
-  discovery::List list;  // as last had, whole
+  discovery::EndpointList list;  // as last had, whole
 };
 
 constexpr std::size_t text_most = 1U << 19U;  // bytes: some 2,600 endpoints; parsed it stays under 32 MB
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -303,7 +303,7 @@
   out.list.version = 7;
   out.list.full = true;
   for (const Availability availability : {Availability::ready, Availability::draining}) {
-    discovery::Entry entry;
+    discovery::EndpointEntry entry;
     entry.id = availability == Availability::ready ? "s-1" : "s-2";
     entry.address = "127.0.0.1:9001";
     entry.zone = "z1";
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -1,4 +1,4 @@
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "helpers.hpp"
 #include "json/value.hpp"
 
@@ -49,15 +49,15 @@
 
 std::string list_error(std::string_view text) {
   try {
-    discovery::read_list(text);
-  } catch (const discovery::ListError& e) {
+    discovery::parse_endpoint_list(text);
+  } catch (const discovery::EndpointListError& e) {
     return e.what();
   }
   return "";
 }
 
 TEST(List, IsRead) {
-  const discovery::List l = discovery::read_list(
+  const discovery::EndpointList l = discovery::parse_endpoint_list(
       R"({"version":43,"full":false,"servers":[{"id":"s-1","addr":"10.1.0.18:8000","zone":"a","cell":3,
           "state":"DRAINING","weight":2.0,"started_ms":1796122395638},{"id":"s-2","state":"DELETED"}]})");
   EXPECT_EQ(l.version, 43U);
@@ -71,7 +71,8 @@
 
 // Guards against a version that is rounded on its way: the watch would ask for the wrong one.
 TEST(List, VersionsAreExact) {
-  EXPECT_EQ(discovery::read_list(R"({"version":9007199254740993,"servers":[]})").version, 9007199254740993U);
+  EXPECT_EQ(discovery::parse_endpoint_list(R"({"version":9007199254740993,"servers":[]})").version,
+            9007199254740993U);
   EXPECT_EQ(list_error(R"({"version":1.5,"servers":[]})"), "version: no whole number");
 }
 
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -200,7 +200,7 @@
   }
   Port port;
   Peer fill, fill_more;
-  discovery::Entry entry;
+  discovery::EndpointEntry entry;
   config::Config config = config::read(config_text(), no_environment);
   Front front{config.settings};
   Counters counters;
@@ -505,7 +505,7 @@
 
 // Guards against a watch gone silent on an open connection: the wait it states, and 2 s, is how long that is
 // taken for no news. With 20 s a release of endpoints went by unheard.
-TEST(Watch, TakesTheListAndGoesOnWatching) {
+TEST(EndpointWatcher, TakesTheListAndGoesOnWatching) {
   SidecarBench b;
   Peer discovery, endpoint;
   ASSERT_TRUE(b.until([&] { return b.discovery.take(discovery); }));
@@ -519,7 +519,7 @@
 }
 
 // Guards rule 3 at the return of a discovery that is refused: a drain is told with it.
-TEST(Watch, ComesBackWithinTheGraceOfADrain) {
+TEST(EndpointWatcher, ComesBackWithinTheGraceOfADrain) {
   SidecarBench b(R"("cold_share")", R"("drain_grace_ms":100,"cold_share")");
   b.discovery.close();
   EXPECT_TRUE(b.until([&] { return b.sidecar->counters().list_failures >= 20; }));
@@ -528,7 +528,7 @@
 // Where the list is to be asked for, calls wait their turn and cost the fleet. Guards rule 3 against sidecars
 // that give up what is answered a moment later, which counts as told, and that ask twice where once is
 // enough.
-TEST(Watch, WaitsItsTurnAtAServiceAndAsksForNoMoreThanItLacks) {
+TEST(EndpointWatcher, WaitsItsTurnAtAServiceAndAsksForNoMoreThanItLacks) {
   SidecarBench b("automatic", "subscribe");
   Peer discovery, again, whole, endpoint;
   ASSERT_TRUE(b.until([&] { return b.discovery.take(discovery); }));
@@ -549,7 +549,7 @@
 
 // Guards rule 3 at the return of a discovery that is silent: it answers what is open then, and a try that
 // ends is followed by the next before anything else is done.
-TEST(Watch, HasAnAskOpenThroughoutASilence) {
+TEST(EndpointWatcher, HasAnAskOpenThroughoutASilence) {
   SidecarBench b(R"("cold_share")", R"("drain_grace_ms":100,"cold_share")");
   Peer silent, next, endpoint;
   ASSERT_TRUE(b.until([&] { return b.discovery.take(silent); }));
@@ -569,7 +569,7 @@
 }
 
 // Guards against what a drain takes back going to the same endpoint again, until its dispatches are used up.
-TEST(Watch, WhatADrainTakesBackGoesElsewhere) {
+TEST(EndpointWatcher, WhatADrainTakesBackGoesElsewhere) {
   SidecarBench b;
   Port blocked(0);
   const Peer fill = Peer::to(blocked.at), fill_more = Peer::to(blocked.at);
@@ -591,7 +591,7 @@
 }
 
 // Guards rule 2: what a draining endpoint finishes is done. Told as never sent, a single-use call ran twice.
-TEST(Watch, WhatADrainingEndpointFinishesIsDone) {
+TEST(EndpointWatcher, WhatADrainingEndpointFinishesIsDone) {
   SidecarBench b;
   Peer discovery, endpoint;
   Peer caller = b.call(request_text("a", "sale"), endpoint);
@@ -605,7 +605,7 @@
 }
 
 // Where only draining binds, the endpoint serves on though the list calls it gone, until it refuses.
-TEST(Watch, AnEndpointThatAnswersOutlastsAListThatLacksIt) {
+TEST(EndpointWatcher, AnEndpointThatAnswersOutlastsAListThatLacksIt) {
   SidecarBench b(R"("fall_ms":1500)", R"("fall_ms":1500,"drain_binds_alone":true)");
   Peer discovery, endpoint;
   Peer caller = b.call(request_text("a", "plan"), endpoint);
@@ -704,7 +704,7 @@
 }
 
 // Guards against news that come late because the answer before stands still; the list stays meanwhile.
-TEST(Watch, AnAnswerThatStallsIsAskedForAgainAtOnce) {
+TEST(EndpointWatcher, AnAnswerThatStallsIsAskedForAgainAtOnce) {
   SidecarBench b;
   Peer stalls, again, endpoint;
   ASSERT_TRUE(b.until([&] { return b.discovery.take(stalls); }));
@@ -718,7 +718,7 @@
 }
 
 // Guards rule 3 against a discovery that was brought back from a copy: what drained, or is gone, stays so.
-TEST(Watch, AnOlderListTakesNoDrainBack) {
+TEST(EndpointWatcher, AnOlderListTakesNoDrainBack) {
   SidecarBench b;
   const auto list = [&](int version, const std::string& first, const std::string& second) {
     const auto item = [&](const char* id, const std::string& state) {
@@ -738,7 +738,7 @@
   };
   const auto listed = [&] {
     std::string out;
-    for (const discovery::Entry& e : b.sidecar->learnt().list.entries)
+    for (const discovery::EndpointEntry& e : b.sidecar->learnt().list.entries)
       out += e.id + (e.availability == Availability::ready ? "+ " : "- ");
     return out;
   };
@@ -786,7 +786,7 @@
 }
 
 // Guards discovery against a fleet that comes again at once: what it says of when is obeyed.
-TEST(Watch, ComesBackNoSoonerThanARefusalSays) {
+TEST(EndpointWatcher, ComesBackNoSoonerThanARefusalSays) {
   SidecarBench b;
   Peer refused, early, later;
   ASSERT_TRUE(b.until([&] { return b.discovery.take(refused); }));
@@ -799,7 +799,7 @@
 }
 
 // Sidecars that start together do not ask together: each draws its moment by its own seed.
-TEST(Watch, AFirstQuestionMayBeDrawnOverATime) {
+TEST(EndpointWatcher, AFirstQuestionMayBeDrawnOverATime) {
   SidecarBench b("\"seed\"", "\"restart\":{\"ask_over_ms\":600},\"seed\"");
   const TimePoint from = b.scheduler.now();
   Peer asks;
@@ -809,7 +809,7 @@
 }
 
 // Guards the list: nothing that discovery says wrongly, and no lost watch, empties it.
-TEST(Watch, KeepsTheListThroughBadAnswers) {
+TEST(EndpointWatcher, KeepsTheListThroughBadAnswers) {
   SidecarBench b;
   const std::string gone = R"({"version":9,"full":true,"servers":[{"id":"s-1","state":"LOST"}]})";
   for (const std::string& bad :
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -38,7 +38,7 @@
   c.list.version = 7;
   c.list.full = true;
   for (const Remembered& r : c.endpoints) {
-    discovery::Entry e;
+    discovery::EndpointEntry e;
     e.id = r.name, e.address = r.address, e.came_up = r.came_up;
     c.list.entries.push_back(e);
   }
@@ -157,7 +157,7 @@
 
 // An address that now belongs to another, an id that came back elsewhere, and a fresh start of the same one.
 TEST(Evidence, HoldsOnlyForTheSameStartAtTheSameAddress) {
-  discovery::List list = sample().list;
+  discovery::EndpointList list = sample().list;
   list.entries[0].address = "127.0.0.1:9009";
   EXPECT_EQ(against(judge(sample(), here()), list).endpoints.size(), 1U);
   EXPECT_EQ(against(judge(sample(), here()), list).carried.limit, 4.0);
@@ -178,7 +178,7 @@
 }
 
 TEST(Evidence, OfTwoListsTheNewerOneIsStartedFrom) {
-  discovery::List given;
+  discovery::EndpointList given;
   given.version = 6;
   EXPECT_EQ(newer(given, sample(), judge(sample(), here())).version, 7U);
   given.version = 8;
