--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,7 +8,7 @@
 #include "config/config.hpp"
 #include "opfile/explain.hpp"
 #include "opfile/file.hpp"
-#include "sidecar/sidecar.hpp"
+#include "sidecar/daemon.hpp"
 #include "snapshot/store.hpp"
 
 namespace {
--- a/src/sidecar/counters.cpp
+++ b/src/sidecar/counters.cpp
@@ -5,37 +5,37 @@
 namespace chutevane::sidecar {
 
 std::string Counters::as_json() const {
-  static constexpr const char* names[] = {"done",          "error", "turned_away", "timed_out",
-                                          "not_connected", "reset", "cancelled",   "not_sent"};
+  static constexpr const char* outcome_names[] = {"done",          "error", "turned_away", "timed_out",
+                                                  "not_connected", "reset", "cancelled",   "not_sent"};
   json::Writer out;
   const auto put = [&](const char* name, std::uint64_t value) { out.key(name).number(value); };
   out.open('{');
   out.key("api_calls").open('{');
-  put("taken", calls), put("done", done), put("rejected", rejected), put("broken_off", broken_off);
-  put("callers_left", callers_left), put("bad_requests", bad_requests);
-  put("limited", limited), put("went_on", went_on);
+  put("taken", calls), put("done", completed), put("rejected", rejected), put("broken_off", aborted);
+  put("callers_left", client_disconnects), put("bad_requests", bad_requests);
+  put("limited", limited), put("went_on", cross_pool_retries);
   out.close('}');
   out.key("dispatches").open('{');
   put("sent", dispatches);
-  for (std::size_t i = 0; i < outcomes.size(); ++i) put(names[i], outcomes[i]);
+  for (std::size_t i = 0; i < outcomes.size(); ++i) put(outcome_names[i], outcomes[i]);
   out.close('}');
   out.key("connections").open('{');
-  put("opened", connections_opened), put("reused", connections_reused);
-  put("accepted", callers_accepted), put("shed", callers_shed), put("parted", parted);
+  put("opened", upstream_opened), put("reused", upstream_reused);
+  put("accepted", downstream_accepted), put("shed", downstream_evicted), put("parted", downstream_rebalanced);
   out.close('}');
   out.key("lists").open('{');
-  put("taken", lists), put("failed", list_failures);
+  put("taken", list_updates), put("failed", list_failures);
   out.close('}').close('}');
   return out.result();
 }
 
-std::string Counters::figures(std::size_t discovered, std::size_t ejected) const {
-  static constexpr const char* names[] = {"succeeded", "declined", "aborted"};
+std::string Counters::summary_json(std::size_t discovered, std::size_t ejected) const {
+  static constexpr const char* result_names[] = {"succeeded", "declined", "aborted"};
   json::Writer out;
   out.open('{').key("results").open('{');
   for (const Class& c : classes) {
     out.key(c.name).open('{');
-    for (std::size_t i = 0; i < c.results.size(); ++i) out.key(names[i]).number(c.results[i]);
+    for (std::size_t i = 0; i < c.results.size(); ++i) out.key(result_names[i]).number(c.results[i]);
     out.close('}');
   }
   out.close('}').key("forwards").number(forwards).key("outstanding").number(outstanding);
--- /dev/null
+++ b/src/sidecar/daemon.cpp
@@ -0,0 +1,267 @@
+#include "sidecar/daemon.hpp"
+
+#include <algorithm>
+#include <csignal>
+#include <stdexcept>
+#include <system_error>
+#include <utility>
+
+#include "base/log.hpp"
+#include "base/settings_reader.hpp"
+
+namespace chutevane::sidecar {
+namespace {
+
+/// For the predecessor to answer: a turn of a busy process.
+constexpr Span predecessor_timeout = Span::ms(2000);
+/// Snapshots are written at intervals of this part of the stated one to this plus the spread.
+constexpr double min_interval_part = 0.9, interval_spread = 0.2;
+
+}  // namespace
+
+bool reload(Sidecar& sidecar, const ConfigReader& reader, const config::Config& in_force) {
+  try {
+    const config::Config config = reader();
+    sidecar.reconfigure(config);
+    const std::string pending = config::waits_for_start(in_force, config);
+    log_line("configuration read again%s%s",
+             pending.empty() ? "" : "; changed but kept until the next start: ", pending.c_str());
+    return true;
+  } catch (const std::exception& e) {
+    log_line("configuration not taken, the old one stays: %s", e.what());
+    return false;
+  }
+}
+
+config::Config Daemon::with_available_descriptors(config::Config config, net::System& system) {
+  config.sockets = std::min(config.sockets, system.descriptors(config.sockets));
+  return config;
+}
+
+opfile::Model Daemon::with_available_descriptors(opfile::Model model, net::System& system) {
+  model.sockets = std::min(model.sockets, system.descriptors(model.sockets));
+  return model;
+}
+
+Daemon::Daemon(net::Scheduler& scheduler, ConfigReader reader, const std::string& folder,
+               std::unique_ptr<snapshot::Store> store)
+    : scheduler_(scheduler),
+      waker_(scheduler),
+      signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}),
+      config_reader_(std::move(reader)),
+      config_(config_reader_()),
+      store_(std::move(store)),
+      random_(config_.seed),
+      name_(config_.name),
+      listen_text_(config_.listen),
+      meeting_point_(handover::meeting_place(folder, name_)),
+      predecessor_(handover::ask(meeting_point_, predecessor_timeout)),
+      sidecar_(scheduler, with_available_descriptors(with_known_list(config_), scheduler.system())) {
+  restore_learned_state();
+}
+
+Daemon::Daemon(net::Scheduler& scheduler, const opfile::Model& model, const std::string& folder)
+    : scheduler_(scheduler),
+      waker_(scheduler),
+      signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}),
+      random_(0),
+      model_(with_available_descriptors(model, scheduler.system())),
+      name_(model.name),
+      meeting_point_(handover::meeting_place(folder, name_)),
+      predecessor_(handover::ask(meeting_point_, predecessor_timeout)),
+      sidecar_(scheduler, model_) {
+  for (const std::string& address : model.listen)
+    listen_text_ += (listen_text_.empty() ? "" : ", ") + address;
+  restore_learned_state();
+}
+
+// --- The start
+
+/// The list of the predecessor, or of the last snapshot, replaces the configuration's, which may be old.
+config::Config Daemon::with_known_list(config::Config config) {
+  if (!store_ && !config.state.empty()) store_ = snapshot::open_files(config.state);
+  if (store_) load_snapshot();
+  if (predecessor_.link >= 0) {
+    try {
+      snapshot::Content content = snapshot::read(predecessor_.state);
+      // A list that was cut to fit is none to start from; one of another deployment names other endpoints.
+      if (content.list.full && content.deployment == snapshot::deployment_of(config.settings))
+        config.known = std::move(content.list);
+    } catch (const snapshot::FormError&) {
+      // restore_learned_state() reads it again and logs the error.
+    }
+  } else if (store_) {
+    config.known = snapshot::newer(config.known, last_snapshot_, evidence_);
+    evidence_ = snapshot::against(evidence_, config.known);
+  }
+  return config;
+}
+
+std::uint32_t Daemon::sidecar_count() const {
+  return static_cast<std::uint32_t>(SettingsReader(config_.settings).number("sidecars"));
+}
+
+snapshot::Situation Daemon::present_situation() const {
+  return {config_.name, snapshot::deployment_of(config_.settings), sidecar_count(), store_->now()};
+}
+
+/// Takes the newest generation of the snapshot that can be read.
+void Daemon::load_snapshot() {
+  const snapshot::Situation here = present_situation();
+  evidence_ = snapshot::nothing("there is no state");
+  for (const std::string& text : store_->generations()) {
+    try {
+      last_snapshot_ = snapshot::read(text);
+      evidence_ = snapshot::judge(last_snapshot_, here);
+      return;
+    } catch (const snapshot::FormError& e) {
+      log_line("state: set aside: %s", e.what());
+      evidence_ = snapshot::nothing(e.what());
+      store_->set_aside_newest();
+    }
+  }
+}
+
+/// Gives the sidecar the predecessor's state, or else what the snapshot's evidence is.
+void Daemon::restore_learned_state() {
+  if (predecessor_.busy) throw std::runtime_error("another successor starts at " + meeting_point_);
+  if (store_) next_snapshot_at_ = scheduler_.now() + config_.snapshot_every * random_.unit();
+  if (predecessor_.link >= 0 && config_reader_) {
+    try {
+      return sidecar_.restore_state(predecessor_.state);
+    } catch (const snapshot::FormError& e) {
+      log_line("handover: state set aside, all is learnt anew: %s", e.what());
+    }
+  }
+  if (!store_) return;
+  log_line("state: %s", evidence_.why.c_str());
+  sidecar_.restore(evidence_);
+}
+
+bool Daemon::listen() {
+  try {
+    if (predecessor_.link >= 0 && sidecar_.listen_on(predecessor_.listeners)) {
+      predecessor_.listeners.clear();  // the sidecar owns them now
+    } else {
+      sidecar_.listen();
+    }
+  } catch (const std::system_error& e) {
+    log_line("%s: %s", listen_text_.c_str(), e.what());
+    return false;
+  }
+  log_line("%s serves at %s", name_.c_str(), listen_text_.c_str());
+  if (!meeting_point_.empty()) {
+    peer_link_.emplace(
+        scheduler_, meeting_point_, [this] { return handover_state(); }, [this] { on_peer_change(); });
+    if (predecessor_.link >= 0) peer_link_->follow(std::exchange(predecessor_.link, -1));
+    on_peer_change();
+  }
+  return true;
+}
+
+// --- Hot restart
+
+handover::Estate Daemon::handover_state() const {
+  return {sidecar_.listening_descriptors(), config_reader_ ? sidecar_.serialize_state() : std::string("{}")};
+}
+
+void Daemon::on_peer_change() {
+  const handover::Link &predecessor = peer_link_->before(), &successor = peer_link_->after();
+  sidecar_.on_peer_status(successor.serves(), predecessor.serves(), predecessor.lives() || successor.lives());
+  // Once a successor that served is gone, or ends, this process serves alone again and may have another.
+  const bool serves = !sidecar_.is_ending() && !successor.serves();
+  if (std::exchange(announced_serving_, serves) == serves) return;
+  if (serves) peer_link_->open();
+  peer_link_->say(serves);
+}
+
+// --- Signals
+
+void Daemon::handle_signal(int signal) {
+  if (signal == SIGUSR1) {
+    log_line("%s", sidecar_.counters().as_json().c_str());
+  } else if (signal != SIGHUP) {
+    log_line("%s drains", name_.c_str());
+    // Now and not only at the end: the next process may start while this one still drains.
+    if (store_) write_snapshot(false);
+    sidecar_.shut_down(sidecar_.shutdown_timeout());
+    if (peer_link_) on_peer_change();
+  } else if (config_reader_) {
+    sidecar_.count_reload(reload(sidecar_, config_reader_, config_));
+  } else {
+    log_line("the operator's file is read at a start only; nothing changes");
+  }
+}
+
+bool Daemon::step() {
+  scheduler_.turn();
+  while (const int signal = signals_.next()) handle_signal(signal);
+  sidecar_.update_warm_start();
+  if (store_ && scheduler_.now() >= next_snapshot_at_) {
+    log_store_status();
+    write_snapshot(false);
+  }
+  if (!sidecar_.finished()) return true;
+  if (store_) {
+    write_snapshot(true);
+    store_->settle();
+  }
+  log_line("%s", sidecar_.counters().as_json().c_str());
+  return false;
+}
+
+// --- Snapshots
+
+void Daemon::write_snapshot(bool is_final) {
+  next_snapshot_at_ =
+      scheduler_.now() + config_.snapshot_every * (min_interval_part + interval_spread * random_.unit());
+  snapshot::Content content = sidecar_.learned_state();
+  content.owner = config_.name;
+  content.sidecars = sidecar_count();
+  content.life = last_snapshot_.life + 1;
+  content.ended = is_final;
+  content.written = store_->now();
+  store_->put(std::move(content));
+}
+
+/// A store that fails is logged once, and once more when it works again.
+void Daemon::log_store_status() {
+  const snapshot::StoreCounters now = store_->counters();
+  const bool has_failed = now.failed > logged_store_status_.failed;
+  const bool has_written = now.written > logged_store_status_.written;
+  if (has_failed && !store_is_failing_) log_line("state: not kept: %s", now.trouble.c_str());
+  if (has_written && !has_failed && store_is_failing_) log_line("state: kept again");
+  if (now.passed_over > logged_store_status_.passed_over)
+    log_line("state: the disk is slow, %llu snapshots were replaced before they were written",
+             static_cast<unsigned long long>(now.passed_over - logged_store_status_.passed_over));
+  if (has_failed || has_written) store_is_failing_ = has_failed;
+  logged_store_status_ = now;
+}
+
+// --- The program
+
+namespace {
+
+int serve(Daemon& daemon) {
+  std::signal(SIGPIPE, SIG_IGN);
+  if (!daemon.listen()) return 1;
+  while (daemon.step()) {
+  }
+  return 0;
+}
+
+}  // namespace
+
+int serve(const ConfigReader& reader, const std::string& folder) {
+  net::Scheduler scheduler;
+  Daemon daemon(scheduler, reader, folder);
+  return serve(daemon);
+}
+
+int serve_file(const opfile::Model& model, const std::string& folder) {
+  net::Scheduler scheduler;
+  Daemon daemon(scheduler, model, folder);
+  return serve(daemon);
+}
+
+}  // namespace chutevane::sidecar
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -1,165 +1,140 @@
-// One sidecar, put together: listens for callers, keeps the list, drives the balancer, drains when told.
+/// One sidecar, put together: listeners for clients, the router, a pool of endpoints for each balancer, the
+/// admin address, and the state machine by which it drains.
 #pragma once
 
-#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
 
 #include "admin/server.hpp"
 #include "config/config.hpp"
-#include "handover/post.hpp"
 #include "net/scheduler.hpp"
-#include "net/signals.hpp"
 #include "net/task.hpp"
-#include "sidecar/callers.hpp"
+#include "sidecar/balancer_driver.hpp"
+#include "sidecar/call_protocol.hpp"
 #include "sidecar/counters.hpp"
-#include "sidecar/driver.hpp"
-#include "sidecar/endpoints.hpp"
-#include "sidecar/front.hpp"
-#include "sidecar/services.hpp"
+#include "sidecar/listener.hpp"
+#include "sidecar/service_router.hpp"
+#include "sidecar/upstream_pool.hpp"
 #include "snapshot/coming_back.hpp"
 #include "snapshot/evidence.hpp"
-#include "snapshot/store.hpp"
 
 namespace chutevane::sidecar {
 
+/// How far a drain has come. `announcing` and `draining` are of every drain, and end in `serving` again or go
+/// on to the process's end; the phases behind them are of that end alone.
+///
+///   starting -> serving -> announcing -> draining -> closing -> aborting -> finished
+enum class DrainPhase : std::uint8_t {
+  starting,  // not listening yet
+  serving,
+  announcing,  // `GET /ready` answers 503; new connections are still on their way and are served
+  draining,    // out of service: responses end their connections. Before an end: no new connections
+  closing,     // idle connections are closed, each response ends its connection
+  aborting,    // the time is up: every call in flight has been answered with an abort
+  finished
+};
+
 class Sidecar final : public admin::Desk {
  public:
-  // The platform's: one service with one pool.
+  /// From the platform's configuration: one service with one pool. `scheduler` outlives it.
   Sidecar(net::Scheduler& scheduler, const config::Config& config);
-  // An operator's: what its file says, which outlives it.
+  /// From an operator's file; `model` outlives it.
   Sidecar(net::Scheduler& scheduler, const opfile::Model& model);
-  void listen();  // from here on it serves; throws std::system_error
-  // The same with descriptors that another process listens with; false where they are not those.
-  bool listen_on(const std::vector<int>& fds);
-  std::vector<int> listeners() const;
-  // Of the other process on this address: whether a successor or one before serves, and whether any lives.
-  void beside(bool after_serves, bool before_serves, bool lives);
-  std::string hand_over() const;
-  void take_over(std::string_view handed);  // throws snapshot::FormError
-  // Takes over what may change while it serves: where discovery is, and the bounds on callers. Connections,
-  // calls and the list stay.
+
+  /// Starts serving. Throws std::system_error.
+  void listen();
+  /// The same with listening descriptors of another process, which it takes over; false, with nothing done,
+  /// where their addresses are not those of this sidecar.
+  [[nodiscard]] bool listen_on(const std::vector<int>& fds);
+  std::vector<int> listening_descriptors() const;
+  /// The first listener's address, or that of one by its index in the file.
+  std::optional<sockaddr_in> address(std::size_t listener = 0) const {
+    return listeners_[listener]->address();
+  }
+
+  // Hot restart: two processes serve side by side for a while (docs/days.md).
+
+  /// What is known of the other process on this address: whether a successor or a predecessor serves, and
+  /// whether either lives. While it does, this process uses its share of the limits.
+  void on_peer_status(bool successor_serves, bool predecessor_serves, bool peer_lives);
+  /// The learned state as the successor takes it.
+  std::string serialize_state() const;
+  /// Takes over the state of a predecessor that serves at this moment. Throws snapshot::FormError.
+  void restore_state(std::string_view serialized);
+
+  /// Takes over what may change while it serves: the address of discovery and the time-outs of downstream
+  /// connections. Connections, calls and the endpoint list stay.
   void reconfigure(const config::Config& config);
-  // The process is to end. Serves through the crossing of new connections, and those that stay for as long as
-  // leaves time to answer,
-  // then ends once all is answered. What is left when the time is up is broken off.
-  void drain(Span within);
-  // How long the platform leaves it: until no client waits any more, at most so long.
-  Span drain_time() const;
-  // What has been learnt, for the process that follows; and what of one before's is evidence.
-  snapshot::Content learnt() const;
-  void recall(const snapshot::Evidence& known);
-  // How far it is on its way to full service; looks at its own counters, where somebody can ask.
-  void look_at_return();
-  bool ending() const { return ending_; }
-  bool finished() const { return phase_ == Phase::finished; }
-  // Operators' words, from the second address.
-  bool takes_clients() const override { return phase_ == Phase::serving; }
+  /// Counts a SIGHUP, for operators.
+  void count_reload(bool applied) { ++(applied ? counters_.sighup_applied : counters_.sighup_rejected); }
+
+  /// Drains and ends; what is still in flight after `timeout` is aborted. Only the first call counts.
+  void shut_down(Span timeout);
+  /// The time-out of a shutdown: until no client waits any more, within what the platform leaves.
+  Span shutdown_timeout() const;
+  bool is_ending() const { return is_ending_; }
+  bool finished() const { return phase_ == DrainPhase::finished; }
+
+  /// What a snapshot keeps for the next process; owner and times are for the caller to fill in.
+  snapshot::Content learned_state() const;
+  /// Takes what of an earlier process's snapshot still counts.
+  void restore(const snapshot::Evidence& evidence);
+  /// Follows how far the sidecar is on its way to full service, where somebody can ask for it.
+  void update_warm_start();
+
+  // admin::Desk: operators' calls, from the admin address
+  bool takes_clients() const override { return phase_ == DrainPhase::serving; }
   std::string figures() const override;
   std::string coming_back_text() const override;
   bool out_of_service() override;
   bool in_service() override;
-  std::optional<sockaddr_in> admin_address() const { return desk_ ? desk_->address() : std::nullopt; }
-  void heard_sighup(bool applied) { ++(applied ? counters_.sighup_applied : counters_.sighup_rejected); }
-  std::optional<sockaddr_in> address() const { return callers_.front()->address(); }
-  // Where each listener listens, in the file's order.
-  std::optional<sockaddr_in> address(std::size_t listener) const { return callers_[listener]->address(); }
-  const Services* services() const { return services_.get(); }  // none: the platform's
-  const net::BufferBudget& held() const { return held_; }
+  std::optional<sockaddr_in> admin_address() const { return admin_ ? admin_->address() : std::nullopt; }
+
+  /// Null with the platform's configuration.
+  const ServiceRouter* service_router() const { return service_router_.get(); }
+  const net::BufferBudget& buffer_budget() const { return buffer_budget_; }
   const Counters& counters() const { return counters_; }
 
  private:
-  // `crossing` and `emptying` are a drain's, in service again or to the end; the others an end's alone.
-  enum class Phase : std::uint8_t { starting, serving, crossing, emptying, closing, breaking, finished };
-  net::Task keep_phase();
-  void step(TimePoint now);
-  void enter(Phase phase, TimePoint now);
-  void open();
-  void open_desk(const std::string& address, std::size_t sockets);
-  Intake& intake() { return single_ ? static_cast<Intake&>(*single_) : *services_; }
+  net::Task run_phases();
+  void advance_phase(TimePoint now);
+  void enter(DrainPhase phase, TimePoint now);
+  static void apply_phase(Listener& listener, DrainPhase phase, bool is_ending, bool peer_serves);
+  void start_serving();
+  void create_admin_server(const std::string& address, std::size_t descriptors);
+  std::size_t downstream_connections() const;
+  CallRouter& router() {
+    return single_router_ ? static_cast<CallRouter&>(*single_router_) : *service_router_;
+  }
 
   net::Scheduler& scheduler_;
-  std::size_t callers() const;
-
-  std::vector<sockaddr_in> listen_at_;
-  const Span longest_timeout_;
-  const std::string deployment_;
+  std::vector<sockaddr_in> listen_addresses_;
+  const Span longest_client_timeout_;
+  const std::string deployment_;  // a fingerprint of the settings; empty: an operator's file
   Counters counters_;
   snapshot::ComingBack coming_back_;
-  std::string started_from_ = "nothing";
-  Front front_;
-  net::BufferBudget held_;  // the bytes of all connections; above what counts in it
-  Room room_;
-  std::vector<std::unique_ptr<Pool>> pools_;
-  std::unique_ptr<SingleService> single_;
-  std::unique_ptr<Services> services_;
-  OpenIds open_ids_;
-  std::vector<std::unique_ptr<Callers>> callers_;  // one for each listener
-  std::optional<sockaddr_in> desk_at_;
-  std::unique_ptr<admin::Server> desk_;  // none: no second address
-  Phase phase_ = Phase::starting;
-  bool other_serves_ = false;  // new connections are another process's
-  bool ending_ = false;        // SIGTERM: whatever is said from here on, it ends
-  TimePoint since_, last_;     // of the phase; when all is answered at the latest
+  std::string started_from_ = "nothing";  // whose state it was restored from, for operators
+  CallProtocol protocol_;
+  net::BufferBudget buffer_budget_;  // the bytes of all connections: declared before whatever counts in it
+  ConnectionBudget connection_budget_;
+  std::vector<std::unique_ptr<EndpointPool>> pools_;
+  // One of the two: by the platform's configuration, by an operator's file.
+  std::unique_ptr<SingleServiceRouter> single_router_;
+  std::unique_ptr<ServiceRouter> service_router_;
+  ActiveRequestIds active_ids_;
+  std::vector<std::unique_ptr<Listener>> listeners_;
+  std::optional<sockaddr_in> admin_listen_address_;
+  std::unique_ptr<admin::Server> admin_;  // null: no admin address
+  DrainPhase phase_ = DrainPhase::starting;
+  bool peer_serves_ = false;  // new connections are another process's
+  bool is_ending_ = false;    // the phases lead to the process's end and not back
+  TimePoint phase_since_, shutdown_deadline_;
   net::Waker waker_;
   net::Timer timer_;
-  net::Task keeper_;
+  net::Task phase_task_;
 };
 
-using Reading = std::function<config::Config()>;  // of the configuration; throws ConfigError
-
-// Reads again and reconfigures. What cannot be used costs one log line that names the key, and nothing
-// changes; false then.
-bool reload(Sidecar& sidecar, const Reading& reading, const config::Config& in_force);
-
-// A sidecar as a process has it: with its signals. SIGTERM and SIGINT drain, SIGHUP reads the configuration
-// again, SIGUSR1 prints the counters.
-class Daemon {
- public:
-  // `folder`: where processes of one sidecar meet; empty: they do not. Throws ConfigError, and
-  // std::runtime_error where another successor starts already.
-  // `store`: where its snapshots lie; none: in the files that the configuration names, if it does.
-  explicit Daemon(net::Scheduler& scheduler, Reading reading, const std::string& folder = "",
-                  std::unique_ptr<snapshot::Store> store = nullptr);
-  // Of an operator's file; SIGHUP changes nothing yet and says so.
-  Daemon(net::Scheduler& scheduler, const opfile::Model& model, const std::string& folder = "");
-  bool listen();          // false, and a line in the log, where it cannot
-  bool step();            // one turn, then what signals ask; false once it has drained
-  void heed(int signal);  // does what it asks
-  const Sidecar& sidecar() const { return sidecar_; }
-
- private:
-  static config::Config within(config::Config config, net::System& system);
-  config::Config started_with(config::Config config);
-  static opfile::Model within(opfile::Model model, net::System& system);
-  void inherit();
-  void meet();
-  handover::Estate estate() const;
-  void look_back();
-  void save(bool ended);
-  void tell_of_store();
-
-  net::Scheduler& scheduler_;
-  net::Waker waker_;
-  net::Signals signals_;
-  Reading reading_;
-  config::Config in_force_;
-  std::unique_ptr<snapshot::Store> store_;  // none: nothing is kept
-  snapshot::Content before_;                // as the process before wrote it, where it can be read
-  snapshot::Evidence known_;                // of it
-  TimePoint save_at_;
-  Pcg chance_;  // spreads the snapshots of a fleet that started together
-  snapshot::StoreCounters told_;
-  bool store_fails_ = false;  // as last told
-  opfile::Model model_;
-  std::string name_, where_, place_;
-  handover::Given given_;
-  Sidecar sidecar_;
-  std::optional<handover::Post> post_;
-  bool serves_ = false;  // as last told to the other process
-};
-
-// Serve on this machine until a drain is over; the exit status.
-// `folder`: see Daemon.
-int serve(const Reading& reading, const std::string& folder = "");
-int serve_file(const opfile::Model& model, const std::string& folder);
-
 }  // namespace chutevane::sidecar
--- a/src/world/coverage.cpp
+++ b/src/world/coverage.cpp
@@ -40,7 +40,7 @@
   for (std::size_t s = 0; s < stages; ++s)
     for (std::size_t o = 0; o < outcomes; ++o) outcomes_[s][o] += c.outcomes_by_stage[s][o];
   for (std::size_t v = 0; v < verdicts; ++v) verdicts_[v] += c.verdicts[v];
-  for (std::size_t e = 0; e < caller_ends; ++e) caller_ends_[e] += c.caller_ends[e];
+  for (std::size_t e = 0; e < caller_ends; ++e) caller_ends_[e] += c.downstream_closes[e];
 }
 
 void Coverage::add_verdicts(const std::array<std::uint64_t, verdicts>& answered,
--- a/src/world/day.cpp
+++ b/src/world/day.cpp
@@ -352,7 +352,7 @@
     for (PlayedSidecar* s : ground_.sidecars()) {
       const sidecar::Counters* const c = s->counters();
       if (c == nullptr || s->process().paused()) continue;
-      const std::uint64_t over = c->done + c->rejected + c->broken_off + c->callers_left;
+      const std::uint64_t over = c->completed + c->rejected + c->aborted + c->client_disconnects;
       if (c->calls != over)
         tell("rule 0: " + s->process().name() + " took " + std::to_string(c->calls) + " calls, " +
              std::to_string(over) + " of them are over");
--- a/src/world/ground.hpp
+++ b/src/world/ground.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "lab/ground.hpp"
-#include "sidecar/sidecar.hpp"
+#include "sidecar/daemon.hpp"
 #include "world/network.hpp"
 
 namespace chutevane::world {
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_TRUE(d.hears(kept, "ready"));
   EXPECT_FALSE(kept.has("Connection: close"));
   EXPECT_TRUE(d.yes("PUT", "out-of-service"));
-  d.sidecar->drain(Span::ms(1500));
+  d.sidecar->shut_down(Span::ms(1500));
   EXPECT_FALSE(d.yes("PUT", "in-service"));
   EXPECT_FALSE(d.ready());
   EXPECT_TRUE(d.until([&] { return d.sidecar->finished(); }));
--- a/tests/pieces_test.cpp
+++ b/tests/body_streaming_test.cpp
@@ -1,4 +1,4 @@
-// Large messages: in pieces through bounded windows, both ways.
+/// Large messages: streamed through bounded windows, both ways.
 #include "helpers.hpp"
 
 namespace chutevane::sidecar {
@@ -17,7 +17,7 @@
          "\r\nX-Priority-Class: sale\r\nX-Timeout: 4000m\r\n" + framing + "\r\n\r\n";
 }
 
-struct Pieces : SidecarBench {
+struct BodyStreamingBench : SidecarBench {
   // Says all of it, a part in each turn, while the other side hears.
   bool passes(Peer& from, const std::string& text, Peer& to, std::string_view until_heard) {
     std::size_t said = 0;
@@ -34,8 +34,8 @@
   }
 };
 
-TEST(Pieces, ALargeRequestGoesOnWhileItComesAndItsTimeCountsFromItsEnd) {
-  Pieces b;
+TEST(BodyStreaming, ALargeRequestGoesOnWhileItComesAndItsTimeCountsFromItsEnd) {
+  BodyStreamingBench b;
   Peer endpoint;
   const std::string body = pattern(large) + "THE END";
   Peer caller = b.begun("a", endpoint, "Content-Length: " + std::to_string(body.size()));
@@ -48,8 +48,8 @@
   EXPECT_TRUE(b.hears(endpoint, "X-Request-ID: b"));
 }
 
-TEST(Pieces, AChunkedRequestGoesOnInChunks) {
-  Pieces b;
+TEST(BodyStreaming, AChunkedRequestGoesOnInChunks) {
+  BodyStreamingBench b;
   Peer endpoint;
   const std::string part = pattern(100000);
   Peer caller = b.caller();
@@ -64,30 +64,30 @@
   EXPECT_EQ(parser.body(), part + part + part + part);
 }
 
-TEST(Pieces, ALargeAnswerBeginsBeforeItIsWholeAndIsBoundedInMemory) {
-  Pieces b;
+TEST(BodyStreaming, ALargeAnswerBeginsBeforeItIsWholeAndIsBoundedInMemory) {
+  BodyStreamingBench b;
   Peer endpoint;
   Peer caller = b.call(request_text("a", "plan"), endpoint);
   const std::string body = pattern(large) + "THE END";
   endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                body.substr(0, 3));
   EXPECT_TRUE(b.hears(caller, "\r\n\r\n" + body.substr(0, 3)));
-  EXPECT_EQ(b.sidecar->counters().done, 1U);
+  EXPECT_EQ(b.sidecar->counters().completed, 1U);
   // Nobody reads on the other side: the window fills and reading stops.
   std::size_t said = 3;
   b.until([&, n = 0]() mutable {
     said += endpoint.push(std::string_view(body).substr(said));
     return ++n > 200;
   });
-  EXPECT_LT(b.sidecar->held().peak(), 400U * 1024U);
+  EXPECT_LT(b.sidecar->buffer_budget().peak(), 400U * 1024U);
   ASSERT_TRUE(b.passes(endpoint, body.substr(said), caller, "THE END"));
   EXPECT_TRUE(caller.heard.ends_with(body));
   caller.say(request_text("b", "plan"));
   EXPECT_TRUE(b.hears(endpoint, "X-Request-ID: b"));
 }
 
-TEST(Pieces, AnAnswerThatEndsWithItsConnectionGoesOnInChunks) {
-  Pieces b;
+TEST(BodyStreaming, AnAnswerThatEndsWithItsConnectionGoesOnInChunks) {
+  BodyStreamingBench b;
   Peer endpoint;
   Peer caller = b.call(request_text("a", "plan"), endpoint);
   const std::string body = pattern(300000) + "THE END";
@@ -100,9 +100,9 @@
 }
 
 // Guards rule 1: half an answer never looks whole.
-TEST(Pieces, AnAnswerThatBreaksIsCutShort) {
+TEST(BodyStreaming, AnAnswerThatBreaksIsCutShort) {
   for (const std::string framing : {"Content-Length: 300000", "Transfer-Encoding: chunked"}) {
-    Pieces b;
+    BodyStreamingBench b;
     Peer endpoint;
     Peer caller = b.call(request_text("a", "plan"), endpoint);
     const std::string part = pattern(100000);
@@ -116,8 +116,8 @@
   }
 }
 
-TEST(Pieces, ACallerThatLeavesFreesTheEndpointAtOnce) {
-  Pieces b;
+TEST(BodyStreaming, ACallerThatLeavesFreesTheEndpointAtOnce) {
+  BodyStreamingBench b;
   Peer endpoint, second;
   Peer caller = b.call(request_text("a", "plan"), endpoint);
   endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\nabc");
@@ -132,8 +132,8 @@
 }
 
 // One that streams may go again only while all of it is held, and is rejected only if it never ran.
-TEST(Pieces, WhatIsNoLongerHeldDoesNotGoAgain) {
-  Pieces b;
+TEST(BodyStreaming, WhatIsNoLongerHeldDoesNotGoAgain) {
+  BodyStreamingBench b;
   Peer endpoint, again;
   Peer caller = b.begun("a", endpoint, "Content-Length: 1000000");
   caller.say(pattern(1000));
@@ -147,8 +147,8 @@
   EXPECT_TRUE(b.hears(caller, "HTTP/1.1 503"));
 }
 
-TEST(Pieces, OneThatWaitsForAWordIsToldToGoOn) {
-  Pieces b;
+TEST(BodyStreaming, OneThatWaitsForAWordIsToldToGoOn) {
+  BodyStreamingBench b;
   Peer endpoint;
   Peer caller = b.begun("a", endpoint, "Content-Length: 100000\r\nExpect: 100-continue");
   EXPECT_TRUE(b.hears(caller, "HTTP/1.1 100 Continue\r\n\r\n"));
@@ -159,8 +159,8 @@
 }
 
 // Guards places and memory: no pause, and no trickle, holds them.
-TEST(Pieces, ABodyThatStandsStillIsEnded) {
-  Pieces b;
+TEST(BodyStreaming, ABodyThatStandsStillIsEnded) {
+  BodyStreamingBench b;
   Peer endpoint;
   Peer caller = b.begun("a", endpoint, "Content-Length: 1000000");
   caller.say(pattern(1000));
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -162,12 +162,12 @@
 
 TEST(Handover, DamageToWhatIsHandedOnIsNamed) {
   SidecarBench b;
-  const std::string text = b.sidecar->hand_over();
-  EXPECT_NO_THROW(b.sidecar->take_over(text));
-  EXPECT_THROW(b.sidecar->take_over(text.substr(0, text.size() / 2)), snapshot::FormError);
+  const std::string text = b.sidecar->serialize_state();
+  EXPECT_NO_THROW(b.sidecar->restore_state(text));
+  EXPECT_THROW(b.sidecar->restore_state(text.substr(0, text.size() / 2)), snapshot::FormError);
   snapshot::Content other = snapshot::read(text);
   other.deployment = "tier 1: plan";
-  EXPECT_THROW(b.sidecar->take_over(snapshot::write(other)), snapshot::FormError);
+  EXPECT_THROW(b.sidecar->restore_state(snapshot::write(other)), snapshot::FormError);
 }
 
 }  // namespace
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -15,6 +15,7 @@
 #include <vector>
 
 #include "chutevane/balancer.hpp"
+#include "sidecar/daemon.hpp"
 #include "sidecar/sidecar.hpp"
 
 namespace chutevane {
--- a/tests/services_test.cpp
+++ b/tests/service_router_test.cpp
@@ -81,7 +81,7 @@
     return until([&] { return peer.has(text); });
   }
   bool nothing_in_hand() {
-    return until([&] { return sidecar->services()->in_hand() == 0; });
+    return until([&] { return sidecar->service_router()->calls_in_flight() == 0; });
   }
   Port near, far;
   opfile::Model model;
@@ -107,7 +107,7 @@
   ASSERT_TRUE(b.takes(b.far, endpoint));
   endpoint.say(answer_text("from far"));
   EXPECT_TRUE(b.hears(caller, "from far"));
-  EXPECT_EQ(b.sidecar->counters().went_on, 1U);
+  EXPECT_EQ(b.sidecar->counters().cross_pool_retries, 1U);
   EXPECT_TRUE(b.nothing_in_hand());
 }
 
@@ -119,7 +119,7 @@
   endpoint.leave();
   EXPECT_TRUE(b.hears(caller, "HTTP/1.1 502"));
   EXPECT_FALSE(b.far.take(other));
-  EXPECT_EQ(b.sidecar->counters().went_on, 0U);
+  EXPECT_EQ(b.sidecar->counters().cross_pool_retries, 0U);
 }
 
 TEST(Services, AReferencedCallGoesOnOnlyWithinItsGroup) {
@@ -178,7 +178,7 @@
   caller.leave();
   EXPECT_TRUE(b.until([&] { return endpoint.over(); }));
   EXPECT_TRUE(b.nothing_in_hand());
-  EXPECT_EQ(b.sidecar->services()->limiter(0).in_flight(), 0.0);
+  EXPECT_EQ(b.sidecar->service_router()->limiter(0).in_flight(), 0.0);
 }
 
 TEST(Services, LimitsRefuseAtOnceWithATimeToComeBack) {
@@ -197,7 +197,7 @@
   ServicesBench b;
   Peer endpoint, other, caller = b.ask("/read");
   ASSERT_TRUE(b.takes(b.near, endpoint));
-  b.sidecar->drain(Span::ms(1));
+  b.sidecar->shut_down(Span::ms(1));
   EXPECT_TRUE(b.hears(caller, "HTTP/1.1 504"));
   EXPECT_TRUE(b.until([&] { return b.sidecar->finished(); }));
   EXPECT_FALSE(b.far.take(other));
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -31,7 +31,7 @@
   endpoint.say(answer_text("body\0of it"));
   EXPECT_TRUE(b.hears(caller, "body\0of it"));
   EXPECT_EQ(caller.heard.find("HTTP/1.1 200 OK\r\n"), 0U);
-  EXPECT_EQ(b.sidecar->counters().done, 1U);
+  EXPECT_EQ(b.sidecar->counters().completed, 1U);
 }
 
 TEST(Sidecar, ReusesConnectionsOnBothSides) {
@@ -44,8 +44,8 @@
   EXPECT_TRUE(b.hears(endpoint, "X-Request-ID: b"));
   endpoint.say(answer_text("two"));
   EXPECT_TRUE(b.hears(caller, "two"));
-  EXPECT_EQ(b.sidecar->counters().connections_opened, 1U);
-  EXPECT_EQ(b.sidecar->counters().connections_reused, 1U);
+  EXPECT_EQ(b.sidecar->counters().upstream_opened, 1U);
+  EXPECT_EQ(b.sidecar->counters().upstream_reused, 1U);
 }
 
 TEST(Sidecar, AnswersPipelinedRequestsInOrder) {
@@ -135,7 +135,7 @@
   Peer caller = b.call(request_text("a", "plan"), endpoint);
   caller.leave();
   EXPECT_TRUE(b.until([&] { return endpoint.over(); }));
-  EXPECT_EQ(b.sidecar->counters().callers_left, 1U);
+  EXPECT_EQ(b.sidecar->counters().client_disconnects, 1U);
   EXPECT_EQ(b.sidecar->counters().outcomes[static_cast<std::size_t>(Outcome::cancelled)], 1U);
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Guards against writing to a connection that the endpoint has closed: that would end as a reset.
-TEST(Endpoints, AConnectionClosedWhileIdleIsNotReused) {
+TEST(UpstreamPool, AConnectionClosedWhileIdleIsNotReused) {
   SidecarBench b;
   Peer endpoint, other;
   Peer caller = b.call(request_text("a", "sale"), endpoint);
@@ -165,7 +165,7 @@
   EXPECT_TRUE(b.hears(caller, "two"));
 }
 
-TEST(Endpoints, IdleConnectionsAreDroppedBeforeTheEndpointDoes) {
+TEST(UpstreamPool, IdleConnectionsAreDroppedBeforeTheEndpointDoes) {
   SidecarBench b("\"idle_close_ms\":10000", "\"idle_close_ms\":30");
   Peer endpoint;
   Peer caller = b.call(request_text("a", "plan"), endpoint);
@@ -173,103 +173,103 @@
   EXPECT_TRUE(b.until([&] { return endpoint.over(); }));
 }
 
-struct Heard final : DispatchSink {
-  void request_moved(const Dispatch&, bool) override {}
-  bool answer_began(const Dispatch&, const http::Parser&, const std::shared_ptr<Pipe>&) override {
+struct RecordingObserver final : DispatchObserver {
+  void on_request_progress(const Dispatch&, bool) override {}
+  bool on_response_started(const Dispatch&, const http::Parser&, const std::shared_ptr<BodyPipe>&) override {
     return true;
   }
-  void answer_broke(EndpointId) override {}
-  void dispatch_over(const Dispatch&, Outcome outcome, const http::Parser*) override {
+  void on_response_broken(EndpointId) override {}
+  void on_dispatch_end(const Dispatch&, Outcome outcome, const http::Parser*) override {
     outcomes.push_back(outcome);
   }
   std::vector<Outcome> outcomes;
 };
 
 // An endpoint whose connections never come up, and one dispatch to it.
-struct Unanswered : Loop {
-  explicit Unanswered(Span wait, int backlog = 0) : port(backlog) {
+struct UnansweredDispatch : Loop {
+  explicit UnansweredDispatch(Span timeout, int backlog = 0) : port(backlog) {
     entry.id = "s-1", entry.address = port.text();
     if (backlog == 0)
       fill = Peer::to(port.at), fill_more = Peer::to(port.at);  // full: no connect is answered
-    pool.tell(heard);
-    id = pool.learn(entry);
+    pool.set_observer(observer);
+    id = pool.update(entry);
     std::string text = request_text("a", "sale");
     EXPECT_EQ(request.feed({text.data(), text.size()}), http::Progress::complete);
-    sent =
-        pool.send({.call = 1, .endpoint = id, .number = 0, .sent = scheduler.now(), .wait = wait}, request);
+    connection = pool.send(
+        {.call = 1, .endpoint = id, .number = 0, .sent = scheduler.now(), .timeout = timeout}, request);
   }
   Port port;
   Peer fill, fill_more;
   discovery::EndpointEntry entry;
   config::Config config = config::read(config_text(), no_environment);
-  Front front{config.settings};
+  CallProtocol protocol{config.settings};
   Counters counters;
-  Heard heard;
-  Endpoints pool{scheduler, config, front, counters};
+  RecordingObserver observer;
+  UpstreamPool pool{scheduler, config, protocol, counters};
   http::Parser request{http::Side::request};
   EndpointId id = 0;
-  EndpointConnection* sent = nullptr;
+  UpstreamConnection* connection = nullptr;
 };
 
-TEST(Endpoints, AConnectionThatNeverComesUpNeverRan) {
-  Unanswered u(Span::ms(20));
-  EXPECT_TRUE(u.until([&] { return !u.heard.outcomes.empty(); }));
-  EXPECT_EQ(u.heard.outcomes, std::vector{Outcome::not_connected});
+TEST(UpstreamPool, AConnectionThatNeverComesUpNeverRan) {
+  UnansweredDispatch u(Span::ms(20));
+  EXPECT_TRUE(u.until([&] { return !u.observer.outcomes.empty(); }));
+  EXPECT_EQ(u.observer.outcomes, std::vector{Outcome::not_connected});
 }
 
 // Guards the drain rule: a dispatch that waits for its connection must not reach a draining endpoint.
-TEST(Endpoints, ADrainTakesBackWhatHasNotBegun) {
+TEST(UpstreamPool, ADrainTakesBackWhatHasNotBegun) {
   for (const Availability a : {Availability::draining, Availability::gone}) {
-    Unanswered u(Span::ms(4000));
-    EXPECT_TRUE(u.heard.outcomes.empty());
+    UnansweredDispatch u(Span::ms(4000));
+    EXPECT_TRUE(u.observer.outcomes.empty());
     u.entry.availability = a;
-    u.pool.learn(u.entry);
-    EXPECT_EQ(u.heard.outcomes, std::vector{Outcome::not_sent});
-    u.pool.send({.call = 2, .endpoint = u.id, .number = 0, .sent = u.scheduler.now(), .wait = Span::ms(9)},
+    u.pool.update(u.entry);
+    EXPECT_EQ(u.observer.outcomes, std::vector{Outcome::not_sent});
+    u.pool.send({.call = 2, .endpoint = u.id, .number = 0, .sent = u.scheduler.now(), .timeout = Span::ms(9)},
                 u.request);
-    EXPECT_EQ(u.heard.outcomes.size(), 2U);
-    EXPECT_EQ(u.counters.connections_opened, 1U);
+    EXPECT_EQ(u.observer.outcomes.size(), 2U);
+    EXPECT_EQ(u.counters.upstream_opened, 1U);
   }
 }
 
 // Guards a long day: nothing is kept of endpoints that are gone, and a name that returns is another endpoint.
-TEST(Endpoints, NothingIsKeptOfThoseThatAreGone) {
-  Unanswered u(Span::ms(4000));
+TEST(UpstreamPool, NothingIsKeptOfThoseThatAreGone) {
+  UnansweredDispatch u(Span::ms(4000));
   EXPECT_EQ(u.pool.size(), 1U);
   for (int i = 0; i < 100; ++i) {
     u.entry.id = "t-" + std::to_string(i);
     u.entry.availability = Availability::ready;
-    const EndpointId id = u.pool.learn(u.entry);
-    EXPECT_EQ(u.pool.learn(u.entry), id);
+    const EndpointId id = u.pool.update(u.entry);
+    EXPECT_EQ(u.pool.update(u.entry), id);
     u.entry.availability = Availability::gone;
-    EXPECT_EQ(u.pool.learn(u.entry), id);
-    EXPECT_EQ(u.pool.learn(u.entry), 0U);
+    EXPECT_EQ(u.pool.update(u.entry), id);
+    EXPECT_EQ(u.pool.update(u.entry), 0U);
   }
   EXPECT_EQ(u.pool.size(), 1U);
-  u.pool.forget_unnamed({});
+  u.pool.remove_unlisted({});
   EXPECT_EQ(u.pool.size(), 1U);  // until its connection is closed
   EXPECT_TRUE(u.until([&] { return u.pool.size() == 0; }));
   u.entry.id = "s-1", u.entry.availability = Availability::ready;
-  EXPECT_NE(u.pool.learn(u.entry), u.id);
+  EXPECT_NE(u.pool.update(u.entry), u.id);
 }
 
 // Guards rule 1: what came before the request's last byte was made for another request.
-TEST(Endpoints, BytesBeforeTheRequestAreNoAnswer) {
-  Unanswered u(Span::ms(4000), 128);
+TEST(UpstreamPool, BytesBeforeTheRequestAreNoAnswer) {
+  UnansweredDispatch u(Span::ms(4000), 128);
   Peer endpoint;
   ASSERT_TRUE(u.until([&] { return u.port.take(endpoint); }));
   endpoint.say(answer_text("noise"));  // before the sidecar's next turn, which writes the request
-  EXPECT_TRUE(u.until([&] { return !u.heard.outcomes.empty(); }));
-  EXPECT_EQ(u.heard.outcomes, std::vector{Outcome::not_sent});
+  EXPECT_TRUE(u.until([&] { return !u.observer.outcomes.empty(); }));
+  EXPECT_EQ(u.observer.outcomes, std::vector{Outcome::not_sent});
   EXPECT_TRUE(u.until([&] { return endpoint.over(); }));
   EXPECT_EQ(endpoint.heard, "");
 }
 
 // Guards rule 1: what waits for its connection when the caller leaves is never written.
-TEST(Endpoints, WhatHasNotBegunIsTakenBack) {
-  Unanswered u(Span::ms(4000));
-  u.pool.withdraw(*u.sent);
-  EXPECT_EQ(u.heard.outcomes, std::vector{Outcome::not_sent});
+TEST(UpstreamPool, WhatHasNotBegunIsTakenBack) {
+  UnansweredDispatch u(Span::ms(4000));
+  u.pool.cancel_unsent(*u.connection);
+  EXPECT_EQ(u.observer.outcomes, std::vector{Outcome::not_sent});
 }
 
 // Guards those who embed the library: the public header is enough to run a sidecar.
@@ -334,7 +334,7 @@
   thief.say(request_text("a", "sale"));
   ASSERT_TRUE(b.hears(endpoint, "POST /api"));
   thief.leave();  // what leaves gives its id back too
-  ASSERT_TRUE(b.until([&] { return b.sidecar->counters().callers_left == 1; }));
+  ASSERT_TRUE(b.until([&] { return b.sidecar->counters().client_disconnects == 1; }));
   Peer other;
   caller = b.call(request_text("a", "sale"), other);
   EXPECT_EQ(b.sidecar->counters().calls, 3U);
@@ -409,7 +409,7 @@
 }
 
 // Guards the descriptors: at the bound the longest idle connection makes room.
-TEST(Callers, TheLongestIdleGoesAtTheBound) {
+TEST(Listener, TheLongestIdleGoesAtTheBound) {
   SidecarBench b("1024", "64");
   std::vector<Peer> callers;
   for (int i = 0; i < 40; ++i) {
@@ -419,7 +419,7 @@
   }
   EXPECT_TRUE(callers.front().over());
   EXPECT_FALSE(callers.back().over());
-  EXPECT_EQ(b.sidecar->counters().callers_shed, 8U);
+  EXPECT_EQ(b.sidecar->counters().downstream_evicted, 8U);
 }
 
 // As many callers as there is room for, each in the middle of a request, and one that waits to be accepted.
@@ -429,32 +429,32 @@
       callers.push_back(caller());
       callers.back().say(i < 32 ? "GET /ready HTTP/1.1\r\n" : get_ready);
     }
-    EXPECT_TRUE(until([&] { return sidecar->counters().callers_accepted == 32; }));
+    EXPECT_TRUE(until([&] { return sidecar->counters().downstream_accepted == 32; }));
     until([n = 0]() mutable { return ++n > 10; });  // some turns more
     EXPECT_FALSE(callers.back().has("ready"));
-    EXPECT_EQ(sidecar->counters().callers_accepted, 32U);
+    EXPECT_EQ(sidecar->counters().downstream_accepted, 32U);
   }
   std::vector<Peer> callers;
 };
 
-TEST(Callers, AcceptingGoesOnWhenOneLeaves) {
+TEST(Listener, AcceptingGoesOnWhenOneLeaves) {
   AllBusy b;
   b.callers.front().leave();
   EXPECT_TRUE(b.hears(b.callers.back(), "ready"));
-  EXPECT_EQ(b.sidecar->counters().callers_shed, 0U);
+  EXPECT_EQ(b.sidecar->counters().downstream_evicted, 0U);
 }
 
 // Guards against a pause that lasts until a connection is closed, while there are idle ones again.
-TEST(Callers, AcceptingGoesOnWhenOneFallsIdle) {
+TEST(Listener, AcceptingGoesOnWhenOneFallsIdle) {
   AllBusy b;
   b.callers.front().say("\r\n");
   EXPECT_TRUE(b.hears(b.callers.back(), "ready"));
   EXPECT_TRUE(b.callers.front().has("ready"));
-  EXPECT_EQ(b.sidecar->counters().callers_shed, 1U);
+  EXPECT_EQ(b.sidecar->counters().downstream_evicted, 1U);
 }
 
 // Guards those who wait to be accepted against peers whose requests never end.
-TEST(Callers, ARequestThatDoesNotEndMakesRoom) {
+TEST(Listener, ARequestThatDoesNotEndMakesRoom) {
   SidecarBench b("1024", "64");
   std::vector<Peer> slow;
   for (int i = 0; i < 32; ++i) {
@@ -464,11 +464,11 @@
   Peer caller = b.caller();
   caller.say(get_ready);
   EXPECT_TRUE(b.hears(caller, "ready"));
-  EXPECT_EQ(b.sidecar->counters().callers_shed, 1U);
+  EXPECT_EQ(b.sidecar->counters().downstream_evicted, 1U);
 }
 
 // Guards an answer that ends its connection: what the peer sent meanwhile must not turn the end into a reset.
-TEST(Callers, TheLastAnswerIsNotLostToUnreadBytes) {
+TEST(Listener, TheLastAnswerIsNotLostToUnreadBytes) {
   SidecarBench b;
   Peer caller = b.caller();
   caller.say("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -480,7 +480,7 @@
 
 // Guards endpoints against work that nobody waits for: a caller that left while its request waited to be
 // accepted, by a close or a reset, and one behind whose request another waits.
-TEST(Callers, ARequestWhoseCallerHasLeftIsNotSentOn) {
+TEST(Listener, ARequestWhoseCallerHasLeftIsNotSentOn) {
   for (const bool reset : {false, true}) {
     SidecarBench b;
     Peer endpoint;
@@ -544,7 +544,7 @@
   again.say(answer_text(list_text(b.endpoint.text(), "DRAINING", 0)));
   ASSERT_TRUE(b.hears(again, "after=0"));
   EXPECT_EQ(b.sidecar->counters().list_failures, 1U);
-  EXPECT_EQ(b.sidecar->counters().lists, 2U);
+  EXPECT_EQ(b.sidecar->counters().list_updates, 2U);
 }
 
 // Guards rule 3 at the return of a discovery that is silent: it answers what is open then, and a try that
@@ -561,11 +561,11 @@
   }
   ASSERT_TRUE(b.hears(silent, "GET /v1/endpoints HTTP/1.1"));
   silent.say(answer_text(list_text(b.endpoint.text(), "DRAINING")));
-  ASSERT_TRUE(b.until([&] { return b.sidecar->counters().lists == 1; }));
+  ASSERT_TRUE(b.until([&] { return b.sidecar->counters().list_updates == 1; }));
   Peer caller = b.caller();
   caller.say(request_text("a", "plan"));
   EXPECT_TRUE(b.hears(caller, "HTTP/1.1 503"));
-  EXPECT_EQ(b.sidecar->counters().connections_opened, 0U);
+  EXPECT_EQ(b.sidecar->counters().upstream_opened, 0U);
 }
 
 // Guards against what a drain takes back going to the same endpoint again, until its dispatches are used up.
@@ -580,7 +580,7 @@
   ASSERT_TRUE(b.hears(discovery, "after="));
   Peer caller = b.caller();
   caller.say(request_text("a", "sale"));
-  ASSERT_TRUE(b.until([&] { return b.sidecar->counters().connections_opened == 1; }));
+  ASSERT_TRUE(b.until([&] { return b.sidecar->counters().upstream_opened == 1; }));
   discovery.say(answer_text(R"({"version":2,"full":false,"servers":[{"id":"s-1","addr":")" + blocked.text() +
                             R"(","zone":"a","state":"DRAINING"},{"id":"s-2","addr":")" + b.endpoint.text() +
                             R"(","zone":"a","state":"SERVING"}]})"));
@@ -732,13 +732,13 @@
     Peer discovery;
     ASSERT_TRUE(b.until([&] { return b.discovery.take(discovery); }));
     ASSERT_TRUE(b.hears(discovery, "GET /v1/endpoints HTTP/1.1"));
-    const std::uint64_t before = b.sidecar->counters().lists;
+    const std::uint64_t before = b.sidecar->counters().list_updates;
     discovery.say(answer);
-    ASSERT_TRUE(b.until([&] { return b.sidecar->counters().lists > before; }));
+    ASSERT_TRUE(b.until([&] { return b.sidecar->counters().list_updates > before; }));
   };
   const auto listed = [&] {
     std::string out;
-    for (const discovery::EndpointEntry& e : b.sidecar->learnt().list.entries)
+    for (const discovery::EndpointEntry& e : b.sidecar->learned_state().list.entries)
       out += e.id + (e.availability == Availability::ready ? "+ " : "- ");
     return out;
   };
@@ -776,12 +776,12 @@
     ASSERT_TRUE(b.until([&] { return b.discovery.take(discovery); }));
     ASSERT_TRUE(b.hears(discovery, "GET /v1/endpoints HTTP/1.1"));
     discovery.say(answer_text(gone));  // no endpoint is left: all is turned away
-    ASSERT_TRUE(b.until([&] { return b.sidecar->counters().lists > 0; }));
+    ASSERT_TRUE(b.until([&] { return b.sidecar->counters().list_updates > 0; }));
     Peer caller = b.caller();
     caller.say(request_text("a", "plan"));
     ASSERT_TRUE(b.hears(caller, "HTTP/1.1 503"));
     EXPECT_EQ(caller.has("Connection: close"), on);
-    EXPECT_EQ(b.sidecar->counters().parted, on ? 1U : 0U);
+    EXPECT_EQ(b.sidecar->counters().downstream_rebalanced, on ? 1U : 0U);
   }
 }
 
@@ -847,10 +847,10 @@
   SidecarBench b;
   Peer endpoint;
   Peer caller = b.call(request_text("a", "sale"), endpoint);
-  b.sidecar->drain(Span::ms(1));
+  b.sidecar->shut_down(Span::ms(1));
   EXPECT_TRUE(b.hears(caller, "HTTP/1.1 504"));
   EXPECT_TRUE(b.until([&] { return endpoint.over() && b.sidecar->finished(); }));
-  EXPECT_EQ(b.sidecar->counters().broken_off, 1U);
+  EXPECT_EQ(b.sidecar->counters().aborted, 1U);
 }
 
 // Guards the callers that keep their connections: they are served on them for most of the time that is left,
@@ -862,7 +862,7 @@
   ASSERT_TRUE(b.hears(stays, "ready"));
   Peer before = b.call(request_text("a", "plan"), endpoint);
   const TimePoint from = b.scheduler.now();
-  b.sidecar->drain(Span::ms(2000));
+  b.sidecar->shut_down(Span::ms(2000));
   Peer after = b.caller();  // a connection that was on its way
   after.say(request_text("b", "plan"));
   Peer second, idle = b.caller();
@@ -897,12 +897,12 @@
   Peer caller = b.call(request_text("a", "plan"), endpoint);
   endpoint.say(answer_text("one"));
   ASSERT_TRUE(b.hears(caller, "one"));
-  const std::string left = b.sidecar->hand_over();
+  const std::string left = b.sidecar->serialize_state();
   std::string text = config_text(b.discovery.text(), b.endpoint.text());
   b.sidecar = std::make_unique<Sidecar>(b.scheduler, config::read(text, no_environment));
-  EXPECT_TRUE(b.sidecar->learnt().endpoints.empty());
-  b.sidecar->take_over(left);
-  EXPECT_EQ(b.sidecar->learnt().endpoints.size(), 1U);
+  EXPECT_TRUE(b.sidecar->learned_state().endpoints.empty());
+  b.sidecar->restore_state(left);
+  EXPECT_EQ(b.sidecar->learned_state().endpoints.size(), 1U);
   b.sidecar->listen();
   Peer again;
   Peer other = b.call(request_text("b", "plan"), again);
@@ -970,19 +970,18 @@
 
 // Endpoints are numbered as they come; what sidecars must draw alike goes by discovery's names.
 TEST(Keys, OfACallIsReadWhereEndpointsAreWarmForIt) {
-  const Front cold(config::read(config_text(), no_environment).settings);
+  const CallProtocol cold(config::read(config_text(), no_environment).settings);
   Settings s = config::read(config_text(), no_environment).settings;
   s["extra.warm_keys"] = "true";
-  const Front warm(s);
-  const auto key = [](const Front& front, const std::string& attributes) {
+  const CallProtocol warm(s);
+  const auto key = [](const CallProtocol& protocol, const std::string& attributes) {
     std::string text = request_text("a", "plan");
     text.insert(text.find("\r\n") + 2, "X-Attrs: " + attributes + "\r\n");
     http::Parser parser(http::Side::request);
     parser.feed({text.data(), text.size()});
-    ApiCall call;
-    std::string_view why;
-    EXPECT_EQ(front.read_request(parser, call, why), Front::Kind::call) << why;
-    return call.key;
+    const ClassifiedRequest request = protocol.classify(parser);
+    EXPECT_EQ(request.kind, RequestKind::call) << request.reason;
+    return request.call.key;
   };
   EXPECT_EQ(key(cold, "affinity=17"), 0U);
   EXPECT_EQ(key(warm, "hint_ms=3"), 0U);
