--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -8,18 +8,24 @@
 namespace {
 
 constexpr std::string_view scheme = "http://";
-constexpr std::size_t chunk_line_most = 256;  // bytes: a size and extensions that nobody reads
+constexpr std::size_t max_chunk_line = 256;  // bytes: a size, and extensions that are ignored
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
 
-// RFC 9110 token characters.
-bool token_char(char c) {
+/// RFC 9110, 5.6.2
+bool is_token_char(char c) {
   if ((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z')) return true;
   return c != '\0' && std::strchr("!#$%&'*+-.^_`|~", c) != nullptr;
 }
 
 bool is_token(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), token_char);
+  return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
+}
+
+/// A tab is white space in a field's value and in a chunk's extension.
+bool has_control_char(std::string_view text) {
+  return std::any_of(text.begin(), text.end(),
+                     [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; });
 }
 
 std::string_view trim(std::string_view text) {
@@ -28,12 +34,21 @@
   return text;
 }
 
+/// Digits alone: no sign, no white space.
 template <class T>
-bool whole_number(std::string_view text, T& out, int base = 10) {
+[[nodiscard]] bool parse_digits(std::string_view text, T& out, int base = 10) {
   const char* end = text.data() + text.size();
   if (text.empty() || text.front() == '-' || text.front() == '+') return false;
-  const auto got = std::from_chars(text.data(), end, out, base);
-  return got.ec == std::errc() && got.ptr == end;
+  const auto parsed = std::from_chars(text.data(), end, out, base);
+  return parsed.ec == std::errc() && parsed.ptr == end;
+}
+
+/// The line at the front of the bytes, without its end; nothing while its end has not come within `max`
+/// bytes.
+std::optional<std::string_view> first_line(std::string_view bytes, std::size_t max) {
+  const std::size_t end = bytes.substr(0, max + 2).find("\r\n");
+  if (end == std::string_view::npos) return std::nullopt;
+  return bytes.substr(0, end);
 }
 
 }  // namespace
@@ -43,10 +58,10 @@
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
-bool has_token(std::string_view list, std::string_view wanted) {
+bool has_token(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
-    if (same_name(trim(list.substr(0, comma)), wanted)) return true;
+    if (same_name(trim(list.substr(0, comma)), token)) return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
@@ -55,139 +70,62 @@
 void Parser::reset(bool bodiless) {
   const Side side = side_;
   const Limits limits = limits_;
-  std::vector<FieldAt> fields = std::move(fields_);
+  std::vector<FieldSlices> fields = std::move(fields_);
   fields.clear();
   *this = Parser(side, limits);
-  fields_ = std::move(fields);  // keeps its room
+  fields_ = std::move(fields);  // keeps its capacity
   bodiless_ = bodiless;
 }
 
-Progress Parser::fail(int status, std::string_view why) {
+Progress Parser::fail(int status, std::string_view reason) {
   stage_ = Stage::failed;
   error_status_ = status;
-  error_ = why;
+  error_ = reason;
   return Progress::failed;
 }
 
 std::optional<std::string_view> Parser::find(std::string_view name) const {
-  for (const FieldAt& f : fields_) {
-    if (same_name(view(f.name), name)) return view(f.value);
+  for (const FieldSlices& field : fields_) {
+    if (same_name(view(field.name), name)) return view(field.value);
   }
   return std::nullopt;
 }
 
-namespace {
-
-// The line that the bytes start with, without its end; nothing while the end has not come.
-std::optional<std::string_view> line_of(std::string_view bytes, std::size_t most) {
-  const std::size_t end = bytes.substr(0, most + 2).find("\r\n");
-  if (end == std::string_view::npos) return std::nullopt;
-  return bytes.substr(0, end);
-}
-
-}  // namespace
-
-// One step behind the head.
-Progress Parser::step(std::string_view bytes, std::size_t& taken, std::string_view& piece) {
-  taken = 0;
-  piece = {};
-  switch (stage_) {
-    case Stage::sized:
-    case Stage::chunk:
-      taken = std::min(bytes.size(), left_);
-      piece = bytes.substr(0, taken);
-      left_ -= taken;
-      if (left_ == 0) stage_ = stage_ == Stage::sized ? Stage::complete : Stage::chunk_end;
-      break;
-    case Stage::chunk_size: {
-      const auto text = line_of(bytes, chunk_line_most);
-      if (!text) return bytes.size() > chunk_line_most ? fail(400, "chunk line too long") : Progress::more;
-      if (!read_chunk_size(*text)) return Progress::failed;
-      taken = text->size() + 2;
-      break;
-    }
-    case Stage::chunk_end:
-      if (bytes.size() < 2) return Progress::more;
-      if (bytes[0] != '\r' || bytes[1] != '\n') return fail(400, "chunk without end");
-      taken = 2;
-      stage_ = Stage::chunk_size;
-      break;
-    case Stage::trailer: {
-      const auto text = line_of(bytes, limits_.head);
-      if (!text) return bytes.size() > limits_.head ? fail(431, "trailer too long") : Progress::more;
-      trailer_size_ += taken = text->size() + 2;
-      if (trailer_size_ > limits_.head) return fail(431, "trailer too long");
-      if (text->empty()) stage_ = Stage::complete;  // what trailers say is not passed on
-      break;
-    }
-    case Stage::until_end:
-      taken = bytes.size();
-      piece = bytes;
-      break;
-    case Stage::start:
-    case Stage::head:
-    case Stage::complete:
-    case Stage::failed: break;
-  }
-  come_ += piece.size();
-  if (come_ > limits_.body) return fail(413, "body too large");
-  return stage_ == Stage::complete ? Progress::complete : Progress::more;
-}
-
-void Parser::detach(char* head) {
-  base_ = head;
-  at_ = 0;
-  detached_ = true;
+std::size_t Parser::count(std::string_view name) const {
+  return static_cast<std::size_t>(
+      std::count_if(fields_.begin(), fields_.end(),
+                    [&](const FieldSlices& field) { return same_name(view(field.name), name); }));
 }
 
-Progress Parser::more(std::span<char> bytes, std::size_t& taken, std::string_view& piece) {
-  if (stage_ == Stage::failed) return Progress::failed;
-  return step({bytes.data(), bytes.size()}, taken, piece);
-}
+// --- Feeding
 
 Progress Parser::feed(std::span<char> bytes) {
-  base_ = bytes.data();
-  size_fed_ = bytes.size();
+  bytes_ = bytes.data();
+  fed_ = bytes.size();
   while (true) {
-    const std::size_t have = size_fed_ - at_;
     switch (stage_) {
-      case Stage::start:  // empty lines before a request are nobody's
-        if (have >= 2 && base_[at_] == '\r' && base_[at_ + 1] == '\n') {
-          at_ += 2;
-          if (at_ > limits_.head) return fail(400, "no request line");
-          break;
-        }
-        if (have == 0 || (have == 1 && base_[at_] == '\r')) return Progress::more;
-        head_start_ = scanned_ = at_;
-        stage_ = Stage::head;
+      case Stage::start:
+        if (!skip_empty_lines()) return stage_ == Stage::failed ? Progress::failed : Progress::more;
         break;
       case Stage::head: {
-        const std::string_view seen(base_, size_fed_);
-        const std::size_t end = seen.find("\r\n\r\n", scanned_);
-        const std::size_t taken = (end == std::string_view::npos ? size_fed_ : end + 4) - head_start_;
-        if (taken > limits_.head) return fail(431, "head too long");
-        if (end == std::string_view::npos) {
-          scanned_ = std::max(head_start_, size_fed_ - std::min<std::size_t>(size_fed_, 3));
-          return Progress::more;
-        }
-        at_ = end + 4;
-        if (!read_head(end) || !frame_body()) return Progress::failed;
+        const Progress progress = find_head_end();
+        if (progress != Progress::complete) return progress;
         break;
       }
       case Stage::complete: return Progress::complete;
       case Stage::failed: return Progress::failed;
-      case Stage::sized:
+      case Stage::sized_body:
       case Stage::chunk_size:
       case Stage::chunk:
       case Stage::chunk_end:
       case Stage::trailer:
-      case Stage::until_end: {
+      case Stage::until_close: {
         std::size_t taken = 0;
         std::string_view piece;
-        const Progress progress = step({base_ + at_, have}, taken, piece);
-        if (!piece.empty()) std::memmove(base_ + body_at_ + body_size_, piece.data(), piece.size());
+        const Progress progress = step({bytes_ + position_, fed_ - position_}, taken, piece);
+        if (!piece.empty()) std::memmove(bytes_ + body_start_ + body_size_, piece.data(), piece.size());
         body_size_ += piece.size();
-        at_ += taken;
+        position_ += taken;
         if (progress == Progress::failed || (progress == Progress::more && taken == 0)) return progress;
         break;
       }
@@ -195,148 +133,243 @@
   }
 }
 
-Progress Parser::feed(std::span<char> bytes, bool over) {
+Progress Parser::feed(std::span<char> bytes, bool is_end) {
   const Progress progress = feed(bytes);
-  return over && progress == Progress::more ? ended(bytes) : progress;
+  return is_end && progress == Progress::more ? ended(bytes) : progress;
 }
 
 Progress Parser::ended(std::span<char> bytes) {
-  if (!detached_) base_ = bytes.data();
-  if (stage_ == Stage::until_end) stage_ = Stage::complete;
+  if (!is_detached_) bytes_ = bytes.data();
+  if (stage_ == Stage::until_close) stage_ = Stage::complete;
   if (stage_ == Stage::complete) return Progress::complete;
   return fail(400, "ends in the middle");
 }
 
-bool Parser::read_head(std::size_t end) {
+void Parser::detach(char* head) {
+  bytes_ = head;
+  position_ = 0;
+  is_detached_ = true;
+}
+
+Progress Parser::more(std::span<char> bytes, std::size_t& taken, std::string_view& piece) {
+  if (stage_ == Stage::failed) return Progress::failed;
+  return step({bytes.data(), bytes.size()}, taken, piece);
+}
+
+// --- The head
+
+/// Empty lines before a message are ignored (RFC 9112, 2.2). Returns whether there was one, or the head
+/// begins; false: more bytes are needed, or it has failed.
+bool Parser::skip_empty_lines() {
+  const std::size_t available = fed_ - position_;
+  if (available >= 2 && bytes_[position_] == '\r' && bytes_[position_ + 1] == '\n') {
+    position_ += 2;
+    if (position_ > limits_.head) return fail(400, "no request line"), false;
+    return true;
+  }
+  if (available == 0 || (available == 1 && bytes_[position_] == '\r')) return false;
+  head_start_ = scanned_ = position_;
+  stage_ = Stage::head;
+  return true;
+}
+
+/// Parses the head once all of it is there: `complete` then.
+Progress Parser::find_head_end() {
+  constexpr std::string_view head_end = "\r\n\r\n";
+  const std::string_view fed(bytes_, fed_);
+  const std::size_t end = fed.find(head_end, scanned_);
+  const std::size_t size = (end == std::string_view::npos ? fed_ : end + head_end.size()) - head_start_;
+  if (size > limits_.head) return fail(431, "head too long");
+  if (end == std::string_view::npos) {
+    scanned_ = std::max(head_start_, fed_ - std::min(fed_, head_end.size() - 1));
+    return Progress::more;
+  }
+  position_ = end + head_end.size();
+  return parse_head(end) && determine_framing() ? Progress::complete : Progress::failed;
+}
+
+bool Parser::parse_head(std::size_t end) {
   fields_.clear();
   std::size_t from = head_start_;
-  bool first = true;
+  bool is_first = true;
   while (from < end + 2) {
-    const std::string_view rest(base_ + from, end + 2 - from);
-    const std::string_view text = rest.substr(0, rest.find("\r\n"));
-    if (text.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) {
-      fail(400, "stray control character in the head");
-      return false;
-    }
-    if (first ? !read_first_line(text) : !read_field(text)) return false;
-    first = false;
-    from += text.size() + 2;
+    const std::string_view rest(bytes_ + from, end + 2 - from);
+    const std::string_view line = rest.substr(0, rest.find("\r\n"));
+    if (line.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos)
+      return fail(400, "stray control character in the head"), false;
+    const bool parsed = !is_first                ? parse_field(line)
+                        : side_ == Side::request ? parse_request_line(line)
+                                                 : parse_status_line(line);
+    if (!parsed) return false;
+    is_first = false;
+    from += line.size() + 2;
   }
   return true;
 }
 
-std::size_t Parser::count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(
-      fields_.begin(), fields_.end(), [&](const FieldAt& f) { return same_name(view(f.name), name); }));
+bool Parser::parse_request_line(std::string_view line) {
+  const std::size_t one = line.find(' '), two = line.rfind(' ');
+  if (one == std::string_view::npos || one == two) return fail(400, "malformed request line"), false;
+  const std::string_view method = line.substr(0, one);
+  if (!parse_target(line.substr(one + 1, two - one - 1)) || !is_token(method))
+    return fail(400, "malformed request line"), false;
+  method_ = slice_of(method);
+  return parse_version(line.substr(two + 1));
 }
 
-bool Parser::read_first_line(std::string_view text) {
-  const auto piece = [&](std::string_view part) {
-    return Piece{static_cast<std::uint32_t>(part.data() - base_), static_cast<std::uint32_t>(part.size())};
-  };
-  std::string_view version;
-  if (side_ == Side::request) {
-    const std::size_t one = text.find(' '), two = text.rfind(' ');
-    if (one == std::string_view::npos || one == two) return fail(400, "malformed request line"), false;
-    const std::string_view method = text.substr(0, one), target = text.substr(one + 1, two - one - 1);
-    rooted_ = false;
-    third_ = {};
-    std::string_view path = target;
-    // Absolute form: the path goes on, and the authority stands for the Host field.
-    if (target.size() > scheme.size() && same_name(target.substr(0, scheme.size()), scheme)) {
-      const std::size_t slash = std::min(target.find_first_of("/?", scheme.size()), target.size());
-      third_ = piece(target.substr(scheme.size(), slash - scheme.size()));
-      path = target.substr(slash);
-      rooted_ = path.empty();
-      if (third_.size == 0 || path.starts_with('?')) return fail(400, "malformed request line"), false;
-    }
-    const bool printable = std::all_of(target.begin(), target.end(),
-                                       [](unsigned char c) { return c > 0x20 && c < 0x7f && c != '#'; });
-    if (!is_token(method) || (!path.starts_with('/') && !rooted_) || !printable)
-      return fail(400, "malformed request line"), false;
-    first_ = piece(method);
-    second_ = piece(path);
-    version = text.substr(two + 1);
-  } else {
-    version = text.substr(0, std::min<std::size_t>(text.size(), 8));
-    const std::string_view code = text.size() < 12 ? std::string_view() : text.substr(9, 3);
-    if (text.size() < 12 || text[8] != ' ' || !whole_number(code, status_) || status_ < 100 ||
-        (text.size() > 12 && text[12] != ' '))
-      return fail(400, "malformed status line"), false;
+/// Of a target in absolute form, the path goes on and the authority stands for the Host field.
+bool Parser::parse_target(std::string_view target) {
+  has_empty_path_ = false;
+  authority_ = {};
+  std::string_view path = target;
+  if (target.size() > scheme.size() && same_name(target.substr(0, scheme.size()), scheme)) {
+    const std::size_t slash = std::min(target.find_first_of("/?", scheme.size()), target.size());
+    authority_ = slice_of(target.substr(scheme.size(), slash - scheme.size()));
+    path = target.substr(slash);
+    has_empty_path_ = path.empty();
+    if (authority_.size == 0 || path.starts_with('?')) return false;
   }
+  const bool is_printable = std::all_of(target.begin(), target.end(),
+                                        [](unsigned char c) { return c > 0x20 && c < 0x7f && c != '#'; });
+  if ((!path.starts_with('/') && !has_empty_path_) || !is_printable) return false;
+  target_ = slice_of(path);
+  return true;
+}
+
+bool Parser::parse_status_line(std::string_view line) {
+  // "HTTP/1.1 200 reason"
+  constexpr std::size_t version_size = 8, code_at = 9, code_end = 12;
+  const std::string_view code = line.size() < code_end ? std::string_view() : line.substr(code_at, 3);
+  if (line.size() < code_end || line[version_size] != ' ' || !parse_digits(code, status_) || status_ < 100 ||
+      (line.size() > code_end && line[code_end] != ' '))
+    return fail(400, "malformed status line"), false;
+  return parse_version(line.substr(0, version_size));
+}
+
+bool Parser::parse_version(std::string_view version) {
   if (version.size() != 8 || version.substr(0, 5) != "HTTP/") return fail(400, "malformed version"), false;
   if (version != "HTTP/1.1" && version != "HTTP/1.0") return fail(505, "unknown version"), false;
-  minor_ = version[7] - '0';
+  minor_version_ = version[7] - '0';
   return true;
 }
 
-bool Parser::read_field(std::string_view text) {
-  const std::size_t colon = text.find(':');
-  if (colon == std::string_view::npos || !is_token(text.substr(0, colon)))
+bool Parser::parse_field(std::string_view line) {
+  const std::size_t colon = line.find(':');
+  if (colon == std::string_view::npos || !is_token(line.substr(0, colon)))
     return fail(400, "malformed header field"), false;
   if (fields_.size() >= limits_.fields) return fail(431, "too many header fields"), false;
-  const std::string_view value = trim(text.substr(colon + 1));
-  const auto control = [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; };
-  if (side_ == Side::request && std::any_of(value.begin(), value.end(), control))
+  const std::string_view value = trim(line.substr(colon + 1));
+  if (side_ == Side::request && has_control_char(value))
     return fail(400, "control character in a header field"), false;
-  const auto at = [&](const char* p) { return static_cast<std::uint32_t>(p - base_); };
-  fields_.push_back({{at(text.data()), static_cast<std::uint32_t>(colon)},
-                     {at(value.data()), static_cast<std::uint32_t>(value.size())}});
+  fields_.push_back({slice_of(line.substr(0, colon)), slice_of(value)});
   return true;
 }
 
-// How the body is framed, by RFC 9112; what could be read in two ways is an error.
-bool Parser::frame_body() {
-  body_at_ = at_;
+// --- The body
+
+/// How the body is framed, by RFC 9112, 6.3.
+bool Parser::determine_framing() {
+  body_start_ = position_;
   body_size_ = 0;
-  std::optional<std::size_t> length;
-  bool chunked = false, coded = false, close = false, keep = false;
-  for (std::size_t i = 0; i < fields_.size(); ++i) {
-    const Field f = field(i);
-    if (same_name(f.name, "content-length")) {
-      std::size_t n = 0;
-      if (!whole_number(f.value, n) || (length && *length != n))
-        return fail(400, "conflicting or malformed content-length"), false;
-      length = n;
-    } else if (same_name(f.name, "transfer-encoding")) {
-      if (coded || !same_name(f.value, "chunked")) return fail(501, "unknown transfer coding"), false;
-      chunked = coded = true;
-    } else if (same_name(f.name, "connection")) {
-      close = close || has_token(f.value, "close");
-      keep = keep || has_token(f.value, "keep-alive");
-    }
-  }
-  keep_alive_ = !close && (minor_ == 1 || keep);
-  if (coded && (length || minor_ == 0)) return fail(400, "conflicting lengths"), false;
-  if (length && *length > limits_.body) return fail(413, "body too large"), false;
-  come_ = 0;
-  length_ = length;
-  const bool none = side_ == Side::response && (status_ < 200 || status_ == 204 || status_ == 304);
-  bodied_ =
-      !none && !bodiless_ && (chunked || length.value_or(0) > 0 || (side_ == Side::response && !length));
-  if (none || bodiless_) {
+  body_received_ = 0;
+  bool chunked = false;
+  if (!parse_framing_fields(chunked)) return false;
+  const bool never_has_body = side_ == Side::response && (status_ < 200 || status_ == 204 || status_ == 304);
+  const bool has_none = never_has_body || bodiless_;
+  const bool until_close = side_ == Side::response && !length_;
+  has_body_ = !has_none && (chunked || length_.value_or(0) > 0 || until_close);
+  if (has_none) {
     stage_ = Stage::complete;
   } else if (chunked) {
     stage_ = Stage::chunk_size;
-  } else if (length || side_ == Side::request) {
-    left_ = length.value_or(0);
-    stage_ = left_ > 0 ? Stage::sized : Stage::complete;
+  } else if (length_ || side_ == Side::request) {
+    remaining_ = length_.value_or(0);
+    stage_ = remaining_ > 0 ? Stage::sized_body : Stage::complete;
   } else {
     keep_alive_ = false;
-    stage_ = Stage::until_end;
+    stage_ = Stage::until_close;
   }
   return true;
 }
 
-bool Parser::read_chunk_size(std::string_view text) {
-  // Guards against a line that ends elsewhere for another reader.
-  if (std::any_of(text.begin(), text.end(),
-                  [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; }))
-    return fail(400, "control character in a chunk line"), false;
-  const std::string_view digits = trim(text.substr(0, text.find(';')));
-  if (!whole_number(digits, left_, 16)) return fail(400, "malformed chunk size"), false;
-  if (left_ > limits_.body - come_) return fail(413, "body too large"), false;
-  stage_ = left_ == 0 ? Stage::trailer : Stage::chunk;
+bool Parser::parse_framing_fields(bool& chunked) {
+  bool close = false, keep = false;
+  length_.reset();
+  for (std::size_t i = 0; i < fields_.size(); ++i) {
+    const Field one = field(i);
+    if (same_name(one.name, "content-length")) {
+      std::size_t length = 0;
+      if (!parse_digits(one.value, length) || (length_ && *length_ != length))
+        return fail(400, "conflicting or malformed content-length"), false;
+      length_ = length;
+    } else if (same_name(one.name, "transfer-encoding")) {
+      if (chunked || !same_name(one.value, "chunked")) return fail(501, "unknown transfer coding"), false;
+      chunked = true;
+    } else if (same_name(one.name, "connection")) {
+      close = close || has_token(one.value, "close");
+      keep = keep || has_token(one.value, "keep-alive");
+    }
+  }
+  keep_alive_ = !close && (minor_version_ == 1 || keep);
+  if (chunked && (length_ || minor_version_ == 0)) return fail(400, "conflicting lengths"), false;
+  if (length_ && *length_ > limits_.body) return fail(413, "body too large"), false;
+  return true;
+}
+
+/// One step behind the head; see more().
+Progress Parser::step(std::string_view bytes, std::size_t& taken, std::string_view& piece) {
+  taken = 0;
+  piece = {};
+  switch (stage_) {
+    case Stage::sized_body:
+    case Stage::chunk:
+      taken = std::min(bytes.size(), remaining_);
+      piece = bytes.substr(0, taken);
+      remaining_ -= taken;
+      if (remaining_ == 0) stage_ = stage_ == Stage::sized_body ? Stage::complete : Stage::chunk_end;
+      break;
+    case Stage::chunk_size: {
+      const auto line = first_line(bytes, max_chunk_line);
+      if (!line) return bytes.size() > max_chunk_line ? fail(400, "chunk line too long") : Progress::more;
+      if (!parse_chunk_size(*line)) return Progress::failed;
+      taken = line->size() + 2;
+      break;
+    }
+    case Stage::chunk_end:
+      if (bytes.size() < 2) return Progress::more;
+      if (bytes[0] != '\r' || bytes[1] != '\n') return fail(400, "chunk without end");
+      taken = 2;
+      stage_ = Stage::chunk_size;
+      break;
+    case Stage::trailer: {
+      const auto line = first_line(bytes, limits_.head);
+      if (!line) return bytes.size() > limits_.head ? fail(431, "trailer too long") : Progress::more;
+      trailer_size_ += taken = line->size() + 2;
+      if (trailer_size_ > limits_.head) return fail(431, "trailer too long");
+      if (line->empty()) stage_ = Stage::complete;  // trailers are read and dropped
+      break;
+    }
+    case Stage::until_close:
+      taken = bytes.size();
+      piece = bytes;
+      break;
+    case Stage::start:
+    case Stage::head:
+    case Stage::complete:
+    case Stage::failed: break;
+  }
+  body_received_ += piece.size();
+  if (body_received_ > limits_.body) return fail(413, "body too large");
+  return stage_ == Stage::complete ? Progress::complete : Progress::more;
+}
+
+bool Parser::parse_chunk_size(std::string_view line) {
+  // Another reader could take a control character for the line's end.
+  if (has_control_char(line)) return fail(400, "control character in a chunk line"), false;
+  const std::string_view digits = trim(line.substr(0, line.find(';')));
+  if (!parse_digits(digits, remaining_, 16)) return fail(400, "malformed chunk size"), false;
+  if (remaining_ > limits_.body - body_received_) return fail(413, "body too large"), false;
+  stage_ = remaining_ == 0 ? Stage::trailer : Stage::chunk;
   return true;
 }
 
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -6,9 +6,9 @@
 namespace chutevane::http {
 namespace {
 
-std::string_view digits_of(std::size_t n, std::array<char, 24>& room) {
-  const auto end = std::to_chars(room.data(), room.data() + room.size(), n).ptr;
-  return {room.data(), static_cast<std::size_t>(end - room.data())};
+std::string_view digits_of(std::size_t n, std::array<char, 24>& digits) {
+  const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), n).ptr;
+  return {digits.data(), static_cast<std::size_t>(end - digits.data())};
 }
 
 }  // namespace
@@ -42,9 +42,9 @@
 }
 
 Writer& Writer::status_line(int status) {
-  std::array<char, 24> room;
+  std::array<char, 24> digits;
   out_.append("HTTP/1.1 ");
-  out_.append(digits_of(static_cast<std::size_t>(status), room));
+  out_.append(digits_of(static_cast<std::size_t>(status), digits));
   out_.append(" ");
   out_.append(reason_of(status));
   out_.append("\r\n");
@@ -60,8 +60,8 @@
 }
 
 void Writer::body(std::string_view body) {
-  std::array<char, 24> room;
-  field("Content-Length", digits_of(body.size(), room));
+  std::array<char, 24> digits;
+  field("Content-Length", digits_of(body.size(), digits));
   out_.append("\r\n");
   out_.append(body);
 }
--- a/src/json/value.cpp
+++ b/src/json/value.cpp
@@ -7,14 +7,15 @@
 namespace chutevane::json {
 namespace {
 
+/// Recursive descent. Each function begins at its first character and ends behind its last.
 class Parser {
  public:
   Parser(std::string_view text, const Limits& limits) : text_(text), limits_(limits) {}
 
-  Value whole() {
+  Value parse() {
     if (text_.size() > limits_.bytes) throw ParseError("too large", limits_.bytes);
-    Value out = value(0);
-    space();
+    Value out = parse_value(0);
+    skip_space();
     if (at_ != text_.size()) fail("something after the value");
     return out;
   }
@@ -22,61 +23,61 @@
  private:
   [[noreturn]] void fail(const char* what) const { throw ParseError(what, at_); }
   char peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
-  void space() {
+  void skip_space() {
     while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
       ++at_;
   }
   void expect(char c, const char* what) {
-    space();
+    skip_space();
     if (peek() != c) fail(what);
     ++at_;
   }
-  bool word(std::string_view w) {
-    if (text_.substr(at_, w.size()) != w) return false;
-    at_ += w.size();
+  bool consume(std::string_view literal) {
+    if (text_.substr(at_, literal.size()) != literal) return false;
+    at_ += literal.size();
     return true;
   }
 
-  Value value(int depth) {
+  Value parse_value(int depth) {
     if (depth > limits_.depth) fail("too deep");
-    space();
+    skip_space();
     Value out;
     switch (peek()) {
-      case '{': object(out, depth); break;
-      case '[': list(out, depth); break;
+      case '{': parse_object(out, depth); break;
+      case '[': parse_list(out, depth); break;
       case '"':
         out.kind = Value::Kind::text;
-        out.text = quoted();
+        out.text = parse_string();
         break;
       case 't':
       case 'f':
         out.kind = Value::Kind::boolean;
-        out.flag = word("true");
-        if (!out.flag && !word("false")) fail("no value");
+        out.flag = consume("true");
+        if (!out.flag && !consume("false")) fail("no value");
         break;
       case 'n':
-        if (!word("null")) fail("no value");
+        if (!consume("null")) fail("no value");
         break;
-      default: number(out);
+      default: parse_number(out);
     }
     return out;
   }
 
-  void object(Value& out, int depth) {
+  void parse_object(Value& out, int depth) {
     out.kind = Value::Kind::object;
     ++at_;
-    space();
+    skip_space();
     if (peek() == '}') {
       ++at_;
       return;
     }
     while (true) {
-      space();
+      skip_space();
       if (peek() != '"') fail("a name expected");
-      std::string name = quoted();
+      std::string name = parse_string();
       expect(':', "':' expected");
-      out.members.push_back({std::move(name), value(depth + 1)});
-      space();
+      out.members.push_back({std::move(name), parse_value(depth + 1)});
+      skip_space();
       if (peek() == ',') {
         ++at_;
         continue;
@@ -86,17 +87,17 @@
     }
   }
 
-  void list(Value& out, int depth) {
+  void parse_list(Value& out, int depth) {
     out.kind = Value::Kind::list;
     ++at_;
-    space();
+    skip_space();
     if (peek() == ']') {
       ++at_;
       return;
     }
     while (true) {
-      out.items.push_back(value(depth + 1));
-      space();
+      out.items.push_back(parse_value(depth + 1));
+      skip_space();
       if (peek() == ',') {
         ++at_;
         continue;
@@ -106,38 +107,38 @@
     }
   }
 
-  void digits() {
+  void skip_digits() {
     if (peek() < '0' || peek() > '9') fail("a digit expected");
     while (peek() >= '0' && peek() <= '9') ++at_;
   }
 
-  void number(Value& out) {
+  void parse_number(Value& out) {
     const std::size_t start = at_;
     if (peek() == '-') ++at_;
     if (peek() == '0') {
       ++at_;
     } else {
-      digits();
+      skip_digits();
     }
     if (peek() == '.') {
       ++at_;
-      digits();
+      skip_digits();
     }
     if (peek() == 'e' || peek() == 'E') {
       ++at_;
       if (peek() == '+' || peek() == '-') ++at_;
-      digits();
+      skip_digits();
     }
     out.kind = Value::Kind::number;
     out.text = text_.substr(start, at_ - start);
-    const auto got = std::from_chars(out.text.data(), out.text.data() + out.text.size(), out.number);
-    if (got.ec != std::errc() || !std::isfinite(out.number)) {
+    const auto parsed = std::from_chars(out.text.data(), out.text.data() + out.text.size(), out.number);
+    if (parsed.ec != std::errc() || !std::isfinite(out.number)) {
       at_ = start;
       fail("number out of range");
     }
   }
 
-  unsigned hex4() {
+  unsigned parse_hex4() {
     unsigned v = 0;
     for (int i = 0; i < 4; ++i, ++at_) {
       const char c = peek();
@@ -151,7 +152,7 @@
     return v;
   }
 
-  void escaped(std::string& out) {
+  void parse_escape(std::string& out) {
     const char c = peek();
     ++at_;
     switch (c) {
@@ -166,16 +167,22 @@
       case 'u': break;
       default: --at_; fail("unknown escape");
     }
-    unsigned code = hex4();
-    if (code >= 0xd800 && code < 0xdc00) {
-      if (!word("\\u")) fail("half of a surrogate pair");
-      const unsigned low = hex4();
-      if (low < 0xdc00 || low > 0xdfff) fail("half of a surrogate pair");
-      code = 0x10000 + ((code - 0xd800) << 10U) + (low - 0xdc00);
-    } else if (code >= 0xdc00 && code <= 0xdfff) {
-      fail("half of a surrogate pair");
-    }
-    const auto put = [&](unsigned v) { out += static_cast<char>(v); };
+    append_utf8(out, parse_code_point());
+  }
+
+  /// After the backslash and the u; a surrogate pair is two escapes.
+  unsigned parse_code_point() {
+    const unsigned code = parse_hex4();
+    if (code >= 0xdc00 && code <= 0xdfff) fail("half of a surrogate pair");
+    if (code < 0xd800 || code > 0xdfff) return code;
+    if (!consume("\\u")) fail("half of a surrogate pair");
+    const unsigned low = parse_hex4();
+    if (low < 0xdc00 || low > 0xdfff) fail("half of a surrogate pair");
+    return 0x10000 + ((code - 0xd800) << 10U) + (low - 0xdc00);
+  }
+
+  static void append_utf8(std::string& out, unsigned code) {
+    const auto put = [&](unsigned byte) { out += static_cast<char>(byte); };
     if (code < 0x80) {
       put(code);
     } else if (code < 0x800) {
@@ -188,7 +195,7 @@
     }
   }
 
-  std::string quoted() {
+  std::string parse_string() {
     std::string out;
     ++at_;
     while (true) {
@@ -198,7 +205,7 @@
       ++at_;
       if (c == '"') return out;
       if (c == '\\') {
-        escaped(out);
+        parse_escape(out);
       } else {
         out += c;
       }
@@ -219,7 +226,7 @@
   return nullptr;
 }
 
-Value parse(std::string_view text, const Limits& limits) { return Parser(text, limits).whole(); }
+Value parse(std::string_view text, const Limits& limits) { return Parser(text, limits).parse(); }
 
 void Writer::separate() {
   if (!first_) out_ += ',';
@@ -278,11 +285,11 @@
 }
 
 Writer& Writer::real(double value) {
-  std::array<char, 32> room;
-  const double sound = std::isfinite(value) ? value : 0.0;
-  const auto end = std::to_chars(room.data(), room.data() + room.size(), sound).ptr;
+  std::array<char, 32> digits;
+  const double finite = std::isfinite(value) ? value : 0.0;
+  const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), finite).ptr;
   separate();
-  out_.append(room.data(), static_cast<std::size_t>(end - room.data()));
+  out_.append(digits.data(), static_cast<std::size_t>(end - digits.data()));
   return *this;
 }
 
--- a/src/sidecar/downstream_connection.cpp
+++ b/src/sidecar/downstream_connection.cpp
@@ -132,7 +132,7 @@
 }
 
 Span DownstreamConnection::body_time_at_min_rate() const {
-  return Span::ms(static_cast<double>(parser_.come()) / min_body_rate);
+  return Span::ms(static_cast<double>(parser_.body_received()) / min_body_rate);
 }
 
 bool DownstreamConnection::must_stream_request() const {
