--- a/src/opfile/model.hpp
+++ b/src/opfile/model.hpp
@@ -6,17 +6,17 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "limit/limiter.hpp"
+#include "pool/cross_pool_retry.hpp"
 #include "pool/failover.hpp"
-#include "pool/onward.hpp"
-#include "route/table.hpp"
+#include "route/route_table.hpp"
 
 namespace chutevane::opfile {
 
 struct TrackModel {
   std::string name;
-  pool::Effect effect = pool::Effect::replayable;
+  pool::Idempotency effect = pool::Idempotency::idempotent;
   std::string repeat_group = "all";  // all, zone or cell
   Span remembered, soft_limit, client_timeout;
   double payoff = 1.0, late_payoff = 0.0;
@@ -24,15 +24,15 @@
 
 struct PoolModel {
   std::string name;
-  std::string discovery;         // an address; empty: the endpoints below
-  discovery::List endpoints;     // static, or what is known at the start
-  std::string zone;              // of this sidecar; empty: none
-  std::string reference_group;   // pools of one group remember references together; empty: its own
-  double carries_per_s = 0.0;    // calls that it is stated to carry when whole; 0: not stated
-  int sidecars = 1;              // that share it
-  int place = 0;                 // of this one among them
-  int calls_per_connection = 1;  // that its endpoints take at once; more: sidecars keep to parts of them
-  int dispatches = 4;            // of one call, over all pools that it goes to
+  std::string discovery;              // an address; empty: the endpoints below
+  discovery::EndpointList endpoints;  // static, or what is known at the start
+  std::string zone;                   // of this sidecar; empty: none
+  std::string reference_group;        // pools of one group remember references together; empty: its own
+  double carries_per_s = 0.0;         // calls that it is stated to carry when whole; 0: not stated
+  int sidecars = 1;                   // that share it
+  int place = 0;                      // of this one among them
+  int calls_per_connection = 1;       // that its endpoints take at once; more: sidecars keep to parts of them
+  int dispatches = 4;                 // of one call, over all pools that it goes to
   bool cancel = true;
   Span connect_timeout, idle_close, most_retry_after, warm_after, fall_window;
   double cold_share = 0.2, fall_multiple = 3.0;
@@ -48,8 +48,8 @@
   std::string name;
   std::vector<SideModel> sides;
   std::string split_header;  // whose value keeps a caller on its side; empty: each call is drawn
-  pool::FailoverSpec failover;
-  limit::LimitSpec limits;
+  pool::FailoverConfig failover;
+  limit::LimitConfig limits;
 };
 
 struct RouteModel {
@@ -74,7 +74,7 @@
   std::vector<PoolModel> pools;
   std::vector<ServiceModel> services;
   std::vector<RouteModel> routes;
-  route::Table table;
+  route::RouteTable table;
 };
 
 }  // namespace chutevane::opfile
