--- a/src/control/acceptor.hpp
+++ b/src/control/acceptor.hpp
@@ -8,6 +8,7 @@
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
 #include "common/disk.hpp"
+#include "common/durable_state.hpp"
 #include "common/messages.hpp"
 #include "control/register_value.hpp"
 
--- a/src/sidecar/daemon.cpp
+++ b/src/sidecar/daemon.cpp
@@ -54,8 +54,8 @@
       random_(config_.seed),
       name_(config_.name),
       listen_text_(config_.listen),
-      meeting_point_(hot_restart::socket_path_for(folder, name_)),
-      predecessor_(hot_restart::request_transfer(meeting_point_, predecessor_timeout)),
+      hot_restart_socket_(hot_restart::socket_path_for(folder, name_)),
+      predecessor_(hot_restart::request_transfer(hot_restart_socket_, predecessor_timeout)),
       sidecar_(scheduler, with_available_descriptors(with_known_list(config_), scheduler.system())) {
   restore_learned_state();
 }
@@ -67,8 +67,8 @@
       random_(0),
       model_(with_available_descriptors(model, scheduler.system())),
       name_(model.name),
-      meeting_point_(hot_restart::socket_path_for(folder, name_)),
-      predecessor_(hot_restart::request_transfer(meeting_point_, predecessor_timeout)),
+      hot_restart_socket_(hot_restart::socket_path_for(folder, name_)),
+      predecessor_(hot_restart::request_transfer(hot_restart_socket_, predecessor_timeout)),
       sidecar_(scheduler, model_) {
   for (const std::string& address : model.listen)
     listen_text_ += (listen_text_.empty() ? "" : ", ") + address;
@@ -124,7 +124,7 @@
 
 /// Gives the sidecar the predecessor's state, or else what the snapshot's evidence is.
 void Daemon::restore_learned_state() {
-  if (predecessor_.busy) throw std::runtime_error("another successor starts at " + meeting_point_);
+  if (predecessor_.is_refused) throw std::runtime_error("another successor starts at " + hot_restart_socket_);
   if (store_) next_snapshot_at_ = scheduler_.now() + config_.snapshot_every * random_.unit();
   if (predecessor_.link >= 0 && config_reader_) {
     try {
@@ -150,10 +150,10 @@
     return false;
   }
   log_line("%s serves at %s", name_.c_str(), listen_text_.c_str());
-  if (!meeting_point_.empty()) {
-    peer_link_.emplace(
-        scheduler_, meeting_point_, [this] { return handover_state(); }, [this] { on_peer_change(); });
-    if (predecessor_.link >= 0) peer_link_->follow(std::exchange(predecessor_.link, -1));
+  if (!hot_restart_socket_.empty()) {
+    hot_restart_.emplace(
+        scheduler_, hot_restart_socket_, [this] { return transfer_payload(); }, [this] { on_peer_change(); });
+    if (predecessor_.link >= 0) hot_restart_->adopt_predecessor(std::exchange(predecessor_.link, -1));
     on_peer_change();
   }
   return true;
@@ -161,18 +161,20 @@
 
 // --- Hot restart
 
-hot_restart::TransferPayload Daemon::handover_state() const {
+hot_restart::TransferPayload Daemon::transfer_payload() const {
   return {sidecar_.listening_descriptors(), config_reader_ ? sidecar_.serialize_state() : std::string("{}")};
 }
 
 void Daemon::on_peer_change() {
-  const hot_restart::PeerLink &predecessor = peer_link_->before(), &successor = peer_link_->after();
-  sidecar_.on_peer_status(successor.is_serving(), predecessor.is_serving(), predecessor.is_connected() || successor.is_connected());
+  const hot_restart::PeerLink &predecessor = hot_restart_->predecessor(),
+                              &successor = hot_restart_->successor();
+  sidecar_.on_peer_status(successor.is_serving(), predecessor.is_serving(),
+                          predecessor.is_connected() || successor.is_connected());
   // Once a successor that served is gone, or ends, this process serves alone again and may have another.
   const bool serves = !sidecar_.is_ending() && !successor.is_serving();
   if (std::exchange(announced_serving_, serves) == serves) return;
-  if (serves) peer_link_->open();
-  peer_link_->say(serves);
+  if (serves) hot_restart_->listen();
+  hot_restart_->announce(serves);
 }
 
 // --- Signals
@@ -185,7 +187,7 @@
     // Now and not only at the end: the next process may start while this one still drains.
     if (store_) write_snapshot(false);
     sidecar_.shut_down(sidecar_.shutdown_timeout());
-    if (peer_link_) on_peer_change();
+    if (hot_restart_) on_peer_change();
   } else if (config_reader_) {
     sidecar_.count_reload(reload(sidecar_, config_reader_, config_));
   } else {
--- a/src/sidecar/daemon.hpp
+++ b/src/sidecar/daemon.hpp
@@ -63,7 +63,7 @@
   void restore_learned_state();
 
   // Hot restart
-  hot_restart::TransferPayload handover_state() const;
+  hot_restart::TransferPayload transfer_payload() const;
   void on_peer_change();
 
   // Snapshots
@@ -84,10 +84,10 @@
   snapshot::StoreCounters logged_store_status_;
   bool store_is_failing_ = false;  // as last logged
   opfile::Model model_;            // of an operator's file
-  std::string name_, listen_text_, meeting_point_;
+  std::string name_, listen_text_, hot_restart_socket_;
   hot_restart::ReceivedTransfer predecessor_;  // what it has handed over; without a link: there is none
   Sidecar sidecar_;
-  std::optional<hot_restart::HotRestartChannel> peer_link_;
+  std::optional<hot_restart::HotRestartChannel> hot_restart_;
   bool announced_serving_ = false;  // as last told to the other process
 };
 
