--- /dev/null
+++ b/src/common/messages/controllers.hpp
@@ -0,0 +1,134 @@
+/// Records that control sidecars exchange among themselves, and what each stores.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "common/messages/register.hpp"
+#include "common/messages/sessions.hpp"
+
+namespace chutevane::common {
+
+/// The durable state of a control sidecar beside its acceptor: what it starts from.
+struct ControllerRecord {
+  static constexpr const char* record = "Controller_record";
+  static constexpr std::uint8_t kind = 13;
+  std::string disk;  ///< id of the disk, generated when the disk was new
+  /// The disk was new when the whole system was: the first set means it, although that set names no disks.
+  bool first = false;
+  RegisterValue known;                   ///< the newest chosen value that it knows
+  RegisterValue initial;                 ///< first value of the newest epoch that it knows
+  std::vector<std::string> controllers;  ///< `ADDRESS:PORT` of the control sidecars that it knew
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("disk", disk);
+    v("first", first);
+    v("known", known);
+    v("initial", initial);
+    v("controllers", controllers);
+  }
+};
+
+/// A singleton role whose lease the sender holds.
+struct HeldRole {
+  static constexpr const char* record = "Held_duty";
+  static constexpr std::uint8_t kind = 15;
+  std::string name;       ///< of the role
+  std::int64_t term = 0;  ///< of the lease: its fencing token
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("name", name);
+    v("term", term);
+  }
+};
+
+/// From each control sidecar to every other one, four times a second. `initial`, `controllers` and
+/// `members` are sent only where `full` is set; otherwise those of the latest full message still hold.
+struct Gossip {
+  static constexpr const char* record = "Gossip";
+  static constexpr std::uint8_t kind = 16;
+  std::string node;               ///< name of the sender
+  std::string address;            ///< `ADDRESS:PORT` of its internal control port
+  std::string control;            ///< `ADDRESS:PORT` where it serves operators; empty: it does not
+  std::string disk;               ///< id of its disk
+  std::string zone;               ///< failure domain
+  bool draining = false;          ///< it shuts down gracefully
+  bool full = false;              ///< the message has all fields
+  std::int64_t epoch = 0;         ///< of the newest first value that it knows
+  std::int64_t known_number = 0;  ///< of the newest chosen value that it knows; 0: none
+  std::int64_t accepted = 0;      ///< number of the value that its acceptor has accepted in `epoch`; 0: none
+  bool voting = false;            ///< its acceptor has entered an epoch
+  bool first = false;             ///< as in ControllerRecord
+  bool disk_failing = false;      ///< its acceptor's disk refuses writes
+  RegisterValue initial;          ///< epoch and acceptors of the epoch's first value, nothing else of it
+  std::int64_t list_term = 0;     ///< term of the newest endpoint list that it or one of its sessions has
+  std::int64_t list_number = 0;   ///< number of that list; 0: it does not have that list itself
+  std::int64_t incarnation = 0;   ///< of the sender's process: drawn anew at each start
+  std::int64_t stamp = 0;         ///< the sender's steady clock at sending, in microseconds
+  /// Of the receiver's process, as the sender knows it from the receiver's latest message; 0: none has
+  /// come.
+  std::int64_t echo_incarnation = 0;
+  std::int64_t echo_stamp = 0;  ///< `stamp` of that message, in microseconds
+  /// `ADDRESS:PORT` of the control sidecars that the sender believes to be there.
+  std::vector<std::string> controllers;
+  std::vector<HeldRole> held_roles;  ///< whose leases the sender holds
+  std::vector<Member> members;       ///< sidecars with a session at the sender
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("node", node);
+    v("address", address);
+    v("control", control);
+    v("disk", disk);
+    v("zone", zone);
+    v("leaving", draining);
+    v("full", full);
+    v("epoch", epoch);
+    v("known", known_number);
+    v("accepted", accepted);
+    v("voting", voting);
+    v("first", first);
+    v("disk_failing", disk_failing);
+    v("initial", initial);
+    v("list_term", list_term);
+    v("list_number", list_number);
+    v("life", incarnation);
+    v("stamp", stamp);
+    v("echo_life", echo_incarnation);
+    v("echo_stamp", echo_stamp);
+    v("controllers", controllers);
+    v("duties", held_roles);
+    v("members", members);
+  }
+};
+
+/// From a candidate to each acceptor's sidecar: a request for a vote in the election of a role's holder.
+/// Answered by a VoteReply.
+struct VoteRequest {
+  static constexpr const char* record = "Vote";
+  static constexpr std::uint8_t kind = 17;
+  std::string role;       ///< name of the role
+  std::int64_t term = 0;  ///< that the candidate stands for
+  std::string node;       ///< name of the candidate
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("duty", role);
+    v("term", term);
+    v("node", node);
+  }
+};
+
+/// The reply to a VoteRequest.
+struct VoteReply {
+  static constexpr const char* record = "Voted";
+  static constexpr std::uint8_t kind = 18;
+  bool granted = false;   ///< the vote is the candidate's
+  std::int64_t term = 0;  ///< of the newest lease of that role that the voter knows
+  template <class Visitor>
+  void each(Visitor& v) {
+    v("granted", granted);
+    v("term", term);
+  }
+};
+
+}  // namespace chutevane::common
