--- a/src/common/configuration.cpp
+++ b/src/common/configuration.cpp
@@ -15,190 +15,239 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// Reads the members of one object, and says of each that is wrong where it stands.
-class Reader {
+enum class Presence : std::uint8_t { optional, required };
+
+/// Bounds of a number, both allowed.
+struct Range {
+  double min = 0;
+  double max = 0;
+};
+
+constexpr double max_count = 1e9;
+constexpr double max_duration = 1e9;  // in the unit of the member
+
+/// Reads the members of one JSON object. Each that is missing or malformed is reported with its path, and
+/// read as nothing.
+class ObjectReader {
  public:
-  Reader(object from, std::string place, Findings& findings)
-      : from_(from), place_(std::move(place)), findings_(findings) {}
+  /// `path`: of the object, ending in a dot; empty for the document.
+  ObjectReader(object source, std::string path, Findings& findings)
+      : source_(source), path_(std::move(path)), findings_(findings) {}
 
-  void wrong(std::string_view key, std::string why) {
-    findings_.add(place_ + std::string(key), std::move(why));
+  const object& source() const { return source_; }
+  const std::string& path() const { return path_; }
+  Findings& findings() const { return findings_; }
+  void report(std::string_view key, std::string what) {
+    findings_.add(path_ + std::string(key), std::move(what));
   }
-  bool has(std::string_view key) const { return from_[key].error() == simdjson::SUCCESS; }
-  bool text(std::string_view key, std::string& into, bool needed = true) {
-    element e;
-    if (from_[key].get(e) != simdjson::SUCCESS) {
-      if (needed) wrong(key, "missing");
-      return false;
-    }
-    std::string_view v;
-    if (e.get_string().get(v) != simdjson::SUCCESS || v.empty()) {
-      wrong(key, "not a text");
-      return false;
+  bool has(std::string_view key) const { return source_[key].error() == simdjson::SUCCESS; }
+
+  std::optional<std::string> string(std::string_view key, Presence presence) {
+    const auto member = find(key, presence);
+    if (!member) return std::nullopt;
+    std::string_view text;
+    if (member->get_string().get(text) != simdjson::SUCCESS || text.empty()) {
+      report(key, "not a text");
+      return std::nullopt;
     }
-    into = v;
-    return true;
+    return std::string(text);
   }
-  bool number(std::string_view key, double& into, double least, double most, bool needed = true) {
-    element e;
-    if (from_[key].get(e) != simdjson::SUCCESS) {
-      if (needed) wrong(key, "missing");
-      return false;
+  std::optional<double> number(std::string_view key, Range range, Presence presence) {
+    const auto member = find(key, presence);
+    if (!member) return std::nullopt;
+    double value = 0;
+    if (member->get_double().get(value) != simdjson::SUCCESS) {
+      report(key, "not a number");
+      return std::nullopt;
     }
-    double v = 0;
-    if (e.get_double().get(v) != simdjson::SUCCESS) {
-      wrong(key, "not a number");
-      return false;
+    if (!(value >= range.min) || !(value <= range.max)) {
+      report(key, "out of its bounds, " + std::to_string(range.min) + " to " + std::to_string(range.max));
+      return std::nullopt;
     }
-    if (!(v >= least) || !(v <= most)) {
-      wrong(key, "out of its bounds, " + std::to_string(least) + " to " + std::to_string(most));
-      return false;
-    }
-    into = v;
-    return true;
+    return value;
   }
-  void whole(std::string_view key, std::size_t& into, double least, double most, bool needed = true) {
-    double v = 0;
-    if (number(key, v, least, most, needed)) into = static_cast<std::size_t>(v);
+  /// An optional number; its fraction is cut off.
+  std::optional<std::size_t> count(std::string_view key, Range range) {
+    const auto value = number(key, range, Presence::optional);
+    return value ? std::optional(static_cast<std::size_t>(*value)) : std::nullopt;
   }
-  void flag(std::string_view key, bool& into) {
-    element e;
-    if (from_[key].get(e) != simdjson::SUCCESS) return;
-    if (e.get_bool().get(into) != simdjson::SUCCESS) wrong(key, "neither true nor false");
+  std::optional<bool> boolean(std::string_view key) {
+    const auto member = find(key, Presence::optional);
+    if (!member) return std::nullopt;
+    bool value = false;
+    if (member->get_bool().get(value) != simdjson::SUCCESS) {
+      report(key, "neither true nor false");
+      return std::nullopt;
+    }
+    return value;
   }
-  void span(std::string_view key, Span& into, double unit_ms, bool needed) {
-    double v = 0;
-    if (number(key, v, 0, 1e9, needed)) into = Span::ms(v * unit_ms);
+  std::optional<Span> duration(std::string_view key, double unit_ms, Presence presence) {
+    const auto value = number(key, {0, max_duration}, presence);
+    return value ? std::optional(Span::ms(*value * unit_ms)) : std::nullopt;
   }
 
  private:
-  object from_;
-  std::string place_;
+  std::optional<element> find(std::string_view key, Presence presence) {
+    element member;
+    if (source_[key].get(member) == simdjson::SUCCESS) return member;
+    if (presence == Presence::required) report(key, "missing");
+    return std::nullopt;
+  }
+  object source_;
+  std::string path_;
   Findings& findings_;
 };
 
-constexpr double ms_most = 1e9;
+/// Calls `read` with a reader for each object of a list of objects at `list_path`.
+template <class Read>
+void for_each_object(const simdjson::dom::array& list, const std::string& list_path, Findings& findings,
+                     Read read) {
+  std::size_t i = 0;
+  for (const element item : list) {
+    const std::string path = list_path + "[" + std::to_string(i++) + "].";
+    object source;
+    if (item.get(source) == simdjson::SUCCESS) {
+      ObjectReader reader(source, path, findings);
+      read(reader);
+    } else {
+      findings.add(path, "not an object");
+    }
+  }
+}
 
-void read_split(const object& from, const std::string& place, Reader& in, Route& route, Findings& findings) {
+/// The services of a route: `trafficSplit` with weights, or `service` alone.
+std::vector<Weighted> read_split(ObjectReader& route) {
+  std::vector<Weighted> out;
   simdjson::dom::array split;
-  if (from["trafficSplit"].get(split) == simdjson::SUCCESS) {
+  if (route.source()["trafficSplit"].get(split) == simdjson::SUCCESS) {
     double sum = 0;
-    std::size_t i = 0;
-    for (const element e : split) {
-      const std::string here = place + "trafficSplit[" + std::to_string(i++) + "].";
-      object o;
-      if (e.get(o) != simdjson::SUCCESS) {
-        findings.add(here, "not an object");
-        continue;
-      }
-      Reader part(o, here, findings);
-      Weighted w;
-      part.text("service", w.service);
-      part.number("weight", w.weight, 0, 1e9);
-      sum += w.weight;
-      route.split.push_back(std::move(w));
-    }
-    if (!(sum > 0)) in.wrong("trafficSplit", "the weights add up to 0");
-  } else if (in.has("trafficSplit")) {
-    in.wrong("trafficSplit", "not a list");
-  } else {
-    Weighted w;
-    if (in.text("service", w.service)) route.split.push_back(std::move(w));
+    for_each_object(split, route.path() + "trafficSplit", route.findings(), [&](ObjectReader& reader) {
+      Weighted part;
+      part.service = reader.string("service", Presence::required).value_or("");
+      part.weight = reader.number("weight", {0, 1e9}, Presence::required).value_or(part.weight);
+      sum += part.weight;
+      out.push_back(std::move(part));
+    });
+    if (!(sum > 0)) route.report("trafficSplit", "the weights add up to 0");
+  } else if (route.has("trafficSplit")) {
+    route.report("trafficSplit", "not a list");
+  } else if (auto service = route.string("service", Presence::required)) {
+    out.push_back({.service = std::move(*service)});
   }
+  return out;
 }
 
-void read_route(const object& from, const std::string& place, Configuration& into, Findings& findings) {
-  Reader in(from, place, findings);
-  Route r;
-  in.text("name", r.name, false);
-  in.text("host", r.host);
-  for (char& c : r.host)
-    c = c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c;  // hosts know no case
-  if (in.text("pathPrefix", r.prefix) && (r.prefix.front() != '/' || r.prefix.back() != '/'))
-    in.wrong("pathPrefix", "does not begin and end with a slash");
-  std::string type;
-  if (in.text("routeType", type)) {
-    if (type == "idempotent") {
-      r.type = RouteType::idempotent;
-    } else if (type == "streaming") {
-      r.type = RouteType::streaming;
-    } else if (type != "non_idempotent") {
-      in.wrong("routeType", "none of idempotent, non_idempotent, streaming");
-    }
-  }
-  double timeout = 0;
-  if (in.number("timeoutMs", timeout, 0, ms_most) && !(timeout > 0)) in.wrong("timeoutMs", "is 0");
-  r.timeout = Span::ms(timeout);
-  in.span("targetMs", r.target, 1, false);
-  double priority = 0;
-  if (in.number("priority", priority, 0, 1000, false)) r.priority = static_cast<int>(priority);
-  in.whole("maxAttempts", r.max_attempts, 1, 1000, false);
-  in.flag("retained", r.retained);
-  in.flag("affinity", r.affinity);
-  in.flag("resumable", r.resumable);
-  if (r.resumable && r.type != RouteType::streaming) r.resumable = false;  // there is nothing to take up
-  in.span("retentionS", r.retention, 1000, r.retained);
-  in.span("gap_aim_ms", r.gap_aim, 1, false);
-  read_split(from, place, in, r, findings);
-  into.routes.push_back(std::move(r));
+RouteType read_route_type(ObjectReader& in) {
+  const auto type = in.string("routeType", Presence::required);
+  if (type == "idempotent") return RouteType::idempotent;
+  if (type == "streaming") return RouteType::streaming;
+  if (type && type != "non_idempotent")
+    in.report("routeType", "none of idempotent, non_idempotent, streaming");
+  return RouteType::non_idempotent;
 }
 
-void read_service(const object& from, const std::string& place, Configuration& into, Findings& findings) {
-  Reader in(from, place, findings);
-  Service s;
-  in.text("name", s.name);
-  in.text("healthPath", s.health_path, false);
-  in.whole("maxConnections", s.max_connections, 0, 1e9, false);
+Route read_route(ObjectReader& in) {
+  Route route;
+  route.name = in.string("name", Presence::optional).value_or("");
+  route.host = lower_case(in.string("host", Presence::required).value_or(""));
+  route.prefix = in.string("pathPrefix", Presence::required).value_or("");
+  if (!route.prefix.empty() && (route.prefix.front() != '/' || route.prefix.back() != '/'))
+    in.report("pathPrefix", "does not begin and end with a slash");
+  route.type = read_route_type(in);
+  const auto timeout_ms = in.number("timeoutMs", {0, max_duration}, Presence::required);
+  if (timeout_ms && !(*timeout_ms > 0)) in.report("timeoutMs", "is 0");
+  route.timeout = Span::ms(timeout_ms.value_or(0));
+  route.target = in.duration("targetMs", 1, Presence::optional).value_or(Span());
+  route.priority = static_cast<int>(in.number("priority", {0, 1000}, Presence::optional).value_or(0));
+  route.max_attempts = in.count("maxAttempts", {1, 1000}).value_or(route.max_attempts);
+  route.retained = in.boolean("retained").value_or(false);
+  route.affinity = in.boolean("affinity").value_or(false);
+  // Of another type there is no stream that could be resumed.
+  route.resumable = in.boolean("resumable").value_or(false) && route.type == RouteType::streaming;
+  const Presence retention = route.retained ? Presence::required : Presence::optional;
+  route.retention = in.duration("retentionS", 1000, retention).value_or(Span());
+  route.gap_aim = in.duration("gap_aim_ms", 1, Presence::optional).value_or(Span());
+  route.split = read_split(in);
+  return route;
+}
+
+Engine read_engine(ObjectReader in) {
+  Engine engine;
+  engine.capacity = in.count("capacity", {0, max_count}).value_or(0);
+  engine.kv_capacity = in.number("kvCapacity", {0, 1e15}, Presence::optional).value_or(0);
+  engine.tokens_per_event = static_cast<int>(in.count("tokensPerEvent", {1, 1e6}).value_or(1));
+  return engine;
+}
+
+Service read_service(ObjectReader& in) {
+  Service service;
+  service.name = in.string("name", Presence::required).value_or("");
+  service.health_path = in.string("healthPath", Presence::optional).value_or("");
+  service.max_connections = in.count("maxConnections", {0, max_count}).value_or(0);
   object engine;
-  if (from["engine"].get(engine) == simdjson::SUCCESS) {
-    Reader at(engine, place + "engine.", findings);
-    Engine e;
-    at.whole("capacity", e.capacity, 0, 1e9, false);
-    at.number("kvCapacity", e.kv_capacity, 0, 1e15, false);
-    std::size_t per_event = 1;
-    at.whole("tokensPerEvent", per_event, 1, 1e6, false);
-    e.tokens_per_event = static_cast<int>(per_event);
-    s.engine = e;
+  if (in.source()["engine"].get(engine) == simdjson::SUCCESS) {
+    service.engine = read_engine({engine, in.path() + "engine.", in.findings()});
   } else if (in.has("engine")) {
-    in.wrong("engine", "not an object");
+    in.report("engine", "not an object");
   }
-  into.services.push_back(std::move(s));
+  return service;
 }
 
-template <class Read>
-void each(const object& from, const char* key, Findings& findings, Read read) {
-  simdjson::dom::array list;
-  if (from[key].get(list) != simdjson::SUCCESS) {
-    findings.add(key, "missing, or not a list");
-    return;
+ClientLimits read_limits(ObjectReader& document) {
+  ClientLimits limits;
+  object source;
+  if (document.source()["limits"].get(source) == simdjson::SUCCESS) {
+    ObjectReader in(source, "limits.", document.findings());
+    limits.header_bytes = in.count("maxHeaderBytes", {256, 1e9}).value_or(limits.header_bytes);
+    limits.body_bytes = in.count("maxBodyBytes", {0, 1e12}).value_or(limits.body_bytes);
+    limits.header = in.duration("headerTimeoutMs", 1, Presence::optional).value_or(limits.header);
+    limits.idle = in.duration("idleTimeoutMs", 1, Presence::optional).value_or(limits.idle);
+  } else if (document.has("limits")) {
+    document.report("limits", "not an object");
   }
-  std::size_t i = 0;
-  for (const element e : list) {
-    const std::string place = std::string(key) + "[" + std::to_string(i++) + "].";
-    object o;
-    if (e.get(o) == simdjson::SUCCESS) {
-      read(o, place);
-    } else {
-      findings.add(place, "not an object");
-    }
+  return limits;
+}
+
+std::int64_t read_version(ObjectReader& document) {
+  const auto version = document.number("version", {1, 9e15}, Presence::required);
+  if (!version) return 0;
+  if (*version != std::floor(*version)) document.report("version", "not a whole number");
+  return static_cast<std::int64_t>(*version);
+}
+
+/// A required list of objects: what `read` makes of each.
+template <class Item>
+std::vector<Item> read_list(ObjectReader& document, const char* key, Item (*read)(ObjectReader&)) {
+  std::vector<Item> out;
+  simdjson::dom::array list;
+  if (document.source()[key].get(list) == simdjson::SUCCESS) {
+    for_each_object(list, key, document.findings(), [&](ObjectReader& in) { out.push_back(read(in)); });
+  } else {
+    document.report(key, "missing, or not a list");
   }
+  return out;
 }
 
-void check_whole(const Configuration& c, Findings& findings) {
-  std::set<std::string> services;
-  for (const Service& s : c.services) {
-    if (!services.insert(s.name).second) findings.add("services", "'" + s.name + "' comes twice");
+void check_service_names(const Configuration& configuration, Findings& findings) {
+  std::set<std::string> names;
+  for (const Service& service : configuration.services) {
+    if (!names.insert(service.name).second) findings.add("services", "'" + service.name + "' comes twice");
   }
-  std::map<std::pair<std::string, std::string>, std::size_t> places;
-  for (std::size_t i = 0; i < c.routes.size(); ++i) {
-    const Route& r = c.routes[i];
-    const std::string place = "routes[" + std::to_string(i) + "]";
-    for (const Weighted& w : r.split) {
-      if (!services.contains(w.service)) findings.add(place, "unknown service '" + w.service + "'");
+}
+
+/// Every route leads to services that are there, and no two routes match the same requests.
+void check_routes(const Configuration& configuration, Findings& findings) {
+  std::map<std::pair<std::string, std::string>, std::size_t> first_with;  // index by host and prefix
+  for (std::size_t i = 0; i < configuration.routes.size(); ++i) {
+    const Route& route = configuration.routes[i];
+    const std::string path = "routes[" + std::to_string(i) + "]";
+    for (const Weighted& part : route.split) {
+      if (configuration.service(part.service) == nullptr)
+        findings.add(path, "unknown service '" + part.service + "'");
     }
-    const auto [at, fresh] = places.emplace(std::pair(r.host, r.prefix), i);
-    if (!fresh)
-      findings.add(place, "shares host and pathPrefix with routes[" + std::to_string(at->second) + "]");
+    const auto [first, inserted] = first_with.emplace(std::pair(route.host, route.prefix), i);
+    if (!inserted)
+      findings.add(path, "shares host and pathPrefix with routes[" + std::to_string(first->second) + "]");
   }
 }
 
@@ -206,17 +255,17 @@
 
 const Route* Configuration::route_of(std::string_view host, std::string_view path) const {
   const Route* best = nullptr;
-  for (const Route& r : routes) {
-    if (r.host == host && path.starts_with(r.prefix) &&
-        (best == nullptr || best->prefix.size() < r.prefix.size()))
-      best = &r;
+  for (const Route& route : routes) {
+    if (route.host == host && path.starts_with(route.prefix) &&
+        (best == nullptr || best->prefix.size() < route.prefix.size()))
+      best = &route;
   }
   return best;
 }
 
 const Service* Configuration::service(std::string_view name) const {
-  for (const Service& s : services) {
-    if (s.name == name) return &s;
+  for (const Service& service : services) {
+    if (service.name == name) return &service;
   }
   return nullptr;
 }
@@ -224,41 +273,34 @@
 std::optional<Configuration> read_configuration(std::string_view text, Findings& findings) {
   simdjson::dom::parser parser;
   const simdjson::padded_string padded(text);
-  object all;
-  if (const auto error = parser.parse(padded).get(all); error != simdjson::SUCCESS) {
+  object root;
+  if (const auto error = parser.parse(padded).get(root); error != simdjson::SUCCESS) {
     findings.add("document", simdjson::error_message(error));
     return std::nullopt;
   }
   Configuration out;
-  Reader in(all, "", findings);
-  double version = 0;
-  if (in.number("version", version, 1, 9e15)) out.version = static_cast<std::int64_t>(version);
-  if (version != std::floor(version)) in.wrong("version", "not a whole number");
-  each(all, "routes", findings,
-       [&](const object& o, const std::string& p) { read_route(o, p, out, findings); });
-  each(all, "services", findings,
-       [&](const object& o, const std::string& p) { read_service(o, p, out, findings); });
-  object limits;
-  if (all["limits"].get(limits) == simdjson::SUCCESS) {
-    Reader at(limits, "limits.", findings);
-    at.whole("maxHeaderBytes", out.limits.header_bytes, 256, 1e9, false);
-    at.whole("maxBodyBytes", out.limits.body_bytes, 0, 1e12, false);
-    at.span("headerTimeoutMs", out.limits.header, 1, false);
-    at.span("idleTimeoutMs", out.limits.idle, 1, false);
-  } else if (in.has("limits")) {
-    in.wrong("limits", "not an object");
-  }
-  check_whole(out, findings);
+  ObjectReader document(root, "", findings);
+  out.version = read_version(document);
+  out.routes = read_list<Route>(document, "routes", read_route);
+  out.services = read_list<Service>(document, "services", read_service);
+  out.limits = read_limits(document);
+  check_service_names(out, findings);
+  check_routes(out, findings);
   if (!findings.none()) return std::nullopt;
   return out;
 }
 
+std::string lower_case(std::string text) {
+  for (char& c : text) c = c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c;
+  return text;
+}
+
 std::uint64_t hash_of(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
 std::string hash_text(std::uint64_t hash) {
-  std::array<char, 17> room{};
-  std::snprintf(room.data(), room.size(), "%016llx", static_cast<unsigned long long>(hash));
-  return room.data();
+  std::array<char, 17> text{};
+  std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(hash));
+  return text.data();
 }
 
 }  // namespace chutevane::common
--- a/src/common/settings.cpp
+++ b/src/common/settings.cpp
@@ -6,7 +6,6 @@
 #include <boost/property_tree/ptree.hpp>
 #include <charconv>
 #include <fstream>
-#include <set>
 #include <sstream>
 
 #include "common/findings.hpp"
@@ -15,19 +14,33 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::size_t file_most = 1U << 20U;  // bytes: a settings file has some kilobytes
+constexpr std::size_t max_file_bytes = 1U << 20U;  // a settings file has some kilobytes
 
+/// The items of a list that is separated by commas; empty ones are left out.
 std::vector<std::string> split(const std::string& list) {
   std::vector<std::string> out;
   std::stringstream in(list);
-  for (std::string one; std::getline(in, one, ',');)
-    if (!one.empty()) out.push_back(one);
+  for (std::string item; std::getline(in, item, ',');)
+    if (!item.empty()) out.push_back(item);
   return out;
 }
 
-class Reader {
+/// Nothing: it is no port number.
+std::optional<int> parse_port(const std::string& digits) {
+  int port = 0;
+  const char* const end = digits.data() + digits.size();
+  const auto parsed = std::from_chars(digits.data(), end, port);
+  if (parsed.ec != std::errc() || parsed.ptr != end || port <= 0 || port > 65535) return std::nullopt;
+  return port;
+}
+
+enum class Presence : std::uint8_t { optional, required };
+
+/// Reads values by key. What is missing or malformed leaves the setting's default, and is reported with its
+/// line.
+class SettingsReader {
  public:
-  explicit Reader(std::string_view text) {
+  explicit SettingsReader(std::string_view text) {
     std::istringstream in{std::string(text)};
     std::string line;
     for (int number = 1; std::getline(in, line); ++number) {
@@ -47,48 +60,54 @@
     const auto found = values_.find(key);
     return found == values_.end() ? nullptr : &found->second;
   }
-  void wrong(const std::string& key, const std::string& why) {
+  void report(const std::string& key, const std::string& why) {
     const auto line = lines_.find(key);
     findings_.add(line == lines_.end() ? key : "line " + std::to_string(line->second) + ", " + key, why);
   }
-  void text(const std::string& key, std::string& into, bool needed) {
+  void string(const std::string& key, std::string& into, Presence presence) {
     const std::string* value = find(key);
     if (value != nullptr) into = *value;
-    if (needed && into.empty()) wrong(key, "missing");
+    if (presence == Presence::required && into.empty()) report(key, "missing");
   }
   template <class Number>
-  void number(const std::string& key, Number& into, double least, double most) {
+  void number(const std::string& key, Number& into, double min, double max) {
     const std::string* value = find(key);
     if (value == nullptr || value->empty()) return;
-    double v = 0;
-    const char* end = value->data() + value->size();
-    const auto got = std::from_chars(value->data(), end, v);
-    if (got.ec != std::errc() || got.ptr != end || !(v >= least) || !(v <= most)) {
-      wrong(key, "'" + *value + "' is not a number from " + std::to_string(static_cast<long>(least)) +
-                     " to " + std::to_string(static_cast<long>(most)));
+    double parsed = 0;
+    const char* const end = value->data() + value->size();
+    const auto result = std::from_chars(value->data(), end, parsed);
+    if (result.ec != std::errc() || result.ptr != end || !(parsed >= min) || !(parsed <= max)) {
+      report(key, "'" + *value + "' is not a number from " + std::to_string(static_cast<long>(min)) + " to " +
+                      std::to_string(static_cast<long>(max)));
       return;
     }
-    into = static_cast<Number>(v);
+    into = static_cast<Number>(parsed);
   }
-  void span(const std::string& key, Span& into, double unit_ms) {
-    double v = into.as_ms() / unit_ms;
-    number(key, v, 0, 1e9);
-    into = Span::ms(v * unit_ms);
+  void duration(const std::string& key, Span& into, double unit_ms) {
+    double value = into.as_ms() / unit_ms;
+    number(key, value, 0, 1e9);
+    into = Span::ms(value * unit_ms);
   }
-  void flag(const std::string& key, bool& into) {
+  void boolean(const std::string& key, bool& into) {
     const std::string* value = find(key);
     if (value == nullptr) return;
-    if (*value != "true" && *value != "false") wrong(key, "'" + *value + "' is neither true nor false");
+    if (*value != "true" && *value != "false") report(key, "'" + *value + "' is neither true nor false");
     into = *value == "true";
   }
   std::optional<sockaddr_in> address(const std::string& key) {
     const std::string* value = find(key);
     if (value == nullptr || value->empty()) return std::nullopt;
     const auto out = net::parse_address(*value);
-    if (!out) wrong(key, "'" + *value + "' is not ADDRESS:PORT");
+    if (!out) report(key, "'" + *value + "' is not ADDRESS:PORT");
     return out;
   }
-  Findings& findings() { return findings_; }
+  /// Empty is no finding: the setting may be optional.
+  void check_ip(const std::string& key, const std::string& ip) {
+    in_addr parsed{};
+    if (!ip.empty() && ::inet_pton(AF_INET, ip.c_str(), &parsed) != 1)
+      report(key, "'" + ip + "' is no IPv4 address");
+  }
+  const Findings& findings() const { return findings_; }
 
  private:
   boost::property_tree::ptree tree_;
@@ -97,70 +116,56 @@
   Findings findings_;
 };
 
-}  // namespace
-
-sockaddr_in ProcessSettings::internal_address(int plane) const {
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
-  ::inet_pton(AF_INET, ip.c_str(), &out.sin_addr);
-  out.sin_port = htons(static_cast<std::uint16_t>(first_port + plane));
-  return out;
+void read_identity(SettingsReader& in, ProcessSettings& out) {
+  in.string("nodeName", out.node, Presence::required);
+  in.string("role", out.role, Presence::optional);
+  in.string("machineClass", out.machine_class, Presence::required);
+  in.string("serves", out.serves, Presence::optional);
+  in.string("ipAddress", out.ip, Presence::required);
+  in.string("bindAddress", out.bind_ip, Presence::optional);
+  in.string("zone", out.zone, Presence::required);
+  in.string("region", out.region, Presence::optional);
+  in.string("dataDir", out.data_dir, Presence::optional);
+  in.check_ip("ipAddress", out.ip);
+  in.check_ip("bindAddress", out.bind_ip);
+  for (const auto& [key, value] : in.values()) {
+    if (key.starts_with("zones.")) out.zones[key.substr(6)] = value;
+  }
 }
 
-sockaddr_in ProcessSettings::internal_listen_address(int plane) const {
-  sockaddr_in out = internal_address(plane);
-  if (!bind_ip.empty()) ::inet_pton(AF_INET, bind_ip.c_str(), &out.sin_addr);
-  return out;
+void read_internal_ports(SettingsReader& in, ProcessSettings& out) {
+  std::string text;
+  in.string("internalPorts", text, Presence::required);
+  if (text.empty()) return;
+  const std::vector<std::string> range = split(text);
+  const auto first = range.size() == 2 ? parse_port(range[0]) : std::nullopt;
+  const auto last = range.size() == 2 ? parse_port(range[1]) : std::nullopt;
+  if (!first || !last || *last - *first < storage_plane_port)
+    return in.report("internalPorts", "'" + text + "' is not FIRST,LAST with two ports at least");
+  out.first_port = static_cast<std::uint16_t>(*first);
+  out.last_port = static_cast<std::uint16_t>(*last);
 }
 
-absl::StatusOr<ProcessSettings> read_settings(std::string_view text) {
-  ProcessSettings out;
-  Reader in(text);
-  in.text("nodeName", out.node, true);
-  in.text("role", out.role, false);
-  in.text("machineClass", out.machine_class, true);
-  in.text("serves", out.serves, false);
-  in.text("ipAddress", out.ip, true);
-  in.text("bindAddress", out.bind_ip, false);
-  in.text("zone", out.zone, true);
-  in.text("region", out.region, false);
-  in.text("dataDir", out.data_dir, false);
-  sockaddr_in parsed{};
-  if (!out.ip.empty() && ::inet_pton(AF_INET, out.ip.c_str(), &parsed.sin_addr) != 1)
-    in.wrong("ipAddress", "'" + out.ip + "' is no IPv4 address");
-  if (!out.bind_ip.empty() && ::inet_pton(AF_INET, out.bind_ip.c_str(), &parsed.sin_addr) != 1)
-    in.wrong("bindAddress", "'" + out.bind_ip + "' is no IPv4 address");
-  for (const auto& [key, value] : in.values()) {
-    if (key.starts_with("zones.")) out.zones[key.substr(6)] = value;
-  }
+void read_addresses(SettingsReader& in, ProcessSettings& out) {
   out.front = in.address("listenAddrs.front");
   out.readiness = in.address("listenAddrs.readiness");
   out.control = in.address("listenAddrs.control");
   out.metrics = in.address("listenAddrs.metrics");
-  std::string ports;
-  in.text("internalPorts", ports, true);
-  const std::vector<std::string> pair = split(ports);
-  int first = 0, last = 0;
-  const auto port = [](const std::string& digits, int& into) {
-    const auto got = std::from_chars(digits.data(), digits.data() + digits.size(), into);
-    return got.ec == std::errc() && got.ptr == digits.data() + digits.size() && into > 0 && into < 65536;
-  };
-  if (!ports.empty() && (pair.size() != 2 || !port(pair[0], first) || !port(pair[1], last) ||
-                         last - first < storage_plane_port))
-    in.wrong("internalPorts", "'" + ports + "' is not FIRST,LAST with two ports at least");
-  out.first_port = static_cast<std::uint16_t>(first);
-  out.last_port = static_cast<std::uint16_t>(last);
+  read_internal_ports(in, out);
   std::string seeds;
-  in.text("seedNodes", seeds, true);
-  for (const std::string& one : split(seeds)) {
-    if (const auto address = net::parse_address(one)) {
+  in.string("seedNodes", seeds, Presence::required);
+  for (const std::string& seed : split(seeds)) {
+    if (const auto address = net::parse_address(seed)) {
       out.seeds.push_back(*address);
     } else {
-      in.wrong("seedNodes", "'" + one + "' is not ADDRESS:PORT");
+      in.report("seedNodes", "'" + seed + "' is not ADDRESS:PORT");
     }
   }
-  in.flag("initialStart", out.initial_start);
-  in.flag("lossCounted", out.loss_counted);
+}
+
+void read_limits(SettingsReader& in, ProcessSettings& out) {
+  in.boolean("initialStart", out.initial_start);
+  in.boolean("lossCounted", out.loss_counted);
   in.number("limits.memoryMb", out.memory_mb, 1, 1e7);
   in.number("limits.diskMb", out.disk_mb, 0, 1e9);
   in.number("limits.maxFds", out.descriptors, 64, 1e8);
@@ -168,14 +173,46 @@
   std::size_t zone_losses = 0;
   in.number("faultTolerance.zones", zone_losses, 0, 1000);
   out.machine_losses = std::max(out.machine_losses, zone_losses);
+}
+
+void read_platform(SettingsReader& in, ProcessSettings& out) {
   if (const auto platform = in.address("cloudApi.address")) out.platform = *platform;
   in.number("cloudApi.ratePerS", out.platform_rate, 0, 1e6);
-  in.span("cloudApi.lagMs", out.platform_lag, 1);
-  in.span("bounds.drainMs", out.drain, 1);
-  in.span("bounds.graceS", out.grace, 1000);
-  in.span("bounds.configApplyMs", out.config_apply, 1);
-  in.span("bounds.settleMs", out.settle, 1);
-  in.span("bounds.ackMs", out.ack, 1);
+  in.duration("cloudApi.lagMs", out.platform_lag, 1);
+}
+
+void read_time_bounds(SettingsReader& in, ProcessSettings& out) {
+  in.duration("bounds.drainMs", out.drain, 1);
+  in.duration("bounds.graceS", out.grace, 1000);
+  in.duration("bounds.configApplyMs", out.config_apply, 1);
+  in.duration("bounds.settleMs", out.settle, 1);
+  in.duration("bounds.ackMs", out.ack, 1);
+}
+
+}  // namespace
+
+sockaddr_in ProcessSettings::internal_address(int plane) const {
+  sockaddr_in out{};
+  out.sin_family = AF_INET;
+  ::inet_pton(AF_INET, ip.c_str(), &out.sin_addr);
+  out.sin_port = htons(static_cast<std::uint16_t>(first_port + plane));
+  return out;
+}
+
+sockaddr_in ProcessSettings::internal_listen_address(int plane) const {
+  sockaddr_in out = internal_address(plane);
+  if (!bind_ip.empty()) ::inet_pton(AF_INET, bind_ip.c_str(), &out.sin_addr);
+  return out;
+}
+
+absl::StatusOr<ProcessSettings> read_settings(std::string_view text) {
+  ProcessSettings out;
+  SettingsReader in(text);
+  read_identity(in, out);
+  read_addresses(in, out);
+  read_limits(in, out);
+  read_platform(in, out);
+  read_time_bounds(in, out);
   if (!in.findings().none()) return in.findings().status();
   return out;
 }
@@ -183,10 +220,10 @@
 absl::StatusOr<ProcessSettings> load_settings(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) return absl::NotFoundError(path + ": cannot be opened");
-  std::string text(file_most + 1, '\0');
+  std::string text(max_file_bytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(in.gcount()));
-  if (text.size() > file_most) return absl::InvalidArgumentError(path + ": over 1 MiB");
+  if (text.size() > max_file_bytes) return absl::InvalidArgumentError(path + ": over 1 MiB");
   absl::StatusOr<ProcessSettings> out = read_settings(text);
   if (!out.ok()) return absl::InvalidArgumentError(path + ": " + std::string(out.status().message()));
   return out;
