--- a/src/common/http_server.cpp
+++ b/src/common/http_server.cpp
@@ -3,73 +3,80 @@
 #include "http/writer.hpp"
 
 namespace chutevane::common {
+namespace {
 
-HttpServer::HttpServer(net::Scheduler& scheduler, std::size_t body_most, Handler handler)
+constexpr std::size_t max_header_bytes = 16 * 1024;
+constexpr std::size_t max_fields = 100;  // in a request's header
+
+}  // namespace
+
+HttpServer::HttpServer(net::Scheduler& scheduler, std::size_t max_body_bytes, Handler handler)
     : scheduler_(scheduler),
-      body_most_(body_most),
+      max_body_bytes_(max_body_bytes),
       handler_(std::move(handler)),
       listener_(scheduler,
                 [this](int fd) { tasks_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd); }),
       tasks_(scheduler) {}
 
-HttpServer::Connection::Connection(HttpServer& port)
-    : port_(port),
-      channel_(port.scheduler_, static_cast<net::Channel::Observer&>(*this)),
-      parser_(http::Side::request, {.head = 16 * 1024, .body = port.body_most_, .fields = 100}),
-      id_(++port.last_) {
-  port.connections_.emplace(id_, this);
+HttpServer::Connection::Connection(HttpServer& server)
+    : server_(server),
+      channel_(server.scheduler_, static_cast<net::Channel::Observer&>(*this)),
+      parser_(http::Side::request,
+              {.head = max_header_bytes, .body = server.max_body_bytes_, .fields = max_fields}),
+      id_(++server.last_id_) {
+  server.connections_.emplace(id_, this);
 }
 
 void HttpServer::Connection::on_channel_closed(net::Channel&) {
-  port_.connections_.erase(id_);
-  port_.tasks_.retire(*this);
+  server_.connections_.erase(id_);
+  server_.tasks_.retire(*this);
 }
 
-void HttpServer::Connection::look() {
-  if (looking_) return;  // an answer that is given at once comes back here: the loop below goes on
-  looking_ = true;
-  while (!asked_ && channel_.open() && !channel_.in().empty() && take_request()) {
+void HttpServer::Connection::process_requests() {
+  if (processing_) return;  // a handler that replies at once leads back here: the loop below goes on
+  processing_ = true;
+  while (!request_pending_ && channel_.open() && !channel_.in().empty() && handle_next_request()) {
   }
-  looking_ = false;
+  processing_ = false;
 }
 
-// False: it has not come whole yet.
-bool HttpServer::Connection::take_request() {
+bool HttpServer::Connection::handle_next_request() {
   const http::Progress progress = parser_.feed(channel_.in().bytes());
   if (progress == http::Progress::more) return false;
-  asked_ = true;
-  ++asked_number_;
+  request_pending_ = true;
+  ++request_number_;
   if (progress == http::Progress::failed) {
-    keep_ = false;
-    answer({parser_.status_of_error(), std::string(parser_.error()), {}});
+    keep_alive_ = false;
+    respond({parser_.status_of_error(), std::string(parser_.error()), {}});
     return true;
   }
-  keep_ = parser_.keep_alive();
-  port_.handler_(parser_, [port = &port_, id = id_, number = asked_number_](HttpResponse reply) {
-    const auto found = port->connections_.find(id);
-    if (found != port->connections_.end() && found->second->asked_number_ == number)
-      found->second->answer(reply);
-  });
+  keep_alive_ = parser_.keep_alive();
+  server_.handler_(parser_,
+                   [server = &server_, id = id_, number = request_number_](const HttpResponse& response) {
+                     const auto found = server->connections_.find(id);
+                     if (found != server->connections_.end() && found->second->request_number_ == number)
+                       found->second->respond(response);
+                   });
   return true;
 }
 
-void HttpServer::Connection::answer(const HttpResponse& reply) {
-  if (!asked_ || !channel_.open()) return;
+void HttpServer::Connection::respond(const HttpResponse& response) {
+  if (!request_pending_ || !channel_.open()) return;
   http::Writer out(channel_.out());
-  out.status_line(reply.status);
-  if (!reply.body.empty())
-    out.field("Content-Type", reply.body.front() == '{' ? "application/json" : "text/plain");
-  for (const auto& [name, value] : reply.fields) out.field(name, value);
-  if (!keep_) out.field("Connection", "close");
-  out.body(reply.body);
+  out.status_line(response.status);
+  if (!response.body.empty())
+    out.field("Content-Type", response.body.front() == '{' ? "application/json" : "text/plain");
+  for (const auto& [name, value] : response.fields) out.field(name, value);
+  if (!keep_alive_) out.field("Connection", "close");
+  out.body(response.body);
   if (parser_.size() <= channel_.in().size()) channel_.in().consume(parser_.size());
   parser_.reset();
-  asked_ = false;
+  request_pending_ = false;
   channel_.flush();
-  if (!keep_) {
+  if (!keep_alive_) {
     channel_.close_when_flushed();
   } else {
-    look();
+    process_requests();
   }
 }
 
--- a/src/common/process.cpp
+++ b/src/common/process.cpp
@@ -8,6 +8,7 @@
 #include <cstdlib>
 #include <cxxopts.hpp>
 #include <exception>
+#include <optional>
 #include <system_error>
 
 #include "common/http_server.hpp"
@@ -18,34 +19,38 @@
 namespace chutevane::common {
 namespace {
 
-constexpr Span look_every = Span::ms(2000);  // at the settings file, which may change without a signal
+constexpr Span settings_check_interval = Span::ms(2000);  // the file may change without a signal
+constexpr std::size_t max_metrics_body_bytes = 1024;      // of a request for metrics
 
-constexpr std::size_t metrics_body_most = 1024;  // bytes of a request for figures
+// Exit statuses.
+constexpr int success = 0, output_failed = 1, bad_usage = 2, start_failed = 3;
 
-std::string stamp_of(const std::string& path) {
+/// Changes whenever the file does: its time of modification and its size. Empty: there is no file.
+std::string file_version(const std::string& path) {
   struct stat info {};
   if (::stat(path.c_str(), &info) != 0) return "";
   return std::to_string(info.st_mtim.tv_sec) + "." + std::to_string(info.st_mtim.tv_nsec) + "." +
          std::to_string(info.st_size);
 }
 
-// Answers `GET /metrics` with the figures of process and plane. A port that is taken costs the figures alone.
-class MetricsPort {
+/// Serves `GET /metrics`: the metrics of process and plane. Where the port is taken, the process goes on
+/// without.
+class MetricsServer {
  public:
-  MetricsPort(net::Scheduler& scheduler, Plane& plane, const sockaddr_in& at)
+  MetricsServer(net::Scheduler& scheduler, Plane& plane, const sockaddr_in& at)
       : plane_(plane),
-        port_(scheduler, metrics_body_most, [this](const http::Parser& request, HttpServer::Reply reply) {
-          serve(request, std::move(reply));
-        }) {
+        server_(
+            scheduler, max_metrics_body_bytes,
+            [this](const http::Parser& request, const HttpServer::Reply& reply) { serve(request, reply); }) {
     try {
-      port_.listen(at);
+      server_.listen(at);
     } catch (const std::system_error& e) {
       log_warning("metrics.not_served", net::text_of(at) + ": " + e.what());
     }
   }
 
  private:
-  void serve(const http::Parser& request, HttpServer::Reply reply) {
+  void serve(const http::Parser& request, const HttpServer::Reply& reply) {
     const std::string_view path = request.target().substr(0, request.target().find('?'));
     if (path != "/metrics") return reply({404, "", {}});
     if (request.method() != "GET") return reply({405, "", {}});
@@ -55,7 +60,7 @@
     reply({200, std::move(out).finish(), {{"Content-Type", std::string(metrics_content_type)}}});
   }
   Plane& plane_;
-  HttpServer port_;
+  HttpServer server_;
 };
 
 sockaddr_in metrics_address(const Program& program, const ProcessSettings& settings) {
@@ -65,42 +70,41 @@
   return out;
 }
 
-class Loop {
+/// Handles signals, and watches the settings file.
+class LifecycleEvents {
  public:
-  Loop(net::Scheduler& scheduler, Plane& plane, std::string path, std::string node)
+  LifecycleEvents(net::Scheduler& scheduler, Plane& plane, std::string path, std::string node)
       : plane_(plane),
         path_(std::move(path)),
         node_(std::move(node)),
         timers_(scheduler),
         waker_(scheduler),
         signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGHUP}),
-        stamp_(stamp_of(path_)),
-        task_(hear()) {
+        settings_version_(file_version(path_)),
+        task_(handle_signals()) {
     task_.start();
-    timers_.after(look_every, [this] { look(); });
+    timers_.after(settings_check_interval, [this] { check_settings_file(); });
   }
 
  private:
-  net::Task hear() {
+  net::Task handle_signals() {
     while (true) {
-      for (int n = signals_.next(); n != 0; n = signals_.next()) {
-        if (n == SIGHUP) {
-          reload();
-        } else {
-          log_info("process.leaving", n == SIGTERM ? "SIGTERM" : "SIGINT");
-          plane_.begin_shutdown();
-        }
-      }
+      for (int signal = signals_.next(); signal != 0; signal = signals_.next()) on_signal(signal);
       co_await waker_.wait(net::Waker::readable);
     }
   }
-  void look() {
-    if (stamp_of(path_) != stamp_) reload();
-    timers_.after(look_every, [this] { look(); });
+  void on_signal(int signal) {
+    if (signal == SIGHUP) return reload();
+    log_info("process.leaving", signal == SIGTERM ? "SIGTERM" : "SIGINT");
+    plane_.begin_shutdown();
   }
-  // A bad file changes nothing: what runs stays.
+  void check_settings_file() {
+    if (file_version(path_) != settings_version_) reload();
+    timers_.after(settings_check_interval, [this] { check_settings_file(); });
+  }
+  /// A rejected file changes nothing.
   void reload() {
-    stamp_ = stamp_of(path_);
+    settings_version_ = file_version(path_);
     const auto settings = load_settings(path_);
     if (!settings.ok()) {
       log_warning("settings.refused", std::string(settings.status().message()));
@@ -112,52 +116,77 @@
     }
   }
   Plane& plane_;
-  const std::string path_, node_;
+  const std::string path_;
+  const std::string node_;
   net::TimerQueue timers_;
   net::Waker waker_;
   net::Signals signals_;
-  std::string stamp_;
+  std::string settings_version_;  // of the file as it was read last
   net::Task task_;
 };
 
-}  // namespace
+struct CommandLine {
+  std::string settings_path;
+  bool check = false;
+  std::optional<int> exit_status;  // nothing more is to be done: it was help or version
+};
 
-int run_process(const Program& program, int argc, char** argv, const MakePlane& make) {
+/// Throws cxxopts' exceptions where it is wrong.
+CommandLine parse_command_line(const Program& program, int argc, char** argv) {
   cxxopts::Options options(program.name, program.about);
   options.add_options()("settings", "the settings file; else $CHUTEVANE_SETTINGS",
                         cxxopts::value<std::string>())("check", "read and check the settings, and end")(
       "version", "print the version")("help", "print this");
-  const char* const named = std::getenv(settings_variable);
-  std::string path = named != nullptr && *named != '\0' ? named : settings_default;
+  const char* const variable = std::getenv(settings_variable);
+  CommandLine out;
+  out.settings_path = variable != nullptr && *variable != '\0' ? variable : settings_default;
+  const auto given = options.parse(argc, argv);
+  if (given.count("help") > 0) {
+    out.exit_status = std::printf("%s", options.help().c_str()) < 0 ? output_failed : success;
+  } else if (given.count("version") > 0) {
+    const int printed = std::printf("%s %s\n", program.name.c_str(), CHUTEVANE_VERSION);
+    out.exit_status = printed < 0 ? output_failed : success;
+  }
+  if (given.count("settings") > 0) out.settings_path = given["settings"].as<std::string>();
+  out.check = given.count("check") > 0;
+  return out;
+}
+
+int run_plane(const Program& program, const std::string& settings_path, const ProcessSettings& settings,
+              const MakePlane& make) {
+  open_log(settings.node, program.name);
+  net::Scheduler scheduler;
+  if (settings.descriptors > 0) scheduler.system().descriptors(settings.descriptors);
+  const std::unique_ptr<Plane> plane = make(scheduler, settings);
+  if (absl::Status opened = plane->open(); !opened.ok()) {
+    log_event(Level::error, "process.start_failed", opened.ToString());
+    return start_failed;
+  }
+  LifecycleEvents events(scheduler, *plane, settings_path, settings.node);
+  const MetricsServer metrics(scheduler, *plane, metrics_address(program, settings));
+  while (!plane->finished()) scheduler.turn();
+  log_info("process.ended", "");
+  return success;
+}
+
+}  // namespace
+
+int run_process(const Program& program, int argc, char** argv, const MakePlane& make) {
   try {
-    const auto given = options.parse(argc, argv);
-    if (given.count("help") > 0) return std::printf("%s", options.help().c_str()) < 0 ? 1 : 0;
-    if (given.count("version") > 0)
-      return std::printf("%s %s\n", program.name.c_str(), CHUTEVANE_VERSION) < 0 ? 1 : 0;
-    if (given.count("settings") > 0) path = given["settings"].as<std::string>();
-    const auto settings = load_settings(path);
+    const CommandLine command = parse_command_line(program, argc, argv);
+    if (command.exit_status) return *command.exit_status;
+    const auto settings = load_settings(command.settings_path);
     if (!settings.ok()) {
       std::fprintf(stderr, "%s: %s\n", program.name.c_str(),
                    std::string(settings.status().message()).c_str());
-      return 2;
-    }
-    if (given.count("check") > 0) return std::printf("%s: good\n", path.c_str()) < 0 ? 1 : 0;
-    open_log(settings->node, program.name);
-    net::Scheduler scheduler;
-    if (settings->descriptors > 0) scheduler.system().descriptors(settings->descriptors);
-    const std::unique_ptr<Plane> plane = make(scheduler, *settings);
-    if (absl::Status s = plane->open(); !s.ok()) {
-      log_event(Level::error, "process.start_failed", s.ToString());
-      return 3;
+      return bad_usage;
     }
-    Loop loop(scheduler, *plane, path, settings->node);
-    const MetricsPort metrics(scheduler, *plane, metrics_address(program, *settings));
-    while (!plane->finished()) scheduler.turn();
-    log_info("process.ended", "");
-    return 0;
+    if (command.check)
+      return std::printf("%s: good\n", command.settings_path.c_str()) < 0 ? output_failed : success;
+    return run_plane(program, command.settings_path, *settings, make);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "%s: %s\n", program.name.c_str(), e.what());
-    return 2;
+    return bad_usage;
   }
 }
 
