--- a/src/common/endpoint_table.cpp
+++ b/src/common/endpoint_table.cpp
@@ -2,9 +2,9 @@
 
 namespace chutevane::common {
 
-void EndpointTable::note(EndpointList change) {
+void EndpointTable::store_change(EndpointList change) {
   changes_.push_back(std::move(change));
-  if (changes_.size() > changes_most) changes_.pop_front();
+  if (changes_.size() > max_changes) changes_.pop_front();
 }
 
 bool EndpointTable::update(std::int64_t term, const std::vector<EndpointEntry>& all) {
@@ -20,8 +20,8 @@
   }
   EndpointList change;
   for (const auto& [id, e] : next) {
-    const auto had = entries_.find(id);
-    if (had == entries_.end() || !(had->second == e)) change.entries.push_back(e);
+    const auto current = entries_.find(id);
+    if (current == entries_.end() || !(current->second == e)) change.entries.push_back(e);
   }
   for (const auto& [id, e] : entries_) {
     if (!next.contains(id)) change.removed_ids.push_back(id);
@@ -31,29 +31,29 @@
   change.base = number_;
   change.number = ++number_;
   entries_ = std::move(next);
-  note(std::move(change));
+  store_change(std::move(change));
   return true;
 }
 
-bool EndpointTable::apply(const EndpointList& told) {
-  if (told.term < term_ || (told.term == term_ && told.number <= number_)) return false;
-  if (told.base == 0) {
-    term_ = told.term;
-    number_ = told.number;
+bool EndpointTable::apply(const EndpointList& received) {
+  if (received.term < term_ || (received.term == term_ && received.number <= number_)) return false;
+  if (received.base == 0) {
+    term_ = received.term;
+    number_ = received.number;
     entries_.clear();
-    for (const EndpointEntry& e : told.entries) entries_[e.id] = e;
+    for (const EndpointEntry& e : received.entries) entries_[e.id] = e;
     changes_.clear();
     return true;
   }
-  if (told.term != term_ || told.base != number_) return false;
-  for (const EndpointEntry& e : told.entries) entries_[e.id] = e;
-  for (const std::string& id : told.removed_ids) entries_.erase(id);
-  number_ = told.number;
-  note(told);
+  if (received.term != term_ || received.base != number_) return false;
+  for (const EndpointEntry& e : received.entries) entries_[e.id] = e;
+  for (const std::string& id : received.removed_ids) entries_.erase(id);
+  number_ = received.number;
+  store_change(received);
   return true;
 }
 
-EndpointList EndpointTable::whole() const {
+EndpointList EndpointTable::complete_list() const {
   EndpointList out;
   out.term = term_;
   out.number = number_;
@@ -61,10 +61,10 @@
   return out;
 }
 
-std::vector<EndpointList> EndpointTable::since(std::int64_t term, std::int64_t number) const {
+std::vector<EndpointList> EndpointTable::changes_since(std::int64_t term, std::int64_t number) const {
   if (!newer_than(term, number)) return {};
-  const bool kept = term == term_ && !changes_.empty() && changes_.front().base <= number;
-  if (!kept) return {whole()};
+  const bool is_stored = term == term_ && !changes_.empty() && changes_.front().base <= number;
+  if (!is_stored) return {complete_list()};
   std::vector<EndpointList> out;
   for (const EndpointList& change : changes_) {
     if (change.base >= number) out.push_back(change);
--- a/src/common/endpoint_table.hpp
+++ b/src/common/endpoint_table.hpp
@@ -1,4 +1,9 @@
-// The list of endpoints as numbered changes: what is whole, what has changed since, and what of it to send.
+/// The list of endpoints, as a state that is replicated by numbered changes.
+///
+/// The holder of the list's lease reads the platform's list and update()s its table: each change gets the
+/// next number of the lease's term. Others apply() what they receive. A copy is ordered by term, then number;
+/// one that lags gets the changes that it lacks, or the complete list where these are not stored any more. No
+/// I/O.
 #pragma once
 
 #include <deque>
@@ -12,30 +17,35 @@
 
 class EndpointTable {
  public:
+  /// Of the lease under which the list was read; 0: there is no list yet.
   std::int64_t term() const { return term_; }
+  /// Of the newest change in this term, from 1.
   std::int64_t number() const { return number_; }
   bool empty() const { return term_ == 0; }
+  /// By id.
   const std::map<std::string, EndpointEntry>& entries() const { return entries_; }
 
-  // What the duty's holder has read: the change that it makes under this term, or a whole list where the term
-  // is new. False: nothing has changed.
+  /// For the holder of the lease: what it has read makes the next change under this term, or the first list
+  /// of a new term. False: nothing has changed, or the term is an old one.
   bool update(std::int64_t term, const std::vector<EndpointEntry>& all);
-  // What somebody told: a whole list that is newer, or the change that follows the number that is held.
-  // False: it is no news, or it does not fit; what is held stands.
-  bool apply(const EndpointList& told);
-  // What leads from there to here: the changes since, or the whole where these are not kept any more.
-  std::vector<EndpointList> since(std::int64_t term, std::int64_t number) const;
-  EndpointList whole() const;
+  /// Applies a received list: a complete one that is newer, or the change that follows this table's number.
+  /// False: it is no news, or changes before it are missing; the table stays as it is.
+  bool apply(const EndpointList& received);
+  /// What a copy at that term and number has to apply to be as this one: the changes since, or the complete
+  /// list where these are not stored any more. Empty: it is as new.
+  std::vector<EndpointList> changes_since(std::int64_t term, std::int64_t number) const;
+  EndpointList complete_list() const;
   bool newer_than(std::int64_t term, std::int64_t number) const {
     return term_ > term || (term_ == term && number_ > number);
   }
 
  private:
-  static constexpr std::size_t changes_most = 128;  // some minutes of a busy day
-  void note(EndpointList change);
-  std::int64_t term_ = 0, number_ = 0;
-  std::map<std::string, EndpointEntry> entries_;
-  std::deque<EndpointList> changes_;
+  static constexpr std::size_t max_changes = 128;  // some minutes of a busy day
+  void store_change(EndpointList change);
+  std::int64_t term_ = 0;
+  std::int64_t number_ = 0;
+  std::map<std::string, EndpointEntry> entries_;  // by id
+  std::deque<EndpointList> changes_;              // the latest of this term, without gaps
 };
 
 }  // namespace chutevane::common
--- a/src/control/control_plane_duties.cpp
+++ b/src/control/control_plane_duties.cpp
@@ -100,7 +100,7 @@
   const std::int64_t term = list_.term(), number = list_.number();
   if (!list_.update(told_term(list_duty_.term(), holder_), entries)) return;
   for (auto& [address, peer] : peers_) {
-    for (const common::EndpointList& change : list_.since(term, number)) peer.link->send(change);
+    for (const common::EndpointList& change : list_.changes_since(term, number)) peer.link->send(change);
   }
   list_changed();
 }
--- a/src/control/control_plane_peers.cpp
+++ b/src/control/control_plane_peers.cpp
@@ -167,7 +167,7 @@
   }
   step_down_if_overtaken(word.list_term);
   if (list_duty_.mine()) {
-    for (const common::EndpointList& change : list_.since(word.list_term, word.list_number))
+    for (const common::EndpointList& change : list_.changes_since(word.list_term, word.list_number))
       peer.link->send(change);
   }
   catch_up();
--- a/src/control/control_plane_sessions.cpp
+++ b/src/control/control_plane_sessions.cpp
@@ -57,7 +57,7 @@
       connection->send_record(common::ValuePush::kind, *record);
   }
   if (!list_.newer_than(session.list_term, session.list_number)) return;
-  for (const common::EndpointList& change : list_.since(session.list_term, session.list_number))
+  for (const common::EndpointList& change : list_.changes_since(session.list_term, session.list_number))
     connection->send(change);
   session.list_term = list_.term();
   session.list_number = list_.number();
--- a/tests/common/endpoint_table_test.cpp
+++ b/tests/common/endpoint_table_test.cpp
@@ -26,12 +26,13 @@
 TEST_GROUP(EndpointTable) {
   EndpointTable holder, follower;
   void follow() {
-    for (const EndpointList& told : holder.since(follower.term(), follower.number())) follower.apply(told);
+    for (const EndpointList& change : holder.changes_since(follower.term(), follower.number()))
+      follower.apply(change);
   }
 };
 
 TEST(EndpointTable, AFollowerHasTheSameList) {
-  CHECK_TRUE(holder.empty() && holder.since(0, 0).empty());
+  CHECK_TRUE(holder.empty() && holder.changes_since(0, 0).empty());
   std::vector<EndpointEntry> all;
   for (int n = 0; n < 40; ++n) {
     all.push_back(endpoint(n));
@@ -50,19 +51,19 @@
   std::vector<EndpointEntry> all;
   for (int n = 0; n < 500; ++n) all.push_back(endpoint(n));
   holder.update(1, all);
-  CHECK_EQUAL(1U, holder.since(0, 0).size());
-  CHECK_EQUAL(500U, holder.since(0, 0)[0].entries.size());
+  CHECK_EQUAL(1U, holder.changes_since(0, 0).size());
+  CHECK_EQUAL(500U, holder.changes_since(0, 0)[0].entries.size());
   all[7].draining = true;
   holder.update(1, all);
-  const auto one = holder.since(1, 1);
+  const auto one = holder.changes_since(1, 1);
   CHECK_EQUAL(1U, one.size());
   CHECK_EQUAL(1U, one[0].entries.size());
   for (int n = 0; n < 300; ++n) {
     all[8].draining = !all[8].draining;
     holder.update(1, all);
   }
-  CHECK_EQUAL(500U, holder.since(1, 1)[0].entries.size());  // these are not kept any more
-  CHECK_TRUE(holder.since(1, holder.number()).empty());
+  CHECK_EQUAL(500U, holder.changes_since(1, 1)[0].entries.size());  // these are not kept any more
+  CHECK_TRUE(holder.changes_since(1, holder.number()).empty());
 }
 
 // A change that does not follow what is held, of another term, or told again, changes nothing.
@@ -70,9 +71,9 @@
   holder.update(3, {endpoint(1)});
   follow();
   holder.update(3, {endpoint(1), endpoint(2)});
-  const EndpointList second = holder.since(3, 1)[0];
+  const EndpointList second = holder.changes_since(3, 1)[0];
   holder.update(3, {endpoint(1), endpoint(2), endpoint(3)});
-  const EndpointList third = holder.since(3, 2)[0];
+  const EndpointList third = holder.changes_since(3, 2)[0];
   CHECK_FALSE(follower.apply(third));  // one is missing before it
   CHECK_EQUAL(1U, follower.entries().size());
   CHECK_TRUE(follower.apply(second));
@@ -83,7 +84,7 @@
   other.base = other.number = 3;
   ++other.number;
   CHECK_FALSE(follower.apply(other));  // a change of a list that it has not got
-  EndpointList old = holder.whole();
+  EndpointList old = holder.complete_list();
   old.term = 2;
   old.number = 99;
   CHECK_FALSE(follower.apply(old));
@@ -97,7 +98,8 @@
   holder.update(11, {endpoint(1)});
   second.update(12, {endpoint(2)});
   follow();
-  for (const EndpointList& told : second.since(follower.term(), follower.number())) follower.apply(told);
+  for (const EndpointList& change : second.changes_since(follower.term(), follower.number()))
+    follower.apply(change);
   CHECK_TRUE(follower.entries() == second.entries());
   follow();  // what the lower one tells is no news
   CHECK_TRUE(follower.entries() == second.entries());
--- a/tests/control/duty_fencing_test.cpp
+++ b/tests/control/duty_fencing_test.cpp
@@ -137,7 +137,7 @@
     });
   }
   void tell(std::size_t from, std::size_t to, std::int64_t term, std::int64_t number) {
-    for (const common::EndpointList& change : nodes_[from].book.since(term, number)) {
+    for (const common::EndpointList& change : nodes_[from].book.changes_since(term, number)) {
       clock_.later.after(way(), [=, this] {
         if (!reaches(from, to)) return;
         Node& at = nodes_[to];
@@ -194,7 +194,7 @@
       if (n.frozen || random_.chance(lost_)) continue;
       n.duty->learn_told(f.book.term(), n.holder);
       n.followed = std::max(n.followed, f.book.term());
-      for (const common::EndpointList& change : n.book.since(f.book.term(), f.book.number())) {
+      for (const common::EndpointList& change : n.book.changes_since(f.book.term(), f.book.number())) {
         const std::pair before{f.book.term(), f.book.number()};
         if (!f.book.apply(change)) continue;
         if (std::pair{f.book.term(), f.book.number()} <= before) broken_ = "a follower went back";
