--- a/src/common/control_sessions.cpp
+++ b/src/common/control_sessions.cpp
@@ -180,7 +180,7 @@
     if (decode(record, heartbeat)) on_heartbeat(found->second, heartbeat);
   } else if (kind == ValuePush::kind) {
     ValuePush push;
-    if (decode(record, push)) on_push(found->second, std::move(push));
+    if (decode(record, push)) on_push(found->second, push);
   } else if (kind == EndpointList::kind) {
     EndpointList list;
     if (decode(record, list) && endpoints_.apply(list) && on_endpoints_) on_endpoints_(endpoints_);
@@ -200,9 +200,9 @@
   if (heartbeat.edge_count > 0) edge_count_ = static_cast<std::size_t>(heartbeat.edge_count);
 }
 
-void ControlSessions::on_push(Session& session, ValuePush push) {
+void ControlSessions::on_push(Session& session, const ValuePush& push) {
   const std::int64_t number = push.number, before = values_.number();
-  switch (values_.receive(std::move(push))) {
+  switch (values_.receive(push)) {
     case ValueReceiver::Result::newer:
       check_invariant(Invariant::value_number_rises, values_.number() > before,
                       [&] { return std::to_string(values_.number()) + " after " + std::to_string(before); });
--- a/src/common/control_sessions.hpp
+++ b/src/common/control_sessions.hpp
@@ -98,7 +98,7 @@
   void on_session_up(const std::string& address);
   void on_message(const std::string& address, std::uint8_t kind, std::string_view record);
   void on_heartbeat(Session& session, const ControlHeartbeat& heartbeat);
-  void on_push(Session& session, ValuePush push);
+  void on_push(Session& session, const ValuePush& push);
 
   net::Scheduler& scheduler_;
   net::TimerQueue& timers_;
--- a/src/common/value_difference.cpp
+++ b/src/common/value_difference.cpp
@@ -11,8 +11,8 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::size_t block_size = 32;            // bytes: a shorter match costs about what it saves
-constexpr std::size_t searched_most = 1U << 20U;  // bytes without a match: some ten milliseconds
+constexpr std::size_t block_size = 32;                  // bytes: a shorter match costs about what it saves
+constexpr std::size_t max_unmatched_bytes = 1U << 20U;  // searched without a match: some ten milliseconds
 
 // ---- the encoding
 
@@ -24,6 +24,7 @@
   out.push_back(static_cast<char>(value));
 }
 
+/// Removes an integer from the front of `in`. Nothing: there is no valid one.
 std::optional<std::uint64_t> take_integer(std::string_view& in) {
   std::uint64_t out = 0;
   for (unsigned shift = 0; shift < 64 && !in.empty(); shift += 7) {
@@ -43,10 +44,10 @@
   return static_cast<std::int64_t>(value >> 1U) ^ -static_cast<std::int64_t>(value & 1U);
 }
 
-// Writes operations, and keeps the base offset behind the last copy.
-class Writer {
+/// Writes the operations of a difference.
+class OperationWriter {
  public:
-  explicit Writer(std::string& out) : out_(out) {}
+  explicit OperationWriter(std::string& out) : out_(out) {}
   void literal(std::string_view bytes) {
     if (bytes.empty()) return;
     put_integer(out_, static_cast<std::uint64_t>(bytes.size()) << 1U);
@@ -57,6 +58,7 @@
     put_integer(out_, zigzag(static_cast<std::int64_t>(offset) - static_cast<std::int64_t>(copied_end_)));
     copied_end_ = offset + length;
   }
+  /// The offset in the base behind the last copy.
   std::size_t copied_end() const { return copied_end_; }
 
  private:
@@ -72,14 +74,14 @@
   return out;
 }
 
-// The polynomial hash of the last block_size bytes, moved on byte by byte.
+/// The polynomial hash of a window of block_size bytes, which moves on byte by byte.
 class RollingHash {
  public:
   explicit RollingHash(const char* block) {
     for (std::size_t i = 0; i < block_size; ++i) hash_ = hash_ * factor + byte(block[i]);
   }
-  void move(char leaving, char entering) {
-    hash_ = (hash_ - byte(leaving) * highest_power) * factor + byte(entering);
+  void move(char removed, char added) {
+    hash_ = (hash_ - byte(removed) * highest_power) * factor + byte(added);
   }
   std::uint64_t value() const { return hash_; }
 
@@ -90,73 +92,78 @@
   std::uint64_t hash_ = 0;
 };
 
-// The blocks of the base by hash, the first of equals. A place in the table holds one block: what falls on a
-// place that is taken is left out, so that each look takes one step.
+/// The blocks of the base by hash; of equal blocks, the first. A hash table without probing: a block whose
+/// slot is occupied is left out, so that each look-up takes one step.
 class BlockIndex {
  public:
   explicit BlockIndex(std::string_view base) : base_(base) {
     const std::size_t blocks = base.size() / block_size;
-    places_.assign(std::bit_ceil(std::max<std::size_t>(blocks * 2, 2)), none);
-    shift_ = 64U - static_cast<unsigned>(std::countr_zero(places_.size()));
+    slots_.assign(std::bit_ceil(std::max<std::size_t>(blocks * 2, 2)), empty_slot);
+    shift_ = 64U - static_cast<unsigned>(std::countr_zero(slots_.size()));
     for (std::size_t block = 0; block < blocks; ++block) {
       const std::size_t offset = block * block_size;
-      std::uint32_t& place = places_[place_of(RollingHash(base.data() + offset).value())];
-      if (place == none) place = static_cast<std::uint32_t>(block);
+      std::uint32_t& slot = slots_[slot_of(RollingHash(base.data() + offset).value())];
+      if (slot == empty_slot) slot = static_cast<std::uint32_t>(block);
     }
   }
-  // The offset of a block with these bytes, where one is indexed.
+  /// The offset of a block with these bytes, where one is indexed.
   std::optional<std::size_t> find(std::uint64_t hash, const char* bytes) const {
-    const std::uint32_t block = places_[place_of(hash)];
-    if (block == none) return std::nullopt;
+    const std::uint32_t block = slots_[slot_of(hash)];
+    if (block == empty_slot) return std::nullopt;
     const std::size_t offset = block * block_size;
     if (std::memcmp(base_.data() + offset, bytes, block_size) != 0) return std::nullopt;
     return offset;
   }
 
  private:
-  static constexpr std::uint32_t none = std::numeric_limits<std::uint32_t>::max();
-  std::size_t place_of(std::uint64_t hash) const { return (hash * 0xff51afd7ed558ccdULL) >> shift_; }
+  static constexpr std::uint32_t empty_slot = std::numeric_limits<std::uint32_t>::max();
+  std::size_t slot_of(std::uint64_t hash) const { return (hash * 0xff51afd7ed558ccdULL) >> shift_; }
   const std::string_view base_;
-  std::vector<std::uint32_t> places_;
+  std::vector<std::uint32_t> slots_;
   unsigned shift_ = 0;
 };
 
 std::size_t common_prefix(std::string_view a, std::string_view b) {
-  const std::size_t most = std::min(a.size(), b.size());
+  const std::size_t max_length = std::min(a.size(), b.size());
   return static_cast<std::size_t>(
-      std::mismatch(a.begin(), a.begin() + static_cast<std::ptrdiff_t>(most), b.begin()).first - a.begin());
+      std::mismatch(a.begin(), a.begin() + static_cast<std::ptrdiff_t>(max_length), b.begin()).first -
+      a.begin());
 }
 
 std::size_t common_suffix(std::string_view a, std::string_view b) {
-  const std::size_t most = std::min(a.size(), b.size());
+  const std::size_t max_length = std::min(a.size(), b.size());
   std::size_t out = 0;
-  while (out < most && a[a.size() - 1 - out] == b[b.size() - 1 - out]) ++out;
+  while (out < max_length && a[a.size() - 1 - out] == b[b.size() - 1 - out]) ++out;
   return out;
 }
 
+/// `offset`, where the base has a block with these bytes there.
+std::optional<std::size_t> block_at(std::string_view base, std::size_t offset, const char* bytes) {
+  if (offset + block_size > base.size()) return std::nullopt;
+  if (std::memcmp(base.data() + offset, bytes, block_size) != 0) return std::nullopt;
+  return offset;
+}
+
 }  // namespace
 
 std::string difference(std::string_view base, std::string_view target) {
   std::string out;
-  Writer writer(out);
-  // Most changes leave what is before them alone: no search for that part.
-  std::size_t done = common_prefix(base, target);  // of the target, bytes that are written
+  OperationWriter writer(out);
+  // Most changes leave the beginning as it is: no search for that part.
+  std::size_t done = common_prefix(base, target);  // bytes of the target that are written
   if (done > 0) writer.copy(0, done);
   if (target.size() - done < block_size || base.size() < block_size) {
     writer.literal(target.substr(done));
     return out;
   }
   const BlockIndex index(base);
-  std::size_t at = done, searched = 0;
+  std::size_t at = done, unmatched = 0;
   RollingHash hash(target.data() + at);
   while (true) {
-    // Where the last copy would have gone on, had as many bytes been replaced as are passed over now: tried
-    // first, since of equal blocks the index knows one alone.
+    // Tried first, since of equal blocks the index has only one: where the last copy would have gone on, had
+    // as many bytes been replaced as were skipped since.
     const std::size_t aligned = writer.copied_end() + (at - done);
-    std::optional<std::size_t> match;
-    if (aligned + block_size <= base.size() &&
-        std::memcmp(base.data() + aligned, target.data() + at, block_size) == 0)
-      match = aligned;
+    std::optional<std::size_t> match = block_at(base, aligned, target.data() + at);
     if (!match) match = index.find(hash.value(), target.data() + at);
     if (match) {
       const std::size_t before = common_suffix(base.substr(0, *match), target.substr(done, at - done));
@@ -168,7 +175,7 @@
       hash = RollingHash(target.data() + at);
       continue;
     }
-    if (target.size() - at <= block_size || ++searched > searched_most) break;
+    if (target.size() - at <= block_size || ++unmatched > max_unmatched_bytes) break;
     hash.move(target[at], target[at + block_size]);
     ++at;
   }
@@ -177,23 +184,23 @@
 }
 
 std::optional<std::string> apply_difference(std::string_view base, std::string_view difference,
-                                            std::size_t most) {
+                                            std::size_t max_bytes) {
   std::string out;
   std::uint64_t copied_end = 0;
   while (!difference.empty()) {
-    const std::optional<std::uint64_t> head = take_integer(difference);
-    if (!head) return std::nullopt;
-    const std::uint64_t length = *head >> 1U;
-    if (length == 0 || length > most - out.size()) return std::nullopt;
-    if ((*head & 1U) == 0) {
+    const std::optional<std::uint64_t> operation = take_integer(difference);
+    if (!operation) return std::nullopt;
+    const std::uint64_t length = *operation >> 1U;
+    if (length == 0 || length > max_bytes - out.size()) return std::nullopt;
+    if ((*operation & 1U) == 0) {  // a literal
       if (length > difference.size()) return std::nullopt;
       out.append(difference.substr(0, length));
       difference.remove_prefix(length);
       continue;
     }
-    const std::optional<std::uint64_t> moved = take_integer(difference);
-    if (!moved) return std::nullopt;
-    const std::uint64_t offset = copied_end + static_cast<std::uint64_t>(from_zigzag(*moved));
+    const std::optional<std::uint64_t> distance = take_integer(difference);
+    if (!distance) return std::nullopt;
+    const std::uint64_t offset = copied_end + static_cast<std::uint64_t>(from_zigzag(*distance));
     if (offset > base.size() || length > base.size() - offset) return std::nullopt;
     out.append(base.substr(offset, length));
     copied_end = offset + length;
--- a/src/common/value_update.cpp
+++ b/src/common/value_update.cpp
@@ -8,11 +8,12 @@
 namespace {
 
 constexpr std::size_t max_record_size = 64U << 20U;  // bytes: as much as a frame of a connection holds
-// Held for differences: at twenty changes a second, those of three seconds.
+// Stored as bases: at twenty changes a second, the values of three seconds.
 constexpr std::size_t max_recent_values = 64;        // values
 constexpr std::size_t max_recent_bytes = 4U << 20U;  // of all but the newest
 constexpr std::size_t min_recent_values = 2;         // values: the newest, and one to change it from
-constexpr std::size_t min_saving_factor = 2;         // a difference is sent at a half of the whole or less
+constexpr std::size_t min_saving_factor =
+    2;  // a difference is sent if it has half the size of the value or less
 constexpr std::int64_t no_base = -1;
 
 }  // namespace
@@ -39,22 +40,22 @@
 }
 
 void RecentValues::add(const RegisterValue& value) {
-  if (!held_.empty() && value.number <= number()) return;
-  held_.push_back({value.number, encoded(value)});
-  bytes_ += held_.back().record.size();
+  if (!values_.empty() && value.number <= number()) return;
+  values_.push_back({value.number, encoded(value)});
+  bytes_ += values_.back().record.size();
   differences_.clear();
   pushes_.clear();
-  while (held_.size() > min_recent_values &&
-         (held_.size() > max_recent_values || bytes_ - held_.back().record.size() > max_recent_bytes)) {
-    bytes_ -= held_.front().record.size();
-    held_.pop_front();
+  while (values_.size() > min_recent_values &&
+         (values_.size() > max_recent_values || bytes_ - values_.back().record.size() > max_recent_bytes)) {
+    bytes_ -= values_.front().record.size();
+    values_.pop_front();
   }
 }
 
 const std::string* RecentValues::record_of(std::int64_t number) const {
-  const auto at =
-      std::find_if(held_.begin(), held_.end(), [&](const Held& held) { return held.number == number; });
-  return at == held_.end() ? nullptr : &at->record;
+  const auto found = std::find_if(values_.begin(), values_.end(),
+                                  [&](const StoredValue& stored) { return stored.number == number; });
+  return found == values_.end() ? nullptr : &found->record;
 }
 
 const ValueDifference* RecentValues::difference_from(std::int64_t number) {
@@ -71,31 +72,31 @@
 
 const std::string& RecentValues::push_record(std::int64_t base) {
   const ValueDifference* const change = difference_from(base);
-  const auto [at, fresh] = pushes_.try_emplace(change != nullptr ? base : no_base);
-  if (!fresh) return at->second;
+  const auto [cached, inserted] = pushes_.try_emplace(change != nullptr ? base : no_base);
+  if (!inserted) return cached->second;
   ValuePush push;
   push.number = number();
   if (change != nullptr) {
     push.difference = *change;
   } else {
-    decode(record(), push.value);
+    static_cast<void>(decode(record(), push.value));  // it was encoded here
   }
-  at->second = encoded(push);
-  return at->second;
+  cached->second = encoded(push);
+  return cached->second;
 }
 
-absl::StatusOr<RegisterValue> received_value(const RegisterValue& whole, const ValueDifference& difference,
-                                             const RecentValues& held) {
-  if (!is_difference(difference)) return whole;
-  const std::string* const base = held.record_of(difference.base);
+absl::StatusOr<RegisterValue> received_value(const RegisterValue& full, const ValueDifference& difference,
+                                             const RecentValues& recent) {
+  if (!is_difference(difference)) return full;
+  const std::string* const base = recent.record_of(difference.base);
   if (base == nullptr) return absl::FailedPreconditionError("the base is not held");
   return apply_value_difference(difference, *base);
 }
 
 void PushCursor::acknowledged(std::int64_t number, std::int64_t rejected) {
-  held_ = std::max(held_, number);
+  acknowledged_ = std::max(acknowledged_, number);
   sent(number);
-  // What it refused before a whole value that is on its way needs no other.
+  // A full value that is on its way already settles rejections of what was sent before it.
   if (rejected > number && rejected > sent_full_) needs_full_value_ = true;
 }
 
@@ -106,7 +107,8 @@
   if (bases_.size() > max_bases) bases_.pop_front();
 }
 
-// The newest of what the receiver has that is held here too: other sessions bring it values that are not.
+// The newest number that the receiver has and that is stored here too: it has values from other sessions that
+// are not.
 std::int64_t PushCursor::base(const RecentValues& values) const {
   const auto at = std::find_if(bases_.rbegin(), bases_.rend(),
                                [&](std::int64_t number) { return values.record_of(number) != nullptr; });
@@ -119,7 +121,7 @@
 
 const std::string* PushCursor::next(RecentValues& values, std::size_t unsent) {
   if (values.empty() || unsent > max_unsent_bytes) return nullptr;
-  if (values.number() <= (needs_full_value_ ? held_ : sent_)) return nullptr;
+  if (values.number() <= (needs_full_value_ ? acknowledged_ : sent_)) return nullptr;
   const std::int64_t from = base(values);
   if (values.difference_from(from) == nullptr) sent_full_ = values.number();
   sent(values.number());
@@ -127,7 +129,7 @@
   return &values.push_record(from);
 }
 
-ValueReceiver::Result ValueReceiver::receive(ValuePush push) {
+ValueReceiver::Result ValueReceiver::receive(const ValuePush& push) {
   if (value_ && push.number <= value_->number) return Result::stale;
   auto value = received_value(push.value, push.difference, recent_);
   if (!value.ok() || value->number != push.number) return Result::rejected;
--- a/src/simulation/observers.cpp
+++ b/src/simulation/observers.cpp
@@ -58,7 +58,7 @@
     if (!common::decode(record, push)) return;
     const std::int64_t before = session.values.number(), number = push.number;
     // One session alone brings each difference behind its base.
-    if (number < before || session.values.receive(std::move(push)) == common::ValueReceiver::Result::rejected)
+    if (number < before || session.values.receive(push) == common::ValueReceiver::Result::rejected)
       checker_.broken("pushed-back", name + " pushes what can't follow: number " + std::to_string(number) +
                                          " after " + std::to_string(before));
     if (!session.values.value()) return;
