--- a/src/common/avro.hpp
+++ b/src/common/avro.hpp
@@ -1,4 +1,12 @@
-// Messages and records as Avro, by the schema files in api/: a struct names its fields once, in each().
+/// Encoding of records as Avro, by the schema files in api/.
+///
+/// A record type is a struct with a constant `record` (its name in the schema) and a template
+/// `each(visitor)`, which calls `visitor(name, field)` for every field in the order of the schema. Everything
+/// here is a visitor: to write a record, to read one, and to validate bytes before they are read. Fields are
+/// std::int64_t, bool, std::string, Bytes, other records, and vectors of strings or records.
+///
+/// Values of the Avro library are made once for each record type and used again: encoded() and decode() must
+/// be called on one thread.
 #pragma once
 
 #include <avro.h>
@@ -11,10 +19,11 @@
 
 namespace chutevane::common {
 
+// The text of api/control.avsc and api/storage.avsc; the build puts it in.
 extern const char* const control_schema;
 extern const char* const storage_schema;
 
-// Bytes that are nobody's text.
+/// A field of the schema's type `bytes`, where std::string is `string`.
 struct Bytes {
   std::string data;
   bool operator==(const Bytes&) const = default;
@@ -22,48 +31,49 @@
 
 namespace avro {
 
-// A value of the record type of that name, to be filled or read; it stays. Ends the process where the schema
-// files do not have it: that is an error in building.
-avro_value_t* value_of(const char* record);
+/// The library's value for the record type of that name, to be filled or read. It is never freed. Aborts the
+/// process where the schema files have no such type: the program was built wrong.
+avro_value_t* shared_value(const char* record);
 
-class Setter {
+/// Visitor: writes the fields of a struct into a value of the library.
+class RecordWriter {
  public:
-  explicit Setter(avro_value_t* record) : record_(record) {}
+  explicit RecordWriter(avro_value_t* record) : record_(record) {}
   void operator()(const char* name, const std::int64_t& v) {
-    avro_value_t f = field(name);
-    avro_value_set_long(&f, v);
+    avro_value_t target = field(name);
+    avro_value_set_long(&target, v);
   }
   void operator()(const char* name, const bool& v) {
-    avro_value_t f = field(name);
-    avro_value_set_boolean(&f, v ? 1 : 0);
+    avro_value_t target = field(name);
+    avro_value_set_boolean(&target, v ? 1 : 0);
   }
   void operator()(const char* name, const std::string& v) {
-    avro_value_t f = field(name);
-    set(f, v);
+    avro_value_t target = field(name);
+    set(target, v);
   }
   void operator()(const char* name, const Bytes& v) {
-    avro_value_t f = field(name);
-    avro_value_set_bytes(&f, const_cast<char*>(v.data.data()), v.data.size());
+    avro_value_t target = field(name);
+    avro_value_set_bytes(&target, const_cast<char*>(v.data.data()), v.data.size());
   }
   template <class T>
   void operator()(const char* name, const std::vector<T>& v) {
-    avro_value_t f = field(name);
+    avro_value_t target = field(name);
     for (const T& one : v) {
       avro_value_t item;
-      avro_value_append(&f, &item, nullptr);
+      avro_value_append(&target, &item, nullptr);
       if constexpr (std::is_same_v<T, std::string>) {
         set(item, one);
       } else {
-        Setter inner(&item);
+        RecordWriter inner(&item);
         const_cast<T&>(one).each(inner);
       }
     }
   }
   template <class T>
-  requires requires(T& t, Setter& s) { t.each(s); }
+  requires requires(T& t, RecordWriter& s) { t.each(s); }
   void operator()(const char* name, const T& v) {
-    avro_value_t f = field(name);
-    Setter inner(&f);
+    avro_value_t target = field(name);
+    RecordWriter inner(&target);
     const_cast<T&>(v).each(inner);
   }
 
@@ -73,59 +83,60 @@
     avro_value_get_by_name(record_, name, &out, nullptr);
     return out;
   }
-  static void set(avro_value_t& f, const std::string& v) {
-    avro_value_set_string_len(&f, const_cast<char*>(v.c_str()), v.size() + 1);
+  static void set(avro_value_t& target, const std::string& v) {
+    avro_value_set_string_len(&target, const_cast<char*>(v.c_str()), v.size() + 1);
   }
   avro_value_t* record_;
 };
 
-class Getter {
+/// Visitor: reads the fields of a struct from a value of the library.
+class RecordReader {
  public:
-  explicit Getter(avro_value_t* record) : record_(record) {}
+  explicit RecordReader(avro_value_t* record) : record_(record) {}
   void operator()(const char* name, std::int64_t& v) {
-    avro_value_t f = field(name);
-    avro_value_get_long(&f, &v);
+    avro_value_t source = field(name);
+    avro_value_get_long(&source, &v);
   }
   void operator()(const char* name, bool& v) {
-    avro_value_t f = field(name);
+    avro_value_t source = field(name);
     int got = 0;
-    avro_value_get_boolean(&f, &got);
+    avro_value_get_boolean(&source, &got);
     v = got != 0;
   }
   void operator()(const char* name, std::string& v) {
-    avro_value_t f = field(name);
-    get(f, v);
+    avro_value_t source = field(name);
+    get(source, v);
   }
   void operator()(const char* name, Bytes& v) {
-    avro_value_t f = field(name);
-    const void* at = nullptr;
+    avro_value_t source = field(name);
+    const void* data = nullptr;
     std::size_t size = 0;
-    avro_value_get_bytes(&f, &at, &size);
-    v.data.assign(static_cast<const char*>(at), size);
+    avro_value_get_bytes(&source, &data, &size);
+    v.data.assign(static_cast<const char*>(data), size);
   }
   template <class T>
   void operator()(const char* name, std::vector<T>& v) {
-    avro_value_t f = field(name);
+    avro_value_t source = field(name);
     std::size_t size = 0;
-    avro_value_get_size(&f, &size);
+    avro_value_get_size(&source, &size);
     v.clear();
     v.resize(size);
     for (std::size_t i = 0; i < size; ++i) {
       avro_value_t item;
-      avro_value_get_by_index(&f, i, &item, nullptr);
+      avro_value_get_by_index(&source, i, &item, nullptr);
       if constexpr (std::is_same_v<T, std::string>) {
         get(item, v[i]);
       } else {
-        Getter inner(&item);
+        RecordReader inner(&item);
         v[i].each(inner);
       }
     }
   }
   template <class T>
-  requires requires(T& t, Getter& g) { t.each(g); }
+  requires requires(T& t, RecordReader& g) { t.each(g); }
   void operator()(const char* name, T& v) {
-    avro_value_t f = field(name);
-    Getter inner(&f);
+    avro_value_t source = field(name);
+    RecordReader inner(&source);
     v.each(inner);
   }
 
@@ -135,44 +146,44 @@
     avro_value_get_by_name(record_, name, &out, nullptr);
     return out;
   }
-  static void get(avro_value_t& f, std::string& v) {
-    const char* at = nullptr;
+  static void get(avro_value_t& source, std::string& v) {
+    const char* text = nullptr;
     std::size_t size = 0;
-    avro_value_get_string(&f, &at, &size);
-    v.assign(at, size > 0 ? size - 1 : 0);
+    avro_value_get_string(&source, &text, &size);
+    v.assign(text, size > 0 ? size - 1 : 0);
   }
   avro_value_t* record_;
 };
 
-// Walks the bytes of a record without taking anything: guards the library, which allocates what a length says
-// and loses it where the rest is missing.
-class Checker {
+/// Visitor: walks the encoding of a record without storing anything. The library needs this guard against
+/// bytes from outside: it allocates whatever a length says, and leaks it where the bytes end early.
+class EncodingValidator {
  public:
-  explicit Checker(std::string_view bytes) : rest_(bytes) {}
-  bool good() const { return good_; }
-  bool whole() const { return good_ && rest_.empty(); }
+  explicit EncodingValidator(std::string_view bytes) : rest_(bytes) {}
+  /// After the visit: the bytes are the encoding of the record, and nothing is left over.
+  bool is_complete() const { return valid_ && rest_.empty(); }
   void operator()(const char*, const std::int64_t&) { number(); }
   void operator()(const char*, const bool&) {
-    if (good_ && !rest_.empty() && (rest_[0] == 0 || rest_[0] == 1)) {
+    if (valid_ && !rest_.empty() && (rest_[0] == 0 || rest_[0] == 1)) {
       rest_.remove_prefix(1);
     } else {
-      good_ = false;
+      valid_ = false;
     }
   }
   void operator()(const char*, const std::string&) { text(); }
   void operator()(const char*, const Bytes&) { text(); }
   template <class T>
   void operator()(const char*, const std::vector<T>&) {
-    while (good_) {
+    while (valid_) {
       std::int64_t count = number();
-      if (!good_ || count == 0) return;
+      if (!valid_ || count == 0) return;
       if (count < 0) {  // a block with its size in bytes before it
         number();
         count = count == INT64_MIN ? 0 : -count;
       }
-      // Nothing here takes less than a byte: more items than bytes are not there.
-      if (count <= 0 || static_cast<std::uint64_t>(count) > rest_.size()) good_ = false;
-      for (; good_ && count > 0; --count) {
+      // Every item takes a byte at least: there cannot be more items than bytes.
+      if (count <= 0 || static_cast<std::uint64_t>(count) > rest_.size()) valid_ = false;
+      for (; valid_ && count > 0; --count) {
         if constexpr (std::is_same_v<T, std::string>) {
           text();
         } else {
@@ -183,64 +194,69 @@
     }
   }
   template <class T>
-  requires requires(T& t, Setter& s) { t.each(s); }
+  requires requires(T& t, RecordWriter& s) { t.each(s); }
   void operator()(const char*, const T&) {
     T one;
     one.each(*this);
   }
 
  private:
+  /// A zigzag variable-length integer, as Avro encodes all of them.
   std::int64_t number() {
     std::uint64_t out = 0;
-    for (int shift = 0; good_ && shift < 70; shift += 7) {
-      if (rest_.empty() || shift == 63 + 7) break;
+    for (int shift = 0; valid_ && shift < 70; shift += 7) {
+      if (rest_.empty()) break;
       const auto byte = static_cast<unsigned char>(rest_[0]);
       rest_.remove_prefix(1);
       out |= static_cast<std::uint64_t>(byte & 0x7fU) << (shift > 63 ? 63 : shift);
       if (byte < 0x80U) return static_cast<std::int64_t>(out >> 1U) ^ -static_cast<std::int64_t>(out & 1U);
     }
-    good_ = false;
+    valid_ = false;
     return 0;
   }
+  /// A length, then as many bytes.
   void text() {
     const std::int64_t size = number();
-    if (!good_ || size < 0 || static_cast<std::uint64_t>(size) > rest_.size()) {
-      good_ = false;
+    if (!valid_ || size < 0 || static_cast<std::uint64_t>(size) > rest_.size()) {
+      valid_ = false;
     } else {
       rest_.remove_prefix(static_cast<std::size_t>(size));
     }
   }
   std::string_view rest_;
-  bool good_ = true;
+  bool valid_ = true;
 };
 
-std::string written(avro_value_t* value);
-bool read(std::string_view bytes, avro_value_t* value);
+std::string serialize(avro_value_t* value);
+/// False: the bytes are no value of that type.
+[[nodiscard]] bool parse(std::string_view bytes, avro_value_t* value);
 
 }  // namespace avro
 
+/// The Avro encoding of a record.
 template <class M>
 std::string encoded(const M& message) {
-  avro_value_t* value = avro::value_of(M::record);
+  avro_value_t* value = avro::shared_value(M::record);
   avro_value_reset(value);
-  avro::Setter set(value);
-  const_cast<M&>(message).each(set);
-  std::string out = avro::written(value);
-  avro_value_reset(value);  // large bodies do not stay
+  avro::RecordWriter writer(value);
+  const_cast<M&>(message).each(writer);  // a writer only reads the fields
+  std::string out = avro::serialize(value);
+  avro_value_reset(value);  // frees large bodies
   return out;
 }
 
-// False: these bytes are no such record.
+/// Reads a record from its encoding. False: the bytes are not exactly one such record; `into` is then
+/// unchanged.
 template <class M>
-bool decode(std::string_view bytes, M& into) {
-  avro::Checker check(bytes);
-  into.each(check);
-  if (!check.whole()) return false;
-  avro_value_t* value = avro::value_of(M::record);
+[[nodiscard]] bool decode(std::string_view bytes, M& into) {
+  avro::EncodingValidator validator(bytes);
+  into.each(validator);
+  if (!validator.is_complete()) return false;
+  avro_value_t* value = avro::shared_value(M::record);
   avro_value_reset(value);
-  if (!avro::read(bytes, value)) return false;
-  avro::Getter get(value);
-  into.each(get);
+  if (!avro::parse(bytes, value)) return false;
+  avro::RecordReader reader(value);
+  into.each(reader);
   avro_value_reset(value);
   return true;
 }
--- a/tests/common/main.cpp
+++ b/tests/common/main.cpp
@@ -56,7 +56,7 @@
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   {
     const ForGood schemas;
-    chutevane::common::avro::value_of("Value");
+    chutevane::common::avro::shared_value("Value");
   }
   keep_part(part_of_environment());
   return CommandLineTestRunner::RunAllTests(argc, argv);
