--- a/src/common/invariant.cpp
+++ b/src/common/invariant.cpp
@@ -9,8 +9,7 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::uint64_t logged_most =
-    20;  // violations of one invariant in one process: the count tells the rest
+constexpr std::uint64_t max_logged_violations = 20;  // of one invariant; further ones are only counted
 
 constexpr std::array<std::string_view, invariants> names = {
     "value-number-rises",      "one-value-under-a-number",      "configuration-version-rises",
@@ -55,7 +54,7 @@
     std::fprintf(stderr, "invariant violated: %s\n", text.c_str());
     std::abort();
   }
-  if (mode() == InvariantMode::count_and_log && count <= logged_most)
+  if (mode() == InvariantMode::count_and_log && count <= max_logged_violations)
     log_event(Level::error, "invariant.violated", text);
 }
 
--- a/src/common/invariant.hpp
+++ b/src/common/invariant.hpp
@@ -1,8 +1,8 @@
-// Promises of the code that are checked while it runs: a name, a condition, what to print.
-//
-// A violation is counted by name. In tests, in the simulation and in the soak it ends the process at once, so
-// that the seed and the state are at hand. In service it is logged at a bounded rate, and the process goes
-// on.
+/// Invariants of the code that are checked at run time, also in service.
+///
+/// A violation is counted by the invariant's name. In tests, simulations and soak runs it aborts the process
+/// at once, so that the seed and the state are at hand. In service the first ones are logged, and the process
+/// goes on: the metric chutevane_invariant_violations has the counts.
 #pragma once
 
 #include <array>
@@ -13,44 +13,49 @@
 
 namespace chutevane::common {
 
+/// The names in metrics and logs are those of invariant.cpp, in the same order.
 enum class Invariant : std::uint8_t {
-  value_number_rises,             // what a member holds of the register never goes back
-  one_value_under_a_number,       // of the register, as far as one controller knows
-  configuration_version_rises,    // nor the configuration in force at an edge
-  confirmed_value_is_held,        // a session confirms only knowledge that the member holds
-  accepted_not_above_promised,    // an acceptor accepts under no later ballot than it has promised
-  answered_after_sync,            // storage answers only for what is on disk
-  kept_by_enough_disks,           // a turn counts as kept only once more disks than may be lost have it
-  reserved_before_sent,           // a turn with a budget is sent only once its most is set aside
-  unknown_only_when_whole,        // storage denies a turn only when it has taken over all that is its own
-  not_sent_twice,                 // what may have run and can't be repeated is not sent again
-  answer_belongs_to_exchange,     // an answer's id is that of the request in hand
-  exchange_ends_once,             // an exchange of a client ends exactly once
-  places_held_by_attempts,        // endpoints are charged with no more attempts than are under way
-  connections_equal_descriptors,  // connections that an endpoint is charged with equal those open
-  log_is_bounded,                 // the log beside a slot stays within its bound
+  value_number_rises,           ///< a member's register value is never replaced by an older one
+  one_value_under_a_number,     ///< a controller never learns two chosen values with one number
+  configuration_version_rises,  ///< an edge's configuration is never replaced by an older one
+  confirmed_value_is_held,      ///< a session confirms only values that the member has
+  accepted_not_above_promised,  ///< an acceptor accepts under no later ballot than it has promised
+  answered_after_sync,          ///< storage acknowledges only what is on disk
+  kept_by_enough_disks,         ///< a turn is acknowledged once more disks have it than may be lost
+  reserved_before_sent,         ///< a turn with a budget is sent only after its tokens were reserved
+  unknown_only_when_whole,      ///< storage reports a turn as not found only when its replica is complete
+  not_sent_twice,              ///< a request that may have been executed and is not repeatable is not retried
+  answer_belongs_to_exchange,  ///< an answer's id is that of the request in progress
+  exchange_ends_once,          ///< an exchange with a client ends exactly once
+  places_held_by_attempts,     ///< endpoints are charged with no more attempts than are in flight
+  connections_equal_descriptors,  ///< connections charged to an endpoint equal those that are open
+  log_is_bounded,                 ///< the log of a DurableState stays within its limit
 };
 constexpr std::size_t invariants = static_cast<std::size_t>(Invariant::log_is_bounded) + 1;
+/// As in metrics and logs.
 std::string_view name_of(Invariant invariant);
 
 enum class InvariantMode : std::uint8_t {
-  count_and_log,  // in service
-  fatal,          // a violation ends the process with SIGABRT
-  count_only,     // for tests that provoke one
+  count_and_log,  ///< in service
+  fatal,          ///< a violation aborts the process
+  count_only,     ///< for tests that provoke one
 };
-// Unless set, `fatal` where the variable CHUTEVANE_INVARIANTS is "fatal", else `count_and_log`.
+/// The default is `fatal` if the environment variable CHUTEVANE_INVARIANTS is "fatal", else `count_and_log`.
 void set_invariant_mode(InvariantMode mode);
 
 struct InvariantCount {
   std::string_view name;
   std::uint64_t violations = 0;
 };
+/// Of this process since its start, in the order of Invariant.
 std::array<InvariantCount, invariants> invariant_counts();
 std::uint64_t violations_of(Invariant invariant);
 
+/// Counts a violation, and logs it or aborts as the mode says. `detail`: values that show what was violated.
 void report_violation(Invariant invariant, const std::string& detail);
 
-// `describe` is called only where the condition does not hold. Returns the condition.
+/// Reports a violation unless the condition holds. `describe` returns the detail, and is called only then.
+/// Returns the condition.
 template <class Describe>
 bool check_invariant(Invariant invariant, bool holds, Describe&& describe) {
   if (!holds) [[unlikely]]
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -11,14 +11,15 @@
 namespace chutevane::common {
 namespace {
 
-constexpr int lines_most = 50;  // a second: what a reader and the processor bear in a storm
+constexpr int max_lines_per_second = 50;  // what readers and the processor bear when much goes wrong
 
-std::string the_node, the_role;
-std::int64_t second = 0;
-int lines = 0, dropped = 0;
-std::uint64_t dropped_in_all = 0;
+// The log's state: one a process.
+std::string log_node, log_role;
+std::int64_t current_second = 0;  // Unix time
+int lines_in_second = 0, dropped_in_second = 0;
+std::uint64_t dropped_total = 0;
 bool is_open = false;
-LogSink the_sink;
+LogSink sink;
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -26,7 +27,7 @@
       .count();
 }
 
-void put(Level level, const std::string& line) {
+void write_line(Level level, const std::string& line) {
   switch (level) {
     case Level::info: LOG(INFO) << line; break;
     case Level::warning: LOG(WARNING) << line; break;
@@ -41,8 +42,8 @@
 }  // namespace
 
 void open_log(std::string_view node, std::string_view role) {
-  the_node = node;
-  the_role = role;
+  log_node = node;
+  log_role = role;
   el::Configurations conf;
   conf.setToDefault();
   conf.setGlobally(el::ConfigurationType::Format, "%msg");
@@ -62,27 +63,27 @@
   return out.result();
 }
 
-std::uint64_t log_lines_dropped() { return dropped_in_all; }
+std::uint64_t log_lines_dropped() { return dropped_total; }
 
-void set_log_sink(LogSink sink) { the_sink = std::move(sink); }
+void set_log_sink(LogSink new_sink) { sink = std::move(new_sink); }
 
 void log_event(Level level, std::string_view event, std::string_view detail) {
-  if (the_sink) return the_sink(level, event, detail);
+  if (sink) return sink(level, event, detail);
   if (!is_open) return;
   const std::int64_t now = unix_ms();
-  if (now / 1000 != second) {
-    if (dropped > 0)
-      put(Level::warning,
-          log_line_of("warning", the_node, the_role, "log.dropped", std::to_string(dropped), now));
-    second = now / 1000;
-    lines = dropped = 0;
+  if (now / 1000 != current_second) {
+    if (dropped_in_second > 0)
+      write_line(Level::warning, log_line_of("warning", log_node, log_role, "log.dropped",
+                                             std::to_string(dropped_in_second), now));
+    current_second = now / 1000;
+    lines_in_second = dropped_in_second = 0;
   }
-  if (++lines > lines_most) {
-    ++dropped;
-    ++dropped_in_all;
+  if (++lines_in_second > max_lines_per_second) {
+    ++dropped_in_second;
+    ++dropped_total;
     return;
   }
-  put(level, log_line_of(name_of(level), the_node, the_role, event, detail, now));
+  write_line(level, log_line_of(name_of(level), log_node, log_role, event, detail, now));
 }
 
 }  // namespace chutevane::common
--- a/src/common/metrics.cpp
+++ b/src/common/metrics.cpp
@@ -13,6 +13,7 @@
 namespace chutevane::common {
 namespace {
 
+/// As a label's value or a help text.
 void append_escaped(std::string& out, std::string_view text) {
   for (const char c : text) {
     if (c == '\\' || c == '"') out.push_back('\\');
@@ -26,8 +27,8 @@
 
 void append_number(std::string& out, double value) {
   char text[40];
-  const bool whole = value == std::floor(value) && std::abs(value) < 1e15;
-  std::snprintf(text, sizeof text, whole ? "%.0f" : "%.6g", value);
+  const bool is_integer = value == std::floor(value) && std::abs(value) < 1e15;
+  std::snprintf(text, sizeof text, is_integer ? "%.0f" : "%.6g", value);
   out.append(text);
 }
 
@@ -35,11 +36,11 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) * 1e-6;
 }
 
-// Bytes of memory in use; 0 where the kernel does not tell.
+/// Resident memory in bytes; 0 where /proc cannot be read.
 double resident_bytes() {
   std::ifstream in("/proc/self/statm");
-  double all_pages = 0, resident_pages = 0;
-  in >> all_pages >> resident_pages;
+  double total_pages = 0, resident_pages = 0;
+  in >> total_pages >> resident_pages;
   return in ? resident_pages * static_cast<double>(::sysconf(_SC_PAGESIZE)) : 0;
 }
 
@@ -90,8 +91,8 @@
               static_cast<double>(log_lines_dropped()));
   out.begin(MetricsWriter::Type::counter, "chutevane_invariant_violations", "",
             "Violations of an invariant of the code, by its name. Any above 0 is a fault to report.");
-  for (const InvariantCount& one : invariant_counts())
-    out.sample(static_cast<double>(one.violations), {{"invariant", one.name}});
+  for (const InvariantCount& count : invariant_counts())
+    out.sample(static_cast<double>(count.violations), {{"invariant", count.name}});
 }
 
 }  // namespace chutevane::common
