--- a/src/ctl/run.hpp
+++ b/src/ctl/run.hpp
@@ -1,31 +1,33 @@
-// One run of chutevanectl: its command, what it prints, its exit code.
+/// One run of chutevanectl: from the command line to the exit code.
 #pragma once
 
 #include <ostream>
 #include <string>
 #include <vector>
 
-#include "ctl/caller.hpp"
+#include "ctl/control_client.hpp"
 
 namespace chutevane::ctl {
 
-// What scripts go by; the words for them are in --help and docs/operators/system.md.
-enum Exit : int {
-  good = 0,
-  refused = 1,    // by the system; or findings, or a difference
-  wrong_use = 2,  // command line, or a file that cannot be opened
-  unclear = 3,    // nobody reached, or not known whether an order is in force
+/// What scripts rely on; --help and docs/operators/system.md describe them.
+enum class ExitCode : int {
+  success = 0,
+  rejected = 1,       ///< by the system; or there are findings, or a difference
+  bad_usage = 2,      ///< of the command line; or a file cannot be opened or written
+  indeterminate = 3,  ///< nobody was reached, or a change may be in force or not
 };
 
-struct Surroundings {
+/// What a run needs of its process. All of it must outlive the run.
+struct Environment {
   std::ostream& out;
   std::ostream& err;
   Transport& transport;
   Clock& clock;
-  std::string control;  // what the variable names
-  std::string version;
+  std::string control;  ///< value of control_variable; empty: it is not set
+  std::string version;  ///< of the program
 };
 
-int run(const std::vector<std::string>& arguments, Surroundings& around);
+/// `arguments`: without the program's name. Returns the exit code.
+int run(const std::vector<std::string>& arguments, Environment& environment);
 
 }  // namespace chutevane::ctl
--- a/tests/ctl/wire_test.cpp
+++ b/tests/ctl/http_transport_test.cpp
@@ -1,5 +1,6 @@
-// The transport over loopback: a peer that is scripted byte by byte, and a true control sidecar.
-#include "ctl/wire.hpp"
+/// The transport over loopback: against a peer that is scripted byte by byte, and against a real control
+/// sidecar.
+#include "ctl/http_transport.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <arpa/inet.h>
@@ -14,14 +15,14 @@
 #include "common/log.hpp"
 #include "control/control_plane.hpp"
 #include "ctl/run.hpp"
-#include "played.hpp"
+#include "scripted_control.hpp"
 
 using namespace chutevane;
 using namespace chutevane::ctl;
 
 namespace {
 
-// Listens on a free port of loopback.
+/// Listens on a free port of loopback.
 class Listening {
  public:
   Listening() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -47,17 +48,17 @@
   int fd_;
 };
 
-// Takes one connection, reads the head of a request, writes these pieces, and ends.
+/// Accepts one connection, reads the header of a request, writes these pieces, and closes.
 class Peer {
  public:
   explicit Peer(std::vector<std::string> pieces, bool stays_silent = false, bool resets = false)
       : thread_([this, pieces = std::move(pieces), stays_silent, resets] {
           const int fd = listening.accept();
           char c = 0;
-          while (heard.find("\r\n\r\n") == std::string::npos && ::read(fd, &c, 1) == 1) heard += c;
+          while (received.find("\r\n\r\n") == std::string::npos && ::read(fd, &c, 1) == 1) received += c;
           for (const std::string& piece : pieces) (void)!::write(fd, piece.data(), piece.size());
           if (stays_silent) {
-            // Until the caller has given it up.
+            // Until the client has closed.
             while (::read(fd, &c, 1) > 0) {
             }
           }
@@ -75,7 +76,7 @@
     if (thread_.joinable()) thread_.join();
   }
   Listening listening;
-  std::string heard;
+  std::string received;
 
  private:
   std::thread thread_;
@@ -85,20 +86,21 @@
 
 }  // namespace
 
-TEST_GROUP(wire) {
-  Wire wire;
-  absl::StatusOr<ctl::Answer> ask(Peer & peer, const Ask& what = {"GET", "/x"}, Span silence = second) {
-    auto out = wire.exchange(peer.listening.address(), what, silence, Span::ms(5000));
+TEST_GROUP(http_transport) {
+  HttpTransport transport;
+  absl::StatusOr<ctl::Response> send(Peer & peer, const Request& request = {"GET", "/x"},
+                                     Span idle = second) {
+    auto out = transport.exchange(peer.listening.address(), request, {idle, Span::ms(5000)});
     peer.join();
     return out;
   }
 };
 
-TEST(wire, an_answer_however_it_is_cut) {
+TEST(http_transport, a_response_in_any_two_pieces) {
   const std::string whole = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A: b\r\n\r\nhello";
   for (std::size_t at = 1; at < whole.size(); at += 7) {
     Peer peer({whole.substr(0, at), whole.substr(at)});
-    const auto got = ask(peer);
+    const auto got = send(peer);
     CHECK(got.ok());
     LONGS_EQUAL(200, got->status);
     STRCMP_EQUAL("hello", got->body.c_str());
@@ -106,66 +108,64 @@
   }
 }
 
-TEST(wire, chunks_a_body_until_the_end_and_one_that_goes_before) {
+TEST(http_transport, chunks_a_body_without_length_and_an_interim_response) {
   Peer chunked({"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"});
-  STRCMP_EQUAL("abcde", ask(chunked)->body.c_str());
+  STRCMP_EQUAL("abcde", send(chunked)->body.c_str());
   Peer open_end({"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "rest"});
-  STRCMP_EQUAL("rest", ask(open_end)->body.c_str());
+  STRCMP_EQUAL("rest", send(open_end)->body.c_str());
   Peer interim({"HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 204 No Content\r\n\r\n"});
-  LONGS_EQUAL(204, ask(interim)->status);
+  LONGS_EQUAL(204, send(interim)->status);
 }
 
-TEST(wire, the_request_is_whole) {
+TEST(http_transport, the_request_is_complete) {
   Peer peer({"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"});
-  CHECK(ask(peer, {"POST", "/v1/x", {{"X-Base", "5"}}, "body"}).ok());
-  CHECK(peer.heard.starts_with("POST /v1/x HTTP/1.1\r\n"));
+  CHECK(send(peer, {"POST", "/v1/x", {{"X-Base", "5"}}, "body"}).ok());
+  CHECK(peer.received.starts_with("POST /v1/x HTTP/1.1\r\n"));
   for (const std::string& line :
        {"Host: " + peer.listening.address(), std::string("X-Base: 5"), std::string("Content-Length: 4")})
-    CHECK(peer.heard.find("\r\n" + line + "\r\n") != std::string::npos);
+    CHECK(peer.received.find("\r\n" + line + "\r\n") != std::string::npos);
 }
 
-TEST(wire, what_is_no_whole_answer_is_an_error) {
+TEST(http_transport, an_incomplete_response_is_an_error) {
   for (const std::string text :
        {"", "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel",
         "nonsense\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"}) {
     Peer peer({text});
-    const auto got = ask(peer);
+    const auto got = send(peer);
     CHECK_TRUE_TEXT(absl::IsUnavailable(got.status()), text.c_str());
     CHECK(std::string(got.status().message()).starts_with(peer.listening.address()));
   }
 }
 
 // Without a length only an orderly end says that a body is whole.
-TEST(wire, a_reset_within_a_body_is_no_end) {
+TEST(http_transport, a_reset_within_a_body_is_no_end) {
   Peer peer({"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "half"}, false, true);
-  CHECK(absl::IsUnavailable(ask(peer).status()));
+  CHECK(absl::IsUnavailable(send(peer).status()));
 }
 
-TEST(wire, silence_ends_it) {
+TEST(http_transport, an_idle_timeout_ends_it) {
   Peer peer({"HTTP/1.1 200 OK\r\n"}, true);
-  const auto got = ask(peer, {"GET", "/x"}, Span::ms(30));
+  const auto got = send(peer, {"GET", "/x"}, Span::ms(30));
   CHECK(absl::IsUnavailable(got.status()));
   CHECK(got.status().message().find("silent") != std::string::npos);
 }
 
-TEST(wire, no_connection_is_told_apart) {
+TEST(http_transport, a_missing_connection_is_reported_as_such) {
   Listening gone;
   const std::string address = gone.address();
   gone.close();
-  CHECK(absl::IsNotFound(wire.exchange(address, {"GET", "/x"}, second, second).status()));
+  CHECK(absl::IsNotFound(transport.exchange(address, {"GET", "/x"}, {second, second}).status()));
 }
 
-TEST(wire, addresses_are_split) {
-  std::string host, port;
-  split_address("[::1]:80", host, port);
-  STRCMP_EQUAL("::1", host.c_str());
-  STRCMP_EQUAL("80", port.c_str());
-  split_address("core-1.example:8144", host, port);
-  STRCMP_EQUAL("core-1.example", host.c_str());
+TEST(http_transport, addresses_are_split) {
+  const HostAndPort numeric = split_address("[::1]:80");
+  STRCMP_EQUAL("::1", numeric.host.c_str());
+  STRCMP_EQUAL("80", numeric.port.c_str());
+  STRCMP_EQUAL("core-1.example", split_address("core-1.example:8144").host.c_str());
 }
 
 // A lone controller, a majority of itself, driven in a thread of its own.
-TEST(wire, against_a_control_sidecar) {
+TEST(http_transport, against_a_control_sidecar) {
   Listening control, inner;
   common::ProcessSettings settings;
   settings.node = "core-1";
@@ -191,20 +191,20 @@
     while (opened && !over) scheduler.turn();
   });
   std::ostringstream out, err;
-  MachineClock clock;
+  SystemClock clock;
   const auto run = [&](const std::vector<std::string>& arguments) {
     out.str("");
     err.str("");
-    Surroundings around{out, err, wire, clock, address, "0"};
-    return ctl::run(arguments, around);
+    Environment environment{out, err, transport, clock, address, "0"};
+    return ctl::run(arguments, environment);
   };
   const auto has = [&](const std::string& part) { return out.str().find(part) != std::string::npos; };
-  const Scratch first(configuration_3);
+  const TemporaryFile first(configuration_3);
   std::string text = configuration_3;
   text.replace(text.find("6000"), 4, "7000");
-  const Scratch other(text);
+  const TemporaryFile other(text);
   text.replace(text.find(":3,"), 3, ":8,");
-  const Scratch later(text);
+  const TemporaryFile later(text);
   const std::string hash = common::hash_text(common::hash_of(configuration_3));
 
   const int history_of_none = run({"config", "history", "--json"});
--- a/tests/ctl/main.cpp
+++ b/tests/ctl/main.cpp
@@ -6,18 +6,18 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "played.hpp"
+#include "scripted_control.hpp"
 
 namespace chutevane::ctl {
 
-Scratch::Scratch(const std::string& text) {
+TemporaryFile::TemporaryFile(const std::string& text) {
   std::string name = "/tmp/ctl-test-XXXXXX";
   folder_ = ::mkdtemp(name.data());
   path_ = folder_ + "/file";
   std::ofstream(path_, std::ios::binary) << text;
 }
 
-Scratch::~Scratch() {
+TemporaryFile::~TemporaryFile() {
   std::remove(path_.c_str());
   ::rmdir(folder_.c_str());
 }
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -18,7 +18,7 @@
 #include "common/messages.hpp"
 #include "control/control_plane.hpp"
 #include "control/register.hpp"
-#include "ctl/folder.hpp"
+#include "ctl/data_folder.hpp"
 #include "golden_data.hpp"
 #include "handover/post.hpp"
 #include "harness.hpp"
@@ -68,10 +68,10 @@
 };
 
 // What the operators' client reads of a disk's files.
-ctl::Holdings holdings_of(common::Disk& disk) {
-  auto copy = ctl::Snapshot::of(disk);
+ctl::FolderContents contents_of(common::Disk& disk) {
+  auto copy = ctl::DiskSnapshot::of(disk);
   EXPECT_TRUE(copy.ok());
-  const auto out = ctl::holdings_of(*std::move(copy));
+  const auto out = ctl::read_contents(*std::move(copy));
   EXPECT_TRUE(out.ok());
   return *out;
 }
@@ -168,7 +168,7 @@
 
   MemoryDisk before;
   fill(before, stored, "acceptor_record/");
-  const common::AcceptorRecord record = holdings_of(before).acceptor;
+  const common::AcceptorRecord record = contents_of(before).acceptor;
   EXPECT_EQ(record.promised, (common::Ballot{9, 78}));
   control::AcceptorState opened(before, seed_address, disk_id, true);
   ASSERT_TRUE(opened.open().ok());
@@ -207,7 +207,7 @@
 
   MemoryDisk before;
   fill(before, stored, "control_first_start/");
-  const common::ControllerRecord record = holdings_of(before).controller;
+  const common::ControllerRecord record = contents_of(before).controller;
   EXPECT_EQ(record.disk, disk_id);
   EXPECT_TRUE(record.first);
   EXPECT_EQ(record.initial, control::first_value({{seed_address, ""}}));
@@ -231,8 +231,8 @@
 
   MemoryDisk before;
   fill(before, stored, "control_known/");
-  const ctl::Holdings found = holdings_of(before);
-  EXPECT_EQ(found.has_controller, ctl::Presence::whole);
+  const ctl::FolderContents found = contents_of(before);
+  EXPECT_EQ(found.controller_state, ctl::RecordState::readable);
   EXPECT_EQ(found.controller.known, record.known);
   EXPECT_EQ(found.controller.initial, record.initial);
   EXPECT_EQ(found.controller.controllers, record.controllers);
@@ -275,7 +275,7 @@
 
   MemoryDisk before;
   fill(before, stored, "storage_records/");
-  EXPECT_EQ(holdings_of(before).storage_node.disk, disk_id);
+  EXPECT_EQ(contents_of(before).storage_node.disk, disk_id);
   ASSERT_TRUE(whole_by_map_1(before, {own, other}));
   compare_files(stored, "storage_records/", before);
 }
