--- a/model/absent.pml
+++ b/model/absent.pml
@@ -114,7 +114,7 @@
        :: missed[s] < may_miss(map[s]) -> missed[s]++; ask_next(s)
        :: else
        fi }
-  /* look_ready: `enough`, with may_miss_ below 0 where more is missing than may be lost */
+  /* StateTransfer::is_enough, with max_skipped_sources_ below 0 where more is missing than may be lost */
 #ifdef PLANT_COUNT_ONE_LOSS
   :: atomic { !away[s] && taking_over(s) && next[s] == NODES -> whole[s] = true; next[s] = 0; missed[s] = 0 }
 #else
--- a/model/budget.pml
+++ b/model/budget.pml
@@ -156,7 +156,7 @@
   od
 }
 
-/* --- Maps: Roster::storage nodes, value_came, take_over, look_ready ------------------------------------- */
+/* --- Maps: Roster::storage nodes, StoragePlane::on_value, StateTransfer ------------------------------------- */
 
 /* One that is in the map with this disk */
 #define named(s, m) (has_bit(in_map[m], s) && has_bit(second[m], s) == disk[s])
@@ -214,7 +214,7 @@
  * condition is checked. */
 #define pulls_from(s, t) (STALE -> (map[t] == map[s]) : (map[t] >= map[s]))
 
-/* answer_pull, pulled, Store::merge: what is the asker's by the map of the one that is asked */
+/* make_pull_reply, StateTransfer::on_reply, ReplicaStore::merge_account: what is the asker's by the map of the one that is asked */
 inline pull(s, t) {
   if
   :: MEND_TAKEOVER && !named(t, map[t]) -> skip  /* a disk that no map names yet is no source */
--- a/src/ctl/folder.cpp
+++ b/src/ctl/folder.cpp
@@ -11,7 +11,7 @@
 
 #include "common/durable_state.hpp"
 #include "common/record_framing.hpp"
-#include "storage/store.hpp"
+#include "storage/replica_store.hpp"
 
 namespace chutevane::ctl {
 namespace {
@@ -149,10 +149,11 @@
   out.moving = snapshot.moving();
   for (const auto& [name, text] : snapshot.files()) {
     out.file_bytes += text.size();
-    const auto segment = storage::Store::segment_of(name);
+    const auto segment = storage::SegmentLog::parse_file_name(name);
     if (segment) {
-      std::size_t good = 0;
-      const std::size_t records = storage::Store::records(text, *segment, &good).size();
+      const common::ParsedFrames frames = storage::SegmentLog::parse_file(text, *segment);
+      const std::size_t records = frames.records.size();
+      const std::size_t good = frames.valid_size;
       out.segments.push_back({*segment, text.size(), records});
       if (good < text.size()) out.torn.push_back({name, good, text.size() - good});
     } else if (state_of(name).empty()) {
@@ -169,17 +170,17 @@
   out.has_controller = read_state(snapshot, "control", out.controller);
   out.has_storage_node = read_state(snapshot, "storage", out.storage_node);
   out.torn.insert(out.torn.end(), snapshot.torn().begin(), snapshot.torn().end());
-  storage::Store store(snapshot, static_cast<std::size_t>(-1));
-  if (absl::Status s = store.open(TimePoint()); !s.ok()) return s;
-  store.each_turn("", [&](const common::Turn& turn) {
+  storage::ReplicaStore store(snapshot, static_cast<std::size_t>(-1));
+  if (absl::Status s = store.recover(TimePoint()); !s.ok()) return s;
+  store.for_each_turn("", [&](const common::Turn& turn) {
     out.turns.push_back(turn);
     return true;
   });
-  store.each_account("", [&](const common::Account& account) {
+  store.for_each_account("", [&](const common::Account& account) {
     out.accounts.push_back(account);
     return true;
   });
-  out.turn_bytes = store.bytes();
+  out.turn_bytes = store.turn_bytes();
   return out;
 }
 
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -1,66 +1,61 @@
-// Which storage sidecars hold a program's turns and budget: agreed by hashing over the map, so that nobody
-// has to be asked, and that a member more or less moves only its own part.
+/// Placement: which storage nodes hold the replicas of a program's turns and budget.
+///
+/// Rendezvous hashing (highest random weight): every node and every edge ranks the nodes of the storage map
+/// by a hash of program and node name and takes the first ones. Nobody has to be asked, the order of the map
+/// does not matter, and a node more or less moves only what is its own.
 #pragma once
 
 #include <xxhash.h>
 
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "common/messages.hpp"
+#include "storage/replica_status.hpp"  // for callers, which need both
 
 namespace chutevane::storage {
 
-// As many as bear the losses with a majority left; fewer where there are no more.
-inline std::size_t replica_group_size(std::size_t losses) { return 2 * losses + 1; }
-inline std::size_t quorum_size(std::size_t group) { return group / 2 + 1; }
+/// Nodes in a replica group: as many as leave a majority after `tolerated_losses` losses.
+inline std::size_t replica_group_size(std::size_t tolerated_losses) { return 2 * tolerated_losses + 1; }
 
-// Places in `storage nodes`, the nearest first. Those that leave get nothing new.
+/// Smallest number of a group of `group_size` that shares a member with every other such number.
+inline std::size_t quorum_size(std::size_t group_size) { return group_size / 2 + 1; }
+
+/// Indices into `storage_nodes` of the program's replicas, the first choice first. Nodes that are leaving
+/// hold none. Fewer than replica_group_size() where there are no more nodes.
+///
+/// Zones are spread over: no zone gets a second replica before every zone has one, so that the loss of a zone
+/// takes as few replicas as can be.
 inline std::vector<std::size_t> replica_group(std::string_view program,
                                               const std::vector<common::StorageNode>& storage_nodes,
-                                              std::size_t losses) {
-  std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
+                                              std::size_t tolerated_losses) {
+  std::vector<std::pair<std::uint64_t, std::size_t>> ranking;
   for (std::size_t i = 0; i < storage_nodes.size(); ++i) {
     if (storage_nodes[i].draining) continue;
     const std::string& node = storage_nodes[i].node;
-    ranked.emplace_back(
-        XXH3_64bits_withSeed(program.data(), program.size(), XXH3_64bits(node.data(), node.size())), i);
+    const std::uint64_t node_seed = XXH3_64bits(node.data(), node.size());
+    ranking.emplace_back(XXH3_64bits_withSeed(program.data(), program.size(), node_seed), i);
   }
-  std::sort(ranked.begin(), ranked.end());
-  // One of each zone before a second of any: a zone that goes takes no more of a group than it must.
-  std::vector<std::size_t> out;
-  const auto used = [&](const std::string& zone) {
-    return std::count_if(out.begin(), out.end(),
-                         [&](std::size_t i) { return storage_nodes[i].zone == zone; });
+  std::sort(ranking.begin(), ranking.end());
+  std::vector<std::size_t> group;
+  const auto replicas_in_zone = [&](const std::string& zone) {
+    return std::count_if(group.begin(), group.end(),
+                         [&](std::size_t index) { return storage_nodes[index].zone == zone; });
   };
-  for (std::ptrdiff_t round = 0; out.size() < std::min(replica_group_size(losses), ranked.size()); ++round) {
-    for (const auto& [rank, i] : ranked) {
-      if (out.size() == replica_group_size(losses)) break;
-      if (std::find(out.begin(), out.end(), i) == out.end() && used(storage_nodes[i].zone) <= round)
-        out.push_back(i);
+  const std::size_t group_size = replica_group_size(tolerated_losses);
+  for (std::ptrdiff_t round = 0; group.size() < std::min(group_size, ranking.size()); ++round) {
+    for (const auto& [rank, i] : ranking) {
+      if (group.size() == group_size) break;
+      const bool chosen = std::find(group.begin(), group.end(), i) != group.end();
+      if (!chosen && replicas_in_zone(storage_nodes[i].zone) <= round) group.push_back(i);
     }
   }
-  return out;
-}
-
-// What a storage sidecar answers.
-enum class ReplicaStatus : std::int64_t {
-  ok,
-  caller_map_stale,   // it has a later map than the caller
-  replica_map_stale,  // it has not got the caller's map yet
-  not_ready,          // it is still bootstrapping under this map
-  not_found,          // no such turn here, and it would have it if it had been stored here
-  indeterminate,      // not here, and it may be elsewhere
-  out_of_capacity,    // no room
-};
-constexpr std::size_t replica_status_count = static_cast<std::size_t>(ReplicaStatus::out_of_capacity) + 1;
-
-constexpr std::string_view name_of(ReplicaStatus status) {
-  constexpr std::string_view names[replica_status_count] = {"yes",     "moved",  "behind", "unready",
-                                                            "unknown", "unsure", "full"};
-  return names[static_cast<std::size_t>(status)];
+  return group;
 }
 
 }  // namespace chutevane::storage
--- /dev/null
+++ b/src/storage/replica_store.cpp
@@ -0,0 +1,242 @@
+#include "storage/replica_store.hpp"
+
+#include <algorithm>
+#include <string_view>
+#include <utility>
+
+namespace chutevane::storage {
+namespace {
+
+using common::Account;
+using common::Reservation;
+using common::Turn;
+
+/// Since its last entry: many times the longest pause of a program.
+constexpr Span account_retention = Span::ms(180000);
+/// What is still in use in an older segment is written anew.
+constexpr Span max_segment_age = Span::ms(150000);
+/// Turns: guards against chains that go round in a ring.
+constexpr std::size_t max_chain_length = 10000;
+constexpr Span expiry_interval = Span::ms(1000);
+constexpr std::int64_t no_tokens = -1;  // of an entry that was just created
+/// Bytes of a turn beside its input and output, about.
+constexpr std::size_t turn_overhead = 200;
+
+std::size_t footprint(const Turn& turn) {
+  return turn.input.data.size() + turn.output.data.size() + turn_overhead;
+}
+
+Span retention_of(const Turn& turn) { return Span::ms(static_cast<double>(turn.retention_ms)); }
+
+}  // namespace
+
+/// A log record is the number of the message's kind, one byte, and the message in Avro.
+template <class Record>
+void ReplicaStore::append_record(const Record& record) {
+  std::string text(1, static_cast<char>(Record::kind));
+  text += common::encoded(record);
+  log_.append(text);
+}
+
+absl::Status ReplicaStore::recover(TimePoint now) {
+  return log_.recover(
+      now, [&](const std::string& record, std::uint64_t segment) { load_record(record, segment, now); });
+}
+
+void ReplicaStore::load_record(const std::string& record, std::uint64_t segment, TimePoint now) {
+  if (record.empty()) return;
+  const auto kind = static_cast<std::uint8_t>(record[0]);
+  const std::string_view body = std::string_view(record).substr(1);
+  if (kind == Turn::kind) {
+    Turn turn;
+    if (common::decode(body, turn)) insert_turn(std::move(turn), segment, now);
+  } else if (kind == Account::kind) {
+    Account account;
+    if (common::decode(body, account)) load_account(account, now);
+  }
+}
+
+void ReplicaStore::load_account(const Account& account, TimePoint now) {
+  for (const Reservation& loaded : account.entries) {
+    Reservation& entry = find_or_create_entry(account.program, loaded.attempt, now);
+    // A segment that was removed may have come back: a reservation in it raises nothing that was committed.
+    if (!entry.committed || loaded.committed) entry.tokens = loaded.tokens;
+    entry.committed = entry.committed || loaded.committed;
+  }
+}
+
+Reservation& ReplicaStore::find_or_create_entry(const std::string& program, const std::string& attempt,
+                                                TimePoint now) {
+  OpenAccount& open = accounts_[program];
+  open.account.program = program;
+  open.expires_at = now + account_retention;
+  for (Reservation& entry : open.account.entries) {
+    if (entry.attempt == attempt) return entry;
+  }
+  open.account.entries.push_back({attempt, no_tokens, false});
+  return open.account.entries.back();
+}
+
+std::vector<Reservation> ReplicaStore::reserve(const std::string& program, const std::string& attempt,
+                                               std::int64_t max_tokens, TimePoint now) {
+  Reservation& own = find_or_create_entry(program, attempt, now);
+  if (own.tokens < 0) {
+    own.tokens = max_tokens;
+    append_record(Account{program, {own}});
+  }
+  std::vector<Reservation> others = accounts_[program].account.entries;
+  std::erase_if(others, [&](const Reservation& entry) { return entry.attempt == attempt; });
+  return others;
+}
+
+void ReplicaStore::commit_usage(const std::string& program, const std::string& attempt,
+                                std::int64_t used_tokens, TimePoint now) {
+  Reservation& entry = find_or_create_entry(program, attempt, now);
+  if (entry.committed) return;
+  entry.tokens = used_tokens;
+  entry.committed = true;
+  append_record(Account{program, {entry}});
+}
+
+void ReplicaStore::merge_account(const Account& account, TimePoint now) {
+  Account changed{account.program, {}};
+  for (const Reservation& theirs : account.entries) {
+    Reservation& own = find_or_create_entry(account.program, theirs.attempt, now);
+    const bool own_stands = own.committed || (own.tokens >= 0 && !theirs.committed);
+    if (own_stands) continue;
+    own = theirs;
+    changed.entries.push_back(theirs);
+  }
+  if (!changed.entries.empty()) append_record(changed);
+}
+
+void ReplicaStore::insert_turn(Turn turn, std::uint64_t segment, TimePoint now) {
+  StoredTurn& stored = turns_[turn.id];
+  if (stored.segment != 0) {
+    turn_bytes_ -= footprint(stored.turn);
+    log_.drop_reference(stored.segment);
+  }
+  turn_bytes_ += footprint(turn);
+  log_.add_reference(segment);
+  stored.expires_at = now + retention_of(turn);
+  stored.segment = segment;
+  stored.turn = std::move(turn);
+}
+
+bool ReplicaStore::store_turn(const Turn& turn, TimePoint now) {
+  if (!turns_.contains(turn.id)) {
+    if (turn_bytes_ + footprint(turn) > max_bytes_) return false;
+    append_record(turn);
+    insert_turn(turn, log_.current_segment(), now);
+  }
+  extend_chain(turn, now);
+  return true;
+}
+
+void ReplicaStore::extend_chain(const Turn& turn, TimePoint now) {
+  const TimePoint expires_at = now + retention_of(turn);
+  std::size_t length = 0;
+  for (auto at = turns_.find(turn.id); at != turns_.end(); at = turns_.find(at->second.turn.previous)) {
+    at->second.expires_at = std::max(at->second.expires_at, expires_at);
+    if (at->second.turn.previous.empty() || ++length > max_chain_length) break;
+  }
+}
+
+const Turn* ReplicaStore::find_turn(const std::string& id) const {
+  const auto found = turns_.find(id);
+  return found == turns_.end() ? nullptr : &found->second.turn;
+}
+
+std::vector<const Turn*> ReplicaStore::read_chain(const std::string& id, std::size_t max_bytes,
+                                                  TimePoint now) {
+  std::vector<const Turn*> chain;
+  std::size_t bytes = 0;
+  for (auto at = turns_.find(id); at != turns_.end(); at = turns_.find(at->second.turn.previous)) {
+    StoredTurn& stored = at->second;
+    bytes += footprint(stored.turn);
+    if (!chain.empty() && bytes > max_bytes) break;
+    stored.expires_at = std::max(stored.expires_at, now + retention_of(stored.turn));
+    chain.push_back(&stored.turn);
+    if (stored.turn.previous.empty() || chain.size() > max_chain_length) break;
+  }
+  return chain;
+}
+
+std::string ReplicaStore::first_missing_ancestor(const std::string& id) const {
+  std::string at = id;
+  for (std::size_t length = 0; !at.empty() && length < max_chain_length; ++length) {
+    const Turn* const turn = find_turn(at);
+    if (turn == nullptr) return at;
+    at = turn->previous;
+  }
+  return "";
+}
+
+std::set<std::string> ReplicaStore::cross_program_ancestors(
+    const std::function<bool(const std::string& program)>& is_wanted) const {
+  std::set<std::string> ancestors;
+  for (const auto& [id, stored] : turns_) {
+    auto at = turns_.find(stored.turn.previous);
+    if (at == turns_.end() || at->second.turn.program == stored.turn.program) continue;
+    if (!is_wanted(stored.turn.program)) continue;
+    // Ends where a chain joins one that was walked before, or in a ring.
+    while (at != turns_.end() && ancestors.insert(at->first).second)
+      at = turns_.find(at->second.turn.previous);
+  }
+  return ancestors;
+}
+
+void ReplicaStore::for_each_turn(const std::string& after,
+                                 const std::function<bool(const Turn&)>& visit) const {
+  auto at = turns_.upper_bound(after);
+  while (at != turns_.end() && visit(at->second.turn)) ++at;
+}
+
+void ReplicaStore::for_each_account(const std::string& after,
+                                    const std::function<bool(const Account&)>& visit) const {
+  auto at = accounts_.upper_bound(after);
+  while (at != accounts_.end() && visit(at->second.account)) ++at;
+}
+
+void ReplicaStore::expire(TimePoint now) {
+  if (now - last_expiry_ < expiry_interval) return;
+  last_expiry_ = now;
+  drop_expired_turns(now);
+  std::erase_if(accounts_, [&](const auto& account) { return account.second.expires_at < now; });
+  // Rewriting for a disk that accepts nothing would let the buffer grow with time alone.
+  if (!is_failing()) reclaim_segments(now);
+}
+
+void ReplicaStore::drop_expired_turns(TimePoint now) {
+  for (auto at = turns_.begin(); at != turns_.end();) {
+    if (at->second.expires_at >= now) {
+      ++at;
+      continue;
+    }
+    turn_bytes_ -= footprint(at->second.turn);
+    log_.drop_reference(at->second.segment);
+    at = turns_.erase(at);
+  }
+}
+
+void ReplicaStore::reclaim_segments(TimePoint now) {
+  while (const auto oldest = log_.oldest_closed()) {
+    const bool too_old = now - oldest->opened_at > max_segment_age;
+    if (oldest->references > 0 && !too_old) return;
+    if (oldest->references > 0) rewrite_turns_of(oldest->number);
+    for (const auto& [program, open] : accounts_) append_record(open.account);
+    if (!commit(now).ok() || !log_.remove(oldest->number).ok()) return;
+  }
+}
+
+void ReplicaStore::rewrite_turns_of(std::uint64_t segment) {
+  for (auto& [id, stored] : turns_) {
+    if (stored.segment != segment) continue;
+    append_record(stored.turn);
+    log_.drop_reference(segment);
+    stored.segment = log_.current_segment();
+    log_.add_reference(stored.segment);
+  }
+}
+
+}  // namespace chutevane::storage
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -1,30 +1,43 @@
 #include "storage/storage_plane.hpp"
 
+#include <algorithm>
 #include <utility>
 
-#include "common/disk.hpp"
-#include "common/invariant.hpp"
 #include "common/log.hpp"
+#include "common/storage_map.hpp"
+#include "storage/placement.hpp"
+#include "storage/pull_responder.hpp"
 
 namespace chutevane::storage {
 namespace {
 
 using common::Turn;
 
-constexpr Span disk_again = Span::ms(100);      // between tries of a disk that fails
-constexpr Span chain_most = Span::ms(60);       // for another's answer with what a chain lacks here
-constexpr std::size_t chain_bytes = 4U << 20U;  // of one answer to an edge
-constexpr Span leave_again = Span::ms(50);      // between looks whether the map still names a leaving one
-constexpr Span last_words = Span::ms(200);      // for what is still to be sent
-constexpr Span grace_spare = Span::ms(600);     // before the platform ends it by force
-constexpr double store_part = 0.5;              // of the memory: the rest is for what comes and goes
-
-std::size_t room_of(const common::ProcessSettings& s) {
-  double mb = s.memory_mb > 0 ? s.memory_mb * store_part : 1e6;
-  if (s.disk_mb > 0) mb = std::min(mb, s.disk_mb * store_part);
+constexpr std::size_t max_chain_reply_bytes = std::size_t{4} << 20U;
+constexpr Span expiry_interval = Span::ms(1000);
+constexpr Span drain_poll_interval = Span::ms(50);  // between looks whether the map still names this node
+constexpr Span flush_delay = Span::ms(200);         // for messages that are still to be sent
+constexpr Span grace_margin = Span::ms(600);        // before the platform ends the process by force
+/// Of the memory or disk, for turns: the rest is for what comes and goes.
+constexpr double capacity_fraction = 0.5;
+constexpr double unlimited_mb = 1e6;
+
+std::size_t store_capacity(const common::ProcessSettings& settings) {
+  double mb = settings.memory_mb > 0 ? settings.memory_mb * capacity_fraction : unlimited_mb;
+  if (settings.disk_mb > 0) mb = std::min(mb, settings.disk_mb * capacity_fraction);
   return static_cast<std::size_t>(mb * 1e6);
 }
 
+/// A node that was not draining is gone now, or draining: programs that it held are assigned to others.
+bool has_lost_member(const ServedMap& before, const ServedMap& after) {
+  const auto stays = [&](const std::string& name) {
+    return std::any_of(after.nodes.begin(), after.nodes.end(),
+                       [&](const common::StorageNode& node) { return node.node == name && !node.draining; });
+  };
+  return std::any_of(before.nodes.begin(), before.nodes.end(),
+                     [&](const common::StorageNode& node) { return !node.draining && !stays(node.node); });
+}
+
 }  // namespace
 
 StoragePlane::StoragePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
@@ -33,321 +46,244 @@
       settings_(settings),
       timers_(scheduler),
       disk_(std::move(disk)),
-      record_slots_(*disk_, "storage"),
-      map_slots_(*disk_, "map"),
-      store_(*disk_, room_of(settings)),
+      identity_file_(*disk_, "storage"),
+      map_record_(*disk_, timers_),
+      store_(*disk_, store_capacity(settings)),
+      group_commit_(store_, timers_, [this](bool failing) { sessions_->report_disk_failing(failing); }),
+      peers_(scheduler, timers_, settings_.node),
+      transfer_({timers_, store_, group_commit_, peers_, map_, settings_.node},
+                [this] { on_transfer_complete(); }),
+      ancestor_fetcher_(timers_, store_, peers_, map_, settings_.node),
       rpc_server_(scheduler) {}
 
+// ---- start
+
 absl::Status StoragePlane::open() {
-  const auto got = record_slots_.recover();
-  if (got.ok()) {
-    if (!common::decode(got->checkpoint, record_)) return absl::DataLossError("storage: record not read");
-  } else {
-    if (!absl::IsNotFound(got.status()) && !absl::IsDataLoss(got.status())) return got.status();
-    record_.disk = disk_->generate_id();
-    if (absl::Status s = record_slots_.write_checkpoint(common::encoded(record_)); !s.ok()) return s;
-  }
-  if (absl::Status s = open_map_record(); !s.ok()) return s;
-  if (absl::Status s = store_.open(timers_.now()); !s.ok()) return s;
+  if (absl::Status s = recover_disk_identity(); !s.ok()) return s;
+  if (absl::Status s = map_record_.recover(identity_.disk); !s.ok()) return s;
+  if (absl::Status s = store_.recover(timers_.now()); !s.ok()) return s;
   listen();
+  open_sessions();
+  expire_periodically();
+  common::log_info("storage.open", "disk " + identity_.disk + ", " + std::to_string(store_.turn_count()) +
+                                       " turns, " + std::to_string(store_.account_count()) + " accounts");
+  return absl::OkStatus();
+}
+
+absl::Status StoragePlane::recover_disk_identity() {
+  const auto recovered = identity_file_.recover();
+  if (recovered.ok()) {
+    if (common::decode(recovered->checkpoint, identity_)) return absl::OkStatus();
+    return absl::DataLossError("storage: record not read");
+  }
+  if (!absl::IsNotFound(recovered.status()) && !absl::IsDataLoss(recovered.status()))
+    return recovered.status();
+  // A new disk, or one that has lost who it was, which counts as a new one.
+  identity_.disk = disk_->generate_id();
+  return identity_file_.write_checkpoint(common::encoded(identity_));
+}
+
+void StoragePlane::open_sessions() {
   common::Member self;
   self.node = settings_.node;
   self.plane = "storage";
-  self.disk = record_.disk;
+  self.disk = identity_.disk;
   self.address = net::text_of(settings_.internal_address(common::storage_plane_port));
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
   sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
-  sessions_->on_value([this](const common::RegisterValue& value) { value_came(value); });
-  sweep();
-  common::log_info("storage.open", "disk " + record_.disk + ", " + std::to_string(store_.turns()) +
-                                       " turns, " + std::to_string(store_.accounts()) + " accounts");
-  return absl::OkStatus();
-}
-
-// One that can't be read says nothing: it takes over anew.
-absl::Status StoragePlane::open_map_record() {
-  const auto got = map_slots_.recover();
-  const bool none = absl::IsNotFound(got.status()) || absl::IsDataLoss(got.status());
-  if (!got.ok() && !none) return got.status();
-  const bool read = got.ok() && common::decode(got->checkpoint, map_record_);
-  if (!read || map_record_.disk != record_.disk) map_record_ = {record_.disk, 0, false};
-  return absl::OkStatus();
-}
-
-ReplicaStatus StoragePlane::check(std::int64_t map) const {
-  if (map < map_) return ReplicaStatus::caller_map_stale;
-  if (map > map_) return ReplicaStatus::replica_map_stale;
-  return ReplicaStatus::ok;
-}
-
-void StoragePlane::when_synced(std::function<void()> then) {
-  synced_.push_back(std::move(then));
-  if (sync_due_) return;
-  sync_due_ = true;
-  // All that comes in the same turn goes to disk at once.
-  timers_.after(Span(), [this] { sync(); });
-}
-
-// What waits for a disk that fails is told once it works again; nothing else is taken up meanwhile.
-void StoragePlane::sync() {
-  const bool worked = disk_health_.is_healthy();
-  const TimePoint began = timers_.now();
-  const absl::Status committed = store_.commit(began);
-  ++syncs_;
-  sync_time_ = sync_time_ + (timers_.now() - began);
-  if (!disk_health_.record_outcome(committed)) {
-    if (worked) sessions_->report_disk_failing(true);
-    timers_.after(disk_again, [this] { sync(); });
-    return;
-  }
-  if (!worked) sessions_->report_disk_failing(false);
-  sync_due_ = false;
-  std::vector<std::function<void()>> told;
-  told.swap(synced_);
-  for (const auto& one : told) one();
+  sessions_->on_value([this](const common::RegisterValue& value) { on_value(value); });
 }
 
 void StoragePlane::listen() {
   rpc_server_.on<common::ReserveRequest>(
-      [this](Connection& connection, std::uint64_t number, common::ReserveRequest& ask) {
-        common::ReserveReply out;
-        out.map_version = map_;
-        ReplicaStatus verdict = check(ask.map_version);
-        if (verdict == ReplicaStatus::ok && (!ready_ || map_record_due_ || store_.failing()))
-          verdict = ReplicaStatus::not_ready;
-        out.verdict = static_cast<std::int64_t>(verdict);
-        note_answer(Asked::reserve, verdict, ask.attempt, ask.map_version);
-        if (verdict != ReplicaStatus::ok) return connection.reply(number, out);
-        out.others = store_.reserve(ask.program, ask.attempt, ask.max_tokens, timers_.now());
-        answer_when_synced(connection, number, std::move(out));
+      [this](Connection& connection, std::uint64_t number, common::ReserveRequest& request) {
+        on_reserve(connection, number, request);
       });
-  rpc_server_.on<common::CommitUsage>([this](Connection&, std::uint64_t, common::CommitUsage& word) {
-    store_.settle(word.program, word.attempt, word.used_tokens, timers_.now());
-    when_synced([] {});
-  });
+  rpc_server_.on<common::CommitUsage>(
+      [this](Connection&, std::uint64_t, common::CommitUsage& message) { on_commit_usage(message); });
   rpc_server_.on<common::StoreTurnRequest>(
-      [this](Connection& connection, std::uint64_t number, common::StoreTurnRequest& ask) {
-        common::StoreTurnReply out;
-        out.map_version = map_;
-        ReplicaStatus verdict = check(ask.map_version);
-        if (verdict == ReplicaStatus::ok && ((joining() && !ready_) || map_record_due_))
-          verdict = ReplicaStatus::not_ready;
-        if (verdict == ReplicaStatus::ok && (store_.failing() || !store_.keep(ask.turn, timers_.now())))
-          verdict = ReplicaStatus::out_of_capacity;
-        out.verdict = static_cast<std::int64_t>(verdict);
-        note_answer(Asked::keep, verdict, ask.turn.id, ask.map_version);
-        if (verdict != ReplicaStatus::ok) return connection.reply(number, out);
-        if (ask.used_tokens >= 0)
-          store_.settle(ask.turn.program, ask.turn.id, ask.used_tokens, timers_.now());
-        const std::uint64_t id = connection.id();
-        with_chain(ask.turn, [this, id, number, out] {
-          if (const Connection* const there = rpc_server_.find(id)) answer_when_synced(*there, number, out);
-        });
+      [this](Connection& connection, std::uint64_t number, common::StoreTurnRequest& request) {
+        on_store_turn(connection, number, request);
+      });
+  rpc_server_.on<common::FindTurnRequest>(
+      [this](Connection& connection, std::uint64_t number, common::FindTurnRequest& request) {
+        on_find_turn(connection, number, request);
       });
-  rpc_server_.on<common::FindTurnRequest>([this](Connection& connection, std::uint64_t number,
-                                                 common::FindTurnRequest& ask) {
-    common::FindTurnReply out;
-    out.map_version = map_;
-    for (const Turn* t : store_.chain(ask.id, chain_bytes, timers_.now())) out.turns.push_back(*t);
-    const ReplicaStatus verdict = out.turns.empty() ? verdict_on_missing(ask.map_version) : ReplicaStatus::ok;
-    out.verdict = static_cast<std::int64_t>(verdict);
-    note_answer(Asked::find, verdict, ask.attempt, ask.map_version);
-    connection.reply(number, out);
-  });
   rpc_server_.on<common::PullRequest>(
-      [this](Connection& connection, std::uint64_t number, common::PullRequest& ask) {
-        answer_pull(connection, number, ask);
+      [this](Connection& connection, std::uint64_t number, common::PullRequest& request) {
+        on_pull(connection, number, request);
       });
   rpc_server_.listen(settings_.internal_listen_address(common::storage_plane_port));
 }
 
-std::string_view StoragePlane::name_of(Asked asked) {
-  switch (asked) {
-    case Asked::reserve: return "reserve";
-    case Asked::keep: return "keep";
-    case Asked::find: return "find";
-  }
-  return "";
+// ---- requests
+
+ReplicaStatus StoragePlane::reserve_status(std::int64_t caller_map) const {
+  const ReplicaStatus status = map_.check(caller_map);
+  if (status != ReplicaStatus::ok) return status;
+  const bool can_answer = transfer_.is_ready() && !map_record_.is_pending() && !store_.is_failing();
+  return can_answer ? ReplicaStatus::ok : ReplicaStatus::not_ready;
 }
 
-// It has come in by a map that others may not have yet. Until it has taken over from enough of them, so many
-// may lag that an edge which lags as well would believe them that there is no such turn: what it keeps does
-// not count.
-bool StoragePlane::joining() const {
-  return std::any_of(storage_nodes_.begin(), storage_nodes_.end(), [&](const common::StorageNode& c) {
-    return c.node == settings_.node && c.bootstrapping;
-  });
+void StoragePlane::on_reserve(Connection& connection, std::uint64_t number,
+                              const common::ReserveRequest& request) {
+  const ReplicaStatus status = reserve_status(request.map_version);
+  common::ReserveReply reply;
+  reply.map_version = map_.version;
+  reply.verdict = static_cast<std::int64_t>(status);
+  record_answer(RequestKind::reserve, status, request.attempt, request.map_version);
+  if (status != ReplicaStatus::ok) return connection.reply(number, reply);
+  reply.others = store_.reserve(request.program, request.attempt, request.max_tokens, timers_.now());
+  respond_after_commit(connection, number, std::move(reply));
 }
 
-// Of a turn that is not here.
-ReplicaStatus StoragePlane::verdict_on_missing(std::int64_t asked_map) const {
-  const ReplicaStatus at = check(asked_map);
-  if (at != ReplicaStatus::ok) return at;
-  const ReplicaStatus verdict = whole_ ? ReplicaStatus::not_found : ReplicaStatus::indeterminate;
-  common::check_invariant(common::Invariant::unknown_only_when_whole,
-                          verdict != ReplicaStatus::not_found || take_over_is_done(),
-                          [&] { return "map " + std::to_string(map_) + ", " + describe_take_over(); });
-  return verdict;
+void StoragePlane::on_commit_usage(const common::CommitUsage& message) {
+  store_.commit_usage(message.program, message.attempt, message.used_tokens, timers_.now());
+  group_commit_.schedule();
 }
 
-// Whether as many sources have told all as have to.
-bool StoragePlane::take_over_is_done() const {
-  std::int64_t done = 0;
-  for (const auto& [node, t] : taking_) done += t.done ? 1 : 0;
-  return done + may_miss_ >= static_cast<std::int64_t>(taking_.size());
+/// Stores the turn, too, where the status is `ok`.
+ReplicaStatus StoragePlane::store_status(const common::StoreTurnRequest& request) {
+  const ReplicaStatus status = map_.check(request.map_version);
+  if (status != ReplicaStatus::ok) return status;
+  // While this node is bootstrapping, so many of the others may still go by the map before that an edge which
+  // lags as well would believe them that there is no such turn: what is stored here then must not count.
+  const bool must_wait = is_bootstrapping() && !transfer_.is_ready();
+  if (must_wait || map_record_.is_pending()) return ReplicaStatus::not_ready;
+  const bool stored = !store_.is_failing() && store_.store_turn(request.turn, timers_.now());
+  return stored ? ReplicaStatus::ok : ReplicaStatus::out_of_capacity;
 }
 
-std::string StoragePlane::describe_take_over() const {
-  std::size_t accounts = 0, turns = 0;
-  for (const auto& [node, t] : taking_) {
-    accounts += t.accounts_done ? 1 : 0;
-    turns += t.done ? 1 : 0;
-  }
-  return std::string(whole_   ? "whole"
-                     : ready_ ? "ready"
-                              : "taking over") +
-         ", sources " + std::to_string(taking_.size()) + ", told accounts " + std::to_string(accounts) +
-         ", told turns " + std::to_string(turns) + ", may miss " + std::to_string(may_miss_);
+void StoragePlane::on_store_turn(Connection& connection, std::uint64_t number,
+                                 const common::StoreTurnRequest& request) {
+  const ReplicaStatus status = store_status(request);
+  common::StoreTurnReply reply;
+  reply.map_version = map_.version;
+  reply.verdict = static_cast<std::int64_t>(status);
+  record_answer(RequestKind::store_turn, status, request.turn.id, request.map_version);
+  if (status != ReplicaStatus::ok) return connection.reply(number, reply);
+  if (request.used_tokens >= 0)
+    store_.commit_usage(request.turn.program, request.turn.id, request.used_tokens, timers_.now());
+  ancestor_fetcher_.complete_chain(request.turn, [this, id = connection.id(), number, reply] {
+    if (const Connection* const caller = rpc_server_.find(id)) respond_after_commit(*caller, number, reply);
+  });
 }
 
-// What is not answered as asked is told with the attempt that it was for, at a bounded rate. A turn that is
-// not there is the common answer to those who ask for one, and told by the edge where it matters.
-void StoragePlane::note_answer(Asked asked, ReplicaStatus verdict, const std::string& attempt,
-                               std::int64_t map) {
-  ++answers_[static_cast<std::size_t>(asked)][static_cast<std::size_t>(verdict)];
-  if (verdict == ReplicaStatus::ok || verdict == ReplicaStatus::not_found) return;
-  if (!refusals_.admits(timers_.now())) return;
-  refusals_.line("id=" + (attempt.empty() ? "none" : attempt) + " asked=" + std::string(name_of(asked)) +
-                 " verdict=" + std::string(name_of(verdict)) + " asked_map=" + std::to_string(map) +
-                 " map=" + std::to_string(map_) + " state=" + describe_take_over());
+void StoragePlane::on_find_turn(Connection& connection, std::uint64_t number,
+                                const common::FindTurnRequest& request) {
+  common::FindTurnReply reply;
+  reply.map_version = map_.version;
+  for (const Turn* const turn : store_.read_chain(request.id, max_chain_reply_bytes, timers_.now()))
+    reply.turns.push_back(*turn);
+  const ReplicaStatus status =
+      reply.turns.empty() ? missing_turn_status(request.map_version) : ReplicaStatus::ok;
+  reply.verdict = static_cast<std::int64_t>(status);
+  record_answer(RequestKind::find_turn, status, request.attempt, request.map_version);
+  connection.reply(number, reply);
 }
 
-void StoragePlane::write_metrics(common::MetricsWriter& out) {
-  using Type = common::MetricsWriter::Type;
-  const auto gauge = [&](std::string_view name, std::string_view unit, std::string_view help, double value) {
-    out.gauge(name, unit, help, value);
-  };
-  out.begin(Type::counter, "chutevane_storage_answers", "",
-            "Answers to edges, by what was asked and the verdict.");
-  for (std::size_t a = 0; a < asked_kinds; ++a) {
-    for (std::size_t v = 0; v < replica_status_count; ++v) {
-      if (answers_[a][v] > 0)
-        out.sample(
-            static_cast<double>(answers_[a][v]),
-            {{"asked", name_of(static_cast<Asked>(a))}, {"verdict", name_of(static_cast<ReplicaStatus>(v))}});
-    }
-  }
-  gauge("chutevane_storage_turns", "", "Turns held.", static_cast<double>(store_.turns()));
-  gauge("chutevane_storage_accounts", "", "Accounts of programs held.",
-        static_cast<double>(store_.accounts()));
-  gauge("chutevane_storage_bytes", "bytes", "Turns in memory and on disk.",
-        static_cast<double>(store_.bytes()));
-  gauge("chutevane_storage_map", "", "Number of the map of storage nodes.", static_cast<double>(map_));
-  gauge("chutevane_storage_nodes", "", "Storage nodes in that map.",
-        static_cast<double>(storage_nodes_.size()));
-  gauge("chutevane_storage_ready", "", "1 where accounts are complete by that map.", ready_ ? 1 : 0);
-  gauge("chutevane_storage_whole", "", "1 where turns are complete by that map.", whole_ ? 1 : 0);
-  gauge("chutevane_storage_sources", "", "Other nodes of the take-over under way, or of the last one.",
-        static_cast<double>(taking_.size()));
-  counter_of_syncs(out);
-  gauge("chutevane_disk_failing", "", "1 while the disk takes nothing.", store_.failing() ? 1 : 0);
-  gauge("chutevane_control_sessions", "", "Sessions with control that stand.",
-        static_cast<double>(sessions_->usable_count()));
-  gauge("chutevane_knowledge_age_seconds", "seconds", "Age of what is known from control.",
-        sessions_->knowledge_age().as_ms() / 1000);
+ReplicaStatus StoragePlane::missing_turn_status(std::int64_t caller_map) const {
+  const ReplicaStatus status = map_.check(caller_map);
+  if (status != ReplicaStatus::ok) return status;
+  if (!transfer_.is_complete()) return ReplicaStatus::indeterminate;
+  common::check_invariant(common::Invariant::unknown_only_when_whole, transfer_.has_enough_sources(), [this] {
+    return "map " + std::to_string(map_.version) + ", " + transfer_.describe();
+  });
+  return ReplicaStatus::not_found;
 }
 
-void StoragePlane::counter_of_syncs(common::MetricsWriter& out) const {
-  out.counter("chutevane_disk_syncs", "", "Syncs of the disk.", static_cast<double>(syncs_));
-  out.counter("chutevane_disk_sync_seconds", "seconds", "Time in syncs of the disk.",
-              sync_time_.as_ms() / 1000);
+void StoragePlane::on_pull(Connection& connection, std::uint64_t number, const common::PullRequest& request) {
+  // Silent, as a node that is lost: the requester skips this source where it may.
+  if (store_.is_failing() || map_record_.is_pending()) return;
+  const PullSource source{store_, map_, settings_.node, identity_.disk, settings_.machine_losses};
+  respond_after_commit(connection, number, make_pull_reply(request, source));
 }
 
-// ---- chains
-
-struct StoragePlane::ChainFetch {
-  common::Turn turn;
-  std::function<void()> then;
-  std::vector<std::string> sources;  // addresses that were not asked yet for what is missing now
-  std::string missing;
-};
-
-void StoragePlane::with_chain(const Turn& turn, std::function<void()> then) {
-  if (store_.first_missing(turn.id).empty()) return then();
-  auto fetch = std::make_shared<ChainFetch>();
-  fetch->turn = turn;
-  fetch->then = std::move(then);
-  fetch_chain(fetch);
+void StoragePlane::record_answer(RequestKind kind, ReplicaStatus status, const std::string& attempt,
+                                 std::int64_t caller_map) {
+  request_stats_.record({kind, status, attempt, caller_map}, map_.version, timers_.now(),
+                        [this] { return transfer_.describe(); });
 }
 
-void StoragePlane::fetch_chain(const std::shared_ptr<ChainFetch>& fetch) {
-  const std::string missing = store_.first_missing(fetch->turn.id);
-  if (missing != fetch->missing) {
-    fetch->missing = missing;
-    fetch->sources.clear();
-    for (const common::StorageNode& c : storage_nodes_) {
-      if (c.node != settings_.node) fetch->sources.push_back(c.address);
-    }
-  }
-  if (missing.empty() || fetch->sources.empty()) {
-    store_.keep(fetch->turn, timers_.now());  // what has come lasts as long as the turn
-    return fetch->then();
-  }
-  const std::string from = fetch->sources.back();
-  fetch->sources.pop_back();
-  link(from).call<common::FindTurnReply>(common::FindTurnRequest{map_, missing, ""}, chain_most,
-                                         [this, fetch](auto got) { fetched(fetch, std::move(got)); });
+// ---- maps
+
+bool StoragePlane::is_bootstrapping() const {
+  return std::any_of(map_.nodes.begin(), map_.nodes.end(), [&](const common::StorageNode& node) {
+    return node.node == settings_.node && node.bootstrapping;
+  });
 }
 
-void StoragePlane::fetched(const std::shared_ptr<ChainFetch>& fetch,
-                           absl::StatusOr<common::FindTurnReply> got) {
-  if (got.ok()) {
-    for (const Turn& t : got->turns) store_.keep(t, timers_.now());
-  }
-  fetch_chain(fetch);
+bool StoragePlane::stays_complete(const ServedMap& previous) const {
+  const bool was_complete = previous.version > 0 && transfer_.is_ready() && transfer_.is_complete();
+  // A map in between may have removed this node: it would have missed what was stored under that one.
+  const bool is_next_map = map_.version == previous.version + 1;
+  return was_complete && is_next_map && previous.names(settings_.node, identity_.disk) &&
+         !has_lost_member(previous, map_);
 }
 
-common::RpcClient& StoragePlane::link(const std::string& address) {
-  auto& at = links_[address];
-  if (!at) {
-    const auto to = net::parse_address(address);
-    at = std::make_unique<common::RpcClient>(scheduler_, timers_, to.value_or(sockaddr_in{}),
-                                             std::hash<std::string>()(address + settings_.node));
+void StoragePlane::on_value(const common::RegisterValue& value) {
+  // A controller that lags.
+  if (value.map_version <= map_.version || value.map_version < map_record_.version()) return;
+  const ServedMap previous = std::exchange(map_, ServedMap{value.map_version, value.storage_nodes});
+  if (stays_complete(previous)) {
+    map_record_.write(map_.version, true);
+    sessions_->report_complete_map(map_.version);
+    return;
+  }
+  const bool is_named = map_.names(settings_.node, identity_.disk);
+  if (previous.version == 0 && is_named && map_record_.was_complete_at(map_.version)) {
+    transfer_.resume_complete();
+    common::log_info("storage.returned", "map " + std::to_string(map_.version));
+    sessions_->report_complete_map(map_.version);
+    return;
   }
-  return *at;
+  map_record_.write(map_.version, false);
+  if (!is_named) {
+    transfer_.cancel();
+    return;
+  }
+  transfer_.start(static_cast<std::int64_t>(settings_.machine_losses) -
+                  static_cast<std::int64_t>(common::missing_replicas(value)));
+}
+
+void StoragePlane::on_transfer_complete() {
+  sessions_->report_complete_map(map_.version);
+  group_commit_.after_commit([this, version = map_.version] {
+    if (transfer_.is_complete() && version == map_.version) map_record_.write(version, true);
+  });
 }
 
-void StoragePlane::sweep() {
-  store_.sweep(timers_.now());
-  if (store_.dirty()) when_synced([] {});
-  timers_.after(Span::ms(1000), [this] { sweep(); });
+// ---- expiry and shutdown
+
+void StoragePlane::expire_periodically() {
+  store_.expire(timers_.now());
+  if (store_.has_uncommitted()) group_commit_.schedule();
+  timers_.after(expiry_interval, [this] { expire_periodically(); });
 }
 
-// Its disk may go with it, and it may hold one of the last copies: the others take over while it is there.
 void StoragePlane::begin_shutdown() {
-  if (leaving_) return;
-  leaving_ = true;
+  if (shutting_down_) return;
+  shutting_down_ = true;
   sessions_->report_draining();
-  go_when_released(timers_.now() + settings_.grace - grace_spare);
+  exit_when_drained(timers_.now() + settings_.grace - grace_margin);
 }
 
-bool StoragePlane::may_go() const {
-  const bool listed = std::any_of(storage_nodes_.begin(), storage_nodes_.end(),
-                                  [&](const common::StorageNode& c) { return c.node == settings_.node; });
-  const auto others =
-      std::count_if(storage_nodes_.begin(), storage_nodes_.end(),
-                    [&](const common::StorageNode& c) { return !c.draining && c.node != settings_.node; });
-  return !listed || static_cast<std::size_t>(others) < replica_group_size(settings_.machine_losses);
+bool StoragePlane::may_exit() const {
+  const bool is_named = map_.find(settings_.node) != nullptr;
+  const auto others = std::count_if(
+      map_.nodes.begin(), map_.nodes.end(),
+      [&](const common::StorageNode& node) { return !node.draining && node.node != settings_.node; });
+  return !is_named || static_cast<std::size_t>(others) < replica_group_size(settings_.machine_losses);
 }
 
-void StoragePlane::go_when_released(TimePoint latest) {
-  if (!may_go() && timers_.now() < latest) {
-    timers_.after(leave_again, [this, latest] { go_when_released(latest); });
+void StoragePlane::exit_when_drained(TimePoint deadline) {
+  if (!may_exit() && timers_.now() < deadline) {
+    timers_.after(drain_poll_interval, [this, deadline] { exit_when_drained(deadline); });
     return;
   }
   sessions_->close();
-  timers_.after(last_words, [this] { finished_ = true; });
+  timers_.after(flush_delay, [this] { finished_ = true; });
 }
 
 }  // namespace chutevane::storage
--- a/tests/ctl/folder_test.cpp
+++ b/tests/ctl/folder_test.cpp
@@ -11,7 +11,7 @@
 #include "common/memory_disk.hpp"
 #include "control/register.hpp"
 #include "played.hpp"
-#include "storage/store.hpp"
+#include "storage/replica_store.hpp"
 
 using namespace chutevane;
 using namespace chutevane::ctl;
@@ -79,21 +79,21 @@
     CHECK(state.accept(accept).ok());
   }
   void write_store() {
-    storage::Store store(disk, 1U << 20U);
-    CHECK(store.open(TimePoint::at_ms(0)).ok());
+    storage::ReplicaStore store(disk, 1U << 20U);
+    CHECK(store.recover(TimePoint::at_ms(0)).ok());
     store.reserve("p", "x", 100, TimePoint::at_ms(0));
-    store.settle("p", "x", 60, TimePoint::at_ms(0));
+    store.commit_usage("p", "x", 60, TimePoint::at_ms(0));
     common::Turn turn;
     turn.id = "t1";
     turn.program = "p";
     turn.input.data = "in";
     turn.output.data = "out";
     turn.retention_ms = 1000;
-    CHECK(store.keep(turn, TimePoint::at_ms(0)));
+    CHECK(store.store_turn(turn, TimePoint::at_ms(0)));
     CHECK(store.commit(TimePoint::at_ms(0)).ok());
     turn.id = "t2";
     turn.previous = "t1";
-    CHECK(store.keep(turn, TimePoint::at_ms(0)));
+    CHECK(store.store_turn(turn, TimePoint::at_ms(0)));
     CHECK(store.commit(TimePoint::at_ms(0)).ok());
   }
 };
@@ -198,12 +198,12 @@
   write_store();
   for (const std::string name :
        {"turns.7.old", "turns.7x", "turns.", "turns.x", "turns.007", "turns.99999999999999999999"}) {
-    CHECK(!storage::Store::segment_of(name).has_value());
+    CHECK(!storage::SegmentLog::parse_file_name(name).has_value());
     CHECK(disk.append(name, "x").ok());
   }
-  storage::Store store(disk, 1U << 20U);
-  CHECK(store.open(TimePoint::at_ms(0)).ok());
-  LONGS_EQUAL(2, store.turns());
+  storage::ReplicaStore store(disk, 1U << 20U);
+  CHECK(store.recover(TimePoint::at_ms(0)).ok());
+  LONGS_EQUAL(2, store.turn_count());
   LONGS_EQUAL(6, look().unknown.size());
 }
 
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -27,8 +27,8 @@
 #include "net/scheduler.hpp"
 #include "snapshot/form.hpp"
 #include "snapshot/store.hpp"
+#include "storage/replica_store.hpp"
 #include "storage/storage_plane.hpp"
-#include "storage/store.hpp"
 
 namespace chutevane {
 namespace {
@@ -119,27 +119,27 @@
   const common::Turn first{"t1", "", "p1", {std::string("in\0 1", 5)}, {"out 1"}, 60000};
   const common::Turn second{"t2", "t1", "p1", {"in 2"}, {"out 2"}, 70000};
   MemoryDisk disk;
-  storage::Store store(disk, 1U << 20U);
-  ASSERT_TRUE(store.open(now).ok());
+  storage::ReplicaStore store(disk, 1U << 20U);
+  ASSERT_TRUE(store.recover(now).ok());
   store.reserve("p1", "a1", 100, now);
-  ASSERT_TRUE(store.keep(first, now) && store.commit(now).ok());
-  store.settle("p1", "a1", 40, now);
+  ASSERT_TRUE(store.store_turn(first, now) && store.commit(now).ok());
+  store.commit_usage("p1", "a1", 40, now);
   store.reserve("p1", "a2", 200, now);
-  ASSERT_TRUE(store.keep(second, now));
-  store.merge({"p2", {{"b1", 7, true}, {"b2", 300, false}}}, now);
+  ASSERT_TRUE(store.store_turn(second, now));
+  store.merge_account({"p2", {{"b1", 7, true}, {"b2", 300, false}}}, now);
   ASSERT_TRUE(store.commit(now).ok());
   compare_files(stored, "storage_segment/", disk);
 
   MemoryDisk before;
   fill(before, stored, "storage_segment/");
-  storage::Store opened(before, 1U << 20U);
-  ASSERT_TRUE(opened.open(now).ok());
-  ASSERT_NE(opened.find("t1"), nullptr);
-  ASSERT_NE(opened.find("t2"), nullptr);
-  EXPECT_EQ(*opened.find("t1"), first);
-  EXPECT_EQ(*opened.find("t2"), second);
+  storage::ReplicaStore opened(before, 1U << 20U);
+  ASSERT_TRUE(opened.recover(now).ok());
+  ASSERT_NE(opened.find_turn("t1"), nullptr);
+  ASSERT_NE(opened.find_turn("t2"), nullptr);
+  EXPECT_EQ(*opened.find_turn("t1"), first);
+  EXPECT_EQ(*opened.find_turn("t2"), second);
   std::vector<common::Account> accounts;
-  opened.each_account("", [&](const common::Account& a) { return accounts.push_back(a), true; });
+  opened.for_each_account("", [&](const common::Account& a) { return accounts.push_back(a), true; });
   EXPECT_EQ(accounts, (std::vector<common::Account>{{"p1", {{"a1", 40, true}, {"a2", 200, false}}},
                                                     {"p2", {{"b1", 7, true}, {"b2", 300, false}}}}));
 }
