--- a/src/storage/main.cpp
+++ b/src/storage/main.cpp
@@ -1,4 +1,4 @@
-// chutevane-storage: a storage sidecar.
+/// chutevane-storage: the program of a storage node (storage/storage_plane.hpp) on the machine's own disk.
 #include "common/posix_disk.hpp"
 #include "common/process.hpp"
 #include "storage/storage_plane.hpp"
--- a/tests/common/posix_disk_test.cpp
+++ b/tests/common/posix_disk_test.cpp
@@ -1,5 +1,7 @@
 // The machine's folder: which system calls make a new file last. A loss of power may take the name of a file
 // that was made without a sync of its folder, whatever was synced of the file itself.
+#include "common/posix_disk.hpp"
+
 #include <stdlib.h>
 #include <sys/stat.h>
 #include <sys/syscall.h>
@@ -10,7 +12,6 @@
 #include <string>
 #include <vector>
 
-#include "common/posix_disk.hpp"
 #include "unit.hpp"
 
 namespace {
@@ -37,7 +38,7 @@
   return static_cast<int>(::syscall(SYS_fdatasync, fd));
 }
 
-TEST_GROUP(FolderDiskNames) {
+TEST_GROUP(PosixDiskNames) {
   std::string folder;
   void setup() override {
     char pattern[] = "/tmp/chutevane-folder-XXXXXX";
@@ -52,7 +53,7 @@
   long syncs_of(const std::string& path) const { return std::count(synced.begin(), synced.end(), path); }
 };
 
-TEST(FolderDiskNames, ANewFilesNameIsSyncedWithIt) {
+TEST(PosixDiskNames, ANewFilesNameIsSyncedWithIt) {
   chutevane::common::PosixDisk disk(folder);
   CHECK_TRUE(disk.append("a", "text").ok());
   CHECK_TRUE(disk.sync("a").ok());
@@ -60,14 +61,14 @@
   CHECK_EQUAL(1, syncs_of(folder));
 }
 
-TEST(FolderDiskNames, AFileThatIsMadeByACutToo) {
+TEST(PosixDiskNames, AFileThatIsMadeByACutToo) {
   chutevane::common::PosixDisk disk(folder);
   CHECK_TRUE(disk.truncate("a", 0).ok());
   CHECK_TRUE(disk.sync("a").ok());
   CHECK_EQUAL(1, syncs_of(folder));
 }
 
-TEST(FolderDiskNames, TheFolderIsSyncedOncePerNewFile) {
+TEST(PosixDiskNames, TheFolderIsSyncedOncePerNewFile) {
   chutevane::common::PosixDisk disk(folder);
   for (int n = 0; n < 5; ++n) {
     CHECK_TRUE(disk.append("a", "text").ok());
@@ -81,7 +82,7 @@
 }
 
 // A process before this one may have been killed between making a file and syncing its name.
-TEST(FolderDiskNames, AFileOfAProcessBeforeIsSyncedWithItsName) {
+TEST(PosixDiskNames, AFileOfAProcessBeforeIsSyncedWithItsName) {
   {
     chutevane::common::PosixDisk before(folder);
     CHECK_TRUE(before.append("a", "text").ok());
--- a/tests/storage/storage_test.cpp
+++ b/tests/storage/replica_store_test.cpp
@@ -1,5 +1,6 @@
-// What a storage sidecar keeps: turns and accounts on a disk that loses power at every step, and their
-// placement.
+/// ReplicaStore: turns and accounts, also on a disk that loses power or fails at every step.
+#include "storage/replica_store.hpp"
+
 #include <algorithm>
 #include <map>
 #include <set>
@@ -8,8 +9,6 @@
 
 #include "common/memory_disk.hpp"
 #include "simulated_system.hpp"
-#include "storage/placement.hpp"
-#include "storage/replica_store.hpp"
 #include "unit.hpp"
 
 using chutevane::Span;
@@ -18,24 +17,20 @@
 using chutevane::common::DiskFault;
 using chutevane::common::MemoryDisk;
 using chutevane::common::Reservation;
-using chutevane::common::StorageNode;
 using chutevane::common::Turn;
 using chutevane::simulated::RandomSource;
-using chutevane::storage::quorum_size;
-using chutevane::storage::replica_group;
-using chutevane::storage::replica_group_size;
 using chutevane::storage::ReplicaStore;
 
 namespace {
 
-// What the other attempts have set aside or spent, together.
+/// Tokens that other attempts have reserved or used.
 int total(const std::vector<Reservation>& others) {
   std::int64_t out = 0;
   for (const Reservation& r : others) out += r.tokens;
   return static_cast<int>(out);
 }
 
-constexpr std::size_t room = 64U << 20U;
+constexpr std::size_t capacity = 64U << 20U;
 
 Turn turn(const std::string& id, const std::string& previous, double keep_ms = 60000, std::size_t size = 40) {
   Turn out;
@@ -60,13 +55,13 @@
 }
 
 std::int64_t tokens(const ReplicaStore& store, const std::string& program, const std::string& attempt,
-                    bool* settled = nullptr) {
+                    bool* committed = nullptr) {
   const auto all = accounts(store);
   const auto found = all.find(program);
   if (found == all.end()) return -1;
   for (const Reservation& r : found->second.entries) {
     if (r.attempt != attempt) continue;
-    if (settled != nullptr) *settled = r.committed;
+    if (committed != nullptr) *committed = r.committed;
     return r.tokens;
   }
   return -1;
@@ -74,14 +69,14 @@
 
 }  // namespace
 
-TEST_GROUP(StorageAccounts) {
+TEST_GROUP(ReplicaStoreAccounts) {
   MemoryDisk disk;
-  ReplicaStore store{disk, room};
+  ReplicaStore store{disk, capacity};
   TimePoint now = TimePoint::at_ms(1e6);
   void setup() override { CHECK_TRUE(store.recover(now).ok()); }
 };
 
-TEST(StorageAccounts, OthersAreCountedAndNotItsOwn) {
+TEST(ReplicaStoreAccounts, OthersAreCountedAndNotItsOwn) {
   CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
   CHECK_EQUAL(100, total(store.reserve("p", "b", 50, now)));
   CHECK_EQUAL(0, total(store.reserve("q", "c", 7, now)));
@@ -89,8 +84,8 @@
   CHECK_EQUAL(80, total(store.reserve("p", "d", 1, now)));
 }
 
-// The same order again, after an answer that was lost: it counts once.
-TEST(StorageAccounts, RepeatsChangeNothing) {
+// The same request again, after a reply that was lost, counts once.
+TEST(ReplicaStoreAccounts, RepeatsChangeNothing) {
   for (int n = 0; n < 3; ++n) CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
   CHECK_EQUAL(100, total(store.reserve("p", "b", 10, now)));
   CHECK_EQUAL(10, total(store.reserve("p", "a", 100, now)));
@@ -99,8 +94,8 @@
   CHECK_EQUAL(30, static_cast<int>(tokens(store, "p", "a")));
 }
 
-// A reservation that comes behind its settlement, on a slower way, does not set aside anew.
-TEST(StorageAccounts, ASettledOneIsNotRaisedAgain) {
+// A reservation that arrives after its usage was committed, on a slower link, reserves nothing.
+TEST(ReplicaStoreAccounts, CommittedUsageIsNotRaised) {
   store.reserve("p", "a", 100, now);
   store.commit_usage("p", "a", 0, now);
   CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
@@ -108,43 +103,44 @@
   store.commit_usage("q", "c", 12, now);  // before its reservation
   store.reserve("q", "c", 90, now);
   CHECK_EQUAL(12, total(store.reserve("q", "d", 1, now)));
-  store.merge_account({"q", {{"c", 90, false}}}, now);  // from one that has not heard of it
+  store.merge_account({"q", {{"c", 90, false}}}, now);  // from a peer that has missed it
   CHECK_EQUAL(12, total(store.reserve("q", "d", 1, now)));
 }
 
 // Whatever order reservations, settlements and other sidecars' accounts come in, and however often: the same
 // account, also after it is read again.
-TEST(StorageAccounts, OrderOfArrivalDoesNotMatter) {
-  struct Word {
+TEST(ReplicaStoreAccounts, OrderOfArrivalDoesNotMatter) {
+  struct Change {
     int kind;
     std::string attempt;
     std::int64_t tokens;
   };
-  const std::vector<Word> words = {{0, "a", 100}, {1, "a", 40}, {0, "b", 70}, {0, "c", 60},
-                                   {1, "c", 0},   {2, "a", 40}, {2, "b", 70}, {3, "a", 100}};
+  const std::vector<Change> changes = {{0, "a", 100}, {1, "a", 40}, {0, "b", 70}, {0, "c", 60},
+                                       {1, "c", 0},   {2, "a", 40}, {2, "b", 70}, {3, "a", 100}};
   std::map<std::string, Account> wanted;
-  std::vector<std::size_t> order(words.size());
+  std::vector<std::size_t> order(changes.size());
   for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
-  RandomSource luck(4);
+  RandomSource random(4);
   for (int round = 0; round < 600; ++round) {
-    for (std::size_t i = order.size(); i-- > 1;) std::swap(order[i], order[luck.below(i + 1)]);
+    for (std::size_t i = order.size(); i-- > 1;) std::swap(order[i], order[random.below(i + 1)]);
     MemoryDisk d;
-    ReplicaStore s(d, room);
+    ReplicaStore s(d, capacity);
     CHECK_TRUE(s.recover(now).ok());
     for (const std::size_t i : order) {
-      const Word& w = words[i];
-      for (std::size_t n = 1 + luck.below(2); n > 0; --n) {
-        if (w.kind == 0) s.reserve("p", w.attempt, w.tokens, now);
-        if (w.kind == 1) s.commit_usage("p", w.attempt, w.tokens, now);
-        if (w.kind == 2) s.merge_account({"p", {{w.attempt, w.tokens, w.attempt == "a"}}}, now);
-        if (w.kind == 3) s.merge_account({"p", {{w.attempt, w.tokens, false}}}, now);
-        if (luck.chance(0.3)) CHECK_TRUE(s.commit(now).ok());
+      const Change& change = changes[i];
+      for (std::size_t n = 1 + random.below(2); n > 0; --n) {
+        if (change.kind == 0) s.reserve("p", change.attempt, change.tokens, now);
+        if (change.kind == 1) s.commit_usage("p", change.attempt, change.tokens, now);
+        if (change.kind == 2)
+          s.merge_account({"p", {{change.attempt, change.tokens, change.attempt == "a"}}}, now);
+        if (change.kind == 3) s.merge_account({"p", {{change.attempt, change.tokens, false}}}, now);
+        if (random.chance(0.3)) CHECK_TRUE(s.commit(now).ok());
       }
     }
     CHECK_TRUE(s.commit(now).ok());
     if (wanted.empty()) wanted = accounts(s);
     CHECK_WHERE(accounts(s) == wanted, numbered("round ", round));
-    ReplicaStore again(d, room);
+    ReplicaStore again(d, capacity);
     CHECK_TRUE(again.recover(now).ok());
     CHECK_WHERE(accounts(again) == wanted, numbered("read again, round ", round));
   }
@@ -155,7 +151,7 @@
 }
 
 // An account is dropped long after its last entry, and not before.
-TEST(StorageAccounts, KeptLongAfterItsLastEntry) {
+TEST(ReplicaStoreAccounts, KeptLongAfterItsLastEntry) {
   store.reserve("p", "a", 100, now);
   for (int s = 0; s <= 170; s += 5) store.expire(now + Span::ms(s * 1000.0));
   CHECK_EQUAL(100, static_cast<int>(tokens(store, "p", "a")));
@@ -166,9 +162,9 @@
   CHECK_EQUAL(static_cast<std::size_t>(0), store.account_count());
 }
 
-TEST_GROUP(StorageTurns) {
+TEST_GROUP(ReplicaStoreTurns) {
   MemoryDisk disk;
-  ReplicaStore store{disk, room};
+  ReplicaStore store{disk, capacity};
   TimePoint now = TimePoint::at_ms(1e6);
   void setup() override { CHECK_TRUE(store.recover(now).ok()); }
   std::string chain(const std::string& id, std::size_t most = 1U << 30U) {
@@ -179,7 +175,7 @@
   std::size_t files() { return disk.list_files().size(); }
 };
 
-TEST(StorageTurns, KeptOnceHoweverOften) {
+TEST(ReplicaStoreTurns, KeptOnceHoweverOften) {
   CHECK_TRUE(store.store_turn(turn("a1", ""), now));
   const std::size_t bytes = store.turn_bytes();
   for (int n = 0; n < 3; ++n) CHECK_TRUE(store.store_turn(turn("a1", ""), now));
@@ -191,7 +187,7 @@
   CHECK_TRUE(store.find_turn("none") == nullptr);
 }
 
-TEST(StorageTurns, ChainTheNewestFirst) {
+TEST(ReplicaStoreTurns, ChainTheNewestFirst) {
   store.store_turn(turn("a1", ""), now);
   store.store_turn(turn("a2", "a1"), now);
   store.store_turn(turn("a3", "a2"), now);
@@ -205,7 +201,7 @@
 }
 
 // An answer has its size: the newest part, and never nothing.
-TEST(StorageTurns, ChainInParts) {
+TEST(ReplicaStoreTurns, ChainInParts) {
   store.store_turn(turn("a1", "", 60000, 1000), now);
   store.store_turn(turn("a2", "a1", 60000, 1000), now);
   store.store_turn(turn("a3", "a2", 60000, 1000), now);
@@ -215,7 +211,7 @@
 }
 
 // Names that go round in a ring end nowhere, and are answered all the same.
-TEST(StorageTurns, RingOfNames) {
+TEST(ReplicaStoreTurns, RingOfNames) {
   store.store_turn(turn("a1", "a2"), now);
   store.store_turn(turn("a2", "a1"), now);
   CHECK_TRUE(store.read_chain("a1", 1U << 30U, now).size() < 20000);
@@ -223,7 +219,7 @@
   CHECK_TRUE(store.read_chain("b1", 1U << 30U, now).size() < 20000);
 }
 
-TEST(StorageTurns, RefusedWhenFullAndNothingIsBegun) {
+TEST(ReplicaStoreTurns, RefusedWhenFullAndNothingIsBegun) {
   MemoryDisk d;
   ReplicaStore small(d, 2000);
   CHECK_TRUE(small.recover(now).ok());
@@ -238,7 +234,7 @@
 }
 
 // A turn is there for its whole time, and with it all that it goes on from, which is in use as long.
-TEST(StorageTurns, KeptForItsTimeWithItsChain) {
+TEST(ReplicaStoreTurns, KeptForItsTimeWithItsChain) {
   store.store_turn(turn("a1", "", 10000), now);
   store.store_turn(turn("b1", "", 10000), now);
   const TimePoint later = now + Span::ms(9000);
@@ -256,7 +252,7 @@
 
 // Which turn a chain lacks here: whoever is asked to keep the newest has to have it too, so that it lasts as
 // long.
-TEST(StorageTurns, WhatAChainLacks) {
+TEST(ReplicaStoreTurns, WhatAChainLacks) {
   store.store_turn(turn("a1", ""), now);
   store.store_turn(turn("a3", "a2"), now);
   CHECK_TRUE(store.first_missing_ancestor("a1").empty());
@@ -270,7 +266,7 @@
 }
 
 // A program that goes on from another's turns needs them where its own are.
-TEST(StorageTurns, ChainsThatCrossPrograms) {
+TEST(ReplicaStoreTurns, ChainsThatCrossPrograms) {
   store.store_turn(turn("a1", ""), now);
   store.store_turn(turn("a2", "a1"), now);
   store.store_turn(turn("b1", "a2"), now);
@@ -284,11 +280,11 @@
 }
 
 // Read again it has its time anew: never less than it had.
-TEST(StorageTurns, TimeAfterALossIsNoShorter) {
+TEST(ReplicaStoreTurns, TimeAfterALossIsNoShorter) {
   store.store_turn(turn("a1", "", 10000), now);
   CHECK_TRUE(store.commit(now).ok());
   disk.power_cycle(1);
-  ReplicaStore again(disk, room);
+  ReplicaStore again(disk, capacity);
   const TimePoint later = now + Span::ms(5000);
   CHECK_TRUE(again.recover(later).ok());
   for (int ms = 0; ms <= 10000; ms += 1000) {
@@ -298,7 +294,7 @@
 }
 
 // Segments whose turns are past are removed; what is still in use of an old one is written again first.
-TEST(StorageTurns, SegmentsAreRemoved) {
+TEST(ReplicaStoreTurns, SegmentsAreRemoved) {
   std::size_t most_files = 0;
   store.store_turn(turn("keep", "", 1e9), now);
   store.reserve("p", "attempt", 77, now);
@@ -312,7 +308,7 @@
   }
   CHECK_TRUE(most_files >= 3 && most_files < 20);  // 96 MB went through, in segments of 4
   disk.power_cycle(3);
-  ReplicaStore again(disk, room);
+  ReplicaStore again(disk, capacity);
   CHECK_TRUE(again.recover(now + Span::ms(400000)).ok());
   CHECK_TRUE(again.find_turn("keep") != nullptr && *again.find_turn("keep") == turn("keep", "", 1e9));
   CHECK_EQUAL(77, static_cast<int>(tokens(again, "p", "attempt")));
@@ -320,7 +316,7 @@
 }
 
 // In the order of their names, from any place on, each once.
-TEST(StorageTurns, WalkedInParts) {
+TEST(ReplicaStoreTurns, WalkedInParts) {
   for (int n = 0; n < 57; ++n) {
     store.store_turn(turn(numbered("t", 100 + n), ""), now);
     store.reserve(numbered("p", 100 + n), "a", 1, now);
@@ -352,107 +348,109 @@
 
 namespace {
 
-// A storage sidecar's work, with what commit() has said OK to.
-struct Ledgered {
+/// Changes to a store, with what commit() has acknowledged of them.
+struct RecordedWorkload {
   struct State {
     std::map<std::string, Turn> turns;
     std::map<std::pair<std::string, std::string>, Reservation> entries;
   };
-  State sure, tried;
+  State acknowledged, attempted;
 
   // Runs until a commit fails.
-  void run(ReplicaStore& store, TimePoint now, RandomSource& luck, int steps, int first = 0) {
+  void run(ReplicaStore& store, TimePoint now, RandomSource& random, int steps, int first = 0) {
     for (int n = first; n < first + steps; ++n) {
       const std::string id = numbered("t", n);
       const std::string program = numbered("p", n % 3);
-      if (luck.chance(0.7)) {
-        const Turn t = turn(id, n > 0 && luck.chance(0.7) ? numbered("t", n - 1) : "", 1e8, luck.below(300));
-        if (store.store_turn(t, now)) tried.turns[id] = t;
+      if (random.chance(0.7)) {
+        const Turn t =
+            turn(id, n > 0 && random.chance(0.7) ? numbered("t", n - 1) : "", 1e8, random.below(300));
+        if (store.store_turn(t, now)) attempted.turns[id] = t;
       }
-      if (luck.chance(0.7)) {
+      if (random.chance(0.7)) {
         store.reserve(program, id, 10 + n, now);
-        tried.entries.try_emplace({program, id}, Reservation{id, 10 + n, false});
+        attempted.entries.try_emplace({program, id}, Reservation{id, 10 + n, false});
       }
-      if (n > 0 && luck.chance(0.6)) {
-        const std::string settled = numbered("t", static_cast<int>(luck.below(static_cast<std::size_t>(n))));
+      if (n > 0 && random.chance(0.6)) {
+        const std::string settled =
+            numbered("t", static_cast<int>(random.below(static_cast<std::size_t>(n))));
         store.commit_usage(program, settled, n, now);
-        Reservation& r = tried.entries[{program, settled}];
+        Reservation& r = attempted.entries[{program, settled}];
         if (!r.committed) r = {settled, n, true};
       }
-      if (luck.chance(0.6)) {
+      if (random.chance(0.6)) {
         if (!store.commit(now).ok()) return;
-        sure = tried;
+        acknowledged = attempted;
       }
     }
-    if (store.commit(now).ok()) sure = tried;
+    if (store.commit(now).ok()) acknowledged = attempted;
   }
-  // All that was said OK to is there; what is there besides was tried.
+  // All that was said OK to is there; what is there besides was attempted.
   void check(const ReplicaStore& store, const std::string& where) const {
-    for (const auto& [id, t] : sure.turns) {
+    for (const auto& [id, t] : acknowledged.turns) {
       CHECK_WHERE(store.find_turn(id) != nullptr, where + ": lost turn " + id);
       CHECK_WHERE(*store.find_turn(id) == t, where + ": another turn " + id);
     }
     store.for_each_turn("", [&](const Turn& t) {
-      const auto found = tried.turns.find(t.id);
-      CHECK_WHERE(found != tried.turns.end() && found->second == t, where + ": unknown turn " + t.id);
+      const auto found = attempted.turns.find(t.id);
+      CHECK_WHERE(found != attempted.turns.end() && found->second == t, where + ": unknown turn " + t.id);
       return true;
     });
-    for (const auto& [key, r] : sure.entries) {
+    for (const auto& [key, r] : acknowledged.entries) {
       bool settled = false;
       const std::int64_t got = tokens(store, key.first, key.second, &settled);
-      const Reservation& newest = tried.entries.at(key);
-      const bool as_sure = got == r.tokens && settled == r.committed;
-      const bool as_tried = got == newest.tokens && settled == newest.committed;
-      CHECK_WHERE(as_sure || as_tried, where + ": entry " + key.first + " " + key.second);
+      const Reservation& newest = attempted.entries.at(key);
+      const bool as_acknowledged = got == r.tokens && settled == r.committed;
+      const bool as_attempted = got == newest.tokens && settled == newest.committed;
+      CHECK_WHERE(as_acknowledged || as_attempted, where + ": entry " + key.first + " " + key.second);
     }
   }
 };
 
 }  // namespace
 
-TEST_GROUP(StorageLosses) { TimePoint now = TimePoint::at_ms(1e6); };
+TEST_GROUP(ReplicaStoreLosses) { TimePoint now = TimePoint::at_ms(1e6); };
 
 // Power is lost at each step in turn: what commit() said OK to is there. The store goes on and loses power
 // again.
-TEST(StorageLosses, LossOfPowerAtEveryStep) {
+TEST(ReplicaStoreLosses, LossOfPowerAtEveryStep) {
   for (std::uint64_t seed = 0; seed < 6; ++seed) {
     std::size_t points = 0;
     {
       MemoryDisk disk;
-      ReplicaStore store(disk, room);
+      ReplicaStore store(disk, capacity);
       CHECK_TRUE(store.recover(now).ok());
-      RandomSource luck(seed);
-      Ledgered work;
-      work.run(store, now, luck, 30);
+      RandomSource random(seed);
+      RecordedWorkload work;
+      work.run(store, now, random, 30);
       points = disk.step_count();
     }
     CHECK_TRUE(points > 20);
     for (std::size_t point = 0; point <= points; ++point) {
       for (std::uint64_t loss = 0; loss < 8; ++loss) {
         const std::string where =
-            numbered("seed ", seed) + numbered(", point ", point) + numbered(", luck ", loss);
+            numbered("seed ", seed) + numbered(", point ", point) + numbered(", loss ", loss);
         MemoryDisk disk;
-        ReplicaStore store(disk, room);
+        ReplicaStore store(disk, capacity);
         CHECK_TRUE(store.recover(now).ok());
         disk.lose_power_at(point);
-        RandomSource luck(seed);
-        Ledgered work;
-        work.run(store, now, luck, 30);
+        RandomSource random(seed);
+        RecordedWorkload work;
+        work.run(store, now, random, 30);
         disk.power_cycle(loss);
-        ReplicaStore again(disk, room);
+        ReplicaStore again(disk, capacity);
         CHECK_WHERE(again.recover(now).ok(), where);
         work.check(again, where);
         // It goes on from what is there, and loses power once more.
-        Ledgered then;
-        again.for_each_turn("", [&](const Turn& t) { return then.sure.turns[t.id] = t, true; });
+        RecordedWorkload then;
+        again.for_each_turn("", [&](const Turn& t) { return then.acknowledged.turns[t.id] = t, true; });
         for (const auto& [program, account] : accounts(again)) {
-          for (const Reservation& r : account.entries) then.sure.entries[{program, r.attempt}] = r;
+          for (const Reservation& r : account.entries) then.acknowledged.entries[{program, r.attempt}] = r;
         }
-        then.tried = then.sure;
+        then.attempted = then.acknowledged;
         disk.lose_power_at(disk.step_count() + loss * 2);
-        then.run(again, now, luck, 12, 100);
+        then.run(again, now, random, 12, 100);
         disk.power_cycle(loss + 100);
-        ReplicaStore last(disk, room);
+        ReplicaStore last(disk, capacity);
         CHECK_WHERE(last.recover(now).ok(), where);
         then.check(last, where + ", second");
       }
@@ -462,7 +460,7 @@
 
 // The disk is full, or syncs fail, at each step in turn and for some steps, and the store goes on: what
 // commit() has said OK to is there whenever power is lost, and all of it once the disk works again.
-TEST(StorageLosses, GoesOnAfterAFaultAtEveryStep) {
+TEST(ReplicaStoreLosses, GoesOnAfterAFaultAtEveryStep) {
   for (const DiskFault fault :
        {DiskFault::full, DiskFault::sync_drops_writes, DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from < 24; ++from) {
@@ -470,27 +468,27 @@
         const std::string where = numbered("fault ", static_cast<int>(fault)) + numbered(", from ", from) +
                                   numbered(", steps ", length);
         MemoryDisk disk;
-        ReplicaStore store(disk, room);
+        ReplicaStore store(disk, capacity);
         CHECK_TRUE(store.recover(now).ok());
         disk.inject_fault(fault, from, from + length);
-        RandomSource luck(from);
-        Ledgered work;
+        RandomSource random(from);
+        RecordedWorkload work;
         std::size_t failed = 0;
         for (int part = 0; part < 12; ++part) {
-          work.run(store, now, luck, 3, part * 3);
+          work.run(store, now, random, 3, part * 3);
           failed += store.is_failing() ? 1 : 0;
           for (std::uint64_t loss = 0; loss < 4; ++loss) {
             MemoryDisk dark = disk;
             dark.power_cycle(loss);
-            ReplicaStore again(dark, room);
+            ReplicaStore again(dark, capacity);
             CHECK_WHERE(again.recover(now).ok(), where);
             work.check(again, where + numbered(", part ", part));
           }
         }
         while (!store.commit(now).ok()) CHECK_WHERE(disk.step_count() < from + length + 9, where);
-        work.sure = work.tried;
+        work.acknowledged = work.attempted;
         disk.power_cycle(from);
-        ReplicaStore last(disk, room);
+        ReplicaStore last(disk, capacity);
         CHECK_WHERE(last.recover(now).ok(), where);
         work.check(last, where + ", at the end");
         CHECK_WHERE(from > 15 || length < 5 || failed > 0, where + ": no fault was met");
@@ -501,9 +499,9 @@
 
 // No segment is removed, and none of what is in use written again, while the disk takes nothing: what waits
 // does not grow with time alone.
-TEST(StorageLosses, NothingIsWrittenAgainWhileTheDiskFails) {
+TEST(ReplicaStoreLosses, NothingIsWrittenAgainWhileTheDiskFails) {
   MemoryDisk disk;
-  ReplicaStore store(disk, room);
+  ReplicaStore store(disk, capacity);
   CHECK_TRUE(store.recover(now).ok());
   store.store_turn(turn("a", "", 1e9), now);
   store.reserve("p", "a", 7, now);
@@ -519,7 +517,7 @@
 }
 
 // While old segments are written again and removed, power is lost at each step.
-TEST(StorageLosses, LossOfPowerWhileSegmentsAreRemoved) {
+TEST(ReplicaStoreLosses, LossOfPowerWhileSegmentsAreRemoved) {
   const auto work = [&](ReplicaStore& store, MemoryDisk& disk, std::size_t point, bool* lasting) {
     *lasting = false;
     CHECK_TRUE(store.recover(now).ok());
@@ -541,16 +539,16 @@
   };
   for (std::size_t point = 0; point < 9; ++point) {
     for (std::uint64_t loss = 0; loss < 4; ++loss) {
-      const std::string where = numbered("point ", point) + numbered(", luck ", loss);
+      const std::string where = numbered("point ", point) + numbered(", loss ", loss);
       MemoryDisk disk;
-      ReplicaStore store(disk, room);
+      ReplicaStore store(disk, capacity);
       bool lasting = false;
       work(store, disk, point, &lasting);
       CHECK_WHERE(lasting, where);
       const std::size_t files = disk.list_files().size();
       if (point == 0) CHECK_WHERE(files <= 2, where);
       disk.power_cycle(loss);
-      ReplicaStore again(disk, room);
+      ReplicaStore again(disk, capacity);
       CHECK_WHERE(again.recover(now).ok(), where);
       CHECK_WHERE(again.find_turn("keep") != nullptr && *again.find_turn("keep") == turn("keep", "", 1e9),
                   where);
@@ -561,17 +559,17 @@
 }
 
 // A spoilt record ends its segment; the other segments are read.
-TEST(StorageLosses, SpoiltSegment) {
+TEST(ReplicaStoreLosses, SpoiltSegment) {
   MemoryDisk disk;
   {
-    ReplicaStore store(disk, room);
+    ReplicaStore store(disk, capacity);
     CHECK_TRUE(store.recover(now).ok());
     for (int n = 0; n < 3; ++n) {
       store.store_turn(turn(numbered("a", n), ""), now);
       CHECK_TRUE(store.commit(now).ok());
     }
   }
-  ReplicaStore second(disk, room);
+  ReplicaStore second(disk, capacity);
   CHECK_TRUE(second.recover(now).ok());
   second.store_turn(turn("b", ""), now);
   CHECK_TRUE(second.commit(now).ok());
@@ -580,7 +578,7 @@
   std::string text = *disk.read(names[0]);
   text[text.size() / 2] = static_cast<char>(text[text.size() / 2] ^ 4);
   CHECK_TRUE(disk.truncate(names[0], 0).ok() && disk.append(names[0], text).ok());
-  ReplicaStore again(disk, room);
+  ReplicaStore again(disk, capacity);
   CHECK_TRUE(again.recover(now).ok());
   CHECK_TRUE(again.find_turn("a0") != nullptr && again.find_turn("a1") == nullptr &&
              again.find_turn("a2") == nullptr);
@@ -589,9 +587,9 @@
 
 // Removed names last only once their folder is synced: an old segment that is there again raises nothing that
 // was settled.
-TEST(StorageLosses, RemovedSegmentThatIsThereAgain) {
+TEST(ReplicaStoreLosses, RemovedSegmentThatIsThereAgain) {
   MemoryDisk disk;
-  ReplicaStore store(disk, room);
+  ReplicaStore store(disk, capacity);
   CHECK_TRUE(store.recover(now).ok());
   store.reserve("p", "a", 100, now);
   store.store_turn(turn("old", "", 1000), now);
@@ -606,143 +604,36 @@
   const std::vector<std::string> names = disk.list_files();
   CHECK_TRUE(std::find(names.begin(), names.end(), name) == names.end());
   CHECK_TRUE(disk.append(name, text).ok() && disk.sync(name).ok());
-  ReplicaStore again(disk, room);
+  ReplicaStore again(disk, capacity);
   CHECK_TRUE(again.recover(now).ok());
   bool settled = false;
   CHECK_TRUE(tokens(again, "p", "a", &settled) == 8 && settled);
 }
 
-TEST_GROUP(StoragePlacement){
-    static std::vector<StorageNode> storage_nodes(int n){std::vector<StorageNode> out;
-for (int i = 0; i < n; ++i) out.push_back({numbered("storage-", i), "d", "a", "z", false});
-return out;
-}
-static std::set<std::string> names(const std::string& program, const std::vector<StorageNode>& all,
-                                   std::size_t losses) {
-  std::set<std::string> out;
-  for (const std::size_t i : replica_group(program, all, losses)) out.insert(all[i].node);
-  return out;
-}
-}
-;
-
-TEST(StoragePlacement, SizesOfGroups) {
-  CHECK_EQUAL(static_cast<std::size_t>(1), replica_group_size(0));
-  CHECK_EQUAL(static_cast<std::size_t>(3), replica_group_size(1));
-  CHECK_EQUAL(static_cast<std::size_t>(5), replica_group_size(2));
-  for (std::size_t losses = 0; losses < 4; ++losses) {
-    const std::size_t group = replica_group_size(losses);
-    CHECK_TRUE(quorum_size(group) > losses);           // one of a majority is left
-    CHECK_TRUE(group - losses >= quorum_size(group));  // and a majority without the lost
-    for (int n = 0; n < 9; ++n) {
-      const std::vector<StorageNode> all = storage_nodes(n);
-      const auto got = replica_group("program", all, losses);
-      CHECK_EQUAL(std::min(group, static_cast<std::size_t>(n)), got.size());
-      CHECK_EQUAL(got.size(), std::set<std::size_t>(got.begin(), got.end()).size());
-    }
-  }
-}
-
-// A zone that goes takes no more of a group than it must.
-TEST(StoragePlacement, OneOfEachZoneFirst) {
-  std::vector<StorageNode> all = storage_nodes(9);
-  for (std::size_t i = 0; i < all.size(); ++i) all[i].zone = numbered("z", static_cast<int>(i % 3));
-  for (int p = 0; p < 200; ++p) {
-    std::map<std::string, int> zones;
-    for (const std::size_t i : replica_group(numbered("p", p), all, 1)) ++zones[all[i].zone];
-    CHECK_EQUAL(3U, zones.size());
-    zones.clear();
-    for (const std::size_t i : replica_group(numbered("p", p), all, 2)) ++zones[all[i].zone];
-    for (const auto& [zone, n] : zones) CHECK_WHERE(n <= 2, zone);  // five over three zones
-  }
-  // Where a zone has none left, the others fill up.
-  for (StorageNode& c : all) c.draining = c.zone == "z0";
-  CHECK_EQUAL(3U, replica_group("p", all, 1).size());
-}
-
-// Agreed by all, whatever order the map has.
-TEST(StoragePlacement, OrderOfTheMapDoesNotMatter) {
-  std::vector<StorageNode> all = storage_nodes(8);
-  std::map<int, std::set<std::string>> before;
-  for (int p = 0; p < 200; ++p) before[p] = names(numbered("p", p), all, 1);
-  std::reverse(all.begin(), all.end());
-  for (int p = 0; p < 200; ++p) CHECK_TRUE(before[p] == names(numbered("p", p), all, 1));
-}
-
-// One member more takes its own part and moves nothing else; one fewer gives back only what was its own.
-TEST(StoragePlacement, AMemberMoreMovesOnlyItsPart) {
-  for (int n = 3; n < 12; ++n) {
-    const std::vector<StorageNode> fewer = storage_nodes(n), more = storage_nodes(n + 1);
-    const std::string fresh = more.back().node;
-    int moved = 0;
-    constexpr int programs = 2000;
-    for (int p = 0; p < programs; ++p) {
-      const auto before = names(numbered("p", p), fewer, 1), after = names(numbered("p", p), more, 1);
-      if (before == after) continue;
-      ++moved;
-      CHECK_TRUE(after.contains(fresh));
-      std::set<std::string> kept;
-      std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
-                            std::inserter(kept, kept.end()));
-      CHECK_EQUAL(static_cast<std::size_t>(2), kept.size());
-    }
-    const double part = static_cast<double>(moved) / programs, fair = 3.0 / (n + 1);
-    CHECK_WHERE(part > fair * 0.85 && part < fair * 1.15, numbered("of ", n));
-  }
-}
-
-TEST(StoragePlacement, EvenlySpread) {
-  const std::vector<StorageNode> all = storage_nodes(7);
-  std::map<std::string, int> held;
-  for (int p = 0; p < 7000; ++p) {
-    for (const std::string& node : names(numbered("p", p), all, 1)) ++held[node];
-  }
-  for (const StorageNode& c : all) CHECK_TRUE(held[c.node] > 2700 && held[c.node] < 3300);
-}
-
-// Who leaves gets nothing new, and the others of a group stay.
-TEST(StoragePlacement, LeavingMembersGetNothing) {
-  std::vector<StorageNode> all = storage_nodes(6), left = all;
-  left[2].draining = true;
-  std::vector<StorageNode> without = all;
-  without.erase(without.begin() + 2);
-  for (int p = 0; p < 2000; ++p) {
-    const std::string program = numbered("p", p);
-    const auto now_in = names(program, left, 1);
-    CHECK_FALSE(now_in.contains(all[2].node));
-    CHECK_TRUE(now_in == names(program, without, 1));
-    for (const std::string& node : names(program, all, 1)) {
-      if (node != all[2].node) CHECK_TRUE(now_in.contains(node));
-    }
-  }
-  for (StorageNode& c : left) c.draining = true;
-  CHECK_TRUE(replica_group("p", left, 1).empty());
-}
-
-TEST_GROUP(StorageKilledThenDark) { TimePoint now = TimePoint::at_ms(1e6); };
+TEST_GROUP(ReplicaStoreKilledThenPowerLoss) { TimePoint now = TimePoint::at_ms(1e6); };
 
 // A process is killed between a write and its sync. The next one is asked to keep the same turn, says OK, and
 // then power is lost: the turn is there.
-TEST(StorageKilledThenDark, KeptAgainIsKept) {
+TEST(ReplicaStoreKilledThenPowerLoss, KeptAgainIsKept) {
   for (std::size_t point = 0; point < 3; ++point) {
-    for (std::uint64_t luck = 0; luck < 20; ++luck) {
+    for (std::uint64_t seed = 0; seed < 20; ++seed) {
       MemoryDisk disk;
-      ReplicaStore store(disk, room);
+      ReplicaStore store(disk, capacity);
       CHECK_TRUE(store.recover(now).ok());
       disk.lose_power_at(point);
       store.store_turn(turn("a1", ""), now);
       store.reserve("p", "a1", 40, now);
       (void)store.commit(now);
       disk.lose_power_at(MemoryDisk::no_step);
-      ReplicaStore again(disk, room);
+      ReplicaStore again(disk, capacity);
       CHECK_TRUE(again.recover(now).ok());
       CHECK_TRUE(again.store_turn(turn("a1", ""), now));
       again.reserve("p", "a1", 40, now);
       CHECK_TRUE(again.commit(now).ok());
-      disk.power_cycle(luck);
-      ReplicaStore last(disk, room);
+      disk.power_cycle(seed);
+      ReplicaStore last(disk, capacity);
       CHECK_TRUE(last.recover(now).ok());
-      const std::string where = numbered("point ", point) + numbered(", luck ", luck);
+      const std::string where = numbered("point ", point) + numbered(", seed ", seed);
       CHECK_WHERE(last.find_turn("a1") != nullptr, where + ": the turn is gone");
       CHECK_WHERE(tokens(last, "p", "a1") == 40, where + ": the reservation is gone");
     }
--- a/tests/storage/storage_plane_test.cpp
+++ b/tests/storage/storage_plane_test.cpp
@@ -1,5 +1,5 @@
-// The production storage plane on real sockets, between a scripted control session and callers: what it
-// answers before it has taken over what is its own.
+/// The production storage plane on real sockets, between a scripted control session and callers: what it
+/// answers before its state transfer has ended.
 #include "storage/storage_plane.hpp"
 
 #include <arpa/inet.h>
@@ -21,7 +21,7 @@
 const std::string own_name = numbered("storage-", 1), other_name = numbered("storage-", 2),
                   zone = numbered("z", 1), program = numbered("p", 1), other_disk = numbered("d", 2);
 
-// Its port is next to control's, and may be taken at another address.
+/// An address of its own: its port is next to the controller's, and may be taken elsewhere.
 std::string own_ip() {
   in_addr address{};
   address.s_addr = htonl(own_loopback(77));
@@ -29,10 +29,10 @@
   return ::inet_ntop(AF_INET, &address, text.data(), text.size());
 }
 
-// One storage node, a control that names it, and another node of the map that says nothing.
-class StorageScene {
+/// A storage node, a scripted controller, and another node of the map that answers nothing.
+class StorageNodeFixture {
  public:
-  // A process has a disk as long as it runs; what lies there outlives it.
+  /// The content outlives the process that owns the Disk.
   class SharedDisk final : public common::Disk {
    public:
     explicit SharedDisk(std::shared_ptr<common::MemoryDisk> disk) : disk_(std::move(disk)) {}
@@ -51,7 +51,7 @@
     std::shared_ptr<common::MemoryDisk> disk_;
   };
 
-  StorageScene() : control_address_(free_address(loop.scheduler)), control(loop, control_address_) {
+  StorageNodeFixture() : control_address_(free_address(loop.scheduler)), control(loop, control_address_) {
     settings.node = own_name;
     settings.zone = zone;
     settings.ip = own_ip();
@@ -70,15 +70,15 @@
     other.disk = other_disk;
     other.address = net::text_of(silent_.address());
   }
-  // The map names both; once the node under test has it.
-  bool name_both() { return name({own, other}); }
-  // The map of that number names these.
-  bool name(const std::vector<common::StorageNode>& nodes, std::int64_t map = 1) {
+  /// Sets a map of both nodes; returns once the node under test has it.
+  bool name_both_nodes() { return set_map({own, other}); }
+  /// Sets a map of these nodes; returns once the node under test has it.
+  bool set_map(const std::vector<common::StorageNode>& nodes, std::int64_t map = 1) {
     control.configure(configuration_text({}, {}), nodes, map);
     ++values_;
     return loop.until([&] { return control.member()->number >= values_; });
   }
-  // Its process dies and is started anew, with its disk as it is.
+  /// Kills the process and starts another on the same disk.
   bool restart() {
     stop();
     start();
@@ -88,12 +88,12 @@
     plane_.reset();
     control.forget_member();
   }
-  // The map changes, and nobody hears of it yet.
-  void name_while_down(const std::vector<common::StorageNode>& nodes, std::int64_t map) {
+  /// Changes the map while no process runs.
+  void set_map_silently(const std::vector<common::StorageNode>& nodes, std::int64_t map) {
     control.configure(configuration_text({}, {}), nodes, map);
     ++values_;
   }
-  bool whole_by(std::int64_t map) {
+  bool is_complete_under(std::int64_t map) {
     return loop.until([&] { return control.member()->complete_map_version >= map; });
   }
   std::optional<ReplicaStatus> reserve(std::int64_t map) {
@@ -105,7 +105,7 @@
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
     return out;
   }
-  std::optional<ReplicaStatus> keep(const std::string& id) {
+  std::optional<ReplicaStatus> store_turn(const std::string& id) {
     std::optional<ReplicaStatus> out;
     common::StoreTurnRequest ask;
     ask.map_version = 1;
@@ -144,59 +144,59 @@
   std::unique_ptr<common::RpcClient> caller_;
 };
 
-// One that has come in and has not taken over proves nothing of the others: they may all have the map of
-// before, and tell edges that have it too that there is no such turn. What it keeps does not count yet.
-TEST(StorageNodes, AJoinerKeepsNothingBeforeItHasTakenOver) {
-  StorageScene scene;
-  scene.own.bootstrapping = true;
-  ASSERT_TRUE(scene.name_both());
-  EXPECT_EQ(scene.keep("a"), ReplicaStatus::not_ready);
+// Before its state transfer a new node proves nothing about the others: they may all still have the previous
+// map, and deny the turn to edges that have it too. What the node stores must not count yet.
+TEST(StorageNodes, ABootstrappingNodeStoresNothingBeforeItIsReady) {
+  StorageNodeFixture node;
+  node.own.bootstrapping = true;
+  ASSERT_TRUE(node.name_both_nodes());
+  EXPECT_EQ(node.store_turn("a"), ReplicaStatus::not_ready);
 }
 
-// It had all that is its own by this map before its process ended. What it has missed since, others of each
-// group have: it goes on as one that was silent for a while, and needs no answer of others.
-TEST(StorageNodes, OneThatComesBackByTheSameMapGoesOn) {
-  StorageScene scene;
-  ASSERT_TRUE(scene.name({scene.own}));
-  ASSERT_TRUE(scene.whole_by(1));
-  ASSERT_EQ(scene.reserve(1), ReplicaStatus::ok);
-  ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(1), ReplicaStatus::ok);
+// It was complete under this map before its process ended. What it has missed since, a quorum of each group
+// has: it is like a node that was silent for a while, and needs nothing from its peers.
+TEST(StorageNodes, ResumesUnderTheMapThatItWasCompleteUnder) {
+  StorageNodeFixture node;
+  ASSERT_TRUE(node.set_map({node.own}));
+  ASSERT_TRUE(node.is_complete_under(1));
+  ASSERT_EQ(node.reserve(1), ReplicaStatus::ok);
+  ASSERT_TRUE(node.restart());
+  EXPECT_EQ(node.reserve(1), ReplicaStatus::ok);
 }
 
-// By another map it may lack what became its own meanwhile: it takes over before it answers.
-TEST(StorageNodes, OneThatComesBackByAnotherMapTakesOver) {
-  StorageScene scene;
-  ASSERT_TRUE(scene.name({scene.own}));
-  ASSERT_TRUE(scene.whole_by(1));
-  scene.stop();
-  scene.name_while_down({scene.own, scene.other}, 2);
-  ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(2), ReplicaStatus::not_ready);
+// Another map may have assigned it more: it transfers that before it answers.
+TEST(StorageNodes, TransfersStateAfterARestartUnderAnotherMap) {
+  StorageNodeFixture node;
+  ASSERT_TRUE(node.set_map({node.own}));
+  ASSERT_TRUE(node.is_complete_under(1));
+  node.stop();
+  node.set_map_silently({node.own, node.other}, 2);
+  ASSERT_TRUE(node.restart());
+  EXPECT_EQ(node.reserve(2), ReplicaStatus::not_ready);
 }
 
-// It had left the map for another, and what it told others by that one must not change any more: back by the
-// older map, which a controller that lags may still tell, it does not go on by it.
-TEST(StorageNodes, OneThatHadLeftAMapDoesNotGoOnByIt) {
-  StorageScene scene;
-  ASSERT_TRUE(scene.name({scene.own, scene.other}));
-  ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(1), ReplicaStatus::not_ready);  // it never was whole
-  ASSERT_TRUE(scene.name({scene.own}, 2));
-  ASSERT_TRUE(scene.whole_by(2));
-  ASSERT_TRUE(scene.name({scene.own, scene.other}, 4));
-  EXPECT_EQ(scene.reserve(4), ReplicaStatus::not_ready);
-  scene.stop();
-  scene.name_while_down({scene.own, scene.other}, 2);
-  ASSERT_TRUE(scene.restart());
-  EXPECT_EQ(scene.reserve(2), ReplicaStatus::replica_map_stale);
+// It has answered under a later map, and what it answered must not change: an earlier map, which a controller
+// that lags may still push, is ignored after a restart too.
+TEST(StorageNodes, DoesNotGoBackToAnEarlierMap) {
+  StorageNodeFixture node;
+  ASSERT_TRUE(node.set_map({node.own, node.other}));
+  ASSERT_TRUE(node.restart());
+  EXPECT_EQ(node.reserve(1), ReplicaStatus::not_ready);  // it never was complete
+  ASSERT_TRUE(node.set_map({node.own}, 2));
+  ASSERT_TRUE(node.is_complete_under(2));
+  ASSERT_TRUE(node.set_map({node.own, node.other}, 4));
+  EXPECT_EQ(node.reserve(4), ReplicaStatus::not_ready);
+  node.stop();
+  node.set_map_silently({node.own, node.other}, 2);
+  ASSERT_TRUE(node.restart());
+  EXPECT_EQ(node.reserve(2), ReplicaStatus::replica_map_stale);
 }
 
-// One that was there before keeps at once: groups have not changed.
-TEST(StorageNodes, OneThatWasThereKeepsWhileItTakesOver) {
-  StorageScene scene;
-  ASSERT_TRUE(scene.name_both());
-  EXPECT_EQ(scene.keep("a"), ReplicaStatus::ok);
+// A node that was in the map before stores turns at once: the groups have not changed.
+TEST(StorageNodes, AnEarlierMemberStoresTurnsDuringATransfer) {
+  StorageNodeFixture node;
+  ASSERT_TRUE(node.name_both_nodes());
+  EXPECT_EQ(node.store_turn("a"), ReplicaStatus::ok);
 }
 
 }  // namespace
