--- a/src/common/memory_disk.hpp
+++ b/src/common/memory_disk.hpp
@@ -20,17 +20,22 @@
 
 /// What an injected fault does to the steps that it covers. Reading always works.
 enum class DiskFault : std::uint8_t {
-  no_power,  ///< every step fails (Unavailable) and does nothing
-  full,      ///< an append writes half of its bytes and fails (ResourceExhausted); no file can be created;
-             ///< truncating and syncing an existing file work
-  sync_drops_writes,  ///< a sync fails (DataLoss) and what it should have covered never reaches the disk,
-                      ///< whatever is synced later
-  sync_outcome_unknown,  ///< a sync fails (DataLoss); what it should have covered may be durable or not, and
-                         ///< a later sync covers it
+  /// Every step fails (Unavailable) and does nothing.
+  no_power,
+  /// An append writes half of its bytes and fails (ResourceExhausted), and no file can be created. Truncating
+  /// and syncing an existing file work.
+  full,
+  /// A sync fails (DataLoss), and what it should have covered never reaches the disk, whatever is synced
+  /// later.
+  sync_drops_writes,
+  /// A sync fails (DataLoss). What it should have covered may be durable or not, and a later sync covers it.
+  sync_outcome_unknown,
 };
 
+/// Not thread-safe. Copies are independent, so that a test can try several losses of power from one state.
 class MemoryDisk : public Disk {
  public:
+  /// Above every number of a step.
   static constexpr auto no_step = static_cast<std::size_t>(-1);
 
   std::vector<std::string> list_files() override;
--- a/src/storage/group_commit.hpp
+++ b/src/storage/group_commit.hpp
@@ -13,8 +13,8 @@
 
 namespace chutevane::storage {
 
-/// Runs on the loop's thread; a commit blocks it until the disk has answered. `store` and `timers` outlive
-/// this object.
+/// Runs on the event loop's thread; a commit blocks it until the disk has answered. `store` and `timers`
+/// outlive this object.
 ///
 /// While the disk fails, commits are tried again at an interval and callbacks wait; none is dropped.
 class GroupCommit {
--- a/src/storage/request_stats.cpp
+++ b/src/storage/request_stats.cpp
@@ -2,14 +2,15 @@
 
 namespace chutevane::storage {
 
-void RequestStats::record(const AnsweredRequest& answer, std::int64_t own_map, TimePoint now,
+void RequestStats::record(const RequestOutcome& outcome, std::int64_t own_map, TimePoint now,
                           const std::function<std::string()>& describe_state) {
-  ++counts_[static_cast<std::size_t>(answer.kind)][static_cast<std::size_t>(answer.status)];
-  if (answer.status == ReplicaStatus::ok || answer.status == ReplicaStatus::not_found) return;
+  ++counts_[static_cast<std::size_t>(outcome.kind)][static_cast<std::size_t>(outcome.status)];
+  if (outcome.status == ReplicaStatus::ok || outcome.status == ReplicaStatus::not_found) return;
   if (!refusal_log_.admits(now)) return;
-  refusal_log_.line("id=" + (answer.attempt.empty() ? "none" : answer.attempt) + " asked=" +
-                    std::string(label_of(answer.kind)) + " verdict=" + std::string(label_of(answer.status)) +
-                    " asked_map=" + std::to_string(answer.caller_map) + " map=" + std::to_string(own_map) +
+  refusal_log_.line("id=" + (outcome.attempt.empty() ? "none" : outcome.attempt) +
+                    " asked=" + std::string(label_of(outcome.kind)) +
+                    " verdict=" + std::string(label_of(outcome.status)) +
+                    " asked_map=" + std::to_string(outcome.caller_map) + " map=" + std::to_string(own_map) +
                     " state=" + describe_state());
 }
 
--- a/src/storage/request_stats.hpp
+++ b/src/storage/request_stats.hpp
@@ -14,6 +14,7 @@
 
 namespace chutevane::storage {
 
+/// What edges ask for. The order is that of the labels in the metrics.
 enum class RequestKind : std::uint8_t { reserve, store_turn, find_turn };
 constexpr std::size_t request_kind_count = static_cast<std::size_t>(RequestKind::find_turn) + 1;
 
@@ -23,20 +24,21 @@
   return labels[static_cast<std::size_t>(kind)];
 }
 
-/// One answer to an edge.
-struct AnsweredRequest {
+/// What a request of an edge was answered with.
+struct RequestOutcome {
   RequestKind kind;
   ReplicaStatus status;
   const std::string& attempt;   // of the client's request; empty: no request asks
   std::int64_t caller_map = 0;  // version that the caller goes by
 };
 
+/// Not thread-safe.
 class RequestStats {
  public:
   /// Counts the answer. A refusal is logged too (`storage.refused`), with `own_map` and what `describe_state`
   /// returns; not so `not_found`, which is the common answer to those who look for a turn and is logged by
   /// the edge where it matters.
-  void record(const AnsweredRequest& answer, std::int64_t own_map, TimePoint now,
+  void record(const RequestOutcome& outcome, std::int64_t own_map, TimePoint now,
               const std::function<std::string()>& describe_state);
   /// The family `chutevane_storage_answers`.
   void write_metrics(common::MetricsWriter& out) const;
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -22,6 +22,7 @@
 constexpr double capacity_fraction = 0.5;
 constexpr double unlimited_mb = 1e6;
 
+/// Bytes of turns that the store may hold. Settings give megabytes of 10^6 bytes; 0: not limited by it.
 std::size_t store_capacity(const common::ProcessSettings& settings) {
   double mb = settings.memory_mb > 0 ? settings.memory_mb * capacity_fraction : unlimited_mb;
   if (settings.disk_mb > 0) mb = std::min(mb, settings.disk_mb * capacity_fraction);
@@ -132,7 +133,7 @@
   common::ReserveReply reply;
   reply.map_version = map_.version;
   reply.verdict = static_cast<std::int64_t>(status);
-  record_answer(RequestKind::reserve, status, request.attempt, request.map_version);
+  record_outcome(RequestKind::reserve, status, request.attempt, request.map_version);
   if (status != ReplicaStatus::ok) return connection.reply(number, reply);
   reply.others = store_.reserve(request.program, request.attempt, request.max_tokens, timers_.now());
   respond_after_commit(connection, number, std::move(reply));
@@ -143,8 +144,7 @@
   group_commit_.schedule();
 }
 
-/// Stores the turn, too, where the status is `ok`.
-ReplicaStatus StoragePlane::store_status(const common::StoreTurnRequest& request) {
+ReplicaStatus StoragePlane::store_turn(const common::StoreTurnRequest& request) {
   const ReplicaStatus status = map_.check(request.map_version);
   if (status != ReplicaStatus::ok) return status;
   // While this node is bootstrapping, so many of the others may still go by the map before that an edge which
@@ -157,11 +157,11 @@
 
 void StoragePlane::on_store_turn(Connection& connection, std::uint64_t number,
                                  const common::StoreTurnRequest& request) {
-  const ReplicaStatus status = store_status(request);
+  const ReplicaStatus status = store_turn(request);
   common::StoreTurnReply reply;
   reply.map_version = map_.version;
   reply.verdict = static_cast<std::int64_t>(status);
-  record_answer(RequestKind::store_turn, status, request.turn.id, request.map_version);
+  record_outcome(RequestKind::store_turn, status, request.turn.id, request.map_version);
   if (status != ReplicaStatus::ok) return connection.reply(number, reply);
   if (request.used_tokens >= 0)
     store_.commit_usage(request.turn.program, request.turn.id, request.used_tokens, timers_.now());
@@ -179,7 +179,7 @@
   const ReplicaStatus status =
       reply.turns.empty() ? missing_turn_status(request.map_version) : ReplicaStatus::ok;
   reply.verdict = static_cast<std::int64_t>(status);
-  record_answer(RequestKind::find_turn, status, request.attempt, request.map_version);
+  record_outcome(RequestKind::find_turn, status, request.attempt, request.map_version);
   connection.reply(number, reply);
 }
 
@@ -200,8 +200,8 @@
   respond_after_commit(connection, number, make_pull_reply(request, source));
 }
 
-void StoragePlane::record_answer(RequestKind kind, ReplicaStatus status, const std::string& attempt,
-                                 std::int64_t caller_map) {
+void StoragePlane::record_outcome(RequestKind kind, ReplicaStatus status, const std::string& attempt,
+                                  std::int64_t caller_map) {
   request_stats_.record({kind, status, attempt, caller_map}, map_.version, timers_.now(),
                         [this] { return transfer_.describe(); });
 }
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -36,7 +36,7 @@
 
 namespace chutevane::storage {
 
-/// Runs on the loop's thread.
+/// Runs on the event loop's thread; nothing blocks but the disk.
 class StoragePlane final : public common::Plane {
  public:
   /// `scheduler` outlives this object.
@@ -45,8 +45,8 @@
   /// Reads the disk, listens and opens sessions to the controllers. An error: the disk cannot be read or
   /// written.
   absl::Status open() override;
-  /// Leaves only once the others have fetched what this node holds, or grace is nearly over: its disk may go
-  /// with it.
+  /// Tells the controllers that this node drains. Ends once the others have what it holds, since its disk may
+  /// go with it, or when the grace period is nearly over.
   void begin_shutdown() override;
   bool finished() const override { return finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
@@ -67,12 +67,14 @@
   void on_find_turn(Connection& connection, std::uint64_t number, const common::FindTurnRequest& request);
   void on_pull(Connection& connection, std::uint64_t number, const common::PullRequest& request);
 
+  /// Whether a reservation may be answered.
   ReplicaStatus reserve_status(std::int64_t caller_map) const;
-  ReplicaStatus store_status(const common::StoreTurnRequest& request);
-  /// Of a turn that is not here.
+  /// Stores the turn where that may be done; otherwise the status says why not.
+  ReplicaStatus store_turn(const common::StoreTurnRequest& request);
+  /// What may be said of a turn that is not here.
   ReplicaStatus missing_turn_status(std::int64_t caller_map) const;
-  void record_answer(RequestKind kind, ReplicaStatus status, const std::string& attempt,
-                     std::int64_t caller_map);
+  void record_outcome(RequestKind kind, ReplicaStatus status, const std::string& attempt,
+                      std::int64_t caller_map);
   /// Answers once everything that was changed by now is durable, if the caller is still connected then.
   template <class Message>
   void respond_after_commit(const Connection& connection, std::uint64_t number, Message message) {
@@ -84,11 +86,14 @@
   }
 
   // Maps
+  /// A newer value of the register, and perhaps a newer map in it.
   void on_value(const common::RegisterValue& value);
   /// The node was complete under `previous`, and the map has assigned nothing to it since.
   bool stays_complete(const ServedMap& previous) const;
-  /// The node has come in by a map that others may not have received yet, and is not complete since.
+  /// The map marks this node: it has come in by a map that others may not have received yet, and has not been
+  /// complete since.
   bool is_bootstrapping() const;
+  /// Tells the controllers, and makes it durable once what the transfer has brought is.
   void on_transfer_complete();
 
   void expire_periodically();
