--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -1,16 +1,23 @@
-// A control sidecar: the register's acceptor and proposer, the sessions of the others, duties, and the
-// operator's API. Wanted states are in the register; loops work out the difference to what is.
+/// A controller: one process of the control plane.
+///
+/// It votes in the replicated register (acceptor), changes and reads it (Register), holds the sessions of
+/// edges and storage nodes and pushes them what changes (MemberSessions), exchanges gossip with the other
+/// controllers (PeerTable), takes part in the election of leaders of singleton roles (RoleElection), and
+/// serves the operators' API. The wanted state is in the register; loops work out the difference from what is
+/// there.
+///
+/// The sources: control_plane.cpp starts, runs and ends the process; control_plane_gossip.cpp makes and
+/// handles gossip; control_plane_metrics.cpp writes the metrics. Everything runs on the one event loop of
+/// `scheduler`.
 #pragma once
 
-#include <deque>
-#include <map>
+#include <cstdint>
+#include <functional>
 #include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "common/configuration.hpp"
-#include "common/control_sessions.hpp"
 #include "common/disk_health.hpp"
 #include "common/http_server.hpp"
 #include "common/process.hpp"
@@ -18,14 +25,17 @@
 #include "common/settings.hpp"
 #include "common/value_update.hpp"
 #include "control/acceptor.hpp"
-#include "control/acceptor_set_planner.hpp"
-#include "control/leader_election.hpp"
+#include "control/acceptor_transport.hpp"
+#include "control/endpoint_list_publisher.hpp"
+#include "control/knowledge_tracker.hpp"
+#include "control/member_sessions.hpp"
+#include "control/membership_controller.hpp"
 #include "control/operator_api.hpp"
+#include "control/peer_table.hpp"
+#include "control/pending_acknowledgements.hpp"
 #include "control/platform_client.hpp"
-#include "control/quorum_contact.hpp"
 #include "control/register.hpp"
-#include "control/storage_map_planner.hpp"
-#include "control/value_notification.hpp"
+#include "control/role_election.hpp"
 
 namespace chutevane::control {
 
@@ -33,131 +43,108 @@
  public:
   ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
                std::unique_ptr<common::Disk> disk);
-  // Reads its disk and begins to listen. An error: the process cannot serve.
+
+  /// Reads its disk and begins to listen. An error: the process cannot serve.
   absl::Status open() override;
-  // The last word to the others, then the end.
+  /// Begins the graceful shutdown: gives up its roles, and ends once its acceptor is not needed any more or
+  /// the grace period is nearly over.
   void begin_shutdown() override;
-  bool finished() const override { return finished_; }
+  bool finished() const override { return is_finished_; }
+  /// Adds the seeds of changed settings as peers; nothing else is taken from them.
   void reload(const common::ProcessSettings& settings) override;
   void write_metrics(common::MetricsWriter& out) override;
 
  private:
-  struct Peer {
-    std::unique_ptr<common::RpcClient> link;
-    std::optional<common::Gossip> last;
-    TimePoint heard, known_since;
-    std::int64_t told = 0;  // the newest value that was told over this connection
-  };
-  struct Session {
-    common::Member member;
-    TimePoint since, heard;
-    std::int64_t stamp = 0;  // of the newest MemberHeartbeat: returned with each heartbeat
-    std::int64_t list_term = 0, list_number = 0;
-    common::PushCursor values;
-    bool first = false;  // changes go down it at once; down others with the next heartbeat, if still needed
-  };
-
-  void prepare(const std::string& address, const common::Prepare& ask,
-               std::function<void(absl::StatusOr<common::Promise>)> answered) override;
-  void accept(const std::string& address, const common::Accept& ask,
-              std::function<void(absl::StatusOr<common::Accepted>)> answered) override;
-  absl::StatusOr<common::Accepted> accept_here(const common::Accept& ask);
-
-  void listen();
+  // Start
+  absl::Status load_record();
+  absl::Status open_acceptor();
+  void add_known_peers();
+  void add_seeds(const common::ProcessSettings& settings);
+  void register_rpc_handlers();
+
+  // AcceptorTransport
+  void prepare(const std::string& address, const common::Prepare& request, PromiseCallback callback) override;
+  void accept(const std::string& address, const common::Accept& request, AcceptedCallback callback) override;
+  absl::StatusOr<common::Promise> prepare_locally(const common::Prepare& request);
+  absl::StatusOr<common::Accepted> accept_locally(const common::Accept& request);
+
+  // Loop
   void tick();
-  void gossip();
-  common::Gossip word_of_mine();
-  common::Gossip full_word();
-  void on_gossip(const common::Gossip& word);
-  void know(const std::string& address);
-  common::RpcClient* link(const std::string& address);  // none: that is no address
-  void forget_lost();
-  void catch_up();
-  void confirm_contact();
-  bool quorum_reached(Span within) const;
-  AcceptorReport own_report() const;
-  common::Gossip addressed(common::Gossip word, const Peer& peer) const;
-  bool behind() const;
-  bool learn_later_epoch();
-  // Whether nothing that still counts goes with this machine, or nobody is there to take it over.
-  bool may_go() const;
-  void go_when_released(TimePoint latest);
-  bool all_peers_heard() const;
-  Span fresh_age() const;
+  void run_roles();
+  void remove_expired_peers();
+  void send_heartbeats();
+  std::vector<LiveController> live_controllers() const;
+
+  // Disk
+  void store_record();
+  void record_disk_outcome(const absl::Status& outcome);
+  void retry_failed_writes();
+
+  // Gossip
+  common::Gossip make_short_gossip();
+  common::Gossip make_full_gossip();
+  void send_gossip();
+  void greet_peer(Peer& peer);
+  void on_gossip(const common::Gossip& gossip);
   std::vector<std::string> controller_addresses() const;
 
-  void chosen(const common::RegisterValue& value);
-  void store_known();
-  void note_disk(const absl::Status& outcome);
-  void try_disk_again();
-  void on_hello(common::RpcServer::Connection& connection, const common::MemberHeartbeat& hello);
-  void push(std::uint64_t connection, Session& session);
-  void heartbeat();
-  void acknowledged();
-
-  void work_duties();
-  void campaign(LeaderElection& election);
-  void request_votes(LeaderElection& election, std::int64_t term);
-  void read_list();
-  void read_list_now();  // where the duty is this one's
-  void list_was_read(std::vector<common::EndpointEntry> entries);
-  void take_list(const common::EndpointList& told);
-  void step_down_if_overtaken(std::int64_t told);
-  void list_changed();
-  void keep_roster();
-  Span longest_retention(const common::RegisterValue& value);
-
-  // What the operators' API asks for.
+  // Register and sessions
+  void on_value_chosen(const common::RegisterValue& value);
+  void on_member_heartbeat(common::RpcServer::Connection& connection,
+                           const common::MemberHeartbeat& heartbeat);
+  common::ControlHeartbeat make_heartbeat() const;
+  void complete_acknowledged();
+
+  // Shutdown
+  bool may_exit() const;
+  void exit_when_released(TimePoint deadline);
+
+  // OperatorApi::Host
   void announce(const common::RegisterValue& value) override;
-  void notify_when_acknowledged(std::int64_t number, std::function<void()> then) override;
+  void notify_when_acknowledged(std::int64_t number, std::function<void()> callback) override;
   std::vector<common::Member> members() const override;
   bool are_members_complete() const override;
   ControlStatus status() const override;
 
+  // Metrics
+  void write_register_metrics(common::MetricsWriter& out) const;
+  void write_peer_metrics(common::MetricsWriter& out) const;
+  void write_role_metrics(common::MetricsWriter& out) const;
+
+  std::vector<common::HeldRole> led_roles() const;
+
   net::Scheduler& scheduler_;
-  common::ProcessSettings settings_;
+  const common::ProcessSettings settings_;
   net::TimerQueue timers_;
+  const std::string address_;        // where other processes of the system reach this one
+  const std::uint64_t incarnation_;  // drawn at random at each start of the process
+
   std::unique_ptr<common::Disk> disk_;
-  common::DurableState record_slots_;
+  common::DurableState record_storage_;
   common::ControllerRecord record_;
-  const std::string address_;
-  std::optional<DurableAcceptor> acceptor_;
+  std::optional<DurableAcceptor> acceptor_;  // from open() on
   common::DiskHealth disk_health_;
   Register register_;
+  common::RecentValues recent_values_;  // known here: what peers are sent is the difference from one of them
+
   common::RpcServer rpc_server_;
   OperatorApi operator_api_;
-  common::HttpServer operator_port_;
-  std::map<std::string, Peer> peers_;
-  std::vector<std::unique_ptr<common::RpcClient>> parted_;
-  std::map<std::uint64_t, Session> sessions_;
-  common::RecentValues pushed_;  // the same without the record of orders, for which members have no use
-  common::RecentValues recent_;  // that were known here: what goes to others is the difference from one
-  // No value chosen before it is newer than the known one.
-  TimePoint fresh_at_;
-  TimePoint full_since_, told_since_;
-  TimePoint in_contact_since_;  // with every control machine that it knows, without a break
-  std::vector<std::string> told_controllers_;
-  std::uint64_t full_stamp_ = 0;
-  bool catching_up_ = false, leaving_ = false, finished_ = false;
-  std::optional<TimePoint> behind_since_;
-  LeaderElection endpoint_list_election_, membership_election_;
+  common::HttpServer operator_server_;
+  PeerTable peers_;
+  KnowledgeTracker knowledge_;
+  RoleElection endpoint_list_election_;
+  RoleElection membership_election_;
   PlatformClient platform_;
-  const std::uint64_t incarnation_;  // of duties: this process, told from all others
-  QuorumContact contact_;
-  common::EndpointTable list_;
-  std::int64_t followed_list_term_ = 0;  // the latest that one with a session here has told of
-  bool changing_roster_ = false;
-  bool had_roster_ = false;
-  AcceptorSetPlanner acceptor_planner_;
-  StorageMapPlanner storage_planner_;
-  std::int64_t retention_version_ = -1;  // of the configuration that longest_retention_ is of
-  Span longest_retention_;
-  struct Waiting {  // an operator's change that is chosen: answered once all sidecars here have it
-    std::int64_t number = 0;
-    TimePoint until;
-    std::function<void()> answer;
-  };
-  std::deque<Waiting> waiting_;
+  EndpointListPublisher endpoint_list_;
+  MembershipController membership_;
+  MemberSessions sessions_;
+  PendingAcknowledgements pending_acknowledgements_;
+
+  std::uint64_t full_gossip_digest_ = 0;  // of the long parts of the last full gossip message
+  TimePoint full_gossip_sent_at_;
+  TimePoint in_contact_since_;  // with a quorum and with all known peers, without a break
+  bool is_shutting_down_ = false;
+  bool is_finished_ = false;
 };
 
 }  // namespace chutevane::control
--- a/tests/ctl/wire_test.cpp
+++ b/tests/ctl/wire_test.cpp
@@ -11,6 +11,7 @@
 #include <atomic>
 #include <thread>
 
+#include "common/configuration.hpp"
 #include "common/log.hpp"
 #include "control/control_plane.hpp"
 #include "ctl/run.hpp"
