--- a/tests/ctl/http_transport_test.cpp
+++ b/tests/ctl/http_transport_test.cpp
@@ -12,6 +12,7 @@
 #include <atomic>
 #include <thread>
 
+#include "common/configuration.hpp"
 #include "common/log.hpp"
 #include "common/memory_disk.hpp"
 #include "control/control_plane.hpp"
