--- a/src/edge/client.cpp
+++ b/src/edge/client.cpp
@@ -30,7 +30,7 @@
 
 Client::~Client() { plane_.timers_.cancel(timer_); }
 
-void Client::close(Cause cause) {
+void Client::close(FailureCause cause) {
   if (stage_ == Stage::over) return;
   channel_.close();
   leave(cause);
@@ -72,10 +72,10 @@
 
 void Client::request_late() {
   if (stage_ != Stage::reading) return;
-  if (!parser_.begun()) return close(Cause::client_stalled);
+  if (!parser_.begun()) return close(FailureCause::client_stalled);
   stage_ = Stage::preparing;
   keep_ = false;
-  answer_own(Cause::slow_request, 408, "the request did not come whole in time");
+  answer_own(FailureCause::slow_request, 408, "the request did not come whole in time");
 }
 
 // How long the client may rest, between two requests or before it ends the connection. While an answer is
@@ -90,7 +90,7 @@
   if (channel_.unsent() > 0 && channel_.unsent() < unsent_before) return set_rest_timer(most);
   // Clients go by the limit that is in force: it may have grown meanwhile.
   if (stage_ == Stage::reading && idle_limit() > most) return set_rest_timer(idle_limit(), most);
-  if (stage_ != Stage::reading || !channel_.unread()) return close(Cause::client_stalled);
+  if (stage_ != Stage::reading || !channel_.unread()) return close(FailureCause::client_stalled);
   // A request has arrived, and was not read yet: this process stood still, not the client.
   timer_ = plane_.timers_.after(unread_look, [this] { request_late(); });
 }
@@ -128,7 +128,7 @@
   stage_ = Stage::preparing;
   if (progress == http::Progress::failed) {
     keep_ = false;
-    answer_own(Cause::malformed_request, parser_.status_of_error(), parser_.error());
+    answer_own(FailureCause::malformed_request, parser_.status_of_error(), parser_.error());
     return;
   }
   begin();
@@ -139,7 +139,9 @@
   exchange_open_ = true;
   ++plane_.counters_.requests;
   keep_ = parser_.keep_alive() && !plane_.closing_;
-  const std::string wrong = read_request(parser_, request_);
+  ParsedClientRequest parsed = parse_client_request(parser_);
+  request_ = std::move(parsed.request);
+  const std::string wrong = std::move(parsed.error);
   channel_.in().consume(parser_.size());
   parser_.reset();
   told_to_go_on_ = false;
@@ -155,33 +157,34 @@
   service_.clear();
   endpoint_.clear();
   last_attempt_ = LastAttempt::none;
-  if (!wrong.empty()) return answer_own(Cause::malformed_request, 400, wrong);
+  if (!wrong.empty()) return answer_own(FailureCause::malformed_request, 400, wrong);
   route();
 }
 
 void Client::route() {
   // A sidecar that has just started knows within a moment where to send it: that is sooner than another try.
-  const Span wait = std::min(start_most, request_.left.value_or(unlimited) * start_part);
+  const Span wait = std::min(start_most, request_.time_remaining.value_or(unlimited) * start_part);
   if (!plane_.knows_enough() && plane_.timers_.now() - began_ < wait) {
     timer_ = plane_.timers_.after(start_look, guarded([this] { route(); }));
     return;
   }
   configuration_ = plane_.configuration_;
-  if (!configuration_) return answer_own(Cause::no_configuration, 503, "no configuration yet", ComeBack::yes);
+  if (!configuration_)
+    return answer_own(FailureCause::no_configuration, 503, "no configuration yet", ComeBack::yes);
   route_ = configuration_->route_of(request_.host,
                                     std::string_view(request_.target).substr(0, request_.target.find('?')));
   if (route_ == nullptr) {
     // One that hears of no control may have missed the route.
     if (plane_.sessions_->usable_count() == 0)
-      return answer_own(Cause::route_uncertain, 503, "no route known here yet", ComeBack::yes);
-    return answer_own(Cause::no_route, 404, "no route");
+      return answer_own(FailureCause::route_uncertain, 503, "no route known here yet", ComeBack::yes);
+    return answer_own(FailureCause::no_route, 404, "no route");
   }
-  deadline_ = began_ + std::min(request_.left.value_or(unlimited), route_->timeout);
+  deadline_ = began_ + std::min(request_.time_remaining.value_or(unlimited), route_->timeout);
   service_ = plane_.service_for(*route_);
   streaming_ = route_->type == common::RouteType::streaming && request_.method != "HEAD";
   if (route_->affinity) {
     placing_.has_affinity = true;
-    placing_.prompt = request_.parts;
+    placing_.prompt = request_.prompt;
   }
   if (route_->retained) {
     prepare();
@@ -195,20 +198,20 @@
 
 void Client::prepare() {
   if (request_.attempt_id.empty())
-    return answer_own(Cause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
-  if (request_.previous.empty()) {
+    return answer_own(FailureCause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
+  if (request_.previous_turn.empty()) {
     body_ = request_.body;
     return reserve();
   }
-  plane_.storage_.find_chain(request_.previous, request_.program, request_.attempt_id, storage_until(),
+  plane_.storage_.find_chain(request_.previous_turn, request_.program, request_.attempt_id, storage_until(),
                              guarded([this](TurnChain chain) {
                                if (chain.result == LookupResult::not_found) {
                                  ++plane_.counters_.not_found;
-                                 return answer_own(Cause::no_such_turn, 404, "no such turn");
+                                 return answer_own(FailureCause::no_such_turn, 404, "no such turn");
                                }
                                if (chain.result == LookupResult::unavailable) {
                                  ++plane_.counters_.unsure;
-                                 return answer_own(Cause::turn_uncertain, 503,
+                                 return answer_own(FailureCause::turn_uncertain, 503,
                                                    "not certain yet whether there is such a turn",
                                                    ComeBack::yes);
                                }
@@ -231,20 +234,21 @@
   placing_.body_bytes = static_cast<double>(body_.size());
   if (!holds_budget()) return attempt();
   if (request_.attempt_id.empty())
-    return answer_own(Cause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
-  if (request_.program.empty()) return answer_own(Cause::missing_program, 400, "Program: missing");
+    return answer_own(FailureCause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
+  if (request_.program.empty()) return answer_own(FailureCause::missing_program, 400, "Program: missing");
   budget_.open(request_.program, request_.attempt_id);
   // One that does not say how much it may generate may generate all that there is.
-  plane_.storage_.reserve(request_.program, request_.attempt_id, request_.most_out.value_or(*request_.budget),
-                          *request_.budget, storage_until(), guarded([this](ReservationResult granted) {
+  plane_.storage_.reserve(request_.program, request_.attempt_id,
+                          request_.max_output_tokens.value_or(*request_.token_budget), *request_.token_budget,
+                          storage_until(), guarded([this](ReservationResult granted) {
                             if (granted == ReservationResult::exhausted) {
                               ++plane_.counters_.spent;
                               budget_.release();
-                              return answer_own(Cause::budget_spent, 402, "the budget is spent");
+                              return answer_own(FailureCause::budget_spent, 402, "the budget is spent");
                             }
                             if (granted == ReservationResult::unavailable) {
                               budget_.release();
-                              return answer_own(Cause::budget_uncertain, 503,
+                              return answer_own(FailureCause::budget_uncertain, 503,
                                                 "budgets cannot be set aside now", ComeBack::yes);
                             }
                             attempt();
@@ -252,7 +256,9 @@
 }
 
 // Only streams generate tokens: they alone are counted.
-bool Client::holds_budget() const { return request_.budget && route_->type == common::RouteType::streaming; }
+bool Client::holds_budget() const {
+  return request_.token_budget && route_->type == common::RouteType::streaming;
+}
 
 std::optional<std::int64_t> Client::tokens_passed_on() const {
   const common::Service* const service = configuration_->service(service_);
--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -9,9 +9,9 @@
 
 #include "common/configuration.hpp"
 #include "edge/budget_reservation.hpp"
+#include "edge/client_request.hpp"
 #include "edge/endpoints.hpp"
-#include "edge/failure.hpp"
-#include "edge/request.hpp"
+#include "edge/request_failure.hpp"
 #include "edge/service_balancer.hpp"
 #include "http/parser.hpp"
 #include "net/channel.hpp"
@@ -29,7 +29,7 @@
   // Nothing of a request has come, and nothing of an answer has still to go out.
   bool idle() const { return stage_ == Stage::reading && channel_.unsent() == 0 && channel_.quiet(); }
   // Ends the connection; a request in hand ends with it, for that cause.
-  void close(Cause cause);
+  void close(FailureCause cause);
   // An attempt of it is charged to an endpoint.
   bool attempt_open() const { return attempt_open_; }
   std::size_t group_index = 0;
@@ -78,11 +78,11 @@
   void first_event_came(TimePoint now);
   void after_failure(bool may_have_run);
   // A stream of which a part is at the client has lost its endpoint: it is taken up elsewhere, or broken off.
-  void resume_or_break_off(Cause cause);
+  void resume_or_break_off(FailureCause cause);
   // Answers in place of an endpoint: 502 or 504 where it may have run, else 503 for that cause.
-  void give_up(Cause unsent_cause);
-  Cause cause_of_last_attempt() const;
-  Cause cause_of_break() const;
+  void give_up(FailureCause unsent_cause);
+  FailureCause cause_of_last_attempt() const;
+  FailureCause cause_of_break() const;
   void deliver();
   void relay(bool all);
   void finish_stream();
@@ -92,12 +92,12 @@
   void end_exchange();
 
   enum class ComeBack : std::uint8_t { no, yes };
-  void answer_own(Cause cause, int status, std::string_view text, ComeBack come_back = ComeBack::no);
+  void answer_own(FailureCause cause, int status, std::string_view text, ComeBack come_back = ComeBack::no);
   // Part of an answer is at the client: it must not look whole.
-  void break_off(Cause cause);
-  void leave(Cause cause);
+  void break_off(FailureCause cause);
+  void leave(FailureCause cause);
   bool request_in_hand() const;
-  void note_failure(Cause cause, int status);
+  void note_failure(FailureCause cause, int status);
   void check_answer_belongs() const;
   void write_head(int status, const std::vector<std::pair<std::string, std::string>>& fields);
   void write_body(int status, std::string_view body, std::size_t length);
@@ -123,7 +123,7 @@
   net::TimerQueue::Handle timer_;
 
   // The exchange in hand.
-  Request request_;
+  ClientRequest request_;
   std::shared_ptr<const common::Configuration> configuration_;
   const common::Route* route_ = nullptr;
   std::string service_;
--- a/src/edge/client_answers.cpp
+++ b/src/edge/client_answers.cpp
@@ -5,6 +5,7 @@
 #include "common/invariant.hpp"
 #include "edge/client.hpp"
 #include "edge/data_plane.hpp"
+#include "edge/server_sent_event.hpp"
 #include "http/writer.hpp"
 
 namespace chutevane::edge {
@@ -51,7 +52,7 @@
   end_exchange();
 }
 
-void Client::answer_own(Cause cause, int status, std::string_view text, ComeBack come_back) {
+void Client::answer_own(FailureCause cause, int status, std::string_view text, ComeBack come_back) {
   if (status == 503) ++plane_.counters_.refused;
   note_failure(cause, status);
   std::vector<std::pair<std::string, std::string>> fields{{"Content-Type", "text/plain"}};
@@ -62,7 +63,7 @@
   end_exchange();
 }
 
-void Client::note_failure(Cause cause, int status) {
+void Client::note_failure(FailureCause cause, int status) {
   plane_.failures_.count(cause);
   const TimePoint now = plane_.timers_.now();
   plane_.failures_.log(now, [&] {
@@ -73,7 +74,7 @@
     if (route_ != nullptr) report.route = route_->name;
     report.service = service_;
     report.endpoint = endpoint_;
-    report.held = exchange_open_ ? now - began_ : Span();
+    report.elapsed = exchange_open_ ? now - began_ : Span();
     report.attempts = attempts_;
     report.last_attempt = name_of(last_attempt_);
     plane_.describe_knowledge(report);
@@ -81,7 +82,7 @@
   });
 }
 
-void Client::break_off(Cause cause) {
+void Client::break_off(FailureCause cause) {
   channel_.reset();
   leave(cause);
 }
@@ -118,14 +119,14 @@
   const TimePoint now = plane_.timers_.now();
   std::size_t at = 0;
   while (at < answer_.size()) {
-    std::size_t size = whole_event(std::string_view(answer_).substr(at));
+    std::size_t size = complete_event_size(std::string_view(answer_).substr(at));
     if (size == 0) {
       if (answer_.size() - at > event_most) bad_answer_ = true;
       if (!all) break;
       size = answer_.size() - at;
     }
     const std::string_view one = std::string_view(answer_).substr(at, size);
-    const Event event = read_event(one);
+    const ServerSentEvent event = parse_event(one);
     // A piece that is missing or comes twice: what comes is no answer any more.
     if (event.id && last_event_ && *event.id <= *last_event_) {
       bad_answer_ = true;
@@ -157,7 +158,7 @@
 }
 
 void Client::finish_stream() {
-  if (bad_answer_) return resume_or_break_off(Cause::stream_bad);
+  if (bad_answer_) return resume_or_break_off(FailureCause::stream_bad);
   if (!head_out_) {
     write_head(status_, answer_fields_);
     channel_.out().append("Transfer-Encoding: chunked\r\n\r\n");
@@ -179,7 +180,7 @@
   stage_ = Stage::keeping;
   common::Turn turn;
   turn.id = request_.attempt_id;
-  turn.previous = request_.previous;
+  turn.previous = request_.previous_turn;
   turn.program = request_.program;
   turn.input.data = std::move(request_.body);
   turn.output.data = std::move(output_);
@@ -187,7 +188,7 @@
   const std::int64_t tokens = tokens_passed_on().value_or(static_cast<std::int64_t>(events_));
   const std::int64_t used = budget_.is_open() ? tokens : -1;
   plane_.storage_.store_turn(turn, used, deadline_, guarded([this](bool kept) {
-                               if (!kept) return break_off(Cause::turn_not_kept);
+                               if (!kept) return break_off(FailureCause::turn_not_kept);
                                ++plane_.counters_.turns_kept;
                                ++plane_.counters_.answered;
                                channel_.out().append("0\r\n\r\n");
@@ -195,9 +196,9 @@
                              }));
 }
 
-void Client::on_channel_closed(net::Channel&) { leave(Cause::client_left); }
+void Client::on_channel_closed(net::Channel&) { leave(FailureCause::client_left); }
 
-void Client::leave(Cause cause) {
+void Client::leave(FailureCause cause) {
   common::check_invariant(common::Invariant::exchange_ends_once, stage_ != Stage::over,
                           [&] { return request_.attempt_id + ", " + std::string(edge::name_of(cause)); });
   const bool answer_cut = channel_.unsent() > 0;
--- a/src/edge/client_attempts.cpp
+++ b/src/edge/client_attempts.cpp
@@ -23,11 +23,12 @@
   const TimePoint now = plane_.timers_.now();
   const Span time = left();
   ServiceBalancer& balancer = plane_.balancer_for(service_);
-  if (ServiceBalancer::is_expired(time)) return give_up(Cause::time_spent);
-  if (tries_ > 0 && !balancer.allows_retry(time, now)) return give_up(Cause::time_spent);
+  if (ServiceBalancer::is_expired(time)) return give_up(FailureCause::time_spent);
+  if (tries_ > 0 && !balancer.allows_retry(time, now)) return give_up(FailureCause::time_spent);
   const std::size_t most_attempts = std::max<std::size_t>(route_->max_attempts, 1);
   if (attempts_ >= most_attempts || tries_ > turned_away_most + attempts_)
-    return give_up(last_attempt_ == LastAttempt::turned_away ? Cause::endpoints_full : Cause::no_endpoint);
+    return give_up(last_attempt_ == LastAttempt::turned_away ? FailureCause::endpoints_full
+                                                             : FailureCause::no_endpoint);
   std::shared_ptr<Endpoint> to;
   // What may be repeated goes once more to where it has been, rather than to nobody with time left.
   if (route_->repeatable() && !placing_.avoid.empty() && !balancer.choose_endpoint(placing_, now))
@@ -41,7 +42,8 @@
   }
   placing_.avoid.resize(avoided);
   if (!to)
-    return give_up(last_attempt_ == LastAttempt::turned_away ? Cause::endpoints_full : Cause::no_endpoint);
+    return give_up(last_attempt_ == LastAttempt::turned_away ? FailureCause::endpoints_full
+                                                             : FailureCause::no_endpoint);
   begin_attempt(*to, now);
   const Span class_deadline = std::min(route_->timeout, time);
   // One that nothing can follow can't be sent again: it is held to the class deadline and the client's time.
@@ -51,14 +53,14 @@
   balancer.on_attempt_sent(endpoint_, placing_, now);
   plane_.timers_.cancel(timer_);
   timer_ = plane_.timers_.after(ceiling, guarded([this] { attempt_due(); }));
-  OwnFields own;
+  ProxyHeaders own;
   own.endpoint_id = endpoint_;
   // The measured ceiling of a stream ends with its first event: its endpoint works on.
-  own.left = streaming_ ? class_deadline : ceiling;
+  own.time_left = streaming_ ? class_deadline : ceiling;
   if (route_->affinity) own.priority = std::clamp(route_->priority * 2, 0, 9);
-  if (head_out_) own.last_event = last_event_;
+  if (head_out_) own.last_event_id = last_event_;
   OutgoingRequest outgoing;
-  outgoing.head = head_for(request_, own, body_.size());
+  outgoing.head = format_request_head(request_, own, body_.size());
   outgoing.body = body_;
   outgoing.attempt_id = request_.attempt_id;
   outgoing.bodiless_answer = request_.method == "HEAD";
@@ -102,12 +104,12 @@
   attempt_over(measured_ceiling_ ? AttemptOutcome::adaptive_timeout : AttemptOutcome::failed);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::timed_out;
-  if (head_out_) return resume_or_break_off(Cause::stream_timeout);
+  if (head_out_) return resume_or_break_off(FailureCause::stream_timeout);
   if (route_->repeatable()) {
     placing_.avoid.push_back(endpoint_);
     return attempt();
   }
-  give_up(Cause::time_spent);
+  give_up(FailureCause::time_spent);
 }
 
 void Client::answer_head(const http::Parser& response) {
@@ -115,7 +117,7 @@
   stated_length_ = response.length().value_or(0);
   for (std::size_t i = 0; i < response.fields(); ++i) {
     const http::Field f = response.field(i);
-    if (!of_one_connection(f.name, "")) answer_fields_.emplace_back(f.name, f.value);
+    if (!is_hop_by_hop(f.name, "")) answer_fields_.emplace_back(f.name, f.value);
   }
   if (const auto load = response.find("X-Chutevane-Server-Load")) {
     double running = 0, waiting = 0, slots = 0;
@@ -154,12 +156,12 @@
 
 void Client::after_failure(bool ran) {
   may_have_run_ = may_have_run_ || ran;
-  if (head_out_) return resume_or_break_off(Cause::stream_broke_off);
-  if (ran && !route_->repeatable()) return give_up(Cause::time_spent);
+  if (head_out_) return resume_or_break_off(FailureCause::stream_broke_off);
+  if (ran && !route_->repeatable()) return give_up(FailureCause::time_spent);
   attempt();
 }
 
-void Client::resume_or_break_off(Cause cause) {
+void Client::resume_or_break_off(FailureCause cause) {
   if (!route_->resumable || !last_event_) return break_off(cause);
   if (std::find(placing_.avoid.begin(), placing_.avoid.end(), endpoint_) == placing_.avoid.end())
     placing_.avoid.push_back(endpoint_);
@@ -181,7 +183,7 @@
     attempt_over(AttemptOutcome::failed);
     last_attempt_ = LastAttempt::bad_answer;
     placing_.avoid.push_back(endpoint_);
-    if (head_out_) return resume_or_break_off(Cause::stream_bad);
+    if (head_out_) return resume_or_break_off(FailureCause::stream_bad);
     return after_failure(true);
   }
   if (status_ / 100 == 2) {
@@ -191,7 +193,7 @@
       relay(true);
       return finish_stream();
     }
-    if (head_out_) return resume_or_break_off(Cause::stream_bad);
+    if (head_out_) return resume_or_break_off(FailureCause::stream_bad);
     return deliver();
   }
   // It has run, or a promise that only an endpoint could give is missing.
@@ -199,18 +201,18 @@
   attempt_over(status_ > 500 ? AttemptOutcome::failed : AttemptOutcome::served);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::server_error;
-  if (head_out_) return resume_or_break_off(Cause::stream_broke_off);
+  if (head_out_) return resume_or_break_off(FailureCause::stream_broke_off);
   if (status_ >= 500 && route_->repeatable() && attempts_ < route_->max_attempts) {
     placing_.avoid.push_back(endpoint_);
     return attempt();
   }
-  const bool promises =
-      status_ == 503 || status_ == 429 || status_ == 408 || (status_ == 402 && request_.budget.has_value());
-  if (promises && !route_->repeatable()) return give_up(Cause::time_spent);
+  const bool promises = status_ == 503 || status_ == 429 || status_ == 408 ||
+                        (status_ == 402 && request_.token_budget.has_value());
+  if (promises && !route_->repeatable()) return give_up(FailureCause::time_spent);
   deliver();
 }
 
-void Client::give_up(Cause unsent_cause) {
+void Client::give_up(FailureCause unsent_cause) {
   if (head_out_) return break_off(cause_of_break());
   if (may_have_run_) {
     ++plane_.counters_.failed;
@@ -221,30 +223,30 @@
   answer_own(unsent_cause, 503, "no endpoint can take it now", ComeBack::yes);
 }
 
-Cause Client::cause_of_last_attempt() const {
+FailureCause Client::cause_of_last_attempt() const {
   switch (last_attempt_) {
-    case LastAttempt::bad_answer: return Cause::bad_answer;
-    case LastAttempt::timed_out: return Cause::endpoint_timeout;
-    case LastAttempt::server_error: return Cause::refusal_without_proof;
+    case LastAttempt::bad_answer: return FailureCause::bad_answer;
+    case LastAttempt::timed_out: return FailureCause::endpoint_timeout;
+    case LastAttempt::server_error: return FailureCause::refusal_without_proof;
     case LastAttempt::none:
     case LastAttempt::unsent:
     case LastAttempt::turned_away:
     case LastAttempt::broke_off: break;
   }
-  return Cause::endpoint_broke_off;
+  return FailureCause::endpoint_broke_off;
 }
 
-Cause Client::cause_of_break() const {
+FailureCause Client::cause_of_break() const {
   switch (last_attempt_) {
-    case LastAttempt::bad_answer: return Cause::stream_bad;
-    case LastAttempt::timed_out: return Cause::stream_timeout;
+    case LastAttempt::bad_answer: return FailureCause::stream_bad;
+    case LastAttempt::timed_out: return FailureCause::stream_timeout;
     case LastAttempt::none:
     case LastAttempt::unsent:
     case LastAttempt::turned_away:
     case LastAttempt::server_error:
     case LastAttempt::broke_off: break;
   }
-  return Cause::stream_broke_off;
+  return FailureCause::stream_broke_off;
 }
 
 std::string_view Client::name_of(LastAttempt how) {
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -123,9 +123,9 @@
 
 void DataPlane::describe_knowledge(FailureReport& report) const {
   report.sessions = sessions_->usable_count();
-  report.session_age = sessions_->knowledge_age();
+  report.control_state_age = sessions_->knowledge_age();
   report.configuration_version = configuration_ ? configuration_->version : 0;
-  report.map = storage_.map_version();
+  report.storage_map = storage_.map_version();
 }
 
 void DataPlane::check_books() {
@@ -253,14 +253,14 @@
 void DataPlane::end_now() {
   if (finished_) return;
   finished_ = true;
-  for (std::size_t i = clients_.size(); i-- > 0;) clients_[i].close(Cause::process_ended);
+  for (std::size_t i = clients_.size(); i-- > 0;) clients_[i].close(FailureCause::process_ended);
   check_books();
 }
 
 void DataPlane::look_finished() {
   if (!closing_ || finished_) return;
   for (std::size_t i = clients_.size(); i-- > 0;) {
-    if (clients_[i].idle()) clients_[i].close(Cause::process_ended);
+    if (clients_[i].idle()) clients_[i].close(FailureCause::process_ended);
   }
   if (clients_.size() == 0) {
     finished_ = true;
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -11,7 +11,7 @@
 #include "common/process.hpp"
 #include "edge/client.hpp"
 #include "edge/endpoints.hpp"
-#include "edge/failure.hpp"
+#include "edge/request_failure.hpp"
 #include "edge/service_balancer.hpp"
 #include "edge/storage_client.hpp"
 #include "edge/traffic_splitter.hpp"
@@ -34,7 +34,7 @@
   bool finished() const override { return finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
   void write_metrics(common::MetricsWriter& out) override;
-  const FailureCounters& failures() const { return failures_; }
+  const FailureRecorder& failures() const { return failures_; }
 
  private:
   friend class Client;
@@ -62,7 +62,7 @@
   net::TimerQueue timers_;
   Pcg random_;
   Counters counters_;
-  FailureCounters failures_;
+  FailureRecorder failures_;
   std::map<std::string, TrafficSplitter> splitters_;  // by route
   std::shared_ptr<const common::Configuration> configuration_;
   std::int64_t version_in_force_ = 0;
--- a/src/edge/failure.cpp
+++ b/src/edge/request_failure.cpp
@@ -1,9 +1,10 @@
-#include "edge/failure.hpp"
+/// Names, log lines and metrics of failed requests.
+#include "edge/request_failure.hpp"
 
 namespace chutevane::edge {
 namespace {
 
-constexpr std::array<std::string_view, causes> names = {
+constexpr std::array<std::string_view, failure_cause_count> names = {
     "malformed_request",
     "slow_request",
     "missing_attempt_id",
@@ -32,9 +33,9 @@
 };
 
 void append(std::string& out, std::string_view key, std::string_view value) {
-  constexpr std::size_t value_most = 64;  // bytes: ids and names of clients are not bounded otherwise
+  constexpr std::size_t max_value_bytes = 64;  // ids and names of clients are not bounded otherwise
   if (value.empty()) return;
-  out.append(out.empty() ? "" : " ").append(key).append("=").append(value.substr(0, value_most));
+  out.append(out.empty() ? "" : " ").append(key).append("=").append(value.substr(0, max_value_bytes));
 }
 
 void append(std::string& out, std::string_view key, std::int64_t value) {
@@ -43,7 +44,7 @@
 
 }  // namespace
 
-std::string_view name_of(Cause cause) { return names[static_cast<std::size_t>(cause)]; }
+std::string_view name_of(FailureCause cause) { return names[static_cast<std::size_t>(cause)]; }
 
 std::string describe(const FailureReport& report) {
   std::string out;
@@ -55,26 +56,28 @@
   append(out, "endpoint", report.endpoint);
   append(out, "last_attempt", report.last_attempt);
   append(out, "attempts", static_cast<std::int64_t>(report.attempts));
-  append(out, "held_ms", static_cast<std::int64_t>(report.held.as_ms()));
+  append(out, "held_ms", static_cast<std::int64_t>(report.elapsed.as_ms()));
   append(out, "sessions", static_cast<std::int64_t>(report.sessions));
-  append(out, "session_age_ms", static_cast<std::int64_t>(report.session_age.as_ms()));
+  append(out, "session_age_ms", static_cast<std::int64_t>(report.control_state_age.as_ms()));
   append(out, "configuration", report.configuration_version);
-  append(out, "map", report.map);
+  append(out, "map", report.storage_map);
   return out;
 }
 
-void FailureCounters::write(common::MetricsWriter& out) const {
+void FailureRecorder::write(common::MetricsWriter& out) const {
   using Type = common::MetricsWriter::Type;
   out.begin(Type::counter, "chutevane_own_answers", "",
-            "Requests answered by this sidecar itself and not by an endpoint, by cause.");
-  for (std::size_t i = 0; i < causes; ++i) {
-    const auto cause = static_cast<Cause>(i);
+            "Requests answered by this sidecar itself and not by an endpoint, "
+            "by cause.");
+  for (std::size_t i = 0; i < failure_cause_count; ++i) {
+    const auto cause = static_cast<FailureCause>(i);
     if (!closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", names[i]}});
   }
   out.begin(Type::counter, "chutevane_closed_without_answer", "",
-            "Connections of clients that ended before the request in hand was answered whole, by cause.");
-  for (std::size_t i = 0; i < causes; ++i) {
-    const auto cause = static_cast<Cause>(i);
+            "Connections of clients that ended before the request in hand was "
+            "answered whole, by cause.");
+  for (std::size_t i = 0; i < failure_cause_count; ++i) {
+    const auto cause = static_cast<FailureCause>(i);
     if (closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", names[i]}});
   }
 }
--- a/tests/edge/departures_test.cpp
+++ b/tests/edge/departures_test.cpp
@@ -45,7 +45,7 @@
   scene.storage->silent_on_reserve = false;
   scene.loop.run_for(close_reaches_most);
   EXPECT_EQ(scene.script.heads["left"], 0U);
-  EXPECT_EQ(scene.edge->failures().of(Cause::client_left), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::client_left), 1U);
 }
 
 // HTTP can't tell a client that has ended its writing side from one that is gone: its request is given up.
@@ -63,7 +63,7 @@
   EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
   EXPECT_TRUE(client->answers.empty());
   EXPECT_EQ(scene.script.heads["half"], 1U);
-  EXPECT_EQ(scene.edge->failures().of(Cause::client_left), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::client_left), 1U);
 }
 
 // What never reached an endpoint counts nothing against the budget, also where its client left meanwhile.
@@ -183,7 +183,7 @@
   scene.loop.run_for(Span::ms(2300));
   // It may have missed the route: 503, not 404.
   EXPECT_EQ(scene.ask("missed", {"/nowhere/x", "POST", "", 20000, ""}).status, 503);
-  EXPECT_EQ(scene.edge->failures().of(Cause::route_uncertain), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::route_uncertain), 1U);
 }
 
 }  // namespace
--- a/tests/edge/sight_test.cpp
+++ b/tests/edge/sight_test.cpp
@@ -9,7 +9,7 @@
 
 #include "common/log.hpp"
 #include "common/metrics.hpp"
-#include "edge/failure.hpp"
+#include "edge/request_failure.hpp"
 #include "harness.hpp"
 
 namespace chutevane::edge::harness {
@@ -38,7 +38,7 @@
 };
 
 struct Strike {
-  Cause cause;
+  FailureCause cause;
   int status;  // 0: the connection ends without an answer
   Kind kind = Kind::non_idempotent;
   std::function<void(ScriptedConnection&, const std::string& id)> endpoint = {};
@@ -66,24 +66,27 @@
 std::vector<Strike> strikes() {
   std::vector<Strike> out;
   const auto add = [&](Strike strike) { out.push_back(std::move(strike)); };
-  add({.cause = Cause::no_route, .status = 404, .path = "/nowhere/x"});
-  add({.cause = Cause::no_such_turn, .status = 404, .kind = Kind::turn, .fields = "Previous: never\r\n"});
-  add({.cause = Cause::budget_spent,
+  add({.cause = FailureCause::no_route, .status = 404, .path = "/nowhere/x"});
+  add({.cause = FailureCause::no_such_turn,
+       .status = 404,
+       .kind = Kind::turn,
+       .fields = "Previous: never\r\n"});
+  add({.cause = FailureCause::budget_spent,
        .status = 402,
        .kind = Kind::turn,
        .fields = "Program: p\r\nBudget: 1\r\nX-Chutevane-Token-Count: 10,20\r\n"});
-  add({.cause = Cause::missing_program, .status = 400, .kind = Kind::turn, .fields = "Budget: 1\r\n"});
-  add({.cause = Cause::turn_uncertain,
+  add({.cause = FailureCause::missing_program, .status = 400, .kind = Kind::turn, .fields = "Budget: 1\r\n"});
+  add({.cause = FailureCause::turn_uncertain,
        .status = 503,
        .kind = Kind::turn,
        .fields = "Previous: never\r\n",
        .before = [](Scene& scene) { scene.storage.reset(); }});
-  add({.cause = Cause::budget_uncertain,
+  add({.cause = FailureCause::budget_uncertain,
        .status = 503,
        .kind = Kind::turn,
        .fields = "Program: p\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,20\r\n",
        .before = [](Scene& scene) { scene.storage->silent_on_reserve = true; }});
-  add({.cause = Cause::no_endpoint,
+  add({.cause = FailureCause::no_endpoint,
        .status = 503,
        .before =
            [](Scene& scene) {
@@ -92,52 +95,54 @@
              scene.in_force();
            },
        .route = {.timeout_ms = 4000, .max_attempts = 1}});
-  add({.cause = Cause::time_spent, .status = 503, .time_remaining_ms = 0});
-  add({.cause = Cause::endpoints_full,
+  add({.cause = FailureCause::time_spent, .status = 503, .time_remaining_ms = 0});
+  add({.cause = FailureCause::endpoints_full,
        .status = 503,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.send(rejection(503, id)); }});
-  add({.cause = Cause::endpoint_broke_off,
+  add({.cause = FailureCause::endpoint_broke_off,
        .status = 502,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.reset(); }});
-  add({.cause = Cause::bad_answer, .status = 502, .endpoint = [](ScriptedConnection& c, const std::string&) {
+  add({.cause = FailureCause::bad_answer,
+       .status = 502,
+       .endpoint = [](ScriptedConnection& c, const std::string&) {
          c.send("HTTP/1.1 200 OK\r\nX-Chutevane-Attempt-Id: struck\r\nContent-Length: 1\r\n\r\nx");
        }});
-  add({.cause = Cause::refusal_without_proof,
+  add({.cause = FailureCause::refusal_without_proof,
        .status = 502,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.send(answer(503, id, "busy")); }});
-  add({.cause = Cause::endpoint_timeout,
+  add({.cause = FailureCause::endpoint_timeout,
        .status = 504,
        .endpoint = [](ScriptedConnection&, const std::string&) {}});
-  add({.cause = Cause::stream_broke_off,
+  add({.cause = FailureCause::stream_broke_off,
        .status = 0,
        .kind = Kind::streaming,
        .endpoint = [](ScriptedConnection& c, const std::string&) {
          answer_half_a_stream(c);
          c.close();
        }});
-  add({.cause = Cause::stream_bad,
+  add({.cause = FailureCause::stream_bad,
        .status = 0,
        .kind = Kind::streaming,
        .endpoint = [](ScriptedConnection& c, const std::string&) {
          answer_half_a_stream(c);
          c.send(chunk(event_text(4, "back")) + last_chunk);
        }});
-  add({.cause = Cause::stream_timeout,
+  add({.cause = FailureCause::stream_timeout,
        .status = 0,
        .kind = Kind::streaming,
        .endpoint = [](ScriptedConnection& c, const std::string&) { answer_half_a_stream(c); }});
-  add({.cause = Cause::turn_not_kept,
+  add({.cause = FailureCause::turn_not_kept,
        .status = 0,
        .kind = Kind::turn,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.send(good_answer(Kind::turn, id)); },
        .fields = "Program: p\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,20\r\n",
        .before = [](Scene& scene) { scene.storage->silent_on_keep = true; }});
-  add({.cause = Cause::client_left,
+  add({.cause = FailureCause::client_left,
        .status = 0,
        .endpoint = [](ScriptedConnection&, const std::string&) {},
        .client = [](ClientConnection& client) { client.close(); },
        .route = {.timeout_ms = 4000, .max_attempts = 1}});
-  add({.cause = Cause::process_ended,
+  add({.cause = FailureCause::process_ended,
        .status = 0,
        .endpoint = [](ScriptedConnection&, const std::string&) {},
        .before = [](Scene& scene) { scene.edge->begin_shutdown(); },
@@ -167,18 +172,19 @@
     ASSERT_TRUE(scene.loop.until([&] { return reached; }));
     strike.client(*client);
   }
-  ASSERT_TRUE(scene.loop.until([&] { return scene.edge->failures().of(strike.cause) > 0; }, Span::ms(9000)));
+  ASSERT_TRUE(
+      scene.loop.until([&] { return scene.edge->failures().count_of(strike.cause) > 0; }, Span::ms(9000)));
   if (strike.status != 0) {
     ASSERT_TRUE(scene.answered(*client));
     EXPECT_EQ(client->answers.front().status, strike.status);
-  } else if (strike.cause != Cause::client_left) {
+  } else if (strike.cause != FailureCause::client_left) {
     EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
     EXPECT_TRUE(client->answers.empty());
   }
   // Counted once, under this cause alone.
-  for (std::size_t i = 0; i < causes; ++i) {
-    const auto cause = static_cast<Cause>(i);
-    EXPECT_EQ(scene.edge->failures().of(cause), cause == strike.cause ? 1U : 0U) << name_of(cause);
+  for (std::size_t i = 0; i < failure_cause_count; ++i) {
+    const auto cause = static_cast<FailureCause>(i);
+    EXPECT_EQ(scene.edge->failures().count_of(cause), cause == strike.cause ? 1U : 0U) << name_of(cause);
   }
   const std::string cause = "cause=" + std::string(name_of(strike.cause)) + " ";
   EXPECT_EQ(log.count({"request.failed", std::string("id=") + id, cause,
@@ -212,8 +218,9 @@
   slow->send("GET /once/x HT");
   nameless->send(request_text("", request_of(Kind::turn)));
   ASSERT_TRUE(scene.answered(*malformed) && scene.answered(*slow) && scene.answered(*nameless));
-  for (const Cause cause : {Cause::malformed_request, Cause::slow_request, Cause::missing_attempt_id}) {
-    EXPECT_EQ(scene.edge->failures().of(cause), 1U) << name_of(cause);
+  for (const FailureCause cause :
+       {FailureCause::malformed_request, FailureCause::slow_request, FailureCause::missing_attempt_id}) {
+    EXPECT_EQ(scene.edge->failures().count_of(cause), 1U) << name_of(cause);
     EXPECT_EQ(log.count({"id=none", "cause=" + std::string(name_of(cause))}), 1U) << name_of(cause);
   }
 }
@@ -222,7 +229,7 @@
   const CapturedLog log;
   Scene scene(1, {}, {}, Scene::Informed::no);
   EXPECT_EQ(scene.ask(id, request_of(Kind::idempotent)).status, 503);
-  EXPECT_EQ(scene.edge->failures().of(Cause::no_configuration), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::no_configuration), 1U);
   EXPECT_EQ(log.count({"cause=no_configuration", "configuration=0"}), 1U);
 }
 
@@ -232,7 +239,7 @@
   scene.control.reset();
   scene.loop.run_for(Span::ms(1900));
   EXPECT_EQ(scene.ask(id, to_nowhere()).status, 503);
-  EXPECT_EQ(scene.edge->failures().of(Cause::route_uncertain), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::route_uncertain), 1U);
   EXPECT_EQ(log.count({"cause=route_uncertain", "sessions=0"}), 1U);
 }
 
@@ -246,7 +253,8 @@
   const auto client = scene.client();
   client->stop_reading();
   client->send(request_text(id, request_of(Kind::idempotent)));
-  EXPECT_TRUE(scene.loop.until([&] { return scene.edge->failures().of(Cause::client_stalled) == 1; }));
+  EXPECT_TRUE(
+      scene.loop.until([&] { return scene.edge->failures().count_of(FailureCause::client_stalled) == 1; }));
   EXPECT_EQ(log.count({"cause=client_stalled"}), 1U);
 }
 
@@ -257,7 +265,7 @@
   const auto client = scene.client();
   for (std::size_t i = 0; i < 200; ++i) client->send(request_text(numbered("a", i), to_nowhere()));
   ASSERT_TRUE(scene.answered(*client, 200));
-  EXPECT_EQ(scene.edge->failures().of(Cause::no_route), 200U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::no_route), 200U);
   EXPECT_LE(log.count({"request.failed"}), 60U);
   EXPECT_GE(log.count({"request.failed"}), 20U);
   const std::string long_name(4000, 'n');
@@ -276,8 +284,9 @@
     EXPECT_EQ(scene.ask("good" + name_of(kind), request_of(kind)).status, 200);
   }
   EXPECT_EQ(log.count({"request.failed"}), 0U);
-  for (std::size_t i = 0; i < causes; ++i)
-    EXPECT_EQ(scene.edge->failures().of(static_cast<Cause>(i)), 0U) << name_of(static_cast<Cause>(i));
+  for (std::size_t i = 0; i < failure_cause_count; ++i)
+    EXPECT_EQ(scene.edge->failures().count_of(static_cast<FailureCause>(i)), 0U)
+        << name_of(static_cast<FailureCause>(i));
 }
 
 }  // namespace
