--- a/src/edge/client.hpp
+++ b/src/edge/client.hpp
@@ -10,9 +10,9 @@
 #include "common/configuration.hpp"
 #include "edge/budget_reservation.hpp"
 #include "edge/client_request.hpp"
-#include "edge/endpoints.hpp"
 #include "edge/request_failure.hpp"
 #include "edge/service_balancer.hpp"
+#include "edge/upstream_pool.hpp"
 #include "http/parser.hpp"
 #include "net/channel.hpp"
 #include "net/timer_queue.hpp"
@@ -21,7 +21,7 @@
 
 class DataPlane;
 
-class Client final : net::Channel::Observer, AnswerSink {
+class Client final : net::Channel::Observer, ResponseHandler {
  public:
   explicit Client(DataPlane& plane);
   ~Client();
@@ -51,10 +51,10 @@
   void on_channel_data(net::Channel&) override;
   void on_channel_flushed(net::Channel&) override;
   void on_channel_closed(net::Channel&) override;
-  void answer_head(const http::Parser& response) override;
-  void answer_piece(std::string_view piece) override;
-  void answer_whole() override;
-  void answer_failed(Failure how) override;
+  void on_response_head(const http::Parser& response) override;
+  void on_response_body(std::string_view piece) override;
+  void on_response_complete() override;
+  void on_response_failed(UpstreamFailure how) override;
 
   void look();
   void begin();
@@ -145,7 +145,7 @@
   static std::string_view name_of(LastAttempt how);
   LastAttempt last_attempt_ = LastAttempt::none;
   // The attempt in hand.
-  EndpointConnection* connection_ = nullptr;
+  UpstreamConnection* connection_ = nullptr;
   std::string endpoint_;
   AttemptContext placing_;
   TimePoint sent_;
--- a/src/edge/client_answers.cpp
+++ b/src/edge/client_answers.cpp
@@ -207,7 +207,7 @@
   plane_.timers_.cancel(timer_);
   bool reached_endpoint = may_have_run_;
   if (connection_ != nullptr)
-    reached_endpoint = plane_.endpoints_.give_up(*std::exchange(connection_, nullptr)) || reached_endpoint;
+    reached_endpoint = std::exchange(connection_, nullptr)->cancel() || reached_endpoint;
   attempt_over(AttemptOutcome::cancelled);
   if (head_out_) {
     settle_budget();  // no more of it reaches the client
--- a/src/edge/client_attempts.cpp
+++ b/src/edge/client_attempts.cpp
@@ -35,7 +35,7 @@
     placing_.avoid.clear();
   const std::size_t avoided = placing_.avoid.size();
   while (const auto chosen = balancer.choose_endpoint(placing_, now)) {
-    to = plane_.endpoints_.find(*chosen);
+    to = plane_.upstreams_.find(*chosen);
     if (to && plane_.room_at(*to)) break;
     to = nullptr;
     placing_.avoid.push_back(*chosen);
@@ -59,12 +59,12 @@
   own.time_left = streaming_ ? class_deadline : ceiling;
   if (route_->affinity) own.priority = std::clamp(route_->priority * 2, 0, 9);
   if (head_out_) own.last_event_id = last_event_;
-  OutgoingRequest outgoing;
+  UpstreamRequest outgoing;
   outgoing.head = format_request_head(request_, own, body_.size());
   outgoing.body = body_;
   outgoing.attempt_id = request_.attempt_id;
-  outgoing.bodiless_answer = request_.method == "HEAD";
-  connection_ = plane_.endpoints_.send(to, *this, std::move(outgoing));
+  outgoing.is_head = request_.method == "HEAD";
+  connection_ = plane_.upstreams_.send(to, *this, std::move(outgoing));
 }
 
 void Client::begin_attempt(const Endpoint& to, TimePoint now) {
@@ -100,7 +100,7 @@
 void Client::attempt_due() {
   if (stage_ == Stage::keeping) return;
   ++plane_.counters_.cut;
-  if (connection_ != nullptr) plane_.endpoints_.give_up(*std::exchange(connection_, nullptr));
+  if (connection_ != nullptr) std::exchange(connection_, nullptr)->cancel();
   attempt_over(measured_ceiling_ ? AttemptOutcome::adaptive_timeout : AttemptOutcome::failed);
   may_have_run_ = true;
   last_attempt_ = LastAttempt::timed_out;
@@ -112,7 +112,7 @@
   give_up(FailureCause::time_spent);
 }
 
-void Client::answer_head(const http::Parser& response) {
+void Client::on_response_head(const http::Parser& response) {
   status_ = response.status();
   stated_length_ = response.length().value_or(0);
   for (std::size_t i = 0; i < response.fields(); ++i) {
@@ -132,17 +132,18 @@
   }
 }
 
-void Client::answer_piece(std::string_view piece) {
+void Client::on_response_body(std::string_view piece) {
   if (answer_.size() + piece.size() > plain_most) bad_answer_ = true;
   if (!bad_answer_) answer_.append(piece);
   if (streaming_ && status_ == 200 && !bad_answer_) relay(false);
 }
 
-void Client::answer_failed(Failure how) {
+void Client::on_response_failed(UpstreamFailure how) {
   connection_ = nullptr;
   attempt_over(AttemptOutcome::failed);
-  if (how == Failure::unsent) --attempts_;
-  const bool may_run = how == Failure::broken && !turned_away_;  // a rejection's head is proof enough
+  if (how == UpstreamFailure::not_sent) --attempts_;
+  const bool may_run =
+      how == UpstreamFailure::connection_lost && !turned_away_;  // a rejection's head is proof enough
   last_attempt_ = may_run        ? LastAttempt::broke_off
                   : turned_away_ ? LastAttempt::turned_away
                                  : LastAttempt::unsent;
@@ -169,7 +170,7 @@
   attempt();
 }
 
-void Client::answer_whole() {
+void Client::on_response_complete() {
   connection_ = nullptr;
   const TimePoint now = plane_.timers_.now();
   if (turned_away_) {
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -31,7 +31,7 @@
       settings_(settings),
       timers_(scheduler),
       random_(seed_of(settings, scheduler.now())),
-      endpoints_(scheduler, timers_,
+      upstreams_(scheduler, timers_,
                  static_cast<std::size_t>(static_cast<double>(settings.descriptors) * endpoint_part)),
       storage_(scheduler, timers_, settings.zone, settings.machine_losses,
                static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
@@ -91,12 +91,11 @@
     e.service = l.service;
     e.zone = l.zone;
     e.address = *address;
-    e.draining = l.draining;
+    e.is_draining = l.draining;
     e.capacity = static_cast<std::size_t>(std::max<std::int64_t>(l.capacity, 0));
-    e.cold = l.slow_start_ms > 0;
     all.push_back(std::move(e));
   }
-  endpoints_.listed(all);
+  upstreams_.update_endpoints(all);
   update_balancers();
 }
 
@@ -129,7 +128,7 @@
 }
 
 void DataPlane::check_books() {
-  endpoints_.check_connections();
+  upstreams_.check_connection_counts();
   std::size_t attempts = 0;
   for (std::size_t i = 0; i < clients_.size(); ++i) attempts += clients_[i].attempt_open() ? 1 : 0;
   double charged = 0;
@@ -140,12 +139,12 @@
 }
 
 bool DataPlane::room_at(const Endpoint& endpoint) const {
-  if (!endpoint.idle.empty()) return true;
+  if (!endpoint.idle_connections.empty()) return true;
   const common::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
   if (service == nullptr || service->max_connections == 0) return true;
   const double part = connections_part * static_cast<double>(service->max_connections) /
                       static_cast<double>(sessions_->edge_count());
-  return static_cast<double>(endpoint.connections) < std::max(part, connections_least);
+  return static_cast<double>(endpoint.connection_count) < std::max(part, connections_least);
 }
 
 void DataPlane::update_balancers() {
@@ -153,7 +152,7 @@
   for (const common::Service& s : configuration_->services) {
     ServiceBalancer& at = balancer_for(s.name);
     std::vector<ServiceBalancer::EndpointInfo> known;
-    for (const auto& e : endpoints_.of_service(s.name)) known.push_back({e->id, e->zone, e->capacity});
+    for (const auto& e : upstreams_.endpoints_of(s.name)) known.push_back({e->id, e->zone, e->capacity});
     at.update_endpoints(known, timers_.now());
     if (s.engine) at.set_engine(s.engine->kv_capacity, s.engine->capacity);
   }
@@ -162,7 +161,7 @@
 bool DataPlane::ready() const { return !leaving_ && knows_enough(); }
 
 bool DataPlane::knows_enough() const {
-  if (!configuration_ || endpoints_.size() == 0) return false;
+  if (!configuration_ || upstreams_.size() == 0) return false;
   // Turns need storage; where no route keeps any it is not waited for.
   const auto& routes = configuration_->routes;
   return storage_.can_replicate() ||
@@ -186,7 +185,7 @@
   out.key("retries").number(c.retries).key("cut").number(c.cut).key("streams").number(c.streams);
   out.key("events").number(c.events).key("turnsKept").number(c.turns_kept).key("spent").number(c.spent);
   out.key("notFound").number(c.not_found).key("unsure").number(c.unsure);
-  out.key("clients").number(clients_.size()).key("connectionsOpened").number(endpoints_.opened());
+  out.key("clients").number(clients_.size()).key("connectionsOpened").number(upstreams_.connections_opened());
   out.key("configVersion").number(configuration_ ? static_cast<std::uint64_t>(configuration_->version) : 0);
   out.key("turnsCached").number(storage_.cached_turns()).close('}');
   reply({200, out.result(), {}});
@@ -213,10 +212,10 @@
   failures_.write(out);
   gauge("chutevane_clients", "", "Connections of clients.", static_cast<double>(clients_.size()));
   gauge("chutevane_endpoint_connections", "", "Connections to endpoints.",
-        static_cast<double>(endpoints_.open_connections()));
+        static_cast<double>(upstreams_.open_connections()));
   counter("chutevane_endpoint_connections_opened", "Connections to endpoints that were begun.",
-          endpoints_.opened());
-  gauge("chutevane_endpoints", "", "Endpoints on the list.", static_cast<double>(endpoints_.size()));
+          upstreams_.connections_opened());
+  gauge("chutevane_endpoints", "", "Endpoints on the list.", static_cast<double>(upstreams_.size()));
   gauge("chutevane_control_sessions", "", "Sessions with control that stand.",
         static_cast<double>(sessions_->usable_count()));
   gauge("chutevane_knowledge_age_seconds", "seconds", "Age of what is known from control.",
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -10,11 +10,11 @@
 #include "common/http_server.hpp"
 #include "common/process.hpp"
 #include "edge/client.hpp"
-#include "edge/endpoints.hpp"
 #include "edge/request_failure.hpp"
 #include "edge/service_balancer.hpp"
 #include "edge/storage_client.hpp"
 #include "edge/traffic_splitter.hpp"
+#include "edge/upstream_pool.hpp"
 #include "net/task_group.hpp"
 
 namespace chutevane::edge {
@@ -66,7 +66,7 @@
   std::map<std::string, TrafficSplitter> splitters_;  // by route
   std::shared_ptr<const common::Configuration> configuration_;
   std::int64_t version_in_force_ = 0;
-  Endpoints endpoints_;
+  UpstreamPool upstreams_;
   std::map<std::string, std::unique_ptr<ServiceBalancer>> balancers_;
   StorageClient storage_;
   common::HttpServer readiness_port_;
