--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -1,3 +1,5 @@
+/// State from control, choices for requests, and the graceful shutdown of the
+/// edge.
 #include "edge/data_plane.hpp"
 
 #include <xxhash.h>
@@ -7,17 +9,19 @@
 
 #include "common/invariant.hpp"
 #include "common/log.hpp"
-#include "json/value.hpp"
 
 namespace chutevane::edge {
 namespace {
 
-constexpr double cache_part = 0.2;        // of the memory, for turns that went through here
-constexpr double endpoint_part = 0.45;    // of the descriptors
-constexpr double connections_part = 0.9;  // of an endpoint's bound on connections: some are just ending
-constexpr double connections_least = 2;   // of each sidecar, however many there are
-constexpr Span new_stop_after = Span::ms(2600);  // the platform misses two questions, a second apart, by then
-constexpr Span grace_spare = Span::ms(600);      // before the platform ends it by force
+constexpr double turn_cache_fraction = 0.2;            // of the process's memory
+constexpr double upstream_descriptor_fraction = 0.45;  // of the process's descriptors
+constexpr double connection_limit_fraction = 0.9;      // of an endpoint's limit: some are just ending
+constexpr double min_connection_share = 2;      // of each edge at each endpoint, however many edges there are
+constexpr Span accept_period = Span::ms(2600);  // after SIGTERM: two readiness probes, a second apart, fail
+constexpr Span shutdown_reserve =
+    Span::ms(600);  // of the grace period, before the platform kills the process
+constexpr Span drain_poll_interval = Span::ms(50);
+constexpr std::size_t max_readiness_request_bytes = 64U << 10U;
 
 std::uint64_t seed_of(const common::ProcessSettings& settings, TimePoint now) {
   return XXH3_64bits_withSeed(settings.node.data(), settings.node.size(),
@@ -31,23 +35,26 @@
       settings_(settings),
       timers_(scheduler),
       random_(seed_of(settings, scheduler.now())),
-      upstreams_(scheduler, timers_,
-                 static_cast<std::size_t>(static_cast<double>(settings.descriptors) * endpoint_part)),
+      upstreams_(
+          scheduler, timers_,
+          static_cast<std::size_t>(static_cast<double>(settings.descriptors) * upstream_descriptor_fraction)),
       storage_(scheduler, timers_, settings.zone, settings.machine_losses,
-               static_cast<std::size_t>(settings.memory_mb * 1e6 * cache_part),
+               static_cast<std::size_t>(settings.memory_mb * 1e6 * turn_cache_fraction),
                seed_of(settings, scheduler.now())),
-      readiness_port_(scheduler, 64 * 1024,
-                      [this](const http::Parser& request, common::HttpServer::Reply reply) {
-                        readiness(request, std::move(reply));
+      readiness_port_(scheduler, max_readiness_request_bytes,
+                      [this](const http::Parser& request, const common::HttpServer::Reply& reply) {
+                        answer_readiness(request, reply);
                       }),
-      front_(scheduler, [this](int fd) { clients_.add(std::make_unique<Client>(*this)).adopt(fd); }),
-      clients_(scheduler) {}
+      listener_(
+          scheduler,
+          [this](int fd) { connections_.add(std::make_unique<DownstreamConnection>(*this)).adopt(fd); }),
+      connections_(scheduler) {}
 
 absl::Status DataPlane::open() {
   if (!settings_.front) return absl::InvalidArgumentError("listenAddrs.front: missing");
   if (!settings_.readiness) return absl::InvalidArgumentError("listenAddrs.readiness: missing");
   readiness_port_.listen(*settings_.readiness);
-  front_.listen(*settings_.front);
+  listener_.listen(*settings_.front);
   common::Member self;
   self.node = settings_.node;
   self.plane = "edge";
@@ -55,218 +62,175 @@
   self.zone = settings_.zone;
   self.counted = settings_.loss_counted;
   sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
-  sessions_->on_value([this](const common::RegisterValue& value) { value_came(value); });
-  sessions_->on_endpoints([this](const common::EndpointTable& list) { list_came(list); });
+  sessions_->on_value([this](const common::RegisterValue& value) { on_value(value); });
+  sessions_->on_endpoints([this](const common::EndpointTable& list) { on_endpoint_list(list); });
   common::log_info("data.open", "front " + net::text_of(*settings_.front));
   return absl::OkStatus();
 }
 
-void DataPlane::value_came(const common::RegisterValue& value) {
+// ---- state from control
+
+void DataPlane::on_value(const common::RegisterValue& value) {
   storage_.on_storage_map(value.map_version, value.storage_nodes);
   if (value.config_version == 0 || (configuration_ && configuration_->version >= value.config_version))
     return;
   common::Findings findings;
-  auto read = common::read_configuration(value.config.data, findings);
-  if (!read) {  // it was checked before it was taken
+  auto configuration = common::read_configuration(value.config.data, findings);
+  if (!configuration) {  // control has checked it before it was accepted
     common::log_event(common::Level::error, "config.unreadable", findings.text());
     return;
   }
   common::check_invariant(
-      common::Invariant::configuration_version_rises, value.config_version > version_in_force_,
-      [&] { return std::to_string(value.config_version) + " after " + std::to_string(version_in_force_); });
-  version_in_force_ = value.config_version;
-  configuration_ = std::make_shared<const common::Configuration>(std::move(*read));
+      common::Invariant::configuration_version_rises, value.config_version > configuration_version_, [&] {
+        return std::to_string(value.config_version) + " after " + std::to_string(configuration_version_);
+      });
+  configuration_version_ = value.config_version;
+  put_in_force(std::move(*configuration));
+}
+
+// Requests in progress keep the configuration that they began with.
+void DataPlane::put_in_force(common::Configuration configuration) {
+  configuration_ = std::make_shared<const common::Configuration>(std::move(configuration));
   remove_stale_splitters();
   update_balancers();
   common::log_info("config.in_force", "version " + std::to_string(configuration_->version));
 }
 
-void DataPlane::list_came(const common::EndpointTable& list) {
-  std::vector<Endpoint> all;
-  for (const auto& [id, l] : list.entries()) {
-    const auto address = net::parse_address(l.address);
+void DataPlane::on_endpoint_list(const common::EndpointTable& list) {
+  std::vector<Endpoint> endpoints;
+  for (const auto& [id, entry] : list.entries()) {
+    const auto address = net::parse_address(entry.address);
     if (!address) continue;
-    Endpoint e;
-    e.id = l.id;
-    e.service = l.service;
-    e.zone = l.zone;
-    e.address = *address;
-    e.is_draining = l.draining;
-    e.capacity = static_cast<std::size_t>(std::max<std::int64_t>(l.capacity, 0));
-    all.push_back(std::move(e));
+    Endpoint endpoint;
+    endpoint.id = entry.id;
+    endpoint.service = entry.service;
+    endpoint.zone = entry.zone;
+    endpoint.address = *address;
+    endpoint.is_draining = entry.draining;
+    endpoint.capacity = static_cast<std::size_t>(std::max<std::int64_t>(entry.capacity, 0));
+    endpoints.push_back(std::move(endpoint));
   }
-  upstreams_.update_endpoints(all);
+  upstreams_.update_endpoints(endpoints);
   update_balancers();
 }
 
-ServiceBalancer& DataPlane::balancer_for(const std::string& service) {
-  auto& at = balancers_[service];
-  if (!at)
-    at = std::make_unique<ServiceBalancer>(
-        settings_.zone, XXH3_64bits_withSeed(service.data(), service.size(), random_.next()));
-  return *at;
-}
-
-const std::string& DataPlane::service_for(const common::Route& route) {
-  if (route.split.size() == 1) return route.split.front().service;
-  return route.split[splitters_[route.name].next(route.split, random_)].service;
+void DataPlane::update_balancers() {
+  if (!configuration_) return;
+  for (const common::Service& service : configuration_->services) {
+    std::vector<ServiceBalancer::EndpointInfo> endpoints;
+    for (const auto& endpoint : upstreams_.endpoints_of(service.name))
+      endpoints.push_back({endpoint->id, endpoint->zone, endpoint->capacity});
+    ServiceBalancer& balancer = balancer_for(service.name);
+    balancer.update_endpoints(endpoints, timers_.now());
+    if (service.engine) balancer.set_engine(service.engine->kv_capacity, service.engine->capacity);
+  }
 }
 
 // Those of routes that are gone.
 void DataPlane::remove_stale_splitters() {
-  std::erase_if(splitters_, [this](const auto& one) {
+  std::erase_if(splitters_, [this](const auto& splitter) {
     return std::none_of(configuration_->routes.begin(), configuration_->routes.end(),
-                        [&](const common::Route& route) { return route.name == one.first; });
+                        [&](const common::Route& route) { return route.name == splitter.first; });
   });
 }
 
-void DataPlane::describe_knowledge(FailureReport& report) const {
-  report.sessions = sessions_->usable_count();
-  report.control_state_age = sessions_->knowledge_age();
-  report.configuration_version = configuration_ ? configuration_->version : 0;
-  report.storage_map = storage_.map_version();
-}
+// ---- for requests
 
-void DataPlane::check_books() {
-  upstreams_.check_connection_counts();
-  std::size_t attempts = 0;
-  for (std::size_t i = 0; i < clients_.size(); ++i) attempts += clients_[i].attempt_open() ? 1 : 0;
-  double charged = 0;
-  for (const auto& [service, balancer] : balancers_) charged += balancer->in_flight();
-  common::check_invariant(
-      common::Invariant::places_held_by_attempts, charged <= static_cast<double>(attempts),
-      [&] { return std::to_string(charged) + " charged, " + std::to_string(attempts) + " under way"; });
+common::ClientLimits DataPlane::client_limits() const {
+  return configuration_ ? configuration_->limits : common::ClientLimits{};
 }
 
-bool DataPlane::room_at(const Endpoint& endpoint) const {
-  if (!endpoint.idle_connections.empty()) return true;
-  const common::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
-  if (service == nullptr || service->max_connections == 0) return true;
-  const double part = connections_part * static_cast<double>(service->max_connections) /
-                      static_cast<double>(sessions_->edge_count());
-  return static_cast<double>(endpoint.connection_count) < std::max(part, connections_least);
+bool DataPlane::has_routing_state() const {
+  if (!configuration_ || upstreams_.size() == 0) return false;
+  // Turns need storage; it is not waited for where no route stores any.
+  const auto& routes = configuration_->routes;
+  return storage_.can_replicate() || std::none_of(routes.begin(), routes.end(),
+                                                  [](const common::Route& route) { return route.retained; });
 }
 
-void DataPlane::update_balancers() {
-  if (!configuration_) return;
-  for (const common::Service& s : configuration_->services) {
-    ServiceBalancer& at = balancer_for(s.name);
-    std::vector<ServiceBalancer::EndpointInfo> known;
-    for (const auto& e : upstreams_.endpoints_of(s.name)) known.push_back({e->id, e->zone, e->capacity});
-    at.update_endpoints(known, timers_.now());
-    if (s.engine) at.set_engine(s.engine->kv_capacity, s.engine->capacity);
+ServiceBalancer& DataPlane::balancer_for(const std::string& service) {
+  auto& balancer = balancers_[service];
+  if (!balancer) {
+    const std::uint64_t seed = XXH3_64bits_withSeed(service.data(), service.size(), random_.next());
+    balancer = std::make_unique<ServiceBalancer>(settings_.zone, seed);
   }
+  return *balancer;
 }
 
-bool DataPlane::ready() const { return !leaving_ && knows_enough(); }
+const std::string& DataPlane::choose_service(const common::Route& route) {
+  if (route.split.size() == 1) return route.split.front().service;
+  return route.split[splitters_[route.name].next(route.split, random_)].service;
+}
 
-bool DataPlane::knows_enough() const {
-  if (!configuration_ || upstreams_.size() == 0) return false;
-  // Turns need storage; where no route keeps any it is not waited for.
-  const auto& routes = configuration_->routes;
-  return storage_.can_replicate() ||
-         std::none_of(routes.begin(), routes.end(), [](const common::Route& r) { return r.retained; });
+bool DataPlane::may_connect(const Endpoint& endpoint) const {
+  if (!endpoint.idle_connections.empty()) return true;
+  const common::Service* const service = configuration_ ? configuration_->service(endpoint.service) : nullptr;
+  if (service == nullptr || service->max_connections == 0) return true;
+  const double share = connection_limit_fraction * static_cast<double>(service->max_connections) /
+                       static_cast<double>(sessions_->edge_count());
+  return static_cast<double>(endpoint.connection_count) < std::max(share, min_connection_share);
 }
 
-void DataPlane::readiness(const http::Parser& request, common::HttpServer::Reply reply) {
-  if (request.method() != "GET") return reply({405, "", {}});
-  if (request.target() == "/v1/readiness") return reply({ready() ? 200 : 503, "", {}});
-  if (request.target() != "/v1/figures") return reply({404, "", {}});
-  json::Writer out;
-  const Counters& c = counters_;
-  out.open('{')
-      .key("node")
-      .text(settings_.node)
-      .key("requests")
-      .number(c.requests)
-      .key("answered")
-      .number(c.answered);
-  out.key("refused").number(c.refused).key("failed").number(c.failed).key("attempts").number(c.attempts);
-  out.key("retries").number(c.retries).key("cut").number(c.cut).key("streams").number(c.streams);
-  out.key("events").number(c.events).key("turnsKept").number(c.turns_kept).key("spent").number(c.spent);
-  out.key("notFound").number(c.not_found).key("unsure").number(c.unsure);
-  out.key("clients").number(clients_.size()).key("connectionsOpened").number(upstreams_.connections_opened());
-  out.key("configVersion").number(configuration_ ? static_cast<std::uint64_t>(configuration_->version) : 0);
-  out.key("turnsCached").number(storage_.cached_turns()).close('}');
-  reply({200, out.result(), {}});
+std::string DataPlane::retry_after() {
+  char seconds[16];
+  std::snprintf(seconds, sizeof seconds, "%.2f", 0.1 + 0.3 * random_.unit());
+  return seconds;
 }
 
-void DataPlane::write_metrics(common::MetricsWriter& out) {
-  check_books();
-  const Counters& c = counters_;
-  const auto counter = [&](std::string_view name, std::string_view help, std::uint64_t value) {
-    out.counter(name, "", help, static_cast<double>(value));
-  };
-  const auto gauge = [&](std::string_view name, std::string_view unit, std::string_view help, double value) {
-    out.gauge(name, unit, help, value);
-  };
-  counter("chutevane_requests", "Requests of clients that were read whole.", c.requests);
-  counter("chutevane_answered", "Requests answered with an endpoint's answer.", c.answered);
-  counter("chutevane_attempts", "Attempts sent to endpoints.", c.attempts);
-  counter("chutevane_retries", "Attempts after the first of their request.", c.retries);
-  counter("chutevane_attempts_cut", "Attempts ended because their time was over.", c.cut);
-  counter("chutevane_streams_resumed", "Times that a stream was taken up at another endpoint.", c.resumed);
-  counter("chutevane_streams", "Streams of which a part was passed on.", c.streams);
-  counter("chutevane_events", "Events of streams passed on.", c.events);
-  counter("chutevane_turns_kept", "Turns that storage has kept.", c.turns_kept);
-  failures_.write(out);
-  gauge("chutevane_clients", "", "Connections of clients.", static_cast<double>(clients_.size()));
-  gauge("chutevane_endpoint_connections", "", "Connections to endpoints.",
-        static_cast<double>(upstreams_.open_connections()));
-  counter("chutevane_endpoint_connections_opened", "Connections to endpoints that were begun.",
-          upstreams_.connections_opened());
-  gauge("chutevane_endpoints", "", "Endpoints on the list.", static_cast<double>(upstreams_.size()));
-  gauge("chutevane_control_sessions", "", "Sessions with control that stand.",
-        static_cast<double>(sessions_->usable_count()));
-  gauge("chutevane_knowledge_age_seconds", "seconds", "Age of what is known from control.",
-        sessions_->knowledge_age().as_ms() / 1000);
-  gauge("chutevane_configuration_version", "", "Configuration in force; 0: none.",
-        configuration_ ? static_cast<double>(configuration_->version) : 0);
-  gauge("chutevane_storage_map", "", "Number of the map of storage nodes.",
-        static_cast<double>(storage_.map_version()));
-  gauge("chutevane_turns_cached", "", "Turns in memory.", static_cast<double>(storage_.cached_turns()));
-  gauge("chutevane_ready", "", "1 while the readiness address answers 200.", ready() ? 1 : 0);
+void DataPlane::add_control_state(FailureReport& report) const {
+  report.sessions = sessions_->usable_count();
+  report.control_state_age = sessions_->knowledge_age();
+  report.configuration_version = configuration_ ? configuration_->version : 0;
+  report.storage_map = storage_.map_version();
 }
 
-std::string DataPlane::come_back() {
-  char text[16];
-  std::snprintf(text, sizeof text, "%.2f", 0.1 + 0.3 * random_.unit());
-  return text;
+void DataPlane::check_accounting() {
+  upstreams_.check_connection_counts();
+  std::size_t attempts = 0;
+  for (std::size_t i = 0; i < connections_.size(); ++i)
+    attempts += connections_[i].has_open_attempt() ? 1 : 0;
+  double charged = 0;
+  for (const auto& [service, balancer] : balancers_) charged += balancer->in_flight();
+  common::check_invariant(
+      common::Invariant::places_held_by_attempts, charged <= static_cast<double>(attempts),
+      [&] { return std::to_string(charged) + " charged, " + std::to_string(attempts) + " under way"; });
 }
 
-// Serves on while new connections still come, then ends each connection with its next answer.
+// ---- graceful shutdown
+
 void DataPlane::begin_shutdown() {
-  if (leaving_) return;
-  leaving_ = true;
-  leaving_since_ = timers_.now();
-  // Its sessions stand until it ends: it serves on, and has to hear of drains and changes.
-  timers_.after(new_stop_after, [this] {
-    closing_ = true;
-    front_.close();
-    look_finished();
+  if (is_shutting_down_) return;
+  is_shutting_down_ = true;
+  // Sessions with control stay until the end: it serves on, and has to hear of
+  // drains and changes.
+  timers_.after(accept_period, [this] {
+    is_closing_ = true;
+    listener_.close();
+    finish_when_drained();
   });
-  timers_.after(settings_.grace - grace_spare, [this] { end_now(); });
-}
-
-// The time is over: what is still in hand ends without its answer, and is told.
-void DataPlane::end_now() {
-  if (finished_) return;
-  finished_ = true;
-  for (std::size_t i = clients_.size(); i-- > 0;) clients_[i].close(FailureCause::process_ended);
-  check_books();
+  timers_.after(settings_.grace - shutdown_reserve, [this] { finish_now(); });
 }
 
-void DataPlane::look_finished() {
-  if (!closing_ || finished_) return;
-  for (std::size_t i = clients_.size(); i-- > 0;) {
-    if (clients_[i].idle()) clients_[i].close(FailureCause::process_ended);
+void DataPlane::finish_when_drained() {
+  if (!is_closing_ || is_finished_) return;
+  for (std::size_t i = connections_.size(); i-- > 0;) {
+    if (connections_[i].is_idle()) connections_[i].close(FailureCause::process_ended);
   }
-  if (clients_.size() == 0) {
-    finished_ = true;
-    check_books();
-  } else {
-    timers_.after(Span::ms(50), [this] { look_finished(); });
+  if (connections_.size() > 0) {
+    timers_.after(drain_poll_interval, [this] { finish_when_drained(); });
+    return;
   }
+  is_finished_ = true;
+  check_accounting();
+}
+
+// The time is over: requests in progress end without their response, and are
+// reported.
+void DataPlane::finish_now() {
+  if (is_finished_) return;
+  is_finished_ = true;
+  for (std::size_t i = connections_.size(); i-- > 0;) connections_[i].close(FailureCause::process_ended);
+  check_accounting();
 }
 
 }  // namespace chutevane::edge
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -1,4 +1,5 @@
-// chutevane-edge: a sidecar of the traffic.
+/// chutevane-edge: the data plane, which carries requests of clients to
+/// endpoints.
 #include "common/process.hpp"
 #include "edge/data_plane.hpp"
 
--- /dev/null
+++ b/src/edge/proxied_request.cpp
@@ -0,0 +1,156 @@
+/// From a request's last byte to its first attempt: route, previous turns,
+/// budget.
+#include "edge/proxied_request.hpp"
+
+#include <algorithm>
+
+#include "edge/data_plane.hpp"
+#include "edge/downstream_connection.hpp"
+
+namespace chutevane::edge {
+namespace {
+
+constexpr Span response_reserve = Span::ms(2);    // of the client's time, for the way back
+constexpr Span storage_timeout = Span::ms(1500);  // a longer fail-over is answered with Retry-After
+constexpr Span startup_wait = Span::ms(700);   // for what a process that has just started does not know yet
+constexpr double startup_wait_fraction = 0.5;  // of the client's time, at most, for the same
+constexpr Span startup_poll_interval = Span::ms(20);
+constexpr Span unlimited = Span::ms(600000);  // where neither client nor route states a time
+
+}  // namespace
+
+ProxiedRequest::ProxiedRequest(DataPlane& plane, DownstreamConnection& connection)
+    : plane_(plane), connection_(connection), received_at_(plane.timers().now()), budget_(plane.storage()) {}
+
+ProxiedRequest::~ProxiedRequest() { plane_.timers().cancel(timer_); }
+
+void ProxiedRequest::start(ParsedClientRequest parsed) {
+  is_counted_ = true;
+  ++plane_.counters().requests;
+  request_ = std::move(parsed.request);
+  if (!parsed.error.empty()) return respond(FailureCause::malformed_request, 400, parsed.error);
+  choose_route();
+}
+
+void ProxiedRequest::reject(FailureCause cause, int status, std::string_view text) {
+  respond(cause, status, text);
+}
+
+Span ProxiedRequest::time_left() const { return deadline_ - plane_.timers().now(); }
+
+ServiceBalancer& ProxiedRequest::balancer() const { return plane_.balancer_for(service_); }
+
+void ProxiedRequest::add_to(FailureReport& report) const {
+  report.attempt_id = request_.attempt_id;
+  if (route_ != nullptr) report.route = route_->name;
+  report.service = service_;
+  report.endpoint = attempt_.endpoint_id;
+  report.elapsed = is_counted_ ? plane_.timers().now() - received_at_ : Span();
+  report.attempts = attempts_;
+  report.last_attempt = name_of(last_result_);
+}
+
+// ---- route
+
+void ProxiedRequest::choose_route() {
+  // A process that has just started knows routes and endpoints within a moment:
+  // waiting is sooner than a retry of the client.
+  const Span wait =
+      std::min(startup_wait, request_.time_remaining.value_or(unlimited) * startup_wait_fraction);
+  if (!plane_.has_routing_state() && plane_.timers().now() - received_at_ < wait) {
+    timer_ = plane_.timers().after(startup_poll_interval, guarded([this] { choose_route(); }));
+    return;
+  }
+  configuration_ = plane_.configuration();
+  if (!configuration_)
+    return respond(FailureCause::no_configuration, 503, "no configuration yet", RetryAfter::yes);
+  const std::string_view path = std::string_view(request_.target).substr(0, request_.target.find('?'));
+  route_ = configuration_->route_of(request_.host, path);
+  if (route_ == nullptr) {
+    // Without contact to control the route may be in a configuration that is
+    // not known here.
+    if (!plane_.has_control_session())
+      return respond(FailureCause::route_uncertain, 503, "no route known here yet", RetryAfter::yes);
+    return respond(FailureCause::no_route, 404, "no route");
+  }
+  deadline_ = received_at_ + std::min(request_.time_remaining.value_or(unlimited), route_->timeout);
+  service_ = plane_.choose_service(*route_);
+  is_stream_ = route_->type == common::RouteType::streaming && request_.method != "HEAD";
+  if (route_->affinity) {
+    placement_.has_affinity = true;
+    placement_.prompt = request_.prompt;
+  }
+  if (route_->retained) return load_previous_turns();
+  body_ = request_.body;
+  reserve_budget();
+}
+
+// ---- previous turns and budget
+
+void ProxiedRequest::load_previous_turns() {
+  if (request_.attempt_id.empty())
+    return respond(FailureCause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
+  if (request_.previous_turn.empty()) {
+    body_ = request_.body;
+    return reserve_budget();
+  }
+  plane_.storage().find_chain(request_.previous_turn, request_.program, request_.attempt_id,
+                              storage_deadline(),
+                              guarded([this](const TurnChain& chain) { on_previous_turns(chain); }));
+}
+
+void ProxiedRequest::on_previous_turns(const TurnChain& chain) {
+  if (chain.result == LookupResult::not_found) {
+    ++plane_.counters().turns_not_found;
+    return respond(FailureCause::no_such_turn, 404, "no such turn");
+  }
+  if (chain.result == LookupResult::unavailable) {
+    ++plane_.counters().turns_uncertain;
+    return respond(FailureCause::turn_uncertain, 503, "not certain yet whether there is such a turn",
+                   RetryAfter::yes);
+  }
+  std::size_t size = request_.body.size();
+  for (const auto& turn : chain.turns) size += turn->input.data.size() + turn->output.data.size();
+  body_.reserve(size);
+  for (const auto& turn : chain.turns) body_.append(turn->input.data).append(turn->output.data);
+  body_.append(request_.body);
+  reserve_budget();
+}
+
+TimePoint ProxiedRequest::storage_deadline() const {
+  return std::min(deadline_ - response_reserve, plane_.timers().now() + storage_timeout);
+}
+
+// Only streams generate tokens: they alone are counted.
+bool ProxiedRequest::needs_budget() const {
+  return request_.token_budget && route_->type == common::RouteType::streaming;
+}
+
+void ProxiedRequest::reserve_budget() {
+  placement_.body_bytes = static_cast<double>(body_.size());
+  if (!needs_budget()) return start_attempt();
+  if (request_.attempt_id.empty())
+    return respond(FailureCause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
+  if (request_.program.empty()) return respond(FailureCause::missing_program, 400, "Program: missing");
+  budget_.open(request_.program, request_.attempt_id);
+  // A request that does not state its maximum may use the whole budget.
+  const std::int64_t tokens = request_.max_output_tokens.value_or(*request_.token_budget);
+  plane_.storage().reserve(request_.program, request_.attempt_id, tokens, *request_.token_budget,
+                           storage_deadline(),
+                           guarded([this](ReservationResult result) { on_budget_reserved(result); }));
+}
+
+void ProxiedRequest::on_budget_reserved(ReservationResult result) {
+  if (result == ReservationResult::exhausted) {
+    ++plane_.counters().budgets_exhausted;
+    budget_.release();
+    return respond(FailureCause::budget_spent, 402, "the budget is spent");
+  }
+  if (result == ReservationResult::unavailable) {
+    budget_.release();
+    return respond(FailureCause::budget_uncertain, 503, "budgets cannot be set aside now", RetryAfter::yes);
+  }
+  start_attempt();
+}
+
+}  // namespace chutevane::edge
