--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -1,5 +1,5 @@
-// What a request costs in processor time through the real edge, on real sockets of one loop: the client's,
-// the endpoint's and storage's part is in it too, so differences between two builds count, not the figure.
+/// What a request costs in processor time through the real edge, on real sockets of one loop: the client's,
+/// the endpoint's and storage's part is in it too, so differences between two builds count, not the figure.
 #include <benchmark/benchmark.h>
 
 #include <string>
--- a/tests/edge/budget_test.cpp
+++ b/tests/edge/budget_reservation_test.cpp
@@ -1,5 +1,5 @@
-// A program's budget at the edge, on routes whose turns are kept and on those whose turns are not: set aside
-// before a turn is sent, given back where it has not run, and settled by what was handed to the client.
+/// A program's budget at the edge, on routes whose turns are kept and on those whose turns are not: set aside
+/// before a turn is sent, given back where it has not run, and settled by what was handed to the client.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,34 +19,35 @@
   return out;
 }
 
-class BudgetTest : public ::testing::TestWithParam<Kind> {
+class BudgetReservationTest : public ::testing::TestWithParam<Kind> {
  protected:
-  BudgetTest() : scene(2, {.timeout_ms = 4000, .max_attempts = 2, .tokens_per_event = event_tokens}) {}
+  BudgetReservationTest()
+      : scene(2, {.timeout_ms = 4000, .max_attempts = 2, .tokens_per_event = event_tokens}) {}
   bool settled(std::int64_t tokens) {
     return scene.loop.until([&] { return scene.storage->settled.contains(id); }) &&
            scene.storage->settled[id] == tokens;
   }
-  bool stays_at_its_most() {
+  bool stays_reserved() {
     scene.loop.run_for(aftermath);
     return scene.storage->reserved.contains(id) && !scene.storage->settled.contains(id);
   }
   Scene scene;
 };
-INSTANTIATE_TEST_SUITE_P(Streams, BudgetTest, ::testing::Values(Kind::streaming, Kind::turn),
+INSTANTIATE_TEST_SUITE_P(Streams, BudgetReservationTest, ::testing::Values(Kind::streaming, Kind::turn),
                          [](const auto& row) { return name_of(row.param); });
 
-TEST_P(BudgetTest, IsSetAsideBeforeTheTurnIsSent) {
-  std::int64_t set_aside = 0;
+TEST_P(BudgetReservationTest, IsReservedBeforeTheTurnIsSent) {
+  std::int64_t reserved_tokens = 0;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
-    set_aside = scene.storage->reserved[request.attempt_id];
+    reserved_tokens = scene.storage->reserved[request.attempt_id];
     connection.send(good_answer(GetParam(), request.attempt_id));
   };
   EXPECT_EQ(scene.ask(id, with_budget(GetParam())).status, 200);
-  EXPECT_EQ(set_aside, 120);
+  EXPECT_EQ(reserved_tokens, 120);
   EXPECT_TRUE(settled(2 * event_tokens));
 }
 
-TEST_P(BudgetTest, SpentIsAnsweredAndNothingIsSent) {
+TEST_P(BudgetReservationTest, AnExhaustedBudgetIsAnsweredAndNothingIsSent) {
   scene.answer_well(GetParam());
   scene.storage->others = {{"before", 900, true}};
   EXPECT_EQ(scene.ask(id, with_budget(GetParam())).status, 402);
@@ -58,7 +59,7 @@
 }
 
 // Storage is out of contact: the turn has not run, and is told when to come back.
-TEST_P(BudgetTest, WithoutStorageNothingIsSent) {
+TEST_P(BudgetReservationTest, WithoutStorageNothingIsSent) {
   scene.answer_well(GetParam());
   scene.storage->silent_on_reserve = true;
   const Answer got = scene.ask(id, with_budget(GetParam()));
@@ -69,7 +70,7 @@
 }
 
 // It may generate all that there is: it is alone with its budget.
-TEST_P(BudgetTest, WithoutATokenCountTheWholeBudgetIsSetAside) {
+TEST_P(BudgetReservationTest, WithoutATokenCountTheWholeBudgetIsReserved) {
   scene.answer_well(GetParam());
   RequestOptions options = with_budget(GetParam());
   options.extra_fields = "Program: p\r\nBudget: 1000\r\n";
@@ -77,14 +78,14 @@
   EXPECT_EQ(scene.storage->reserved[id], 1000);
 }
 
-TEST_P(BudgetTest, NobodyCanSetAsideForAProgramWithoutAName) {
+TEST_P(BudgetReservationTest, AProgramWithoutAnIdHasNoReservation) {
   RequestOptions options = with_budget(GetParam());
   options.extra_fields = "Budget: 1000\r\nX-Chutevane-Token-Count: 10,120\r\n";
   EXPECT_EQ(scene.ask(id, options).status, 400);
   EXPECT_TRUE(scene.storage->reserved.empty());
 }
 
-TEST_P(BudgetTest, ATurnThatIsTurnedAwayIsGivenBack) {
+TEST_P(BudgetReservationTest, ARejectedTurnIsReleased) {
   scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(rejection(503, request.attempt_id));
   };
@@ -92,7 +93,7 @@
   EXPECT_TRUE(settled(0));
 }
 
-TEST_P(BudgetTest, AStreamThatBreaksOffCountsWhatWasPassedOn) {
+TEST_P(BudgetReservationTest, AStreamThatBreaksOffCountsWhatWasPassedOn) {
   scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk(event_text(1, "one")));
     connection.close();
@@ -105,7 +106,7 @@
 }
 
 // Its last event is out, its end is not: nothing of it is lost or counted twice.
-TEST_P(BudgetTest, ABreakBetweenTheLastEventAndTheEndCountsAllEvents) {
+TEST_P(BudgetReservationTest, ABreakBetweenTheLastEventAndTheEndCountsAllEvents) {
   scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk(event_text(1, "one")) +
                     chunk(event_text(2, "two")));
@@ -117,7 +118,7 @@
   EXPECT_TRUE(settled(2 * event_tokens));
 }
 
-TEST_P(BudgetTest, AClientThatLeavesMidwayCountsWhatWasPassedOn) {
+TEST_P(BudgetReservationTest, AClientThatLeavesMidwayCountsWhatWasPassedOn) {
   scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk(event_text(1, "one")));
   };
@@ -129,17 +130,17 @@
 }
 
 // It may run, and nobody knows how far it came.
-TEST_P(BudgetTest, AClientThatLeavesBeforeTheFirstEventLeavesItAtItsMost) {
+TEST_P(BudgetReservationTest, AClientThatLeavesBeforeTheFirstEventLeavesItReserved) {
   scene.script.on_request = [](ScriptedConnection&, const ReceivedRequest&) {};
   const auto client = scene.client();
   client->send(request_text(id, with_budget(GetParam())));
   ASSERT_TRUE(scene.loop.until([&] { return scene.script.heads[id] == 1; }));
   client->close();
-  EXPECT_TRUE(stays_at_its_most());
+  EXPECT_TRUE(stays_reserved());
 }
 
 // Storage has been asked, and its answer comes to nobody: what may be set aside there is given back.
-TEST_P(BudgetTest, AClientThatLeavesWhileItIsSetAsideGivesItBack) {
+TEST_P(BudgetReservationTest, AClientThatLeavesDuringTheReservationReleasesIt) {
   scene.answer_well(GetParam());
   scene.storage->silent_on_reserve = true;
   const auto client = scene.client();
@@ -151,7 +152,7 @@
 }
 
 // Each try of a client is a turn of its own: what the first was handed stays counted.
-TEST_P(BudgetTest, ATurnThatIsRepeatedCountsAnew) {
+TEST_P(BudgetReservationTest, ATurnThatIsRepeatedCountsAnew) {
   bool first = true;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return connection.send(good_answer(GetParam(), request.attempt_id));
@@ -167,7 +168,7 @@
   EXPECT_EQ(scene.storage->settled["again"], 2 * event_tokens);
 }
 
-TEST_P(BudgetTest, WithoutABudgetNothingIsSetAside) {
+TEST_P(BudgetReservationTest, WithoutABudgetNothingIsReserved) {
   scene.answer_well(GetParam());
   RequestOptions options = request_of(GetParam());
   options.extra_fields = "Program: p\r\nX-Chutevane-Token-Count: 10,120\r\n";
@@ -177,7 +178,7 @@
 }
 
 // How many tokens an event holds is not known: it counts at its most.
-TEST(Budget, UncountableStreamsStayAtTheirMost) {
+TEST(BudgetReservations, UncountableStreamsStayReserved) {
   Scene scene(1);
   scene.answer_well(Kind::streaming);
   EXPECT_EQ(scene.ask(id, with_budget(Kind::streaming)).status, 200);
@@ -187,7 +188,7 @@
 }
 
 // Calls of tools generate nothing that is counted.
-TEST(Budget, PlainCallsSetNothingAside) {
+TEST(BudgetReservations, PlainCallsReserveNothing) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   RequestOptions options = request_of(Kind::non_idempotent);
--- a/tests/edge/departures_test.cpp
+++ b/tests/edge/client_disconnect_test.cpp
@@ -1,5 +1,5 @@
-// Clients that leave, half-close or speak HTTP/1.0, endpoints that turn away for a more urgent one, and
-// sessions that confirm too much: paths that nothing attacked.
+/// Clients that leave, half-close or speak HTTP/1.0, endpoints that turn away for a more urgent one, and
+/// sessions that confirm too much: paths that nothing attacked.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,7 +15,7 @@
 RequestOptions once() { return request_of(Kind::non_idempotent); }
 
 // The close of a client ends the work at its endpoint, whatever the kind.
-TEST(Departures, ACloseReachesTheEndpointInTime) {
+TEST(ClientDisconnects, ACloseReachesTheEndpointInTime) {
   for (const Kind kind : all_kinds) {
     SCOPED_TRACE(name_of(kind));
     Scene scene(1);
@@ -33,7 +33,7 @@
 }
 
 // A client that is gone before its request was passed on: nothing reaches an endpoint any more.
-TEST(Departures, ACloseWhileItsTurnIsPreparedSendsNothing) {
+TEST(ClientDisconnects, ACloseWhileItsTurnIsPreparedSendsNothing) {
   Scene scene(1);
   ASSERT_TRUE(scene.prepare(Kind::turn));
   scene.storage->silent_on_reserve = true;
@@ -49,7 +49,7 @@
 }
 
 // HTTP can't tell a client that has ended its writing side from one that is gone: its request is given up.
-TEST(Departures, AHalfCloseCountsAsLeaving) {
+TEST(ClientDisconnects, AHalfCloseCountsAsLeaving) {
   Scene scene(1);
   std::size_t number = 0;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest&) {
@@ -67,7 +67,7 @@
 }
 
 // What never reached an endpoint counts nothing against the budget, also where its client left meanwhile.
-TEST(Departures, ATurnThatReachedNoEndpointGivesItsBudgetBack) {
+TEST(ClientDisconnects, ATurnThatReachedNoEndpointGivesItsBudgetBack) {
   Scene scene(1);
   ASSERT_TRUE(scene.prepare(Kind::turn));
   // No connection comes up: what waits for one has not been written.
@@ -87,7 +87,7 @@
 }
 
 // The other way round: what reached an endpoint counts at its most, however its client left.
-TEST(Departures, ATurnThatReachedAnEndpointKeepsItsBudget) {
+TEST(ClientDisconnects, ATurnThatReachedAnEndpointKeepsItsBudget) {
   Scene scene(1);
   ASSERT_TRUE(scene.prepare(Kind::turn));
   bool reached = false;
@@ -103,7 +103,7 @@
 
 // The endpoint breaks off and the client leaves in the same moment: the edge reads both in one turn, in any
 // order.
-TEST(Departures, ATurnWhoseEndpointBreaksOffAsItsClientLeavesKeepsItsBudget) {
+TEST(ClientDisconnects, ATurnWhoseEndpointBreaksOffAsItsClientLeavesKeepsItsBudget) {
   for (int round = 0; round < 12; ++round) {
     SCOPED_TRACE(round);
     Scene scene(1);
@@ -127,7 +127,7 @@
   }
 }
 
-TEST(Departures, AClientOfHttp10GetsOneAnswerAndAnEnd) {
+TEST(ClientDisconnects, AClientOfHttp10GetsOneAnswerAndAnEnd) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   const auto client = scene.client();
@@ -143,7 +143,7 @@
 }
 
 // A more urgent request may take the place of one that waits: that is turned away with proof, and goes on.
-TEST(Departures, PreemptedWithProofGoesElsewhere) {
+TEST(ClientDisconnects, PreemptedWithProofGoesElsewhere) {
   for (const Kind kind : all_kinds) {
     SCOPED_TRACE(name_of(kind));
     Scene scene(2);
@@ -163,7 +163,7 @@
 
 // A surplus answer in the same read as the whole one: the connection carries nothing else, whichever guard
 // sees it first.
-TEST(Departures, SecondAnswerInTheSameRead) {
+TEST(ClientDisconnects, SecondAnswerInTheSameRead) {
   Scene scene(1);
   scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
     const std::string good = good_answer(Kind::non_idempotent, request.attempt_id);
--- a/tests/edge/client_request_test.cpp
+++ b/tests/edge/client_request_test.cpp
@@ -1,4 +1,4 @@
-// A client's request as it is read, and as it goes on; events of a stream cut at every byte.
+/// A client's request as it is read, and as it goes on; events of a stream cut at every byte.
 #include "edge/client_request.hpp"
 
 #include <algorithm>
--- a/tests/edge/client_test.cpp
+++ b/tests/edge/downstream_connection_test.cpp
@@ -1,5 +1,5 @@
-// Connections of clients: one answer to each request in its order, none that belongs to another, and no end
-// that takes a request or part of an answer with it.
+/// Connections of clients: one answer to each request in its order, none that belongs to another, and no end
+/// that takes a request or part of an answer with it.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,7 +14,7 @@
 
 RequestOptions once() { return request_of(Kind::non_idempotent); }
 
-TEST(Clients, PipelinedRequestsAreAnsweredInTheirOrder) {
+TEST(DownstreamConnections, PipelinedRequestsAreAnsweredInTheirOrder) {
   Scene scene(3);
   // The first is answered last.
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
@@ -38,7 +38,7 @@
   EXPECT_EQ(client->unasked, "");
 }
 
-TEST(Clients, PipelinedBodiesAreNoRequests) {
+TEST(DownstreamConnections, PipelinedBodiesAreNoRequests) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   RequestOptions options = once();
@@ -59,7 +59,7 @@
 }
 
 // A client that leaves takes its call with it: that call is not sent again, and its answer goes to nobody.
-TEST(Clients, ClientThatLeavesMidway) {
+TEST(DownstreamConnections, ClientThatLeavesMidway) {
   for (const Kind kind : all_kinds) {
     for (const bool with_reset : {false, true}) {
       SCOPED_TRACE(name_of(kind) + (with_reset ? " reset" : " closed"));
@@ -93,7 +93,7 @@
 // ---- answers of the edge's own
 
 // A request that is not read whole has no id yet: the id of the one before is not its.
-TEST(Clients, MalformedRequestIsNotAnsweredAsTheOneBefore) {
+TEST(DownstreamConnections, MalformedRequestIsNotAnsweredAsTheOneBefore) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   const auto client = scene.client();
@@ -106,7 +106,7 @@
   EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
 }
 
-TEST(Clients, RequestThatComesTooSlowlyIsNotAnsweredAsTheOneBefore) {
+TEST(DownstreamConnections, RequestThatComesTooSlowlyIsNotAnsweredAsTheOneBefore) {
   Scene scene(1, {}, {.header_ms = 200, .idle_ms = 5000});
   scene.answer_well(Kind::non_idempotent);
   const auto client = scene.client();
@@ -118,7 +118,7 @@
   EXPECT_EQ(client->answers[1].field("X-Chutevane-Attempt-Id"), "");
 }
 
-TEST(Clients, OwnAnswerToHeadHasNoBody) {
+TEST(DownstreamConnections, OwnAnswerToHeadHasNoBody) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   RequestOptions nowhere;
@@ -134,7 +134,7 @@
   EXPECT_EQ(client->unasked, "");
 }
 
-TEST(Clients, ContinueIsSaidOnceAndIsNotTheAnswer) {
+TEST(DownstreamConnections, ContinueIsSaidOnceAndIsNotTheAnswer) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   const auto client = scene.client();
@@ -155,7 +155,7 @@
 
 // What was sent ahead, and is not read any more, must not turn the end of the connection into a reset that
 // takes the answer with it.
-TEST(Clients, LastAnswerComesWholeThoughMoreWasSent) {
+TEST(DownstreamConnections, LastAnswerComesWholeThoughMoreWasSent) {
   Scene scene(1);
   const std::string large(6U << 20U, 'x');
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
@@ -185,7 +185,7 @@
 // ---- leaving
 
 // The edge leaves: what has been sent to it is answered, and what it has answered goes out whole.
-TEST(Leaving, AnswerThatIsStillGoingOutIsNotCut) {
+TEST(GracefulShutdown, ResponseThatIsStillGoingOutIsNotCut) {
   Scene scene(1);
   const std::string large(16U << 20U, 'x');
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
@@ -205,7 +205,7 @@
   EXPECT_TRUE(scene.loop.until([&] { return scene.edge->finished(); }));
 }
 
-TEST(Leaving, RequestThatHasArrivedIsNotReset) {
+TEST(GracefulShutdown, RequestThatHasArrivedIsNotReset) {
   Scene scene(1);
   scene.answer_well(Kind::non_idempotent);
   const auto client = scene.client();
@@ -231,7 +231,7 @@
 #endif
 
 // Clients take up a connection that has rested for up to four fifths of the limit.
-TEST(Limits, RestedConnectionIsTakenUpAgain) {
+TEST(Limits, IdleConnectionIsUsedAgain) {
   Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
   scene.answer_well(Kind::non_idempotent);
   const auto client = scene.client();
@@ -246,7 +246,7 @@
 }
 
 // The rest begins when the answer has gone out, not when its first bytes did.
-TEST(Limits, RestBeginsWhenTheAnswerHasGoneOut) {
+TEST(Limits, IdleTimeBeginsWhenTheResponseIsOut) {
   Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
   const std::string large(16U << 20U, 'x');
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
@@ -266,7 +266,7 @@
 }
 
 // Clients go by the limit that is in force: one that grows while they rest holds for that rest too.
-TEST(Limits, LimitThatGrowsHoldsForARestThatHasBegun) {
+TEST(Limits, LimitThatGrowsHoldsForIdleTimeThatHasBegun) {
   const LimitOptions longer{.header_ms = 300, .idle_ms = idle_ms * 4};
   Scene scene(1, {}, {.header_ms = 300, .idle_ms = idle_ms});
   scene.answer_well(Kind::non_idempotent);
--- a/tests/edge/strike_test.cpp
+++ b/tests/edge/endpoint_fault_test.cpp
@@ -1,5 +1,6 @@
-// Every point at which a silence, a reset or a close may strike a call, for each kind of route: what may not
-// be repeated is proven unsent before it goes out again, and never promised not to have run once it may have.
+/// Every point at which a silence, a reset or a close may strike a call, for each kind of route: what may not
+/// be repeated is proven unsent before it goes out again, and never promised not to have run once it may
+/// have.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -77,7 +78,7 @@
   return "";
 }
 
-class StrikeTest : public ::testing::TestWithParam<std::tuple<Point, Strike, Kind>> {
+class EndpointFaultTest : public ::testing::TestWithParam<std::tuple<Point, Strike, Kind>> {
  protected:
   // The first connection that the victim comes to is struck; whatever else comes is answered well.
   void play(Scene& scene, Point point, Strike strike, Kind kind) {
@@ -109,7 +110,7 @@
   Strike ending_strike_ = Strike::reset;
 };
 
-TEST_P(StrikeTest, IsSentAgainOnlyWhereItMayBe) {
+TEST_P(EndpointFaultTest, IsSentAgainOnlyWhereItMayBe) {
   const auto [point, strike, kind] = GetParam();
   const bool silent = strike == Strike::silence;
   Scene scene(2, {.timeout_ms = silent ? timeout_ms : ample_timeout_ms, .max_attempts = 2});
@@ -178,7 +179,7 @@
   EXPECT_EQ(scene.script.executions("next"), 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(AllPoints, StrikeTest,
+INSTANTIATE_TEST_SUITE_P(AllPoints, EndpointFaultTest,
                          ::testing::Combine(::testing::Values(Point::accepted, Point::body_partly_written,
                                                               Point::request_whole, Point::first_byte,
                                                               Point::answer_head, Point::mid_answer),
--- a/tests/edge/sight_test.cpp
+++ b/tests/edge/request_failure_test.cpp
@@ -1,5 +1,7 @@
-// A failed request can be explained afterwards: each way to fail is struck once, and its cause is counted and
-// told in a line that names the request.
+/// A failed request can be explained afterwards: each way to fail is struck once, and its cause is counted
+/// and told in a line that names the request.
+#include "edge/request_failure.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -9,7 +11,6 @@
 
 #include "common/log.hpp"
 #include "common/metrics.hpp"
-#include "edge/request_failure.hpp"
 #include "harness.hpp"
 
 namespace chutevane::edge::harness {
@@ -150,9 +151,9 @@
   return out;
 }
 
-class SightTest : public ::testing::TestWithParam<Strike> {};
+class FailureCauseTest : public ::testing::TestWithParam<Strike> {};
 
-TEST_P(SightTest, CauseIsCountedAndTold) {
+TEST_P(FailureCauseTest, CauseIsCountedAndLogged) {
   const Strike& strike = GetParam();
   const CapturedLog log;
   Scene scene(1, strike.route);
@@ -205,12 +206,12 @@
   EXPECT_NE(text.find(sample), std::string::npos) << text;
 }
 
-INSTANTIATE_TEST_SUITE_P(Causes, SightTest, ::testing::ValuesIn(strikes()),
+INSTANTIATE_TEST_SUITE_P(Causes, FailureCauseTest, ::testing::ValuesIn(strikes()),
                          [](const auto& one) { return std::string(name_of(one.param.cause)); });
 
 // Those that have no whole request, or need a scene of their own.
 
-TEST(Sight, RequestsThatAreNoneAreToldToo) {
+TEST(FailureReporting, RequestsThatAreNoneAreToldToo) {
   const CapturedLog log;
   Scene scene(1, {}, {.header_ms = 150});
   const auto malformed = scene.client(), slow = scene.client(), nameless = scene.client();
@@ -225,7 +226,7 @@
   }
 }
 
-TEST(Sight, WhatIsNotKnownYetIsTold) {
+TEST(FailureReporting, WhatIsNotKnownYetIsTold) {
   const CapturedLog log;
   Scene scene(1, {}, {}, Scene::Informed::no);
   EXPECT_EQ(scene.ask(id, request_of(Kind::idempotent)).status, 503);
@@ -233,7 +234,7 @@
   EXPECT_EQ(log.count({"cause=no_configuration", "configuration=0"}), 1U);
 }
 
-TEST(Sight, AnEdgeOutOfContactSaysSo) {
+TEST(FailureReporting, AnEdgeOutOfContactSaysSo) {
   const CapturedLog log;
   Scene scene(1);
   scene.control.reset();
@@ -243,7 +244,7 @@
   EXPECT_EQ(log.count({"cause=route_uncertain", "sessions=0"}), 1U);
 }
 
-TEST(Sight, AClientThatTakesNothingIsTold) {
+TEST(FailureReporting, AClientThatTakesNothingIsTold) {
   const CapturedLog log;
   Scene scene(1, {}, {.idle_ms = 300});
   const std::string large(16U << 20U, 'x');
@@ -259,7 +260,7 @@
 }
 
 // The bound holds whatever comes: lines left out are counted.
-TEST(Sight, LinesAreBounded) {
+TEST(FailureReporting, LinesAreBounded) {
   const CapturedLog log;
   Scene scene(1);
   const auto client = scene.client();
@@ -275,7 +276,7 @@
   for (const std::string& line : log.lines) EXPECT_LE(line.size(), 700U);
 }
 
-TEST(Sight, WhatIsServedWellLeavesNoLine) {
+TEST(FailureReporting, WhatIsServedWellLeavesNoLine) {
   const CapturedLog log;
   Scene scene(2);
   for (const Kind kind : all_kinds) {
--- a/tests/edge/service_balancer_test.cpp
+++ b/tests/edge/service_balancer_test.cpp
@@ -1,5 +1,5 @@
-// The decisions for one called balancer, in played time: ceilings, spent and skipped attempts, shares,
-// pass-over, parts of prompts, and endpoints that fail.
+/// The load balancer of one service, in simulated time: time-outs, skipped retries, weights,
+/// pass-over, prefix affinity, and endpoints that fail.
 #include "edge/service_balancer.hpp"
 
 #include <cmath>
@@ -47,7 +47,7 @@
       balancer.on_attempt_ended("e0", {}, AttemptOutcome::served, now);
     }
   }
-  void cut(int n) {
+  void timed_out(int n) {
     for (int i = 0; i < n; ++i) {
       balancer.on_attempt_sent("e1", {}, now);
       balancer.on_attempt_ended("e1", {}, AttemptOutcome::adaptive_timeout, now);
@@ -94,9 +94,9 @@
 // The slow ones are cut and so never measured: past a fifth of the served the estimate is not believed.
 TEST(BalancerTimeouts, StarvedIsUnmeasured) {
   served(100, 10);
-  cut(20);
+  timed_out(20);
   CHECK_TRUE(timeout(2000, 5000) < 100);
-  cut(1);
+  timed_out(1);
   DOUBLES_EQUAL(2000, timeout(2000, 5000), 0);
   served(5, 10);
   CHECK_TRUE(timeout(2000, 5000) < 100);
@@ -142,11 +142,11 @@
       balancer.on_attempt_ended(id, {}, AttemptOutcome::served, now);
     }
   }
-  void solved() { now = now + Span::ms(2100); }
+  void recompute_weights() { now = now + Span::ms(2100); }
   // An attempt that was sent so long ago.
-  AttemptContext attempt_of(Span held) const {
+  AttemptContext attempt_of(Span duration) const {
     AttemptContext out;
-    out.sent_at = now - held;
+    out.sent_at = now - duration;
     return out;
   }
 };
@@ -229,7 +229,7 @@
   served("e0", 10, 50);
   served("e1", 20, 50);
   served("e2", 40, 50);
-  solved();
+  recompute_weights();
   auto got = draw(7000);
   CHECK_TRUE(std::abs(got["e0"] - 4000) < 250 && std::abs(got["e1"] - 2000) < 250);
   CHECK_TRUE(std::abs(got["e2"] - 1000) < 200);
@@ -240,7 +240,7 @@
   balancer.update_endpoints(endpoints(3), now);
   served("e0", 10, 50);
   served("e1", 30, 50);
-  solved();
+  recompute_weights();
   auto got = draw(6000);
   CHECK_TRUE(std::abs(got["e2"] - 2000) < 250);
 }
@@ -251,11 +251,11 @@
   served("e0", 10, 50);
   served("e1", 10, 50);
   served("e0", 60, 1);
-  solved();
+  recompute_weights();
   auto got = draw(4000);
   CHECK_TRUE(got["e0"] > 4000 / 4 && got["e0"] < 2000);
   served("e0", 10, 50);
-  solved();
+  recompute_weights();
   got = draw(4000);
   CHECK_TRUE(std::abs(got["e0"] - 2000) < 250);
 }
@@ -280,7 +280,7 @@
   served("e0", 20, 50);
   served("e1", 50, 50);
   served("e2", 50, 50);
-  solved();
+  recompute_weights();
   CHECK_TRUE(draw(300)["e0"] > 100);
   for (int i = 0; i < 6; ++i) balancer.on_attempt_sent("e0", {}, now);
   CHECK_TRUE(draw(300)["e0"] == 0);
@@ -321,7 +321,7 @@
   CHECK_FALSE(balancer.choose_endpoint(attempt, now).has_value());
 }
 
-// One that fails is shunned for a time that doubles up to a bound, and is itself again with its first answer.
+// One that fails is ejected for a time that doubles up to a bound, and is itself again with its first answer.
 TEST(BalancerChoice, FailedIsEjected) {
   balancer.update_endpoints(endpoints(3), now);
   Span before;
@@ -334,10 +334,10 @@
       now = now + Span::ms(50);
       CHECK_TRUE(now - start < Span::ms(6000));
     }
-    const Span shunned = now - start;
-    CHECK_TRUE(shunned >= std::min(before * 1.6, Span::ms(4900)));
-    if (failures == 1) CHECK_TRUE(shunned >= Span::ms(250) && shunned <= Span::ms(450));
-    before = shunned;
+    const Span ejected = now - start;
+    CHECK_TRUE(ejected >= std::min(before * 1.6, Span::ms(4900)));
+    if (failures == 1) CHECK_TRUE(ejected >= Span::ms(250) && ejected <= Span::ms(450));
+    before = ejected;
   }
   served("e0", 10);
   balancer.on_attempt_sent("e0", {}, now);
@@ -373,13 +373,13 @@
         CHECK_TRUE(id.has_value());
         taken.insert(*id);
       }
-      const int shunned = failed + 1;
-      const auto open = static_cast<std::size_t>(2 * shunned > n ? n : n - shunned);
+      const int ejected = failed + 1;
+      const auto open = static_cast<std::size_t>(2 * ejected > n ? n : n - ejected);
       // All of its part that are open, and where none of these is, all others that are.
       CHECK_TRUE(taken.size() >= 1 && taken.size() <= open);
       CHECK_TRUE(taken.size() == open || (n > 3 && taken.size() <= 3));
-      if (2 * shunned <= n) {
-        for (int f = 0; f < shunned; ++f) CHECK_FALSE(taken.contains(numbered("e", f)));
+      if (2 * ejected <= n) {
+        for (int f = 0; f < ejected; ++f) CHECK_FALSE(taken.contains(numbered("e", f)));
       }
     }
   }
@@ -506,7 +506,7 @@
   CHECK_TRUE(placed(p) == first);
 }
 
-// What fails is shunned here too, and what is avoided is not taken.
+// What fails is ejected here too, and what is avoided is not taken.
 TEST(BalancerPrefixAffinity, FailedAndAvoidedAreNotChosen) {
   AttemptContext p = prompt_of({{1, 300}});
   const std::string first = placed(p);
--- a/tests/edge/storage_client_test.cpp
+++ b/tests/edge/storage_client_test.cpp
@@ -1,5 +1,5 @@
-// What a sidecar of the traffic asks of storage, where none of it answers: one answer to each, in time, and
-// never one that promises what nobody has kept.
+/// What a sidecar of the traffic asks of storage, where none of it answers: one answer to each, in time, and
+/// never one that promises what nobody has kept.
 #include "edge/storage_client.hpp"
 
 #include <string>
--- a/tests/edge/resume_test.cpp
+++ b/tests/edge/stream_resumption_test.cpp
@@ -1,5 +1,5 @@
-// Streams that may be taken up elsewhere: one answer with its first endpoint's head, ids that rise, nothing
-// missing and nothing twice, wherever the first endpoint is lost.
+/// Streams that may be taken up elsewhere: one answer with its first endpoint's head, ids that rise, nothing
+/// missing and nothing twice, wherever the first endpoint is lost.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -33,9 +33,9 @@
   return out;
 }
 
-class ResumeTest : public ::testing::Test {
+class StreamResumptionTest : public ::testing::Test {
  protected:
-  ResumeTest()
+  StreamResumptionTest()
       : scene(3,
               {.timeout_ms = 1500, .max_attempts = 2, .resumable = true, .tokens_per_event = event_tokens}) {}
   // An endpoint that goes on as it is asked to, up to `last` of its events.
@@ -51,7 +51,7 @@
   Scene scene;
 };
 
-TEST_F(ResumeTest, IsTakenUpWhereItBroke) {
+TEST_F(StreamResumptionTest, ResumesWhereItBroke) {
   for (const bool with_reset : {false, true}) {
     for (int broken_after = 1; broken_after <= events_in_all; ++broken_after) {
       SCOPED_TRACE(broken_after);
@@ -86,7 +86,7 @@
 }
 
 // What has come of an event that was not whole is no part of the answer.
-TEST_F(ResumeTest, HalfAnEventIsDropped) {
+TEST_F(StreamResumptionTest, HalfAnEventIsDropped) {
   bool first = true;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return serve(connection, request);
@@ -97,7 +97,7 @@
 }
 
 // The client's own Last-Event-Id goes along; what the edge has passed on since takes its place.
-TEST_F(ResumeTest, AClientThatTakesUpItself) {
+TEST_F(StreamResumptionTest, AClientThatResumesItself) {
   bool first = true;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return serve(connection, request);
@@ -112,7 +112,7 @@
   EXPECT_EQ(scene.script.received[1].last_event, "3");
 }
 
-TEST_F(ResumeTest, BrokenBeforeItsFirstEventItIsSentAnew) {
+TEST_F(StreamResumptionTest, BrokenBeforeItsFirstEventItIsSentAnew) {
   bool first = true;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return serve(connection, request);
@@ -125,7 +125,7 @@
 }
 
 // maxAttempts holds for one answer: the second break is the client's, and what it was handed is counted.
-TEST_F(ResumeTest, BrokenTwiceItIsBrokenOff) {
+TEST_F(StreamResumptionTest, BrokenTwiceItIsReset) {
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     go_on(connection, request, request.last_event.empty() ? 1 : 2);
     connection.close();
@@ -140,7 +140,7 @@
 }
 
 // An endpoint that begins again in place of going on: a piece that comes twice is no answer.
-TEST_F(ResumeTest, ARunThatDoesNotGoOnIsNotJoined) {
+TEST_F(StreamResumptionTest, ARunThatDoesNotGoOnIsNotJoined) {
   bool first = true;
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunks(1, 2));
@@ -155,7 +155,7 @@
 }
 
 // Events without ids say nothing of where to go on.
-TEST_F(ResumeTest, WithoutIdsItIsBrokenOff) {
+TEST_F(StreamResumptionTest, WithoutIdsItIsReset) {
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk("data: one\n\n"));
     connection.close();
@@ -167,7 +167,7 @@
 }
 
 // One that turns the rest away, or answers it with another status, gives no part of this answer.
-TEST_F(ResumeTest, OnlyAStreamGoesOn) {
+TEST_F(StreamResumptionTest, OnlyAStreamGoesOn) {
   // An endpoint that turns it away counts among those that it may be sent to.
   scene.configure({.timeout_ms = 1500, .max_attempts = 3, .resumable = true}, {});
   ASSERT_TRUE(scene.in_force());
@@ -192,7 +192,7 @@
   EXPECT_EQ(client->partial_body, events(1, 2));
 }
 
-TEST(Resume, WhereTheRouteDoesNotAllowItItIsBrokenOff) {
+TEST(StreamResumption, WhereTheRouteDoesNotAllowItItIsReset) {
   Scene scene(3, {.timeout_ms = 1500, .max_attempts = 2});
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk(event_of(1)));
--- a/tests/edge/traffic_splitter_test.cpp
+++ b/tests/edge/traffic_splitter_test.cpp
@@ -1,4 +1,4 @@
-// The split of a route: each service gets its share within two requests, whatever the number of sidecars.
+/// The split of a route: each service gets its share within two requests, whatever the number of sidecars.
 #include "edge/traffic_splitter.hpp"
 
 #include <cmath>
--- a/tests/edge/reuse_test.cpp
+++ b/tests/edge/upstream_connection_test.cpp
@@ -1,5 +1,5 @@
-// Connections to endpoints that hold, or may hold, bytes of another exchange: no answer goes to a request
-// that it does not belong to, and no byte of a request is taken for another.
+/// Connections to endpoints that hold, or may hold, bytes of another exchange: no answer goes to a request
+/// that it does not belong to, and no byte of a request is taken for another.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 constexpr Span ends_within = Span::ms(1000);   // of a connection that carries nothing more
 
 // One endpoint, so that the next request meets the connection of the one before, where that was kept.
-class Reuse : public ::testing::Test {
+class ConnectionReuse : public ::testing::Test {
  protected:
   Answer once(const std::string& id) { return scene.ask(id, request_of(Kind::non_idempotent)); }
   Answer again(const std::string& id) { return scene.ask(id, request_of(Kind::idempotent)); }
@@ -46,7 +46,7 @@
   Scene scene{1};
 };
 
-TEST_F(Reuse, GoodConnectionIsKept) {
+TEST_F(ConnectionReuse, GoodConnectionIsKept) {
   scene.answer_well(Kind::non_idempotent);
   expect_own(once("a"), "a");
   expect_own(once("b"), "b");
@@ -54,7 +54,7 @@
 }
 
 // The rest of a request whose answer came early must not stand before the next one.
-TEST_F(Reuse, EarlyAnswerEndsTheConnection) {
+TEST_F(ConnectionReuse, EarlyAnswerEndsTheConnection) {
   scene.script.on_head = [](ScriptedConnection& connection, const std::string& id) {
     if (id != "early") return;
     connection.stop_reading();
@@ -79,7 +79,7 @@
 }
 
 // A rejection before the request is written whole: proven not run, and it never comes whole there.
-TEST_F(Reuse, EarlyRejectionIsProof) {
+TEST_F(ConnectionReuse, EarlyRejectionIsProof) {
   scene.script.on_head = [](ScriptedConnection& connection, const std::string& id) {
     connection.stop_reading();
     connection.send(rejection(503, id));
@@ -93,7 +93,7 @@
 }
 
 // It answers and closes while the request is still being written: what it said counts, not the failed write.
-TEST_F(Reuse, RejectionBeforeTheResetOfAWriteIsRead) {
+TEST_F(ConnectionReuse, RejectionBeforeTheResetOfAWriteIsRead) {
   scene.script.on_head = [](ScriptedConnection& connection, const std::string& id) {
     connection.send(rejection(503, id));
     connection.close();  // with most of the request unread: a reset
@@ -107,14 +107,14 @@
   }
 }
 
-TEST_F(Reuse, SurplusAnswerBehindTheWholeOneEndsTheConnection) {
+TEST_F(ConnectionReuse, SurplusAnswerBehindTheWholeOneEndsTheConnection) {
   answer_with("a", good_answer(Kind::non_idempotent, "a") + good_answer(Kind::non_idempotent, "a"));
   expect_own(once("a"), "a");
   expect_own(once("b"), "b");
   EXPECT_NE(connection_of("a"), connection_of("b"));
 }
 
-TEST_F(Reuse, SurplusAnswerOnAnIdleConnectionEndsIt) {
+TEST_F(ConnectionReuse, SurplusAnswerOnAnIdleConnectionEndsIt) {
   scene.answer_well(Kind::non_idempotent);
   expect_own(once("a"), "a");
   scene.script.connection(1)->send(good_answer(Kind::non_idempotent, "a"));
@@ -123,7 +123,7 @@
 }
 
 // The edge has not been told of them yet when it takes the next request.
-TEST_F(Reuse, BytesThatNobodyHasReadEndAnIdleConnection) {
+TEST_F(ConnectionReuse, BytesThatNobodyHasReadEndAnIdleConnection) {
   for (const std::string& bytes : {good_answer(Kind::non_idempotent, "a"), std::string("no answer")}) {
     SCOPED_TRACE(bytes);
     Scene fresh(1);
@@ -143,7 +143,7 @@
 }
 
 // Behind the request of another, in the place of its answer.
-TEST_F(Reuse, SurplusAnswerInTheNextOnesPlaceIsSkipped) {
+TEST_F(ConnectionReuse, SurplusAnswerInTheNextOnesPlaceIsSkipped) {
   for (const std::string& surplus :
        {answer(200, "a", "of a"), answer(503, "a", "of a"), rejection(503, "a"), rejection(421, "a"),
         answer(404, "a", "of a"), whole_stream("a", {"of a"})}) {
@@ -165,7 +165,7 @@
   }
 }
 
-TEST_F(Reuse, SurplusAnswersWithoutEndAreNoAnswer) {
+TEST_F(ConnectionReuse, SurplusAnswersWithoutEndAreNoAnswer) {
   std::string many;
   for (int i = 0; i < 10; ++i) many += answer(200, "a", "of a");
   scene.answer_well(Kind::non_idempotent);
@@ -176,7 +176,7 @@
 }
 
 // An answer that does not say whose it is proves nothing on a connection that has carried another request.
-TEST_F(Reuse, AnswerWithoutIdIsNobodysOnAReusedConnection) {
+TEST_F(ConnectionReuse, AnswerWithoutIdIsNobodysOnAReusedConnection) {
   for (const std::string& nameless :
        {rejection(503, ""), rejection(421, ""), rejection(429, ""), answer(421, "", ""),
         answer(200, "", "of another"), answer(404, "", "of another"), answer(500, "", "of another")}) {
@@ -207,7 +207,7 @@
 }
 
 // On a fresh one there is nobody else whose it could be: an endpoint that is full need not read the id.
-TEST_F(Reuse, RejectionWithoutIdCountsOnAFreshConnection) {
+TEST_F(ConnectionReuse, RejectionWithoutIdCountsOnAFreshConnection) {
   answer_with("a", rejection(503, ""));
   EXPECT_EQ(once("a").status, 503);
   EXPECT_EQ(scene.script.heads["a"], 1U);
@@ -215,7 +215,7 @@
 
 // Requests without an id cannot be told apart by their answers: none follows another on a connection, and
 // none takes an answer that names somebody else.
-TEST_F(Reuse, RequestsWithoutIdShareNoConnection) {
+TEST_F(ConnectionReuse, RequestsWithoutIdShareNoConnection) {
   scene.answer_well(Kind::non_idempotent);
   EXPECT_EQ(once("").body, good_body(Kind::non_idempotent, ""));
   EXPECT_EQ(once("").body, good_body(Kind::non_idempotent, ""));
@@ -232,7 +232,7 @@
             504);
 }
 
-TEST_F(Reuse, AnswerAfterTheDeadlineGoesToNobody) {
+TEST_F(ConnectionReuse, AnswerAfterTheDeadlineGoesToNobody) {
   scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (request.attempt_id != "late") connection.send(good_answer(Kind::non_idempotent, request.attempt_id));
   };
@@ -247,7 +247,7 @@
   EXPECT_EQ(connection_of("b"), 2U);
 }
 
-TEST_F(Reuse, InterimAnswersAreNotTheAnswer) {
+TEST_F(ConnectionReuse, InterimAnswersAreNotTheAnswer) {
   const std::string continued = "HTTP/1.1 100 Continue\r\n\r\n";
   const std::string hints = "HTTP/1.1 103 Early Hints\r\nLink: </x>; rel=preload\r\n\r\n";
   answer_with("a", continued + hints + hints + good_answer(Kind::non_idempotent, "a"));
@@ -261,14 +261,14 @@
 }
 
 // Nobody has asked to speak another protocol: what follows is no HTTP.
-TEST_F(Reuse, SwitchingProtocolsIsNoAnswer) {
+TEST_F(ConnectionReuse, SwitchingProtocolsIsNoAnswer) {
   answer_with(
       "a", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + good_answer(Kind::non_idempotent, "a"));
   EXPECT_EQ(once("a").status, 502);
   expect_ended(1);
 }
 
-TEST_F(Reuse, BrokenChunkEndsTheConnection) {
+TEST_F(ConnectionReuse, BrokenChunkEndsTheConnection) {
   const std::string head =
       "HTTP/1.1 200 OK\r\nX-Chutevane-Attempt-Id: a\r\nX-Chutevane-Server-Seal: s\r\n"
       "Transfer-Encoding: chunked\r\n\r\n";
@@ -290,7 +290,7 @@
 }
 
 // Part of the stream is at the client: it must not look whole, nor go on from another run.
-TEST_F(Reuse, BrokenChunkInAStreamBreaksItOff) {
+TEST_F(ConnectionReuse, BrokenChunkInAStreamBreaksItOff) {
   scene.script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk(event_text(1, "one")));
   };
@@ -304,7 +304,7 @@
   expect_ended(1);
 }
 
-TEST_F(Reuse, TrailerIsPartOfItsAnswer) {
+TEST_F(ConnectionReuse, TrailerIsPartOfItsAnswer) {
   answer_with("a",
               "HTTP/1.1 200 OK\r\nX-Chutevane-Attempt-Id: a\r\nX-Chutevane-Server-Seal: s\r\n"
               "Trailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -315,7 +315,7 @@
   EXPECT_EQ(connection_of("a"), connection_of("b"));
 }
 
-class Bodiless : public Reuse {
+class Bodiless : public ConnectionReuse {
  protected:
   Answer asked(const std::string& method, const std::string& id) {
     RequestOptions options = request_of(Kind::non_idempotent);
@@ -380,14 +380,14 @@
 
 // ---- an endpoint's own end of a connection
 
-TEST_F(Reuse, ConnectionCloseIsHeeded) {
+TEST_F(ConnectionReuse, ConnectionCloseIsHeeded) {
   answer_with("a", good_answer(Kind::non_idempotent, "a", "Connection: close\r\n"));
   expect_own(once("a"), "a");
   expect_ended(1);
   expect_own(once("b"), "b");
 }
 
-TEST_F(Reuse, TimeOfKeepAliveIsHeeded) {
+TEST_F(ConnectionReuse, TimeOfKeepAliveIsHeeded) {
   answer_with("a", good_answer(Kind::non_idempotent, "a", "Keep-Alive: timeout=1\r\n"));
   expect_own(once("a"), "a");
   expect_own(once("b"), "b");
@@ -398,7 +398,7 @@
 }
 
 // An endpoint may drop an idle connection from its memory: the next request on it is reset. It may have run.
-TEST_F(Reuse, ResetOfAReusedConnectionIsNoProof) {
+TEST_F(ConnectionReuse, ResetOfAReusedConnectionIsNoProof) {
   scene.answer_well(Kind::non_idempotent);
   expect_own(once("a"), "a");
   scene.script.on_bytes = [](ScriptedConnection& connection) {
@@ -411,7 +411,7 @@
   expect_own(once("c"), "c");
 }
 
-TEST_F(Reuse, ResetOfAReusedConnectionIsRepeatedWhereItMayBe) {
+TEST_F(ConnectionReuse, ResetOfAReusedConnectionIsRepeatedWhereItMayBe) {
   scene.answer_well(Kind::idempotent);
   ASSERT_EQ(again("a").status, 200);
   scene.script.on_bytes = [](ScriptedConnection& connection) {
@@ -422,7 +422,7 @@
 
 // ---- an address that is another instance's now
 
-TEST_F(Reuse, AddressOfAnotherInstanceGetsNewConnections) {
+TEST_F(ConnectionReuse, AddressOfAnotherInstanceGetsNewConnections) {
   scene.answer_well(Kind::non_idempotent);
   expect_own(once("a"), "a");
   scene.listed.front().id = "i-other";
