--- a/tests/edge/sight_test.cpp
+++ b/tests/edge/request_failure_test.cpp
@@ -1,5 +1,7 @@
-// A failed request can be explained afterwards: each way to fail is struck once, and its cause is counted and
-// told in a line that names the request.
+/// A failed request can be explained afterwards: each way to fail is struck once, and its cause is counted
+/// and told in a line that names the request.
+#include "edge/request_failure.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -9,7 +11,6 @@
 
 #include "common/log.hpp"
 #include "common/metrics.hpp"
-#include "edge/failure.hpp"
 #include "harness.hpp"
 
 namespace chutevane::edge::harness {
@@ -38,7 +39,7 @@
 };
 
 struct Strike {
-  Cause cause;
+  FailureCause cause;
   int status;  // 0: the connection ends without an answer
   Kind kind = Kind::non_idempotent;
   std::function<void(ScriptedConnection&, const std::string& id)> endpoint = {};
@@ -66,24 +67,27 @@
 std::vector<Strike> strikes() {
   std::vector<Strike> out;
   const auto add = [&](Strike strike) { out.push_back(std::move(strike)); };
-  add({.cause = Cause::no_route, .status = 404, .path = "/nowhere/x"});
-  add({.cause = Cause::no_such_turn, .status = 404, .kind = Kind::turn, .fields = "Previous: never\r\n"});
-  add({.cause = Cause::budget_spent,
+  add({.cause = FailureCause::no_route, .status = 404, .path = "/nowhere/x"});
+  add({.cause = FailureCause::no_such_turn,
+       .status = 404,
+       .kind = Kind::turn,
+       .fields = "Previous: never\r\n"});
+  add({.cause = FailureCause::budget_spent,
        .status = 402,
        .kind = Kind::turn,
        .fields = "Program: p\r\nBudget: 1\r\nX-Chutevane-Token-Count: 10,20\r\n"});
-  add({.cause = Cause::missing_program, .status = 400, .kind = Kind::turn, .fields = "Budget: 1\r\n"});
-  add({.cause = Cause::turn_uncertain,
+  add({.cause = FailureCause::missing_program, .status = 400, .kind = Kind::turn, .fields = "Budget: 1\r\n"});
+  add({.cause = FailureCause::turn_uncertain,
        .status = 503,
        .kind = Kind::turn,
        .fields = "Previous: never\r\n",
        .before = [](Scene& scene) { scene.storage.reset(); }});
-  add({.cause = Cause::budget_uncertain,
+  add({.cause = FailureCause::budget_uncertain,
        .status = 503,
        .kind = Kind::turn,
        .fields = "Program: p\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,20\r\n",
        .before = [](Scene& scene) { scene.storage->silent_on_reserve = true; }});
-  add({.cause = Cause::no_endpoint,
+  add({.cause = FailureCause::no_endpoint,
        .status = 503,
        .before =
            [](Scene& scene) {
@@ -92,52 +96,54 @@
              scene.in_force();
            },
        .route = {.timeout_ms = 4000, .max_attempts = 1}});
-  add({.cause = Cause::time_spent, .status = 503, .time_remaining_ms = 0});
-  add({.cause = Cause::endpoints_full,
+  add({.cause = FailureCause::time_spent, .status = 503, .time_remaining_ms = 0});
+  add({.cause = FailureCause::endpoints_full,
        .status = 503,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.send(rejection(503, id)); }});
-  add({.cause = Cause::endpoint_broke_off,
+  add({.cause = FailureCause::endpoint_broke_off,
        .status = 502,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.reset(); }});
-  add({.cause = Cause::bad_answer, .status = 502, .endpoint = [](ScriptedConnection& c, const std::string&) {
+  add({.cause = FailureCause::bad_answer,
+       .status = 502,
+       .endpoint = [](ScriptedConnection& c, const std::string&) {
          c.send("HTTP/1.1 200 OK\r\nX-Chutevane-Attempt-Id: struck\r\nContent-Length: 1\r\n\r\nx");
        }});
-  add({.cause = Cause::refusal_without_proof,
+  add({.cause = FailureCause::refusal_without_proof,
        .status = 502,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.send(answer(503, id, "busy")); }});
-  add({.cause = Cause::endpoint_timeout,
+  add({.cause = FailureCause::endpoint_timeout,
        .status = 504,
        .endpoint = [](ScriptedConnection&, const std::string&) {}});
-  add({.cause = Cause::stream_broke_off,
+  add({.cause = FailureCause::stream_broke_off,
        .status = 0,
        .kind = Kind::streaming,
        .endpoint = [](ScriptedConnection& c, const std::string&) {
          answer_half_a_stream(c);
          c.close();
        }});
-  add({.cause = Cause::stream_bad,
+  add({.cause = FailureCause::stream_bad,
        .status = 0,
        .kind = Kind::streaming,
        .endpoint = [](ScriptedConnection& c, const std::string&) {
          answer_half_a_stream(c);
          c.send(chunk(event_text(4, "back")) + last_chunk);
        }});
-  add({.cause = Cause::stream_timeout,
+  add({.cause = FailureCause::stream_timeout,
        .status = 0,
        .kind = Kind::streaming,
        .endpoint = [](ScriptedConnection& c, const std::string&) { answer_half_a_stream(c); }});
-  add({.cause = Cause::turn_not_kept,
+  add({.cause = FailureCause::turn_not_kept,
        .status = 0,
        .kind = Kind::turn,
        .endpoint = [](ScriptedConnection& c, const std::string&) { c.send(good_answer(Kind::turn, id)); },
        .fields = "Program: p\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,20\r\n",
        .before = [](Scene& scene) { scene.storage->silent_on_keep = true; }});
-  add({.cause = Cause::client_left,
+  add({.cause = FailureCause::client_left,
        .status = 0,
        .endpoint = [](ScriptedConnection&, const std::string&) {},
        .client = [](ClientConnection& client) { client.close(); },
        .route = {.timeout_ms = 4000, .max_attempts = 1}});
-  add({.cause = Cause::process_ended,
+  add({.cause = FailureCause::process_ended,
        .status = 0,
        .endpoint = [](ScriptedConnection&, const std::string&) {},
        .before = [](Scene& scene) { scene.edge->begin_shutdown(); },
@@ -145,9 +151,9 @@
   return out;
 }
 
-class SightTest : public ::testing::TestWithParam<Strike> {};
+class FailureCauseTest : public ::testing::TestWithParam<Strike> {};
 
-TEST_P(SightTest, CauseIsCountedAndTold) {
+TEST_P(FailureCauseTest, CauseIsCountedAndLogged) {
   const Strike& strike = GetParam();
   const CapturedLog log;
   Scene scene(1, strike.route);
@@ -167,18 +173,19 @@
     ASSERT_TRUE(scene.loop.until([&] { return reached; }));
     strike.client(*client);
   }
-  ASSERT_TRUE(scene.loop.until([&] { return scene.edge->failures().of(strike.cause) > 0; }, Span::ms(9000)));
+  ASSERT_TRUE(
+      scene.loop.until([&] { return scene.edge->failures().count_of(strike.cause) > 0; }, Span::ms(9000)));
   if (strike.status != 0) {
     ASSERT_TRUE(scene.answered(*client));
     EXPECT_EQ(client->answers.front().status, strike.status);
-  } else if (strike.cause != Cause::client_left) {
+  } else if (strike.cause != FailureCause::client_left) {
     EXPECT_TRUE(scene.loop.until([&] { return client->ended; }));
     EXPECT_TRUE(client->answers.empty());
   }
   // Counted once, under this cause alone.
-  for (std::size_t i = 0; i < causes; ++i) {
-    const auto cause = static_cast<Cause>(i);
-    EXPECT_EQ(scene.edge->failures().of(cause), cause == strike.cause ? 1U : 0U) << name_of(cause);
+  for (std::size_t i = 0; i < failure_cause_count; ++i) {
+    const auto cause = static_cast<FailureCause>(i);
+    EXPECT_EQ(scene.edge->failures().count_of(cause), cause == strike.cause ? 1U : 0U) << name_of(cause);
   }
   const std::string cause = "cause=" + std::string(name_of(strike.cause)) + " ";
   EXPECT_EQ(log.count({"request.failed", std::string("id=") + id, cause,
@@ -199,12 +206,12 @@
   EXPECT_NE(text.find(sample), std::string::npos) << text;
 }
 
-INSTANTIATE_TEST_SUITE_P(Causes, SightTest, ::testing::ValuesIn(strikes()),
+INSTANTIATE_TEST_SUITE_P(Causes, FailureCauseTest, ::testing::ValuesIn(strikes()),
                          [](const auto& one) { return std::string(name_of(one.param.cause)); });
 
 // Those that have no whole request, or need a scene of their own.
 
-TEST(Sight, RequestsThatAreNoneAreToldToo) {
+TEST(FailureReporting, RequestsThatAreNoneAreToldToo) {
   const CapturedLog log;
   Scene scene(1, {}, {.header_ms = 150});
   const auto malformed = scene.client(), slow = scene.client(), nameless = scene.client();
@@ -212,31 +219,32 @@
   slow->send("GET /once/x HT");
   nameless->send(request_text("", request_of(Kind::turn)));
   ASSERT_TRUE(scene.answered(*malformed) && scene.answered(*slow) && scene.answered(*nameless));
-  for (const Cause cause : {Cause::malformed_request, Cause::slow_request, Cause::missing_attempt_id}) {
-    EXPECT_EQ(scene.edge->failures().of(cause), 1U) << name_of(cause);
+  for (const FailureCause cause :
+       {FailureCause::malformed_request, FailureCause::slow_request, FailureCause::missing_attempt_id}) {
+    EXPECT_EQ(scene.edge->failures().count_of(cause), 1U) << name_of(cause);
     EXPECT_EQ(log.count({"id=none", "cause=" + std::string(name_of(cause))}), 1U) << name_of(cause);
   }
 }
 
-TEST(Sight, WhatIsNotKnownYetIsTold) {
+TEST(FailureReporting, WhatIsNotKnownYetIsTold) {
   const CapturedLog log;
   Scene scene(1, {}, {}, Scene::Informed::no);
   EXPECT_EQ(scene.ask(id, request_of(Kind::idempotent)).status, 503);
-  EXPECT_EQ(scene.edge->failures().of(Cause::no_configuration), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::no_configuration), 1U);
   EXPECT_EQ(log.count({"cause=no_configuration", "configuration=0"}), 1U);
 }
 
-TEST(Sight, AnEdgeOutOfContactSaysSo) {
+TEST(FailureReporting, AnEdgeOutOfContactSaysSo) {
   const CapturedLog log;
   Scene scene(1);
   scene.control.reset();
   scene.loop.run_for(Span::ms(1900));
   EXPECT_EQ(scene.ask(id, to_nowhere()).status, 503);
-  EXPECT_EQ(scene.edge->failures().of(Cause::route_uncertain), 1U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::route_uncertain), 1U);
   EXPECT_EQ(log.count({"cause=route_uncertain", "sessions=0"}), 1U);
 }
 
-TEST(Sight, AClientThatTakesNothingIsTold) {
+TEST(FailureReporting, AClientThatTakesNothingIsTold) {
   const CapturedLog log;
   Scene scene(1, {}, {.idle_ms = 300});
   const std::string large(16U << 20U, 'x');
@@ -246,18 +254,19 @@
   const auto client = scene.client();
   client->stop_reading();
   client->send(request_text(id, request_of(Kind::idempotent)));
-  EXPECT_TRUE(scene.loop.until([&] { return scene.edge->failures().of(Cause::client_stalled) == 1; }));
+  EXPECT_TRUE(
+      scene.loop.until([&] { return scene.edge->failures().count_of(FailureCause::client_stalled) == 1; }));
   EXPECT_EQ(log.count({"cause=client_stalled"}), 1U);
 }
 
 // The bound holds whatever comes: lines left out are counted.
-TEST(Sight, LinesAreBounded) {
+TEST(FailureReporting, LinesAreBounded) {
   const CapturedLog log;
   Scene scene(1);
   const auto client = scene.client();
   for (std::size_t i = 0; i < 200; ++i) client->send(request_text(numbered("a", i), to_nowhere()));
   ASSERT_TRUE(scene.answered(*client, 200));
-  EXPECT_EQ(scene.edge->failures().of(Cause::no_route), 200U);
+  EXPECT_EQ(scene.edge->failures().count_of(FailureCause::no_route), 200U);
   EXPECT_LE(log.count({"request.failed"}), 60U);
   EXPECT_GE(log.count({"request.failed"}), 20U);
   const std::string long_name(4000, 'n');
@@ -267,7 +276,7 @@
   for (const std::string& line : log.lines) EXPECT_LE(line.size(), 700U);
 }
 
-TEST(Sight, WhatIsServedWellLeavesNoLine) {
+TEST(FailureReporting, WhatIsServedWellLeavesNoLine) {
   const CapturedLog log;
   Scene scene(2);
   for (const Kind kind : all_kinds) {
@@ -276,8 +285,9 @@
     EXPECT_EQ(scene.ask("good" + name_of(kind), request_of(kind)).status, 200);
   }
   EXPECT_EQ(log.count({"request.failed"}), 0U);
-  for (std::size_t i = 0; i < causes; ++i)
-    EXPECT_EQ(scene.edge->failures().of(static_cast<Cause>(i)), 0U) << name_of(static_cast<Cause>(i));
+  for (std::size_t i = 0; i < failure_cause_count; ++i)
+    EXPECT_EQ(scene.edge->failures().count_of(static_cast<FailureCause>(i)), 0U)
+        << name_of(static_cast<FailureCause>(i));
 }
 
 }  // namespace
