--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -9,7 +9,7 @@
 
 #include "lab/sidecar_config.hpp"
 #include "net/socket.hpp"
-#include "snapshot/form.hpp"
+#include "snapshot/snapshot_format.hpp"
 
 namespace chutevane::lab {
 namespace {
@@ -441,12 +441,12 @@
     case FaultKind::state_old:
       for (std::string& text : stored) {
         try {
-          snapshot::Content c = snapshot::read(text);
-          if (c.written.up < fault.age) c.written.boot = "an earlier start";
-          c.written.up = std::max(Span(), c.written.up - fault.age);
-          c.written.unix_time = c.written.unix_time - fault.age;
-          text = snapshot::write(c);
-        } catch (const snapshot::FormError&) {  // torn by another fault: it has no age to change
+          snapshot::Snapshot snapshot = snapshot::parse(text);
+          if (snapshot.written_at.uptime < fault.age) snapshot.written_at.boot_id = "an earlier start";
+          snapshot.written_at.uptime = std::max(Span(), snapshot.written_at.uptime - fault.age);
+          snapshot.written_at.unix_time = snapshot.written_at.unix_time - fault.age;
+          text = snapshot::serialize(snapshot);
+        } catch (const snapshot::FormatError&) {  // torn by another fault: it has no age to change
         }
       }
       break;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 #include "opfile/explain.hpp"
 #include "opfile/file.hpp"
 #include "sidecar/sidecar.hpp"
-#include "snapshot/store.hpp"
+#include "snapshot/file_snapshot_store.hpp"
 
 namespace {
 
@@ -38,13 +38,13 @@
   for (const std::string& one : {path, path + ".1"}) {
     std::ifstream in(one, std::ios::binary);
     if (!in) continue;
-    std::string text(snapshot::text_most + 1, '\0');
+    std::string text(snapshot::max_snapshot_bytes + 1, '\0');
     in.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(in.gcount()));
     try {
       std::printf("%s\n%s", one.c_str(),
-                  snapshot::shown(snapshot::read(text), snapshot::stamp_of_machine()).c_str());
-    } catch (const snapshot::FormError& e) {
+                  snapshot::describe(snapshot::parse(text), snapshot::read_machine_clock()).c_str());
+    } catch (const snapshot::FormatError& e) {
       std::printf("%s\nbroken: %s\n", one.c_str(), e.what());
       all = false;
     }
--- a/src/sidecar/driver.cpp
+++ b/src/sidecar/driver.cpp
@@ -195,28 +195,28 @@
 
 void Driver::list_failed() { ++counters_.list_failures; }
 
-snapshot::Content Driver::learnt() const {
-  snapshot::Content out;
+snapshot::Snapshot Driver::learnt() const {
+  snapshot::Snapshot out;
   for (const Learnt& l : balancer_.learnt()) {
     const std::string name = endpoints_.name_of(l.endpoint);
     const auto listed = listed_.find(name);
     if (listed == listed_.end()) continue;
     out.endpoints.push_back({name, listed->second.address, l.came_up, l.latency_ms});
   }
-  out.carried = balancer_.carried(scheduler_.now());
-  out.list.version = version_;
-  out.list.full = true;
-  for (const auto& [id, entry] : listed_) out.list.entries.push_back(entry);
+  out.load = balancer_.carried(scheduler_.now());
+  out.endpoint_list.version = version_;
+  out.endpoint_list.full = true;
+  for (const auto& [id, entry] : listed_) out.endpoint_list.entries.push_back(entry);
   return out;
 }
 
-void Driver::recall(const snapshot::Evidence& known) {
+void Driver::recall(const snapshot::WarmStart& known) {
   std::vector<Learnt> out;
-  for (const snapshot::Remembered& r : known.endpoints) {
-    if (const EndpointId id = endpoints_.id_of(r.name)) out.push_back({id, r.came_up, r.latency_ms});
+  for (const snapshot::EndpointRecord& r : known.endpoints) {
+    if (const EndpointId id = endpoints_.id_of(r.name)) out.push_back({id, r.started_at, r.latency_ms});
   }
   balancer_.recall(out, scheduler_.now());
-  balancer_.carry(known.carried, scheduler_.now());
+  balancer_.carry(known.load, scheduler_.now());
 }
 
 void Driver::note_closed(const discovery::Entry& e) {
--- a/src/sidecar/driver.hpp
+++ b/src/sidecar/driver.hpp
@@ -14,7 +14,7 @@
 #include "pool/onward.hpp"
 #include "sidecar/counters.hpp"
 #include "sidecar/endpoints.hpp"
-#include "snapshot/evidence.hpp"
+#include "snapshot/warm_start.hpp"
 
 namespace chutevane::sidecar {
 
@@ -50,8 +50,8 @@
   std::size_t endpoints_avoided() const { return balancer_.avoided(scheduler_.now()); }
   std::size_t endpoints_ready() const { return endpoints_.ready(); }
   // All that is learnt, and the list; whose it is and when it was is the caller's to say.
-  snapshot::Content learnt() const;
-  void recall(const snapshot::Evidence& known);
+  snapshot::Snapshot learnt() const;
+  void recall(const snapshot::WarmStart& known);
   // Of the sidecar's budgets: two processes may serve as one.
   void share(double part) { balancer_.share(part), endpoints_.share(part); }
   // The process is about to end: every call still in hand gets its final answer now.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -6,6 +6,7 @@
 
 #include "base/log.hpp"
 #include "base/settings_reader.hpp"
+#include "snapshot/file_snapshot_store.hpp"
 
 namespace chutevane::sidecar {
 namespace {
@@ -36,7 +37,7 @@
     : scheduler_(scheduler),
       listen_at_{*net::parse_address(config.listen)},
       longest_timeout_(config.longest_timeout),
-      deployment_(snapshot::deployment_of(config.settings)),
+      deployment_(snapshot::deployment_name(config.settings)),
       front_(config.settings),
       held_(held_most(config.memory)),
       waker_(scheduler),
@@ -97,19 +98,19 @@
   return out;
 }
 
-std::string Sidecar::hand_over() const { return snapshot::write(learnt()); }
+std::string Sidecar::hand_over() const { return snapshot::serialize(learnt()); }
 
 // The process before lives and serves: all that it knows is of this moment.
 void Sidecar::take_over(std::string_view handed) {
-  const snapshot::Content all = snapshot::read(handed);
+  const snapshot::Snapshot all = snapshot::parse(handed);
   if (all.deployment != deployment_)
-    throw snapshot::FormError("deployment: '" + all.deployment + "', this is '" + deployment_ + "'");
-  snapshot::Evidence known;
+    throw snapshot::FormatError("deployment: '" + all.deployment + "', this is '" + deployment_ + "'");
+  snapshot::WarmStart known;
   known.endpoints = all.endpoints;
-  known.carried = all.carried;
+  known.load = all.load;
   pools_.front()->driver.recall(known);
   started_from_ = "the process before";
-  log_line("handover: %zu endpoints known, a limit of %.1f calls", all.endpoints.size(), all.carried.limit);
+  log_line("handover: %zu endpoints known, a limit of %.1f calls", all.endpoints.size(), all.load.limit);
 }
 
 void Sidecar::beside(bool after_serves, bool before_serves, bool lives) {
@@ -134,7 +135,7 @@
 void Sidecar::open() {
   if (desk_) desk_->listen(*desk_at_);
   enter(Phase::serving, scheduler_.now());
-  coming_back_.began(scheduler_.now(), started_from_);
+  coming_back_.start(scheduler_.now(), started_from_);
   keeper_.start();
 }
 
@@ -144,23 +145,23 @@
   return out;
 }
 
-snapshot::Content Sidecar::learnt() const {
-  snapshot::Content out = pools_.front()->driver.learnt();
+snapshot::Snapshot Sidecar::learnt() const {
+  snapshot::Snapshot out = pools_.front()->driver.learnt();
   out.deployment = deployment_;
   return out;
 }
 
-void Sidecar::recall(const snapshot::Evidence& known) {
+void Sidecar::recall(const snapshot::WarmStart& known) {
   pools_.front()->driver.recall(known);
-  started_from_ = known.why;
+  started_from_ = known.reason;
 }
 
 void Sidecar::look_at_return() {
-  if (!desk_ || coming_back_.full()) return;
-  coming_back_.look({counters_.calls, counters_.rejected + counters_.broken_off}, scheduler_.now());
+  if (!desk_ || coming_back_.is_at_full_service()) return;
+  coming_back_.update({counters_.calls, counters_.rejected + counters_.broken_off}, scheduler_.now());
 }
 
-std::string Sidecar::coming_back_text() const { return coming_back_.as_json(scheduler_.now()); }
+std::string Sidecar::coming_back_text() const { return coming_back_.to_json(scheduler_.now()); }
 
 Span Sidecar::drain_time() const { return std::min(longest_timeout_, drain_most) + drain_slack; }
 
@@ -300,7 +301,7 @@
 }
 
 Daemon::Daemon(net::Scheduler& scheduler, Reading reading, const std::string& folder,
-               std::unique_ptr<snapshot::Store> store)
+               std::unique_ptr<snapshot::SnapshotStore> store)
     : scheduler_(scheduler),
       waker_(scheduler),
       signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}),
@@ -332,19 +333,19 @@
 
 // The list that the process before had last stands for the one in the file, which may be old.
 config::Config Daemon::started_with(config::Config config) {
-  if (!store_ && !config.state.empty()) store_ = snapshot::open_files(config.state);
+  if (!store_ && !config.state.empty()) store_ = snapshot::open_file_store(config.state);
   if (store_) look_back();
   if (given_.link >= 0) {
     try {
-      snapshot::Content before = snapshot::read(given_.state);
+      snapshot::Snapshot before = snapshot::parse(given_.state);
       // One that was cut to fit is no list to start from; one of another deployment is of other endpoints.
-      if (before.list.full && before.deployment == snapshot::deployment_of(config.settings))
-        config.known = std::move(before.list);
-    } catch (const snapshot::FormError&) {  // said when the rest of it is read
+      if (before.endpoint_list.full && before.deployment == snapshot::deployment_name(config.settings))
+        config.known = std::move(before.endpoint_list);
+    } catch (const snapshot::FormatError&) {  // said when the rest of it is read
     }
   } else if (store_) {
-    config.known = snapshot::newer(config.known, before_, known_);
-    known_ = snapshot::against(known_, config.known);
+    config.known = snapshot::newer_list(config.known, before_, known_);
+    known_ = snapshot::restrict_to_list(known_, config.known);
   }
   return config;
 }
@@ -352,19 +353,19 @@
 // Reads what lies there, the older generation where the newer one is broken. What cannot be used costs a
 // line.
 void Daemon::look_back() {
-  const snapshot::Situation here{
-      in_force_.name, snapshot::deployment_of(in_force_.settings),
+  const snapshot::ProcessContext here{
+      in_force_.name, snapshot::deployment_name(in_force_.settings),
       static_cast<std::uint32_t>(SettingsReader(in_force_.settings).number("sidecars")), store_->now()};
-  known_ = snapshot::nothing("there is no state");
-  for (const std::string& text : store_->generations()) {
+  known_ = snapshot::cold_start("there is no state");
+  for (const std::string& text : store_->read_generations()) {
     try {
-      before_ = snapshot::read(text);
-      known_ = snapshot::judge(before_, here);
+      before_ = snapshot::parse(text);
+      known_ = snapshot::evaluate(before_, here);
       return;
-    } catch (const snapshot::FormError& e) {
+    } catch (const snapshot::FormatError& e) {
       log_line("state: set aside: %s", e.what());
-      known_ = snapshot::nothing(e.what());
-      store_->set_aside_newest();
+      known_ = snapshot::cold_start(e.what());
+      store_->quarantine_newest();
     }
   }
 }
@@ -372,24 +373,24 @@
 void Daemon::save(bool ended) {
   const Span every = in_force_.snapshot_every;
   save_at_ = scheduler_.now() + every * (0.9 + 0.2 * chance_.unit());
-  snapshot::Content content = sidecar_.learnt();
-  content.owner = in_force_.name;
-  content.sidecars = static_cast<std::uint32_t>(SettingsReader(in_force_.settings).number("sidecars"));
-  content.life = before_.life + 1;
-  content.ended = ended;
-  content.written = store_->now();
-  store_->put(std::move(content));
+  snapshot::Snapshot content = sidecar_.learnt();
+  content.sidecar_name = in_force_.name;
+  content.sidecar_count = static_cast<std::uint32_t>(SettingsReader(in_force_.settings).number("sidecars"));
+  content.incarnation = before_.incarnation + 1;
+  content.is_clean_shutdown = ended;
+  content.written_at = store_->now();
+  store_->save(std::move(content));
 }
 
 // A store that fails is told of once, and once that it works again.
 void Daemon::tell_of_store() {
   const snapshot::StoreCounters now = store_->counters();
   const bool failed = now.failed > told_.failed, worked = now.written > told_.written;
-  if (failed && !store_fails_) log_line("state: not kept: %s", now.trouble.c_str());
+  if (failed && !store_fails_) log_line("state: not kept: %s", now.last_error.c_str());
   if (worked && !failed && store_fails_) log_line("state: kept again");
-  if (now.passed_over > told_.passed_over)
+  if (now.superseded > told_.superseded)
     log_line("state: the disk is slow, %llu snapshots were replaced before they were written",
-             static_cast<unsigned long long>(now.passed_over - told_.passed_over));
+             static_cast<unsigned long long>(now.superseded - told_.superseded));
   if (failed || worked) store_fails_ = failed;
   told_ = now;
 }
@@ -400,12 +401,12 @@
   if (given_.link >= 0 && reading_) {
     try {
       return sidecar_.take_over(given_.state);
-    } catch (const snapshot::FormError& e) {
+    } catch (const snapshot::FormatError& e) {
       log_line("handover: state set aside, all is learnt anew: %s", e.what());
     }
   }
   if (!store_) return;
-  log_line("state: %s", known_.why.c_str());
+  log_line("state: %s", known_.reason.c_str());
   sidecar_.recall(known_);
 }
 
@@ -474,7 +475,7 @@
   if (!sidecar_.finished()) return true;
   if (store_) {
     save(true);
-    store_->settle();
+    store_->flush();
   }
   log_line("%s", sidecar_.counters().as_json().c_str());
   return false;
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -15,9 +15,9 @@
 #include "sidecar/endpoints.hpp"
 #include "sidecar/front.hpp"
 #include "sidecar/services.hpp"
-#include "snapshot/coming_back.hpp"
-#include "snapshot/evidence.hpp"
-#include "snapshot/store.hpp"
+#include "snapshot/snapshot_store.hpp"
+#include "snapshot/startup_progress.hpp"
+#include "snapshot/warm_start.hpp"
 
 namespace chutevane::sidecar {
 
@@ -34,7 +34,7 @@
   // Of the other process on this address: whether a successor or one before serves, and whether any lives.
   void beside(bool after_serves, bool before_serves, bool lives);
   std::string hand_over() const;
-  void take_over(std::string_view handed);  // throws snapshot::FormError
+  void take_over(std::string_view handed);  // throws snapshot::FormatError
   // Takes over what may change while it serves: where discovery is, and the bounds on callers. Connections,
   // calls and the list stay.
   void reconfigure(const config::Config& config);
@@ -45,8 +45,8 @@
   // How long the platform leaves it: until no client waits any more, at most so long.
   Span drain_time() const;
   // What has been learnt, for the process that follows; and what of one before's is evidence.
-  snapshot::Content learnt() const;
-  void recall(const snapshot::Evidence& known);
+  snapshot::Snapshot learnt() const;
+  void recall(const snapshot::WarmStart& known);
   // How far it is on its way to full service; looks at its own counters, where somebody can ask.
   void look_at_return();
   bool ending() const { return ending_; }
@@ -83,7 +83,7 @@
   const Span longest_timeout_;
   const std::string deployment_;
   Counters counters_;
-  snapshot::ComingBack coming_back_;
+  snapshot::StartupProgress coming_back_;
   std::string started_from_ = "nothing";
   Front front_;
   net::BufferBudget held_;  // the bytes of all connections; above what counts in it
@@ -118,7 +118,7 @@
   // std::runtime_error where another successor starts already.
   // `store`: where its snapshots lie; none: in the files that the configuration names, if it does.
   explicit Daemon(net::Scheduler& scheduler, Reading reading, const std::string& folder = "",
-                  std::unique_ptr<snapshot::Store> store = nullptr);
+                  std::unique_ptr<snapshot::SnapshotStore> store = nullptr);
   // Of an operator's file; SIGHUP changes nothing yet and says so.
   Daemon(net::Scheduler& scheduler, const opfile::Model& model, const std::string& folder = "");
   bool listen();          // false, and a line in the log, where it cannot
@@ -142,9 +142,9 @@
   net::Signals signals_;
   Reading reading_;
   config::Config in_force_;
-  std::unique_ptr<snapshot::Store> store_;  // none: nothing is kept
-  snapshot::Content before_;                // as the process before wrote it, where it can be read
-  snapshot::Evidence known_;                // of it
+  std::unique_ptr<snapshot::SnapshotStore> store_;  // none: nothing is kept
+  snapshot::Snapshot before_;                       // as the process before wrote it, where it can be read
+  snapshot::WarmStart known_;                       // of it
   TimePoint save_at_;
   Pcg chance_;  // spreads the snapshots of a fleet that started together
   snapshot::StoreCounters told_;
--- a/src/snapshot/age.hpp
+++ b/src/snapshot/age.hpp
@@ -1,4 +1,4 @@
-// When something was written down, and how old it is now, for as far as that can be known. Without I/O.
+/// When a snapshot was written, and how old it is now, as far as that can be known. No I/O.
 #pragma once
 
 #include <string>
@@ -7,27 +7,28 @@
 
 namespace chutevane::snapshot {
 
-// A moment by three readings at once: which start of the machine it was, how long that had been up, and what
-// Unix time it believed. The first two are not moved by whoever sets a clock; the third is.
-struct Stamp {
-  std::string boot;  // a name of the machine's start; empty: not known
-  Span up;           // since then, time asleep included
+/// One moment, read from three clocks at once. Setting a clock moves Unix time only.
+struct ClockReading {
+  std::string boot_id;  ///< names the start of the machine; empty: unknown
+  Span uptime;          ///< since that start, suspended time included (CLOCK_BOOTTIME)
   TimePoint unix_time;
 };
 
-enum class Surety : std::uint8_t {
-  unknown,  // worth nothing
-  likely,   // the machine has started anew since: by Unix time, which contradicts nothing
-  sure      // by the clock of one start of one machine
+enum class AgeConfidence : std::uint8_t {
+  unknown,    ///< no age: the snapshot is not to be used
+  estimated,  ///< the machine has been started since: by Unix time, which nothing contradicts
+  exact,      ///< by the uptime of one start of one machine
 };
 
 struct Age {
-  Surety surety = Surety::unknown;
-  Span span;  // meaningless where it is unknown
+  AgeConfidence confidence = AgeConfidence::unknown;
+  Span duration;  ///< meaningless where the confidence is unknown
 };
 
-// Guards against steps of the clock, copies brought back and copies of another machine: what is written in
-// the future, or before this start by less time than it has been up, has no age.
-Age age(const Stamp& written, const Stamp& now);
+/// The age at `now` of what was written at `written`. Unknown where the two contradict each other, so that a
+/// clock that was set, a restored backup or a copy of another machine is not taken for recent: written in the
+/// future of the same start; before this start by less time than it has been up; or longer ago than 30 days
+/// by Unix time.
+[[nodiscard]] Age age_of(const ClockReading& written, const ClockReading& now);
 
 }  // namespace chutevane::snapshot
--- a/src/world/ground.cpp
+++ b/src/world/ground.cpp
@@ -27,28 +27,28 @@
 };
 
 // What a sidecar stores, in the world: at once, as its turn ends with all it did.
-class PlayedStore final : public snapshot::Store {
+class PlayedStore final : public snapshot::SnapshotStore {
  public:
   PlayedStore(World& world, std::shared_ptr<PlayedSidecar::Disk> disk)
       : world_(world), disk_(std::move(disk)) {}
-  snapshot::Stamp now() const override {
+  snapshot::ClockReading now() const override {
     return {"start " + std::to_string(disk_->starts), world_.now() - disk_->started,
             world_.now() + disk_->clock_ahead};
   }
-  std::vector<std::string> generations() override { return disk_->generations; }
-  void set_aside_newest() override {
+  std::vector<std::string> read_generations() override { return disk_->generations; }
+  void quarantine_newest() override {
     if (!disk_->generations.empty()) disk_->generations.erase(disk_->generations.begin());
   }
-  void put(snapshot::Content content) override {
+  void save(snapshot::Snapshot content) override {
     ++(disk_->refuses ? counters_.failed : counters_.written);
     if (disk_->refuses) {
-      counters_.trouble = "the played disk takes nothing";
+      counters_.last_error = "the played disk takes nothing";
       return;
     }
-    disk_->generations.insert(disk_->generations.begin(), snapshot::write(content));
+    disk_->generations.insert(disk_->generations.begin(), snapshot::serialize(content));
     disk_->generations.resize(std::min<std::size_t>(disk_->generations.size(), 2));
   }
-  void settle() override {}
+  void flush() override {}
   snapshot::StoreCounters counters() const override { return counters_; }
 
  private:
@@ -85,7 +85,7 @@
       life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, life_->model);
     } else {
       const auto reading = [this] { return config::read(reading_, no_environment); };
-      std::unique_ptr<snapshot::Store> store;
+      std::unique_ptr<snapshot::SnapshotStore> store;
       if (!config::read(config, no_environment).state.empty())
         store = std::make_unique<PlayedStore>(world_, disk_);
       life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, reading, "", std::move(store));
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -23,8 +23,8 @@
 #include "harness.hpp"
 #include "hot_restart/hot_restart_channel.hpp"
 #include "net/scheduler.hpp"
-#include "snapshot/form.hpp"
-#include "snapshot/store.hpp"
+#include "snapshot/file_snapshot_store.hpp"
+#include "snapshot/snapshot_format.hpp"
 #include "storage/storage_plane.hpp"
 #include "storage/store.hpp"
 
@@ -284,24 +284,24 @@
 
 namespace {
 
-snapshot::Content snapshot_content() {
-  snapshot::Content out;
-  out.owner = "edge-1";
+snapshot::Snapshot sample_snapshot() {
+  snapshot::Snapshot out;
+  out.sidecar_name = "edge-1";
   out.deployment = "tier 0: plan";
-  out.sidecars = 20;
-  out.life = 3;
-  out.ended = true;
-  out.written = {"b1", Span::ms(100000.5), TimePoint::at_ms(1.7e12)};
+  out.sidecar_count = 20;
+  out.incarnation = 3;
+  out.is_clean_shutdown = true;
+  out.written_at = {"b1", Span::ms(100000.5), TimePoint::at_ms(1.7e12)};
   out.endpoints = {{"s-1", "127.0.0.1:9001", TimePoint::at_ms(5), 12.5},
                    {"s-2", "127.0.0.1:9002", TimePoint::at_ms(6), 0.0}};
-  out.carried.limit = 8.25;
-  out.carried.rate = 40.0;
-  out.carried.late_part = 0.05;
-  out.carried.retry_tokens = 11.0;
-  for (std::size_t i = 0; i < out.carried.times_ms.size(); ++i)
-    out.carried.times_ms[i] = 1.5 + static_cast<double>(i);
-  out.list.version = 7;
-  out.list.full = true;
+  out.load.limit = 8.25;
+  out.load.rate = 40.0;
+  out.load.late_part = 0.05;
+  out.load.retry_tokens = 11.0;
+  for (std::size_t i = 0; i < out.load.times_ms.size(); ++i)
+    out.load.times_ms[i] = 1.5 + static_cast<double>(i);
+  out.endpoint_list.version = 7;
+  out.endpoint_list.full = true;
   for (const Availability availability : {Availability::ready, Availability::draining}) {
     discovery::Entry entry;
     entry.id = availability == Availability::ready ? "s-1" : "s-2";
@@ -312,7 +312,7 @@
     entry.availability = availability;
     entry.size = 2.5;
     entry.came_up = TimePoint::at_ms(5);
-    out.list.entries.push_back(entry);
+    out.endpoint_list.entries.push_back(entry);
   }
   return out;
 }
@@ -342,15 +342,15 @@
   golden::Stored stored("files.txt");
   const Folder folder;
   const std::string path = folder.file("state");
-  snapshot::Content older = snapshot_content();
-  older.life = 2;
-  older.ended = false;
+  snapshot::Snapshot older = sample_snapshot();
+  older.incarnation = 2;
+  older.is_clean_shutdown = false;
   {
-    const auto store = snapshot::open_files(path);
-    store->put(older);
-    store->settle();
-    store->put(snapshot_content());
-    store->settle();
+    const auto store = snapshot::open_file_store(path);
+    store->save(older);
+    store->flush();
+    store->save(sample_snapshot());
+    store->flush();
   }
   stored.compare("sidecar_snapshot/state", file_text(path));
   stored.compare("sidecar_snapshot/state.1", file_text(path + ".1"));
@@ -359,17 +359,17 @@
   const Folder before;
   for (const auto& [name, bytes] : stored.under("sidecar_snapshot/"))
     std::ofstream(before.file(name), std::ios::binary) << bytes;
-  const auto generations = snapshot::open_files(before.file("state"))->generations();
+  const auto generations = snapshot::open_file_store(before.file("state"))->read_generations();
   ASSERT_EQ(generations.size(), 2U);
-  EXPECT_EQ(snapshot::read(generations[1]).life, 2U);
-  const snapshot::Content read = snapshot::read(generations[0]), wanted = snapshot_content();
-  EXPECT_EQ(snapshot::write(read), snapshot::write(wanted));
-  EXPECT_EQ(read.owner, wanted.owner);
-  EXPECT_EQ(read.sidecars, wanted.sidecars);
-  EXPECT_EQ(read.written.boot, wanted.written.boot);
+  EXPECT_EQ(snapshot::parse(generations[1]).incarnation, 2U);
+  const snapshot::Snapshot read = snapshot::parse(generations[0]), wanted = sample_snapshot();
+  EXPECT_EQ(snapshot::serialize(read), snapshot::serialize(wanted));
+  EXPECT_EQ(read.sidecar_name, wanted.sidecar_name);
+  EXPECT_EQ(read.sidecar_count, wanted.sidecar_count);
+  EXPECT_EQ(read.written_at.boot_id, wanted.written_at.boot_id);
   EXPECT_EQ(read.endpoints[0].latency_ms, wanted.endpoints[0].latency_ms);
-  EXPECT_EQ(read.carried.times_ms, wanted.carried.times_ms);
-  EXPECT_EQ(read.list.entries[1].zone, wanted.list.entries[1].zone);
+  EXPECT_EQ(read.load.times_ms, wanted.load.times_ms);
+  EXPECT_EQ(read.endpoint_list.entries[1].zone, wanted.endpoint_list.entries[1].zone);
 }
 
 // No file: a socket's name and the bytes that the process before sends to the next one.
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -89,7 +89,8 @@
   pid_t predecessor = -1, successor = -1;
 };
 
-// No connection is refused or reset from one process to the next, and the predecessor's requests are answered.
+// No connection is refused or reset from one process to the next, and the predecessor's requests are
+// answered.
 TEST(HotRestart, ASuccessorTakesTheCallersOverAndTheOldOneEnds) {
   ProcessPair pair;
   pair.predecessor = pair.start();
@@ -162,10 +163,10 @@
   SidecarBench b;
   const std::string text = b.sidecar->hand_over();
   EXPECT_NO_THROW(b.sidecar->take_over(text));
-  EXPECT_THROW(b.sidecar->take_over(text.substr(0, text.size() / 2)), snapshot::FormError);
-  snapshot::Content other = snapshot::read(text);
+  EXPECT_THROW(b.sidecar->take_over(text.substr(0, text.size() / 2)), snapshot::FormatError);
+  snapshot::Snapshot other = snapshot::parse(text);
   other.deployment = "tier 1: plan";
-  EXPECT_THROW(b.sidecar->take_over(snapshot::write(other)), snapshot::FormError);
+  EXPECT_THROW(b.sidecar->take_over(snapshot::serialize(other)), snapshot::FormatError);
 }
 
 }  // namespace
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -738,7 +738,7 @@
   };
   const auto listed = [&] {
     std::string out;
-    for (const discovery::Entry& e : b.sidecar->learnt().list.entries)
+    for (const discovery::Entry& e : b.sidecar->learnt().endpoint_list.entries)
       out += e.id + (e.availability == Availability::ready ? "+ " : "- ");
     return out;
   };
@@ -930,17 +930,17 @@
 }
 
 // A store that fails for a while, as a full disk does.
-struct Failing final : snapshot::Store {
-  snapshot::Stamp now() const override { return {"b", Span::ms(1000), TimePoint::at_ms(1e12)}; }
-  std::vector<std::string> generations() override { return {}; }
-  void set_aside_newest() override {}
-  void put(snapshot::Content) override {
+struct Failing final : snapshot::SnapshotStore {
+  snapshot::ClockReading now() const override { return {"b", Span::ms(1000), TimePoint::at_ms(1e12)}; }
+  std::vector<std::string> read_generations() override { return {}; }
+  void quarantine_newest() override {}
+  void save(snapshot::Snapshot) override {
     const bool fails = puts > 0 && puts < 3;
     ++(fails ? told.failed : told.written);
-    if (fails) told.trouble = "no room";
+    if (fails) told.last_error = "no room";
     ++puts;
   }
-  void settle() override {}
+  void flush() override {}
   snapshot::StoreCounters counters() const override { return told; }
   int puts = 0;
   snapshot::StoreCounters told;
