--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -161,7 +161,7 @@
   coming_back_.update({counters_.calls, counters_.rejected + counters_.broken_off}, scheduler_.now());
 }
 
-std::string Sidecar::coming_back_text() const { return coming_back_.to_json(scheduler_.now()); }
+std::string Sidecar::startup_progress_json() const { return coming_back_.to_json(scheduler_.now()); }
 
 Span Sidecar::drain_time() const { return std::min(longest_timeout_, drain_most) + drain_slack; }
 
@@ -173,10 +173,11 @@
 void Sidecar::open_desk(const std::string& address, std::size_t sockets) {
   if (address.empty()) return;
   desk_at_ = net::parse_address(address);
-  desk_ = std::make_unique<admin::Server>(scheduler_, *this, std::clamp(sockets / 24, desk_least, desk_most));
+  desk_ = std::make_unique<admin::AdminServer>(scheduler_, *this,
+                                               std::clamp(sockets / 24, desk_least, desk_most));
 }
 
-std::string Sidecar::figures() const {
+std::string Sidecar::counters_json() const {
   std::size_t listed = 0, avoided = 0;
   for (const auto& pool : pools_) {
     listed += pool->driver.endpoints_listed();
@@ -185,7 +186,7 @@
   return counters_.figures(listed, avoided);
 }
 
-bool Sidecar::out_of_service() {
+bool Sidecar::take_out_of_service() {
   if (phase_ == Phase::serving) {
     log_line("out of service: told at the second address");
     enter(Phase::crossing, scheduler_.now());
@@ -193,7 +194,7 @@
   return true;
 }
 
-bool Sidecar::in_service() {
+bool Sidecar::return_to_service() {
   if (ending_) return false;
   if (phase_ == Phase::crossing || phase_ == Phase::emptying) {
     log_line("in service again");
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "admin/server.hpp"
+#include "admin/admin_server.hpp"
 #include "config/config.hpp"
 #include "hot_restart/hot_restart_channel.hpp"
 #include "net/scheduler.hpp"
@@ -21,7 +21,7 @@
 
 namespace chutevane::sidecar {
 
-class Sidecar final : public admin::Desk {
+class Sidecar final : public admin::AdminHandler {
  public:
   // The platform's: one service with one pool.
   Sidecar(net::Scheduler& scheduler, const config::Config& config);
@@ -52,11 +52,11 @@
   bool ending() const { return ending_; }
   bool finished() const { return phase_ == Phase::finished; }
   // Operators' words, from the second address.
-  bool takes_clients() const override { return phase_ == Phase::serving; }
-  std::string figures() const override;
-  std::string coming_back_text() const override;
-  bool out_of_service() override;
-  bool in_service() override;
+  bool accepts_clients() const override { return phase_ == Phase::serving; }
+  std::string counters_json() const override;
+  std::string startup_progress_json() const override;
+  bool take_out_of_service() override;
+  bool return_to_service() override;
   std::optional<sockaddr_in> admin_address() const { return desk_ ? desk_->address() : std::nullopt; }
   void heard_sighup(bool applied) { ++(applied ? counters_.sighup_applied : counters_.sighup_rejected); }
   std::optional<sockaddr_in> address() const { return callers_.front()->address(); }
@@ -94,7 +94,7 @@
   OpenIds open_ids_;
   std::vector<std::unique_ptr<Callers>> callers_;  // one for each listener
   std::optional<sockaddr_in> desk_at_;
-  std::unique_ptr<admin::Server> desk_;  // none: no second address
+  std::unique_ptr<admin::AdminServer> desk_;  // none: no second address
   Phase phase_ = Phase::starting;
   bool other_serves_ = false;  // new connections are another process's
   bool ending_ = false;        // SIGTERM: whatever is said from here on, it ends
