--- /dev/null
+++ b/src/simulator_host/main.cpp
@@ -0,0 +1,55 @@
+/// chutevane_simhost: the balancer under the simulator. Reads frames from standard input and writes one reply
+/// for each to standard output. Exit status 0 at the end of the input, 1 where a reply cannot be written, 2
+/// with a line on standard error where the input is malformed.
+#include <algorithm>
+#include <cstdio>
+#include <vector>
+
+#include "simulator_host/simulator_host.hpp"
+
+namespace chutevane {
+namespace {
+
+using simulator_protocol::FrameError;
+using simulator_protocol::header_size;
+
+// A wrong length in a header must not make the process allocate gigabytes before the input has shown them.
+constexpr std::size_t max_read_size = 1U << 20U;
+
+// Reads one frame. False: the input has ended between two frames. Throws FrameError.
+bool read_frame(std::vector<std::uint8_t>& frame) {
+  frame.resize(header_size);
+  std::size_t size = std::fread(frame.data(), 1, header_size, stdin);
+  if (size == 0) return false;
+  const std::size_t length = simulator_protocol::parse_header({frame.data(), size}).length;
+  while (size < length) {
+    frame.resize(std::min(length, size + max_read_size));
+    const std::size_t count = std::fread(frame.data() + size, 1, frame.size() - size, stdin);
+    if (count == 0) throw FrameError("input ends inside a frame", size);
+    size += count;
+  }
+  return true;
+}
+
+int run() {
+  simulator_host::SimulatorHost host;
+  std::vector<std::uint8_t> frame;
+  std::size_t frame_start = 0;  // in the whole input
+  try {
+    while (read_frame(frame)) {
+      const auto reply = host.handle_frame(frame);
+      if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
+        return 1;
+      frame_start += frame.size();
+    }
+  } catch (const FrameError& e) {
+    std::fprintf(stderr, "chutevane_simhost: %s at byte %zu of the input\n", e.what(), frame_start + e.byte);
+    return 2;
+  }
+  return 0;
+}
+
+}  // namespace
+}  // namespace chutevane
+
+int main() { return chutevane::run(); }
--- a/tests/codec_test.cpp
+++ b/tests/simulator_protocol_test.cpp
@@ -1,9 +1,11 @@
-#include "tundra/codec.hpp"
-
+/// The simulator's wire: malformed frames are named by their offset, events are decoded and actions encoded.
 #include "config/names.hpp"
 #include "helpers.hpp"
+#include "simulator_protocol/action_frame.hpp"
+#include "simulator_protocol/event_frame.hpp"
+#include "simulator_protocol/settings_text.hpp"
 
-namespace chutevane::tundra {
+namespace chutevane::simulator_protocol {
 namespace {
 
 using Bytes = std::vector<std::uint8_t>;
@@ -18,56 +20,55 @@
 
 std::size_t error_byte(const Bytes& b) {
   try {
-    const Batch batch(b);
-    batch.event(0);
+    (void)EventFrame(b).event(0);
   } catch (const FrameError& e) {
     return e.byte;
   }
   return std::string::npos;
 }
 
-TEST(Frame, ShortOneIsNamed) {
+TEST(EventFrame, ShortOneIsNamed) {
   Bytes b = frame(9);
   b.resize(40);
   EXPECT_EQ(error_byte(b), 40U);
 }
 
-TEST(Frame, CountTooLarge) { EXPECT_EQ(error_byte(frame(9, 2)), 4U); }
+TEST(EventFrame, CountTooLarge) { EXPECT_EQ(error_byte(frame(9, 2)), 4U); }
 
-TEST(Frame, UnknownCode) { EXPECT_EQ(error_byte(frame(77)), header_size); }
+TEST(EventFrame, UnknownCode) { EXPECT_EQ(error_byte(frame(77)), header_size); }
 
-TEST(Frame, TailOutOfRange) {
+TEST(EventFrame, TailOutOfRange) {
   Bytes b = frame(0);
   b[header_size + 15] = 5;  // a text of five bytes, and no tail
   EXPECT_EQ(error_byte(b), header_size + 11);
 }
 
-TEST(Frame, UnknownDisposition) {
+TEST(EventFrame, UnknownDisposition) {
   Bytes b = frame(4);
   b[header_size + 20] = 99;
   EXPECT_EQ(error_byte(b), header_size + 20);
 }
 
-TEST(Events, ACallIsRead) {
+TEST(EventFrame, ACallIsRead) {
   Bytes b = frame(2);
   const std::uint8_t record[] = {0x02, 0x03, 0x00, 0xc4, 0x91, 0x3a, 0x5d, 0x40, 0x47, 0x04,
                                  0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x6e, 0x40};
   std::copy(std::begin(record), std::end(record), b.begin() + header_size);
-  const Event e = Batch(b).event(0);
-  EXPECT_EQ(e.who, 3);
+  const Event e = EventFrame(b).event(0);
+  EXPECT_EQ(e.instance, 3);
   EXPECT_EQ(e.call.id, 0x0447405d3a91c4U);
   EXPECT_EQ(e.call.left, Span::ms(240));
 }
 
-TEST(Replies, ADispatchIsWritten) {
-  Reply r;
+TEST(ActionFrame, ADispatchIsWritten) {
+  ActionFrame r;
   r.clear();
   Answer a;
   a.verdict = Verdict::dispatch;
   a.call = 0x0447405d3a91c4U;
   a.span = Span::ms(80);
   a.endpoint = 0x2bc3074a120aU;
-  r.answer(3, a);
+  r.add_answer(3, a);
   const auto got = r.finish();
   const Bytes want = {0x46, 0x03, 0x00, 0xc4, 0x91, 0x3a, 0x5d, 0x40, 0x47, 0x04, 0x00, 0x00, 0x00,
                       0x00, 0x00, 0x00, 0x00, 0x54, 0x40, 0x0a, 0x12, 0x4a, 0x07, 0xc3, 0x2b};
@@ -75,36 +76,36 @@
   EXPECT_EQ(got.size(), 40U);
 }
 
-TEST(SettingNames, AreOursInsideAndTheWiresOutside) {
-  const Settings s = read_settings("classes.0.give_up_ms=1500.0\nclasses.0.effect=unsafe\nodd=1\n");
+TEST(SettingsText, AreOursInsideAndTheWiresOutside) {
+  const Settings s = parse_settings("classes.0.give_up_ms=1500.0\nclasses.0.effect=unsafe\nodd=1\n");
   EXPECT_EQ(s.at("tracks.0.client_timeout_ms"), "1500.0");
   EXPECT_EQ(s.at("tracks.0.effect"), "single-use");
   EXPECT_EQ(s.at("odd"), "1");
   EXPECT_EQ(config::platform_name("tracks.0.client_timeout_ms"), "classes.0.give_up_ms");
 }
 
-TEST(Events, NewsOfAnEndpointComeBackAsTheyWent) {
-  Reply reply;
+TEST(EventFrame, PublishedDataIsDecodedAsItWasEncoded) {
+  ActionFrame reply;
   Answer a;
   a.verdict = Verdict::tell, a.endpoint = 0x2bc3074a120aU, a.number = 77;
   reply.clear();
-  reply.answer(3, a);
+  reply.add_answer(3, a);
   const auto sent = reply.finish();
   Bytes b = frame(8);
   b[header_size + 11] = 8;
   b.insert(b.end(), sent.end() - 8, sent.end());
   b[0] = static_cast<std::uint8_t>(b.size());
-  const Event e = Batch(b).event(0);
+  const Event e = EventFrame(b).event(0);
   EXPECT_EQ(e.end.endpoint, a.endpoint);
   EXPECT_EQ(e.token, 77U);
 }
 
-TEST(Actions, AFreshDispatchClosesIdleConnectionsFirst) {
-  Reply reply;
+TEST(ActionFrame, AFreshDispatchClosesIdleConnectionsFirst) {
+  ActionFrame reply;
   Answer a;
   a.verdict = Verdict::dispatch, a.fresh = true;
   reply.clear();
-  reply.answer(3, a);
+  reply.add_answer(3, a);
   const auto sent = reply.finish();
   ASSERT_EQ(sent.size(), 8U + 2 * 32U);
   EXPECT_EQ(sent[8], 74);
@@ -112,4 +113,4 @@
 }
 
 }  // namespace
-}  // namespace chutevane::tundra
+}  // namespace chutevane::simulator_protocol
