--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -3,14 +3,15 @@
 #include <algorithm>
 #include <iterator>
 
-#include "toml/checked.hpp"
+#include "toml/table_reader.hpp"
 
 namespace chutevane::lab {
 namespace {
 
-using checked::Errors;
-using checked::Table;
-using checked::Word;
+using Errors = toml_reader::ErrorList;
+using Table = toml_reader::TableReader;
+template <class E>
+using Word = toml_reader::EnumName<E>;
 
 constexpr std::size_t file_most = 1U << 20U;  // bytes: no experiment written by hand is longer
 constexpr int endpoints_most = 200;           // of a tier: their addresses are one byte
@@ -310,8 +311,8 @@
 
 toml::table parse_experiment(std::string_view text, const std::string& file) {
   try {
-    return checked::parse(text, file, file_most);
-  } catch (const checked::ParseError& e) {
+    return toml_reader::parse(text, file, file_most);
+  } catch (const toml_reader::ParseError& e) {
     throw ExperimentError(e.what());
   }
 }
@@ -325,7 +326,7 @@
 }
 
 Experiment load_experiment(const std::string& file) {
-  const std::optional<std::string> text = checked::read_file(file, file_most);
+  const std::optional<std::string> text = toml_reader::read_file(file, file_most);
   if (!text) throw ExperimentError(file + ":1:1: file: cannot be read");
   return read_experiment(*text, file);
 }
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -14,7 +14,7 @@
 #include "chutevane/types.hpp"
 #include "lab/draw.hpp"
 #include "lab/machine.hpp"
-#include "toml/checked.hpp"
+#include "toml/table_reader.hpp"
 
 namespace chutevane::lab {
 
@@ -187,6 +187,6 @@
 Experiment load_experiment(const std::string& file);
 // The same in steps, for files that hold more than an experiment: what is wrong goes to `errors`.
 toml::table parse_experiment(std::string_view text, const std::string& file);
-Experiment read_experiment(const toml::table& root, checked::Errors& errors);
+Experiment read_experiment(const toml::table& root, toml_reader::ErrorList& errors);
 
 }  // namespace chutevane::lab
--- a/src/opfile/file.cpp
+++ b/src/opfile/file.cpp
@@ -6,14 +6,15 @@
 #include <set>
 
 #include "net/socket.hpp"
-#include "toml/checked.hpp"
+#include "toml/table_reader.hpp"
 
 namespace chutevane::opfile {
 namespace {
 
-using checked::Errors;
-using checked::Table;
-using checked::Word;
+using Errors = toml_reader::ErrorList;
+using Table = toml_reader::TableReader;
+template <class E>
+using Word = toml_reader::EnumName<E>;
 
 constexpr std::size_t file_most = 16U << 20U;  // bytes: some 100,000 routes
 constexpr std::size_t segments_most = 64;      // of a path: as many as the table looks at
@@ -34,7 +35,7 @@
   std::size_t find(Table& t, const std::string& key, const std::string& name) const {
     const auto found = places_.find(name);
     if (found != places_.end()) return found->second;
-    const std::string near = checked::nearest(all_, name);
+    const std::string near = toml_reader::nearest(all_, name);
     t.wrong(key, "no " + what_ + " '" + name + "'" + (near.empty() ? "" : "; did you mean " + near + "?"));
     return 0;
   }
@@ -238,8 +239,8 @@
 Model read(std::string_view text, const std::string& file) {
   toml::table root;
   try {
-    root = checked::parse(text, file, file_most);
-  } catch (const checked::ParseError& e) {
+    root = toml_reader::parse(text, file, file_most);
+  } catch (const toml_reader::ParseError& e) {
     throw FileError(e.what());
   }
   Model out;
@@ -322,7 +323,7 @@
 }
 
 Model load(const std::string& file) {
-  const std::optional<std::string> text = checked::read_file(file, file_most);
+  const std::optional<std::string> text = toml_reader::read_file(file, file_most);
   if (!text) throw FileError(file + ":1:1: file: cannot be read");
   return read(*text, file);
 }
--- a/src/toml/checked.cpp
+++ b/src/toml/table_reader.cpp
@@ -1,25 +1,26 @@
-#include "toml/checked.hpp"
+#include "toml/table_reader.hpp"
 
 #include <algorithm>
 #include <fstream>
 #include <utility>
 
-namespace chutevane::checked {
+namespace chutevane::toml_reader {
 namespace {
 
-constexpr double span_most_ms = 3.6e6;  // an hour
-constexpr std::size_t near_enough = 2;  // letters apart: a slip, not another word
+constexpr double max_span_ms = 3.6e6;  // an hour
+/// Letters apart up to which a key is taken for a misspelling of another.
+constexpr std::size_t max_suggestion_distance = 2;
 
-// How many letters apart two words are, for "did you mean".
-std::size_t distance(std::string_view a, std::string_view b) {
-  std::vector<std::size_t> row(b.size() + 1),
-      above(b.size() + 1);  // of this letter of `a`, and of the one before
+/// The number of letters added, dropped, replaced or swapped between two words (Damerau-Levenshtein).
+std::size_t edit_distance(std::string_view a, std::string_view b) {
+  // The distances of the letters of `a` so far to each prefix of `b`; the same without the last letter.
+  std::vector<std::size_t> row(b.size() + 1), above(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
   for (std::size_t i = 0; i < a.size(); ++i) {
     std::vector<std::size_t> next(b.size() + 1, i + 1);
     for (std::size_t j = 0; j < b.size(); ++j) {
       next[j + 1] = std::min({next[j] + 1, row[j + 1] + 1, row[j] + (a[i] == b[j] ? 0U : 1U)});
-      // Two letters the wrong way round are one slip.
+      // Two letters that are swapped count once.
       if (i > 0 && j > 0 && a[i] == b[j - 1] && a[i - 1] == b[j])
         next[j + 1] = std::min(next[j + 1], above[j - 1] + 1);
     }
@@ -35,12 +36,13 @@
   return out;
 }
 
-// Where a byte beyond ASCII stands outside comments and strings, which TOML does not allow; none: npos.
-// Guards against toml++, which takes some of these for white space of a kind it has no branch for (found by
-// fuzzing).
-std::size_t beyond_ascii(std::string_view text) {
-  constexpr std::string_view mark = "\xef\xbb\xbf";  // a byte order mark may begin a file
-  for (std::size_t at = text.starts_with(mark) ? mark.size() : 0; at < text.size(); ++at) {
+/// The offset of the first byte beyond ASCII outside comments and strings, where TOML does not allow it;
+/// none: npos. toml++ takes some of these for white space of a kind that it has no branch for, and fails in
+/// undefined ways.
+std::size_t find_non_ascii(std::string_view text) {
+  constexpr std::string_view byte_order_mark = "\xef\xbb\xbf";
+  for (std::size_t at = text.starts_with(byte_order_mark) ? byte_order_mark.size() : 0; at < text.size();
+       ++at) {
     const char c = text[at];
     if ((c & 0x80) != 0) return at;
     if (c == '#') at = std::min(text.find('\n', at), text.size());
@@ -59,15 +61,16 @@
 
 }  // namespace
 
-void Errors::add(const toml::node& at, const std::string& key, const std::string& why) {
+void ErrorList::add(const toml::node& at, const std::string& key, const std::string& reason) {
   const auto& where = at.source().begin;
   lines += (lines.empty() ? "" : "\n") + file + ":" + std::to_string(where.line) + ":" +
-           std::to_string(where.column) + ": " + key + ": " + why;
+           std::to_string(where.column) + ": " + key + ": " + reason;
 }
 
-toml::table parse(std::string_view text, const std::string& file, std::size_t most) {
-  if (text.size() > most) throw ParseError(file + ":1:1: file: over " + std::to_string(most) + " bytes");
-  if (const std::size_t at = beyond_ascii(text); at != std::string_view::npos) {
+toml::table parse(std::string_view text, const std::string& file, std::size_t max_bytes) {
+  if (text.size() > max_bytes)
+    throw ParseError(file + ":1:1: file: over " + std::to_string(max_bytes) + " bytes");
+  if (const std::size_t at = find_non_ascii(text); at != std::string_view::npos) {
     const std::string_view before = text.substr(0, at);
     const auto line = std::count(before.begin(), before.end(), '\n') + 1;
     const std::size_t column = line == 1 ? at + 1 : at - before.rfind('\n');
@@ -83,10 +86,10 @@
   }
 }
 
-std::optional<std::string> read_file(const std::string& file, std::size_t most) {
+std::optional<std::string> read_file(const std::string& file, std::size_t max_bytes) {
   std::ifstream in(file, std::ios::binary);
   if (!in) return std::nullopt;
-  std::string text(most + 1, '\0');
+  std::string text(max_bytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(in.gcount()));
   return text;
@@ -94,76 +97,77 @@
 
 std::string nearest(const std::set<std::string>& words, const std::string& to) {
   const auto near = std::min_element(words.begin(), words.end(), [&](const auto& a, const auto& b) {
-    return distance(a, to) < distance(b, to);
+    return edit_distance(a, to) < edit_distance(b, to);
   });
-  return near != words.end() && distance(*near, to) <= near_enough ? *near : "";
+  return near != words.end() && edit_distance(*near, to) <= max_suggestion_distance ? *near : "";
 }
 
-Table::~Table() {
+TableReader::~TableReader() {
   for (const auto& [key, value] : table_) {
     const std::string name(key.str());
-    if (asked_.count(name) > 0) continue;
-    const std::string near = nearest(asked_, name);
+    if (known_keys_.count(name) > 0) continue;
+    const std::string near = nearest(known_keys_, name);
     errors_.add(value, path_ + name, near.empty() ? "unknown" : "unknown; did you mean " + near + "?");
   }
 }
 
-const toml::node* Table::find(const std::string& key) {
-  asked_.insert(key);
+const toml::node* TableReader::find(const std::string& key) {
+  known_keys_.insert(key);
   return table_.get(key);
 }
 
-void Table::wrong(const std::string& key, const std::string& why) {
+void TableReader::wrong(const std::string& key, const std::string& reason) {
   const toml::node* at = table_.get(key);
-  errors_.add(at != nullptr ? *at : static_cast<const toml::node&>(table_), path_ + key, why);
+  errors_.add(at != nullptr ? *at : static_cast<const toml::node&>(table_), path_ + key, reason);
 }
 
-double Table::number(const std::string& key, std::optional<double> otherwise, double least, double most) {
+double TableReader::number(const std::string& key, std::optional<double> fallback, double min, double max) {
   const toml::node* at = find(key);
   if (at == nullptr) {
-    if (!otherwise) wrong(key, "missing");
-    return otherwise.value_or(least);
+    if (!fallback) wrong(key, "missing");
+    return fallback.value_or(min);
   }
   const std::optional<double> v = at->is_number() ? at->value<double>() : std::nullopt;
-  if (!v || !(*v >= least && *v <= most)) {
-    wrong(key, "no number from " + text_of(least) + " to " + text_of(most));
-    return least;
+  if (!v || !(*v >= min && *v <= max)) {
+    wrong(key, "no number from " + text_of(min) + " to " + text_of(max));
+    return min;
   }
   return *v;
 }
 
-int Table::whole(const std::string& key, std::optional<int> otherwise, int least, int most) {
-  const std::optional<double> instead = otherwise ? std::optional<double>(*otherwise) : std::nullopt;
-  const double v = number(key, instead, least, most);
+int TableReader::whole(const std::string& key, std::optional<int> fallback, int min, int max) {
+  const std::optional<double> instead = fallback ? std::optional<double>(*fallback) : std::nullopt;
+  const double v = number(key, instead, min, max);
   if (v != static_cast<int>(v)) wrong(key, "no whole number");
   return static_cast<int>(v);
 }
 
-Span Table::span(const std::string& key, std::optional<double> otherwise, double least) {
-  return Span::ms(number(key, otherwise, least, span_most_ms));
+Span TableReader::span(const std::string& key, std::optional<double> fallback, double min) {
+  return Span::ms(number(key, fallback, min, max_span_ms));
 }
 
-bool Table::flag(const std::string& key, bool otherwise) {
+bool TableReader::flag(const std::string& key, bool fallback) {
   const toml::node* at = find(key);
-  if (at == nullptr) return otherwise;
+  if (at == nullptr) return fallback;
   if (!at->is_boolean()) wrong(key, "neither true nor false");
-  return at->value_or(otherwise);
+  return at->value_or(fallback);
 }
 
-std::string Table::text(const std::string& key, const std::optional<std::string>& otherwise) {
+std::string TableReader::text(const std::string& key, const std::optional<std::string>& fallback) {
   const toml::node* at = find(key);
   if (at == nullptr) {
-    if (!otherwise) wrong(key, "missing");
-    return otherwise.value_or("");
+    if (!fallback) wrong(key, "missing");
+    return fallback.value_or("");
   }
   const std::optional<std::string> v = at->is_string() ? at->value<std::string>() : std::nullopt;
   if (!v || v->empty()) wrong(key, "no text");
   return v.value_or("");
 }
 
-std::vector<std::string> Table::texts(const std::string& key, const std::vector<std::string>& otherwise) {
+std::vector<std::string> TableReader::texts(const std::string& key,
+                                            const std::vector<std::string>& fallback) {
   const toml::node* at = find(key);
-  if (at == nullptr) return otherwise;
+  if (at == nullptr) return fallback;
   std::vector<std::string> out;
   if (const toml::array* list = at->as_array()) {
     for (const toml::node& item : *list) out.push_back(item.value_or(std::string()));
@@ -172,13 +176,13 @@
   return out;
 }
 
-const toml::table* Table::table(const std::string& key) {
+const toml::table* TableReader::table(const std::string& key) {
   const toml::node* at = find(key);
   if (at != nullptr && !at->is_table()) wrong(key, "no table");
   return at == nullptr ? nullptr : at->as_table();
 }
 
-std::vector<const toml::table*> Table::tables(const std::string& key) {
+std::vector<const toml::table*> TableReader::tables(const std::string& key) {
   std::vector<const toml::table*> out;
   const toml::node* at = find(key);
   if (at == nullptr) return out;
@@ -190,4 +194,4 @@
   return out;
 }
 
-}  // namespace chutevane::checked
+}  // namespace chutevane::toml_reader
--- a/src/world/scenario.cpp
+++ b/src/world/scenario.cpp
@@ -6,9 +6,10 @@
 namespace chutevane::world {
 namespace {
 
-using checked::Errors;
-using checked::Table;
-using checked::Word;
+using Errors = toml_reader::ErrorList;
+using Table = toml_reader::TableReader;
+template <class E>
+using Word = toml_reader::EnumName<E>;
 
 constexpr std::size_t file_most = 1U << 20U;  // bytes
 
@@ -214,7 +215,7 @@
 }
 
 Scenario load_scenario(const std::string& file) {
-  const std::optional<std::string> text = checked::read_file(file, file_most);
+  const std::optional<std::string> text = toml_reader::read_file(file, file_most);
   if (!text) throw lab::ExperimentError(file + ":1:1: file: cannot be read");
   return read_scenario(*text, file);
 }
