--- a/fuzz/platform.cpp
+++ b/fuzz/platform.cpp
@@ -9,7 +9,7 @@
   try {
     const config::Config c = config::read({reinterpret_cast<const char*>(data), size},
                                           [](const char*) -> const char* { return nullptr; });
-    if (!net::parse_address(c.listen) || c.sockets == 0) std::abort();
+    if (!net::parse_address(c.listen) || c.max_descriptors == 0) std::abort();
   } catch (const ConfigError& e) {
     if (e.key.empty()) std::abort();
   }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -4,11 +4,12 @@
 #include <charconv>
 #include <cmath>
 #include <fstream>
+#include <initializer_list>
 #include <iterator>
 
 #include "base/settings_reader.hpp"
 #include "chutevane/balancer.hpp"
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 #include "net/socket.hpp"
 
 namespace chutevane::config {
@@ -16,11 +17,12 @@
 
 using Kind = json::Value::Kind;
 
-constexpr double memory_least = 8;    // MB; the program alone takes some 5
-constexpr double sockets_least = 64;  // below that there is no room beside what is kept spare
+constexpr double max_span_ms = 3.6e6;   // an hour
+constexpr double min_memory_mb = 8;     // the program alone takes some 5
+constexpr double min_descriptors = 64;  // fewer leave nothing beside the reserve
 
-// Nested settings as a flat map: list items under .0, .1, ..., their number under .count; plain lists with
-// commas.
+/// Flattens nested settings: the items of a list become .0, .1, ..., their number .count; a list of plain
+/// values becomes one text with commas.
 void flatten(Settings& into, const std::string& key, const json::Value& value) {
   const auto put = [&](std::string_view text) { put_setting(into, key, text); };
   switch (value.kind) {
@@ -51,7 +53,7 @@
     flatten(into, key + "." + std::to_string(i), value.items[i]);
 }
 
-// A text of the file, or of the environment where the file has none.
+/// From the file, or from the environment where the file does not have the key.
 std::string text_of(const json::Value& root, const char* key, const char* variable, const Environment& env) {
   const json::Value* found = root.find(key);
   if (found != nullptr) {
@@ -70,7 +72,7 @@
   return out;
 }
 
-// The second address, where there is to be one.
+/// Empty: there is to be no admin address.
 std::string admin_of(const json::Value& root, const Environment& env) {
   constexpr const char *key = "admin_addr", *variable = "EDGE_ADMIN_ADDR";
   const char* given = env(variable);
@@ -83,24 +85,25 @@
   if (found == nullptr) return 0;
   std::uint64_t out = 0;
   const char* end = found->text.data() + found->text.size();
-  const auto got = std::from_chars(found->text.data(), end, out, found->is(Kind::text) ? 16 : 10);
-  if (got.ec != std::errc() || got.ptr != end) throw ConfigError("seed", "no number: '" + found->text + "'");
+  const auto parsed = std::from_chars(found->text.data(), end, out, found->is(Kind::text) ? 16 : 10);
+  if (parsed.ec != std::errc() || parsed.ptr != end)
+    throw ConfigError("seed", "no number: '" + found->text + "'");
   return out;
 }
 
-// A number of an object whose keys are told as PREFIX + key, or what stands in its place.
-double figure_of(const json::Value& of, const char* prefix, const std::string& key, double otherwise,
-                 double least, double most) {
+/// `prefix`: of the key in messages.
+double number_or(const json::Value& of, const char* prefix, const std::string& key, double fallback,
+                 double min, double max) {
   const json::Value* found = of.find(key);
-  if (found == nullptr) return otherwise;
-  if (!found->is(Kind::number) || found->number < least || found->number > most) {
-    throw ConfigError(prefix + key, "no number from " + std::to_string(static_cast<long>(least)) + " to " +
-                                        std::to_string(static_cast<long>(most)));
+  if (found == nullptr) return fallback;
+  if (!found->is(Kind::number) || found->number < min || found->number > max) {
+    throw ConfigError(prefix + key, "no number from " + std::to_string(static_cast<long>(min)) + " to " +
+                                        std::to_string(static_cast<long>(max)));
   }
   return found->number;
 }
 
-// The zone's place among the zones, whichever way it is given.
+/// Replaces a zone's name by its index among the zones, which is what the balancer takes.
 void number_zone(Settings& settings) {
   const auto zone = settings.find("zone"), zones = settings.find("zones");
   if (zone == settings.end() || zones == settings.end()) return;
@@ -115,131 +118,167 @@
   }
 }
 
-// Settings that may be left out: each has a default in the module, but a wrong one is no default.
-void check_optional(const Settings& settings) {
-  const SettingsReader reader(settings);
-  const auto whole = [&](const std::string& key, double least, double most) {
-    if (!reader.has(key)) return;
-    const double v = reader.number(key);
-    if (v < least || v > most || v != std::floor(v))
-      throw SettingError(key, "no whole number from " + std::to_string(static_cast<long>(least)) + " to " +
-                                  std::to_string(static_cast<long>(most)));
-  };
-  const auto one_of = [&](const char* key, std::initializer_list<std::string_view> words) {
-    if (!reader.has(key) || std::find(words.begin(), words.end(), reader.text(key)) != words.end()) return;
+/// Checks settings that may be left out: the balancer has a default for a missing one, but would take a wrong
+/// one for missing.
+class OptionalSettings {
+ public:
+  explicit OptionalSettings(const Settings& settings) : reader_(settings) {}
+
+  void check() const {
+    check_whole("me", 0, std::max(1.0, reader_.number("sidecars")) - 1);
+    check_whole("allowed.streams_per_conn", 1, 1e6);
+    check_flag("allowed.may_tell");
+    check_flag("extra.warm_keys");
+    check_flag("client_habits.marks_retry");
+    check_flag("rules.drain_binds_alone");
+    check_one_of("report.how", {"inline", "on_probe", "off"});
+    check_further_rules();
+    for (int i = 0; i < reader_.number("tracks.count"); ++i)
+      check_flag("tracks." + std::to_string(i) + ".in_turn");
+  }
+
+ private:
+  /// A rule of which only a part is stated would be kept only in part.
+  void check_further_rules() const {
+    check_range("rules.drain_grace_ms", 0, max_span_ms);
+    check_range("rules.resend_span_ms", 1, max_span_ms);
+    check_range("rules.budget_free", 0, 1e6);
+    check_range("rules.resend_ratio", 0, 1e3);
+    check_range("rules.settle_after_doubt_ms", 0, max_span_ms);
+    for (const char* key : {"rules.budget_free", "rules.resend_ratio"}) {
+      if (reader_.has(key) && !reader_.has("rules.resend_span_ms"))
+        throw SettingError(key, "stated without rules.resend_span_ms");
+    }
+  }
+  void check_whole(const std::string& key, double min, double max) const {
+    if (!reader_.has(key)) return;
+    const double v = reader_.number(key);
+    if (v < min || v > max || v != std::floor(v))
+      throw SettingError(key, "no whole number from " + std::to_string(static_cast<long>(min)) + " to " +
+                                  std::to_string(static_cast<long>(max)));
+  }
+  void check_range(const std::string& key, double min, double max) const {
+    if (!reader_.has(key)) return;
+    const double v = reader_.number(key);
+    if (v < min || v > max) throw SettingError(key, "out of range: " + reader_.text(key));
+  }
+  void check_flag(const std::string& key) const { check_one_of(key, {"true", "false"}); }
+  void check_one_of(const std::string& key, std::initializer_list<std::string_view> words) const {
+    if (!reader_.has(key) || std::find(words.begin(), words.end(), reader_.text(key)) != words.end()) return;
     std::string all;
-    for (const std::string_view w : words) all += (all.empty() ? "" : ", ") + std::string(w);
-    throw SettingError(key, "'" + reader.text(key) + "' is none of " + all);
-  };
-  whole("me", 0, std::max(1.0, reader.number("sidecars")) - 1);
-  whole("allowed.streams_per_conn", 1, 1e6);
-  one_of("allowed.may_tell", {"true", "false"});
-  one_of("extra.warm_keys", {"true", "false"});
-  one_of("client_habits.marks_retry", {"true", "false"});
-  one_of("rules.drain_binds_alone", {"true", "false"});
-  one_of("report.how", {"inline", "on_probe", "off"});
-  // The further rules: one that is half stated would be half kept.
-  const auto from_to = [&](const std::string& key, double least, double most) {
-    if (!reader.has(key)) return;
-    const double v = reader.number(key);
-    if (v < least || v > most) throw SettingError(key, "out of range: " + reader.text(key));
-  };
-  from_to("rules.drain_grace_ms", 0, 3.6e6);
-  from_to("rules.resend_span_ms", 1, 3.6e6);
-  from_to("rules.budget_free", 0, 1e6);
-  from_to("rules.resend_ratio", 0, 1e3);
-  from_to("rules.settle_after_doubt_ms", 0, 3.6e6);
-  for (const char* key : {"rules.budget_free", "rules.resend_ratio"}) {
-    if (reader.has(key) && !reader.has("rules.resend_span_ms"))
-      throw SettingError(key, "stated without rules.resend_span_ms");
+    for (const std::string_view word : words) all += (all.empty() ? "" : ", ") + std::string(word);
+    throw SettingError(key, "'" + reader_.text(key) + "' is none of " + all);
   }
-  for (int i = 0; i < reader.number("tracks.count"); ++i)
-    one_of(("tracks." + std::to_string(i) + ".in_turn").c_str(), {"true", "false"});
-}
 
-void check_settings(Config& out) {
-  check_optional(out.settings);
-  // The platform's protocol has no reports of load and no messages between sidecars: the module is
-  // not to count on any.
+  SettingsReader reader_;
+};
+
+/// Completes the settings and takes from them what the sidecar itself needs. Throws SettingError.
+void apply_settings(Config& out) {
+  OptionalSettings(out.settings).check();
+  // The platform's protocol carries no load reports and no messages between sidecars, whatever the settings
+  // say.
   out.settings.insert_or_assign("allowed.may_tell", "false");
   out.settings.insert_or_assign("report.how", "off");
   number_zone(out.settings);
-  const Balancer tried(out.settings, out.seed, TimePoint());
+  const Balancer trial(out.settings, out.seed, TimePoint());  // checks the rest of the settings
   const SettingsReader settings(out.settings);
-  const auto positive = [&](const std::string& key) {
+  const auto positive_span = [&](const std::string& key) {
     const Span v = settings.span(key);
-    if (v <= Span() || v > Span::ms(3.6e6)) throw SettingError(key, "out of range: " + settings.text(key));
+    if (v <= Span() || v > Span::ms(max_span_ms))
+      throw SettingError(key, "out of range: " + settings.text(key));
     return v;
   };
-  out.connect_timeout = positive("allowed.connect_timeout_ms");
-  out.idle_close = positive("allowed.idle_close_ms");
+  out.connect_timeout = positive_span("allowed.connect_timeout_ms");
+  out.endpoint_idle_close = positive_span("allowed.idle_close_ms");
   if (settings.has("rules.drain_grace_ms")) out.drain_grace = settings.span("rules.drain_grace_ms");
   for (int i = 0; i < settings.number("tracks.count"); ++i) {
     const std::string at = "tracks." + std::to_string(i) + ".";
-    out.longest_timeout = std::max(out.longest_timeout, positive(at + "client_timeout_ms"));
+    out.max_client_timeout = std::max(out.max_client_timeout, positive_span(at + "client_timeout_ms"));
     settings.text(at + "name");
   }
 }
 
-}  // namespace
+/// The member of that name, null where it is missing.
+const json::Value* find_object(const json::Value& root, const char* key) {
+  const json::Value* const found = root.find(key);
+  if (found != nullptr && !found->is(Kind::object)) throw ConfigError(key, "no object");
+  return found;
+}
 
-Config read(std::string_view text, const Environment& environment) {
-  json::Value root;
-  try {
-    root = json::parse(text);
-  } catch (const json::ParseError& e) {
-    throw ConfigError("configuration", std::string("no JSON: ") + e.what());
-  }
-  if (!root.is(Kind::object)) throw ConfigError("configuration", "no object");
-  Config out;
-  out.name = text_of(root, "name", "EDGE_NAME", environment);
-  out.listen = address_of(root, "listen", "EDGE_LISTEN", environment);
-  out.discovery = address_of(root, "discovery", "EDGE_DISCOVERY", environment);
-  out.admin = admin_of(root, environment);
-  if (!out.admin.empty() && out.admin == out.listen && !out.admin.ends_with(":0"))
-    throw ConfigError("admin_addr", "is that of callers: '" + out.admin + "'");
-  out.seed = seed_of(root);
-  if (const json::Value* limits = root.find("limits")) {
-    if (!limits->is(Kind::object)) throw ConfigError("limits", "no object");
-    out.sockets = static_cast<std::size_t>(
-        figure_of(*limits, "limits.", "sockets", static_cast<double>(out.sockets), sockets_least, 1e7));
-    out.memory =
-        static_cast<std::size_t>(figure_of(*limits, "limits.", "memory_mb",
-                                           static_cast<double>(out.memory >> 20U), memory_least, 1e6) *
-                                 (1U << 20U));
-    out.request_most =
-        Span::ms(figure_of(*limits, "limits.", "request_ms", out.request_most.as_ms(), 1, 3.6e6));
-    out.idle_most =
-        Span::ms(figure_of(*limits, "limits.", "caller_idle_ms", out.idle_most.as_ms(), 1, 3.6e6));
-  }
+void read_limits(const json::Value& root, Config& out) {
+  const json::Value* const limits = find_object(root, "limits");
+  if (limits == nullptr) return;
+  const auto number = [&](const char* key, double fallback, double min, double max) {
+    return number_or(*limits, "limits.", key, fallback, min, max);
+  };
+  out.max_descriptors = static_cast<std::size_t>(
+      number("sockets", static_cast<double>(out.max_descriptors), min_descriptors, 1e7));
+  const double memory_mb =
+      number("memory_mb", static_cast<double>(out.max_memory >> 20U), min_memory_mb, 1e6);
+  out.max_memory = static_cast<std::size_t>(memory_mb * (1U << 20U));
+  out.request_timeout = Span::ms(number("request_ms", out.request_timeout.as_ms(), 1, max_span_ms));
+  out.idle_timeout = Span::ms(number("caller_idle_ms", out.idle_timeout.as_ms(), 1, max_span_ms));
+}
+
+void read_restart(const json::Value& root, Config& out) {
   if (const json::Value* state = root.find("state")) {
     if (!state->is(Kind::text) || state->text.empty()) throw ConfigError("state", "no path");
-    out.state = state->text;
-  }
-  if (const json::Value* restart = root.find("restart")) {
-    if (!restart->is(Kind::object)) throw ConfigError("restart", "no object");
-    out.snapshot_every = Span::ms(figure_of(*restart, "restart.", "snapshot_ms", 5000, 100, 600000));
-    out.part_with = figure_of(*restart, "restart.", "part_with_per_s", 0, 0, 1);
-    out.ask_over = Span::ms(figure_of(*restart, "restart.", "ask_over_ms", 0, 0, 60000));
+    out.state_file = state->text;
   }
+  const json::Value* const restart = find_object(root, "restart");
+  if (restart == nullptr) return;
+  out.snapshot_interval = Span::ms(number_or(*restart, "restart.", "snapshot_ms", 5000, 100, 600000));
+  out.rebalance_per_s = number_or(*restart, "restart.", "part_with_per_s", 0, 0, 1);
+  out.start_spread = Span::ms(number_or(*restart, "restart.", "ask_over_ms", 0, 0, 60000));
+}
+
+void read_known_endpoints(const json::Value& root, Config& out) {
   const json::Value* known = root.find("known");
   if (known == nullptr) throw ConfigError("known", "missing");
   try {
-    out.known = discovery::parse_endpoint_list(*known);
+    out.known_endpoints = discovery::parse_endpoint_list(*known);
   } catch (const discovery::EndpointListError& e) {
     throw ConfigError("known", e.what());
   }
+}
+
+void read_settings(const json::Value& root, Config& out) {
   const json::Value* settings = root.find("settings");
   if (settings == nullptr || !settings->is(Kind::object))
     throw ConfigError("settings", "missing or no object");
   flatten(out.settings, "", *settings);
   try {
-    check_settings(out);
+    apply_settings(out);
   } catch (const SettingError& e) {
-    const std::string why =
-        std::string(e.what()).substr(std::min(e.key.size() + 2, std::string(e.what()).size()));
-    throw ConfigError("settings." + platform_name(e.key), why);
+    const std::string text = e.what();  // "KEY: REASON"
+    const std::string reason = text.substr(std::min(e.key.size() + 2, text.size()));
+    throw ConfigError("settings." + platform_name(e.key), reason);
+  }
+}
+
+}  // namespace
+
+Config read(std::string_view text, const Environment& environment) {
+  json::Value root;
+  try {
+    root = json::parse(text);
+  } catch (const json::ParseError& e) {
+    throw ConfigError("configuration", std::string("no JSON: ") + e.what());
   }
+  if (!root.is(Kind::object)) throw ConfigError("configuration", "no object");
+  Config out;
+  out.name = text_of(root, "name", "EDGE_NAME", environment);
+  out.listen = address_of(root, "listen", "EDGE_LISTEN", environment);
+  out.discovery = address_of(root, "discovery", "EDGE_DISCOVERY", environment);
+  out.admin_address = admin_of(root, environment);
+  if (!out.admin_address.empty() && out.admin_address == out.listen && !out.admin_address.ends_with(":0"))
+    throw ConfigError("admin_addr", "is that of callers: '" + out.admin_address + "'");
+  out.seed = seed_of(root);
+  read_limits(root, out);
+  read_restart(root, out);
+  read_known_endpoints(root, out);
+  read_settings(root, out);
   return out;
 }
 
@@ -253,20 +292,21 @@
   return read(text, environment);
 }
 
-std::string waits_for_start(const Config& in_force, const Config& read_again) {
+std::string keys_needing_restart(const Config& in_force, const Config& read_again) {
   std::string out;
   const auto note = [&](bool same, const char* key) {
     if (!same) out += (out.empty() ? "" : ", ") + std::string(key);
   };
   note(in_force.name == read_again.name, "name");
   note(in_force.listen == read_again.listen, "listen");
-  note(in_force.admin == read_again.admin, "admin_addr");
-  note(in_force.state == read_again.state, "state");
-  note(in_force.snapshot_every == read_again.snapshot_every && in_force.ask_over == read_again.ask_over &&
-           in_force.part_with == read_again.part_with,
+  note(in_force.admin_address == read_again.admin_address, "admin_addr");
+  note(in_force.state_file == read_again.state_file, "state");
+  note(in_force.snapshot_interval == read_again.snapshot_interval &&
+           in_force.start_spread == read_again.start_spread &&
+           in_force.rebalance_per_s == read_again.rebalance_per_s,
        "restart");
-  note(in_force.memory == read_again.memory, "limits.memory_mb");
-  note(in_force.sockets == read_again.sockets, "limits.sockets");
+  note(in_force.max_memory == read_again.max_memory, "limits.memory_mb");
+  note(in_force.max_descriptors == read_again.max_descriptors, "limits.sockets");
   note(in_force.settings == read_again.settings, "settings");
   return out;
 }
--- a/src/config/names.cpp
+++ b/src/config/setting_names.cpp
@@ -1,4 +1,4 @@
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -23,15 +23,16 @@
 };
 constexpr Name effects[] = {{"safe", "replayable"}, {"keyed", "referenced"}, {"unsafe", "single-use"}};
 
+/// Translates each part between the dots.
 std::string rename_path(std::string_view path, bool to_platform) {
   std::string out;
   while (true) {
     const std::size_t dot = path.find('.');
     const std::string_view part = path.substr(0, dot);
-    const auto* hit = std::find_if(std::begin(names), std::end(names), [&](const Name& n) {
+    const auto* const found = std::find_if(std::begin(names), std::end(names), [&](const Name& n) {
       return part == (to_platform ? n.ours : n.platform);
     });
-    out += hit == std::end(names) ? part : (to_platform ? hit->platform : hit->ours);
+    out += found == std::end(names) ? part : (to_platform ? found->platform : found->ours);
     if (dot == std::string_view::npos) return out;
     out += '.';
     path.remove_prefix(dot + 1);
@@ -40,11 +41,11 @@
 
 }  // namespace
 
-void put_setting(Settings& into, std::string_view platform_key, std::string_view value) {
-  if (platform_key.ends_with(".effect")) {
+void put_setting(Settings& settings, std::string_view platform_name, std::string_view value) {
+  if (platform_name.ends_with(".effect")) {
     for (const Name& n : effects) value = value == n.platform ? n.ours : value;
   }
-  into.insert_or_assign(rename_path(platform_key, false), std::string(value));
+  settings.insert_or_assign(rename_path(platform_name, false), std::string(value));
 }
 
 std::string platform_name(std::string_view setting) { return rename_path(setting, true); }
--- a/src/opfile/file.cpp
+++ b/src/opfile/file.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t file_most = 16U << 20U;  // bytes: some 100,000 routes
 constexpr std::size_t segments_most = 64;      // of a path: as many as the table looks at
-constexpr double sockets_least = 64;
+constexpr double min_descriptors = 64;
 
 constexpr Word<pool::Idempotency> effect_words[] = {{"replayable", pool::Idempotency::idempotent},
                                                     {"referenced", pool::Idempotency::keyed},
@@ -84,8 +84,8 @@
   out.dispatches = t.whole("max_dispatches", 4, 1, 8);
   out.cancel = t.flag("cancel", true);
   out.connect_timeout = t.span("connect_timeout_ms", 250.0, 1.0);
-  out.idle_close = t.span("idle_close_ms", 10000.0, 1.0);
-  out.most_retry_after = t.span("max_retry_after_ms", 2000.0);
+  out.endpoint_idle_close = t.span("idle_close_ms", 10000.0, 1.0);
+  out.max_retry_after = t.span("max_retry_after_ms", 2000.0);
   out.warm_after = t.span("warm_after_ms", 10000.0, 1.0);
   out.fall_window = t.span("fall_ms", 1500.0, 1.0);
   out.cold_share = t.number("cold_share", 0.2, 0.01, 1.0);
@@ -251,13 +251,13 @@
     out.name = t.text("name", out.name);
     if (const toml::table* limits = t.table("limits")) {
       Table l(*limits, "limits.", errors);
-      out.memory = static_cast<std::size_t>(l.number("memory_mb", 192.0, 8.0, 1e6)) << 20U;
-      out.sockets = static_cast<std::size_t>(l.number("sockets", 1024.0, sockets_least, 1e7));
-      out.request_most = l.span("request_ms", 2500.0, 1.0);
-      out.idle_most = l.span("caller_idle_ms", 75000.0, 1.0);
+      out.max_memory = static_cast<std::size_t>(l.number("memory_mb", 192.0, 8.0, 1e6)) << 20U;
+      out.max_descriptors = static_cast<std::size_t>(l.number("sockets", 1024.0, min_descriptors, 1e7));
+      out.request_timeout = l.span("request_ms", 2500.0, 1.0);
+      out.idle_timeout = l.span("caller_idle_ms", 75000.0, 1.0);
     } else {
-      out.request_most = Span::ms(2500.0);
-      out.idle_most = Span::ms(75000.0);
+      out.request_timeout = Span::ms(2500.0);
+      out.idle_timeout = Span::ms(75000.0);
     }
     if (const toml::table* calls = t.table("calls")) {
       Table c(*calls, "calls.", errors);
@@ -275,8 +275,8 @@
       if (!listen.insert(out.listen.back()).second) l.wrong("address", "comes twice");
     }
     if (out.listen.empty()) t.wrong("listener", "missing");
-    out.admin = address(t, "admin_addr", "");
-    if (listen.contains(out.admin)) t.wrong("admin_addr", "is a listener's");
+    out.admin_address = address(t, "admin_addr", "");
+    if (listen.contains(out.admin_address)) t.wrong("admin_addr", "is a listener's");
     tracks = t.tables("track");
     pools = t.tables("pool");
     services = t.tables("service");
@@ -339,8 +339,8 @@
   out["extra.warm_keys"] = flag(!m.key_header.empty());
   out["discovery"] = "automatic";
   out["allowed.cancel"] = flag(p.cancel);
-  out["allowed.retry_after"] = flag(p.most_retry_after > Span());
-  out["allowed.max_retry_after_ms"] = number(p.most_retry_after.as_ms());
+  out["allowed.retry_after"] = flag(p.max_retry_after > Span());
+  out["allowed.max_retry_after_ms"] = number(p.max_retry_after.as_ms());
   out["allowed.max_dispatches"] = number(p.dispatches);
   out["rules.cold_share"] = number(p.cold_share);
   out["rules.fall_multiple"] = number(p.fall_multiple);
--- a/src/opfile/model.hpp
+++ b/src/opfile/model.hpp
@@ -34,7 +34,7 @@
   int calls_per_connection = 1;       // that its endpoints take at once; more: sidecars keep to parts of them
   int dispatches = 4;                 // of one call, over all pools that it goes to
   bool cancel = true;
-  Span connect_timeout, idle_close, most_retry_after, warm_after, fall_window;
+  Span connect_timeout, endpoint_idle_close, max_retry_after, warm_after, fall_window;
   double cold_share = 0.2, fall_multiple = 3.0;
 };
 
@@ -60,11 +60,11 @@
 struct Model {
   std::string name = "sidecar";
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
-  std::size_t memory = std::size_t{192} << 20U;  // bytes
-  Span request_most, idle_most;
+  std::size_t max_descriptors = 1024;
+  std::size_t max_memory = std::size_t{192} << 20U;  // bytes
+  Span request_timeout, idle_timeout;
   std::vector<std::string> listen;
-  std::string admin;          // the second address; empty: none
+  std::string admin_address;  // the second address; empty: none
   std::string client_header;  // whose value names a client; empty: the peer's address
   std::string id_header = "X-Request-ID", wait_header = "X-Timeout", reference_header = "Idempotency-Key",
               proof_header = "X-Not-Processed",
--- a/src/sidecar/balancer_driver.cpp
+++ b/src/sidecar/balancer_driver.cpp
@@ -41,8 +41,8 @@
                                                                            : discovery::DiscoveryKind::agent;
   out.seed = config.seed;
   out.drain_grace = config.drain_grace;
-  out.start_spread = config.ask_over;
-  if (config.known.full) out.known_version = config.known.version;
+  out.start_spread = config.start_spread;
+  if (config.known_endpoints.full) out.known_version = config.known_endpoints.version;
   return out;
 }
 
@@ -62,7 +62,7 @@
       timer_task_(run_timer()) {
   pool.set_observer(*this);
   if (!config.discovery.empty()) watcher_.emplace(scheduler, watcher_config(config), *this);
-  apply_list(ListKind::cached, config.known);
+  apply_list(ListKind::cached, config.known_endpoints);
   timer_task_.start();
 }
 
--- a/src/sidecar/daemon.cpp
+++ b/src/sidecar/daemon.cpp
@@ -23,7 +23,7 @@
   try {
     const config::Config config = reader();
     sidecar.reconfigure(config);
-    const std::string pending = config::waits_for_start(in_force, config);
+    const std::string pending = config::keys_needing_restart(in_force, config);
     log_line("configuration read again%s%s",
              pending.empty() ? "" : "; changed but kept until the next start: ", pending.c_str());
     return true;
@@ -34,12 +34,12 @@
 }
 
 config::Config Daemon::with_available_descriptors(config::Config config, net::System& system) {
-  config.sockets = std::min(config.sockets, system.descriptors(config.sockets));
+  config.max_descriptors = std::min(config.max_descriptors, system.descriptors(config.max_descriptors));
   return config;
 }
 
 opfile::Model Daemon::with_available_descriptors(opfile::Model model, net::System& system) {
-  model.sockets = std::min(model.sockets, system.descriptors(model.sockets));
+  model.max_descriptors = std::min(model.max_descriptors, system.descriptors(model.max_descriptors));
   return model;
 }
 
@@ -79,20 +79,20 @@
 
 /// The list of the predecessor, or of the last snapshot, replaces the configuration's, which may be old.
 config::Config Daemon::with_known_list(config::Config config) {
-  if (!store_ && !config.state.empty()) store_ = snapshot::open_files(config.state);
+  if (!store_ && !config.state_file.empty()) store_ = snapshot::open_files(config.state_file);
   if (store_) load_snapshot();
   if (predecessor_.link >= 0) {
     try {
       snapshot::Content content = snapshot::read(predecessor_.state);
       // A list that was cut to fit is none to start from; one of another deployment names other endpoints.
       if (content.list.full && content.deployment == snapshot::deployment_of(config.settings))
-        config.known = std::move(content.list);
+        config.known_endpoints = std::move(content.list);
     } catch (const snapshot::FormError&) {
       // restore_learned_state() reads it again and logs the error.
     }
   } else if (store_) {
-    config.known = snapshot::newer(config.known, last_snapshot_, evidence_);
-    evidence_ = snapshot::against(evidence_, config.known);
+    config.known_endpoints = snapshot::newer(config.known_endpoints, last_snapshot_, evidence_);
+    evidence_ = snapshot::against(evidence_, config.known_endpoints);
   }
   return config;
 }
@@ -125,7 +125,7 @@
 /// Gives the sidecar the predecessor's state, or else what the snapshot's evidence is.
 void Daemon::restore_learned_state() {
   if (predecessor_.busy) throw std::runtime_error("another successor starts at " + meeting_point_);
-  if (store_) next_snapshot_at_ = scheduler_.now() + config_.snapshot_every * random_.unit();
+  if (store_) next_snapshot_at_ = scheduler_.now() + config_.snapshot_interval * random_.unit();
   if (predecessor_.link >= 0 && config_reader_) {
     try {
       return sidecar_.restore_state(predecessor_.state);
@@ -214,7 +214,7 @@
 
 void Daemon::write_snapshot(bool is_final) {
   next_snapshot_at_ =
-      scheduler_.now() + config_.snapshot_every * (min_interval_part + interval_spread * random_.unit());
+      scheduler_.now() + config_.snapshot_interval * (min_interval_part + interval_spread * random_.unit());
   snapshot::Content content = sidecar_.learned_state();
   content.owner = config_.name;
   content.sidecars = sidecar_count();
--- a/src/sidecar/listener.cpp
+++ b/src/sidecar/listener.cpp
@@ -23,17 +23,17 @@
       protocol_(protocol),
       router_(router),
       counters_(counters),
-      idle_timeout_(config.idle_most),
-      request_timeout_(config.request_most),
+      idle_timeout_(config.idle_timeout),
+      request_timeout_(config.request_timeout),
       full_connection_limit_(
-          static_cast<std::size_t>(static_cast<double>(config.sockets) * downstream_share)),
+          static_cast<std::size_t>(static_cast<double>(config.max_descriptors) * downstream_share)),
       connection_limit_(full_connection_limit_),
       waker_(scheduler),
       timer_(scheduler, waker_, retry_due),
       socket_(scheduler, waker_),
       active_ids_(active_ids),
       buffer_budget_(buffer_budget),
-      parting_(config.part_with),
+      parting_(config.rebalance_per_s),
       connections_(scheduler),
       task_(accept()) {}
 
--- a/src/sidecar/service_router.cpp
+++ b/src/sidecar/service_router.cpp
@@ -69,15 +69,15 @@
   out.name = model.name + "/" + p.name;
   out.discovery = p.discovery;
   out.seed = model.seed + pool * 7919U;
-  out.sockets = model.sockets;
-  out.request_most = model.request_most;
-  out.idle_most = model.idle_most;
-  out.known = p.endpoints;
+  out.max_descriptors = model.max_descriptors;
+  out.request_timeout = model.request_timeout;
+  out.idle_timeout = model.idle_timeout;
+  out.known_endpoints = p.endpoints;
   out.settings = opfile::settings_of(model, p);
   out.connect_timeout = p.connect_timeout;
-  out.idle_close = p.idle_close;
+  out.endpoint_idle_close = p.endpoint_idle_close;
   for (const opfile::TrackModel& track : model.tracks)
-    out.longest_timeout = std::max(out.longest_timeout, track.client_timeout);
+    out.max_client_timeout = std::max(out.max_client_timeout, track.client_timeout);
   return out;
 }
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -34,10 +34,10 @@
 Sidecar::Sidecar(net::Scheduler& scheduler, const config::Config& config)
     : scheduler_(scheduler),
       listen_addresses_{*net::parse_address(config.listen)},
-      longest_client_timeout_(config.longest_timeout),
+      longest_client_timeout_(config.max_client_timeout),
       deployment_(snapshot::deployment_of(config.settings)),
       protocol_(config.settings),
-      buffer_budget_(max_buffered_bytes(config.memory)),
+      buffer_budget_(max_buffered_bytes(config.max_memory)),
       waker_(scheduler),
       timer_(scheduler, waker_, due),
       phase_task_(run_phases()) {
@@ -47,19 +47,19 @@
   single_router_ = std::make_unique<SingleServiceRouter>(protocol_, pools_.front()->driver);
   listeners_.push_back(std::make_unique<Listener>(scheduler, config, protocol_, *single_router_, counters_,
                                                   active_ids_, buffer_budget_));
-  create_admin_server(config.admin, config.sockets);
+  create_admin_server(config.admin_address, config.max_descriptors);
 }
 
 Sidecar::Sidecar(net::Scheduler& scheduler, const opfile::Model& model)
     : scheduler_(scheduler),
-      longest_client_timeout_(pool_config(model, 0).longest_timeout),
+      longest_client_timeout_(pool_config(model, 0).max_client_timeout),
       protocol_(opfile::settings_of(model, model.pools.front()), header_names(model)),
-      buffer_budget_(max_buffered_bytes(model.memory)),
+      buffer_budget_(max_buffered_bytes(model.max_memory)),
       waker_(scheduler),
       timer_(scheduler, waker_, due),
       phase_task_(run_phases()) {
   for (const opfile::TrackModel& track : model.tracks) counters_.classes.push_back({track.name, {}});
-  create_admin_server(model.admin, model.sockets);
+  create_admin_server(model.admin_address, model.max_descriptors);
   for (std::size_t i = 0; i < model.pools.size(); ++i)
     pools_.push_back(std::make_unique<EndpointPool>(scheduler, pool_config(model, i), protocol_, counters_,
                                                     &connection_budget_, &buffer_budget_));
@@ -67,7 +67,7 @@
   for (const std::string& address : model.listen) {
     listen_addresses_.push_back(*net::parse_address(address));
     config::Config config = pool_config(model, 0);
-    config.sockets /= model.listen.size();  // listeners share the downstream descriptors evenly
+    config.max_descriptors /= model.listen.size();  // listeners share the downstream descriptors evenly
     listeners_.push_back(std::make_unique<Listener>(scheduler, config, protocol_, *service_router_, counters_,
                                                     active_ids_, buffer_budget_));
   }
@@ -120,7 +120,7 @@
 
 void Sidecar::reconfigure(const config::Config& config) {
   pools_.front()->driver.set_discovery_address(config.discovery);
-  listeners_.front()->set_timeouts(config.request_most, config.idle_most);
+  listeners_.front()->set_timeouts(config.request_timeout, config.idle_timeout);
 }
 
 // --- Hot restart and warm start
--- a/src/sidecar/upstream_pool.cpp
+++ b/src/sidecar/upstream_pool.cpp
@@ -22,14 +22,14 @@
       protocol_(protocol),
       counters_(counters),
       connect_timeout_(config.connect_timeout),
-      idle_timeout_(config.idle_close * idle_timeout_fraction),
+      idle_timeout_(config.endpoint_idle_close * idle_timeout_fraction),
       buffer_budget_(buffer_budget != nullptr ? *buffer_budget : own_buffer_budget_),
       connection_budget_(connection_budget != nullptr ? *connection_budget : own_connection_budget_),
       connections_(scheduler) {
   const auto drain_binds_alone = config.settings.find("rules.drain_binds_alone");
   removal_is_final_ = drain_binds_alone == config.settings.end() || drain_binds_alone->second != "true";
   connection_budget_.limit = connection_budget_.full_limit =
-      static_cast<std::size_t>(static_cast<double>(config.sockets) * upstream_share);
+      static_cast<std::size_t>(static_cast<double>(config.max_descriptors) * upstream_share);
   connection_budget_.pools.push_back(this);
 }
 
--- a/src/tundra/codec.cpp
+++ b/src/tundra/codec.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstring>
 
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 
 namespace chutevane::tundra {
 namespace {
--- a/src/world/ground.cpp
+++ b/src/world/ground.cpp
@@ -86,7 +86,7 @@
     } else {
       const auto reading = [this] { return config::read(reading_, no_environment); };
       std::unique_ptr<snapshot::Store> store;
-      if (!config::read(config, no_environment).state.empty())
+      if (!config::read(config, no_environment).state_file.empty())
         store = std::make_unique<PlayedStore>(world_, disk_);
       life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, reading, "", std::move(store));
     }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,6 +1,6 @@
 #include "tundra/codec.hpp"
 
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 #include "helpers.hpp"
 
 namespace chutevane::tundra {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,6 +1,6 @@
 #include "config/config.hpp"
 
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 #include "helpers.hpp"
 
 namespace chutevane::config {
@@ -25,14 +25,14 @@
 TEST(Config, IsReadUnderOurNames) {
   const Config c = read(config_text(), [](const char*) -> const char* { return nullptr; });
   EXPECT_EQ(c.seed, 0x8c1fU);
-  EXPECT_EQ(c.sockets, 1024U);
+  EXPECT_EQ(c.max_descriptors, 1024U);
   EXPECT_EQ(c.settings.at("tracks.count"), "2");
   EXPECT_EQ(c.settings.at("tracks.0.effect"), "replayable");
   EXPECT_EQ(c.settings.at("zones"), "a,b");
   EXPECT_EQ(c.settings.at("zone"), "1");  // given by its name
   EXPECT_EQ(c.connect_timeout, Span::ms(250));
-  EXPECT_EQ(c.longest_timeout, Span::ms(4000));
-  ASSERT_EQ(c.known.entries.size(), 1U);
+  EXPECT_EQ(c.max_client_timeout, Span::ms(4000));
+  ASSERT_EQ(c.known_endpoints.entries.size(), 1U);
 }
 
 TEST(Config, TheEnvironmentFillsWhatTheFileLacks) {
@@ -64,11 +64,11 @@
 
 TEST(Config, NamesWhatWaitsForAStart) {
   const Config before = read(config_text(), no_environment);
-  EXPECT_EQ(waits_for_start(before, read(config_text("127.0.0.1:9"), no_environment)), "");
+  EXPECT_EQ(keys_needing_restart(before, read(config_text("127.0.0.1:9"), no_environment)), "");
   const Config after = read(with("\"sockets\":1024", "\"sockets\":512"), no_environment);
-  EXPECT_EQ(waits_for_start(before, after), "limits.sockets");
-  EXPECT_EQ(waits_for_start(before, read(with("\"n0\"", "\"n1\""), no_environment)), "name");
-  EXPECT_EQ(waits_for_start(before, read(with("\"tier\":0", "\"tier\":1"), no_environment)), "settings");
+  EXPECT_EQ(keys_needing_restart(before, after), "limits.sockets");
+  EXPECT_EQ(keys_needing_restart(before, read(with("\"n0\"", "\"n1\""), no_environment)), "name");
+  EXPECT_EQ(keys_needing_restart(before, read(with("\"tier\":0", "\"tier\":1"), no_environment)), "settings");
 }
 
 TEST(Names, GoBothWays) {
--- a/tests/opfile_test.cpp
+++ b/tests/opfile_test.cpp
@@ -51,7 +51,7 @@
   const Model m = read(base, "f.toml");
   EXPECT_EQ(m.pools[0].endpoints.entries[0].id, "127.0.0.1:1");
   EXPECT_EQ(m.services[0].sides[0].pools, (std::vector<std::size_t>{0, 1}));
-  EXPECT_EQ(m.idle_most, Span::ms(75000));
+  EXPECT_EQ(m.idle_timeout, Span::ms(75000));
   const Settings s = settings_of(m, m.pools[0]);
   EXPECT_EQ(s.at("tracks.0.effect"), "replayable");
   EXPECT_NO_THROW(Balancer(s, 1, TimePoint()));
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -304,7 +304,7 @@
 
 // Guards the places of others against peers that trickle, or only connect; those that were served may rest.
 TEST(BadInput, SlowPeersAreTimedOut) {
-  EXPECT_LE(config::read(config_text(), no_environment).request_most, Span::ms(2800));
+  EXPECT_LE(config::read(config_text(), no_environment).request_timeout, Span::ms(2800));
   SidecarBench b("\"sockets\":1024", "\"request_ms\":400,\"caller_idle_ms\":60000");
   Peer slow = b.caller(), silent = b.caller(), late = b.caller(), served = b.caller();
   served.say(get_ready);
