--- a/src/limit/limiter.hpp
+++ b/src/limit/limiter.hpp
@@ -21,7 +21,7 @@
   double burst = 0.0;  // calls at once; at least 1 where there is a limit
 };
 
-/// The names of the settings differ where the operator's file has other words (opfile/file.cpp).
+/// The names of the settings differ where the operator's file has other words (operator_file/reader.cpp).
 struct LimitConfig {
   double max_in_flight = 0.0;  // calls of the service; 0: no limit
   Rate rate;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "config/config.hpp"
-#include "opfile/explain.hpp"
-#include "opfile/file.hpp"
+#include "operator_file/explain.hpp"
+#include "operator_file/reader.hpp"
 #include "sidecar/daemon.hpp"
 #include "snapshot/store.hpp"
 
@@ -15,8 +15,8 @@
 
 using namespace chutevane;
 
-int explain(const opfile::Model& model, const cxxopts::ParseResult& given) {
-  opfile::Question q;
+int explain(const operator_file::Model& model, const cxxopts::ParseResult& given) {
+  operator_file::ExplainQuery q;
   q.host = given["host"].as<std::string>();
   q.path = given["path"].as<std::string>();
   q.method = given["method"].as<std::string>();
@@ -27,7 +27,7 @@
       q.headers[one.substr(0, equal)] = one.substr(equal + 1);
     }
   }
-  return std::printf("%s", opfile::explain(model, q).c_str()) < 0 ? 1 : 0;
+  return std::printf("%s", operator_file::explain(model, q).c_str()) < 0 ? 1 : 0;
 }
 
 // `state show FILE`: both generations, as far as they can be read.
@@ -88,10 +88,10 @@
       return 2;
     }
     if (!file.empty()) {
-      const opfile::Model model = opfile::load(file);
+      const operator_file::Model model = operator_file::load(file);
       if (command == "explain") return explain(model, given);
       if (command == "serve") return sidecar::serve_file(model, folder);
-      return std::printf("%s", opfile::summary(model).c_str()) < 0 ? 1 : 0;
+      return std::printf("%s", operator_file::summary(model).c_str()) < 0 ? 1 : 0;
     }
     const std::string path = given.count("config") > 0 ? given["config"].as<std::string>() : "";
     const auto reading = [&] {
@@ -99,7 +99,7 @@
     };
     if (command == "serve") return sidecar::serve(reading, folder);
     return std::printf("%s: in order\n", reading().name.c_str()) < 0 ? 1 : 0;
-  } catch (const opfile::FileError& e) {
+  } catch (const operator_file::OperatorFileError& e) {
     std::fprintf(stderr, "%s\n", e.what());
   } catch (const std::exception& e) {
     std::fprintf(stderr, "chutevane: %s\n", e.what());
--- a/src/sidecar/daemon.cpp
+++ b/src/sidecar/daemon.cpp
@@ -38,7 +38,7 @@
   return config;
 }
 
-opfile::Model Daemon::with_available_descriptors(opfile::Model model, net::System& system) {
+operator_file::Model Daemon::with_available_descriptors(operator_file::Model model, net::System& system) {
   model.max_descriptors = std::min(model.max_descriptors, system.descriptors(model.max_descriptors));
   return model;
 }
@@ -60,7 +60,7 @@
   restore_learned_state();
 }
 
-Daemon::Daemon(net::Scheduler& scheduler, const opfile::Model& model, const std::string& folder)
+Daemon::Daemon(net::Scheduler& scheduler, const operator_file::Model& model, const std::string& folder)
     : scheduler_(scheduler),
       waker_(scheduler),
       signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}),
@@ -258,7 +258,7 @@
   return serve(daemon);
 }
 
-int serve_file(const opfile::Model& model, const std::string& folder) {
+int serve_file(const operator_file::Model& model, const std::string& folder) {
   net::Scheduler scheduler;
   Daemon daemon(scheduler, model, folder);
   return serve(daemon);
--- a/src/sidecar/daemon.hpp
+++ b/src/sidecar/daemon.hpp
@@ -43,7 +43,7 @@
   explicit Daemon(net::Scheduler& scheduler, ConfigReader reader, const std::string& folder = "",
                   std::unique_ptr<snapshot::Store> store = nullptr);
   /// From an operator's file: without snapshots, and SIGHUP changes nothing.
-  Daemon(net::Scheduler& scheduler, const opfile::Model& model, const std::string& folder = "");
+  Daemon(net::Scheduler& scheduler, const operator_file::Model& model, const std::string& folder = "");
 
   /// Starts serving; false, after a log line, where it cannot listen.
   [[nodiscard]] bool listen();
@@ -54,7 +54,7 @@
 
  private:
   static config::Config with_available_descriptors(config::Config config, net::System& system);
-  static opfile::Model with_available_descriptors(opfile::Model model, net::System& system);
+  static operator_file::Model with_available_descriptors(operator_file::Model model, net::System& system);
 
   // The start
   config::Config with_known_list(config::Config config);
@@ -83,7 +83,7 @@
   Pcg random_;  // spreads the snapshots of sidecars that started together
   snapshot::StoreCounters logged_store_status_;
   bool store_is_failing_ = false;  // as last logged
-  opfile::Model model_;            // of an operator's file
+  operator_file::Model model_;     // of an operator's file
   std::string name_, listen_text_, meeting_point_;
   handover::Given predecessor_;  // what it has handed over; without a link: there is none
   Sidecar sidecar_;
@@ -93,6 +93,6 @@
 
 /// Serves until a drain is over. Returns the exit status. `folder`: see Daemon.
 int serve(const ConfigReader& reader, const std::string& folder = "");
-int serve_file(const opfile::Model& model, const std::string& folder);
+int serve_file(const operator_file::Model& model, const std::string& folder);
 
 }  // namespace chutevane::sidecar
--- a/src/sidecar/service_router.cpp
+++ b/src/sidecar/service_router.cpp
@@ -63,8 +63,8 @@
   pool::AttemptHistory history;  // of pools that have given the call up
 };
 
-config::Config pool_config(const opfile::Model& model, std::size_t pool) {
-  const opfile::PoolModel& p = model.pools[pool];
+config::Config pool_config(const operator_file::Model& model, std::size_t pool) {
+  const operator_file::PoolModel& p = model.pools[pool];
   config::Config out;
   out.name = model.name + "/" + p.name;
   out.discovery = p.discovery;
@@ -73,15 +73,15 @@
   out.request_timeout = model.request_timeout;
   out.idle_timeout = model.idle_timeout;
   out.known_endpoints = p.endpoints;
-  out.settings = opfile::settings_of(model, p);
+  out.settings = operator_file::settings_of(model, p);
   out.connect_timeout = p.connect_timeout;
   out.endpoint_idle_close = p.endpoint_idle_close;
-  for (const opfile::TrackModel& track : model.tracks)
+  for (const operator_file::TrackModel& track : model.tracks)
     out.max_client_timeout = std::max(out.max_client_timeout, track.client_timeout);
   return out;
 }
 
-HeaderNames header_names(const opfile::Model& model) {
+HeaderNames header_names(const operator_file::Model& model) {
   HeaderNames out;
   out.request_id = model.id_header;
   out.timeout = model.wait_header;
@@ -91,7 +91,7 @@
   return out;
 }
 
-ServiceRouter::ServiceRouter(net::Scheduler& scheduler, const opfile::Model& model,
+ServiceRouter::ServiceRouter(net::Scheduler& scheduler, const operator_file::Model& model,
                              const CallProtocol& protocol, std::vector<std::unique_ptr<EndpointPool>>& pools,
                              Counters& counters)
     : scheduler_(scheduler),
@@ -105,10 +105,10 @@
       readiness_task_(run_readiness_updates()) {
   const TimePoint now = scheduler.now();
   for (std::size_t i = 0; i < model.services.size(); ++i) {
-    const opfile::ServiceModel& s = model.services[i];
+    const operator_file::ServiceModel& s = model.services[i];
     Service service{{}, {}, limit::Limiter(s.limits, model.seed + i, now)};
     std::vector<pool::SplitTarget> targets;
-    for (const opfile::SideModel& side : s.sides) {
+    for (const operator_file::SideModel& side : s.sides) {
       std::vector<double> stated_rates;
       for (const std::size_t p : side.pools) stated_rates.push_back(model.pools[p].carries_per_s);
       service.sides.push_back(
@@ -262,22 +262,22 @@
 }
 
 pool::CrossPoolRetry ServiceRouter::retry_of(const RoutedCall& routed, std::size_t pool_in_side) const {
-  const opfile::RouteModel& route = route_of(routed);
-  const opfile::TrackModel& track = model_.tracks[route.track];
+  const operator_file::RouteModel& route = route_of(routed);
+  const operator_file::TrackModel& track = model_.tracks[route.track];
   const std::vector<std::size_t>& pools = services_[route.service].sides[routed.side].pools;
-  const opfile::PoolModel& from = model_.pools[pools[routed.pool_in_side]];
-  const opfile::PoolModel& to = model_.pools[pools[pool_in_side]];
+  const operator_file::PoolModel& from = model_.pools[pools[routed.pool_in_side]];
+  const operator_file::PoolModel& to = model_.pools[pools[pool_in_side]];
   pool::CrossPoolRetry out;
   out.idempotency = track.effect;
   out.shares_key_memory = !from.reference_group.empty() && from.reference_group == to.reference_group;
   out.memory_spans_group = track.repeat_group == "all";
-  out.key_retention = track.remembered;
+  out.key_retention = track.key_retention;
   out.max_dispatches = to.dispatches;
   out.deadline = routed.accepted_at + routed.call.left;
   return out;
 }
 
-const opfile::RouteModel& ServiceRouter::route_of(const RoutedCall& call) const {
+const operator_file::RouteModel& ServiceRouter::route_of(const RoutedCall& call) const {
   return model_.routes[call.route];
 }
 
--- a/src/sidecar/service_router.hpp
+++ b/src/sidecar/service_router.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "limit/limiter.hpp"
-#include "opfile/file.hpp"
+#include "operator_file/reader.hpp"
 #include "pool/failover.hpp"
 #include "pool/traffic_split.hpp"
 #include "sidecar/balancer_driver.hpp"
@@ -51,7 +51,7 @@
 class ServiceRouter final : public CallRouter {
  public:
   /// References outlive it; `pools` in the model's order.
-  ServiceRouter(net::Scheduler& scheduler, const opfile::Model& model, const CallProtocol& protocol,
+  ServiceRouter(net::Scheduler& scheduler, const operator_file::Model& model, const CallProtocol& protocol,
                 std::vector<std::unique_ptr<EndpointPool>>& pools, Counters& counters);
   ~ServiceRouter();
 
@@ -86,13 +86,13 @@
   pool::CrossPoolRetry retry_of(const RoutedCall& call, std::size_t pool_in_side) const;
   DownstreamRequest* release(RoutedCall& call);
   void record_end(const RoutedCall& call, bool succeeded);
-  const opfile::RouteModel& route_of(const RoutedCall& call) const;
+  const operator_file::RouteModel& route_of(const RoutedCall& call) const;
   Service& service_of(const RoutedCall& call);
   Side& side_of(const RoutedCall& call);
   net::Task run_readiness_updates();
 
   net::Scheduler& scheduler_;
-  const opfile::Model& model_;
+  const operator_file::Model& model_;
   const CallProtocol& protocol_;
   std::vector<std::unique_ptr<EndpointPool>>& pools_;
   Counters& counters_;
@@ -123,7 +123,7 @@
 };
 
 /// One pool of an operator's file in the form that an EndpointPool is made of.
-config::Config pool_config(const opfile::Model& model, std::size_t pool);
-HeaderNames header_names(const opfile::Model& model);
+config::Config pool_config(const operator_file::Model& model, std::size_t pool);
+HeaderNames header_names(const operator_file::Model& model);
 
 }  // namespace chutevane::sidecar
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -50,15 +50,15 @@
   create_admin_server(config.admin_address, config.max_descriptors);
 }
 
-Sidecar::Sidecar(net::Scheduler& scheduler, const opfile::Model& model)
+Sidecar::Sidecar(net::Scheduler& scheduler, const operator_file::Model& model)
     : scheduler_(scheduler),
       longest_client_timeout_(pool_config(model, 0).max_client_timeout),
-      protocol_(opfile::settings_of(model, model.pools.front()), header_names(model)),
+      protocol_(operator_file::settings_of(model, model.pools.front()), header_names(model)),
       buffer_budget_(max_buffered_bytes(model.max_memory)),
       waker_(scheduler),
       timer_(scheduler, waker_, due),
       phase_task_(run_phases()) {
-  for (const opfile::TrackModel& track : model.tracks) counters_.classes.push_back({track.name, {}});
+  for (const operator_file::TrackModel& track : model.tracks) counters_.classes.push_back({track.name, {}});
   create_admin_server(model.admin_address, model.max_descriptors);
   for (std::size_t i = 0; i < model.pools.size(); ++i)
     pools_.push_back(std::make_unique<EndpointPool>(scheduler, pool_config(model, i), protocol_, counters_,
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -42,7 +42,7 @@
   /// From the platform's configuration: one service with one pool. `scheduler` outlives it.
   Sidecar(net::Scheduler& scheduler, const config::Config& config);
   /// From an operator's file; `model` outlives it.
-  Sidecar(net::Scheduler& scheduler, const opfile::Model& model);
+  Sidecar(net::Scheduler& scheduler, const operator_file::Model& model);
 
   /// Starts serving. Throws std::system_error.
   void listen();
--- a/src/world/ground.cpp
+++ b/src/world/ground.cpp
@@ -22,7 +22,7 @@
 struct PlayedSidecar::Life {
   explicit Life(Process& process) : scheduler(process) {}
   net::Scheduler scheduler;
-  opfile::Model model;
+  operator_file::Model model;
   std::unique_ptr<sidecar::Daemon> daemon;
 };
 
@@ -81,7 +81,7 @@
       life_->scheduler, [this] { return turn(); }, descriptors_);
   try {
     if (operators_file) {
-      life_->model = opfile::read(config, process_.name());
+      life_->model = operator_file::read(config, process_.name());
       life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, life_->model);
     } else {
       const auto reading = [this] { return config::read(reading_, no_environment); };
--- a/tests/opfile_test.cpp
+++ b/tests/operator_file_test.cpp
@@ -4,10 +4,10 @@
 #include <filesystem>
 
 #include "chutevane/balancer.hpp"
-#include "opfile/explain.hpp"
-#include "opfile/file.hpp"
+#include "operator_file/explain.hpp"
+#include "operator_file/reader.hpp"
 
-namespace chutevane::opfile {
+namespace chutevane::operator_file {
 namespace {
 
 const std::string base = R"([[listener]]
@@ -34,7 +34,7 @@
 std::string error_of(const std::string& text) {
   try {
     read(text, "f.toml");
-  } catch (const FileError& e) {
+  } catch (const OperatorFileError& e) {
     return e.what();
   }
   return "";
@@ -123,7 +123,7 @@
   const auto error_of = [](const std::string& text) {
     try {
       read(text, "f");
-    } catch (const FileError& e) {
+    } catch (const OperatorFileError& e) {
       return std::string(e.what());
     }
     return std::string();
@@ -136,4 +136,4 @@
 }
 
 }  // namespace
-}  // namespace chutevane::opfile
+}  // namespace chutevane::operator_file
--- a/tests/service_router_test.cpp
+++ b/tests/service_router_test.cpp
@@ -1,6 +1,6 @@
 // A sidecar of many services on loopback sockets: what goes on from one pool to the next, and what does not.
 #include "helpers.hpp"
-#include "opfile/file.hpp"
+#include "operator_file/reader.hpp"
 
 namespace chutevane::sidecar {
 namespace {
@@ -64,7 +64,7 @@
     replace("NEAR", near.text());
     replace("FAR", far.text());
     if (!from.empty()) replace(from, to);
-    model = opfile::read(text, "test");
+    model = operator_file::read(text, "test");
     sidecar = std::make_unique<Sidecar>(scheduler, model);
     sidecar->listen();
   }
@@ -84,7 +84,7 @@
     return until([&] { return sidecar->service_router()->calls_in_flight() == 0; });
   }
   Port near, far;
-  opfile::Model model;
+  operator_file::Model model;
   std::unique_ptr<Sidecar> sidecar;
 };
 
@@ -151,7 +151,7 @@
 // One budget of dispatches over all pools.
 TEST(Services, DispatchesCountOverPools) {
   ServicesBench b("[[pool]]\nname = \"near\"", "[[pool]]\nname = \"near\"\nmax_dispatches = 4");
-  for (opfile::PoolModel& p : b.model.pools) p.dispatches = 2;
+  for (operator_file::PoolModel& p : b.model.pools) p.dispatches = 2;
   b.sidecar = std::make_unique<Sidecar>(b.scheduler, b.model);
   b.sidecar->listen();
   Peer caller = b.ask("/read");
