--- a/model/call.pml
+++ b/model/call.pml
@@ -48,7 +48,7 @@
   withdraw_unsent()
 }
 
-/* EndpointConnection::report by way of Endpoints::drop: told once, then the connection is no more. */
+/* UpstreamConnection::report by way of UpstreamPool::drop: told once, then the connection is no more. */
 inline report(i, how) {
   assert(stage[i] != over && stage[i] != nothing);
   stage[i] = over;
@@ -110,7 +110,7 @@
   od
 }
 
-/* --- A connection: EndpointConnection::run ------------------------------------------------------ */
+/* --- A connection: UpstreamConnection::run ------------------------------------------------------ */
 
 proctype connection(byte i) {
 end_conn:
