--- a/model/call.pml
+++ b/model/call.pml
@@ -33,7 +33,7 @@
 bool held = true;      /* the driver keeps the call */
 bool module_over = false;
 
-chan ends = [MOST] of { byte, mtype }; /* Driver::ends_ */
+chan ends = [MOST] of { byte, mtype }; /* BalancerDriver::dispatch_ends_ */
 
 /* --- What the driver does ---------------------------------------------------------------------- */
 
@@ -56,7 +56,7 @@
   ends ! i, how
 }
 
-/* Driver::withdraw_unsent: what has not written its first byte when its call is over never does. */
+/* BalancerDriver::cancel_unsent: what has not written its first byte when its call is over never does. */
 inline withdraw_unsent() {
   byte w = 0;
   do
@@ -84,7 +84,7 @@
   mtype how;
   atomic { decide(); settle() }
   do
-  :: atomic { ends ? i, how ->                                        /* Driver::dispatch_over, pump */
+  :: atomic { ends ? i, how ->                                        /* BalancerDriver::on_dispatch_end */
        if
        :: how == done && caller == open_ -> module_over = true; answer(answered_done)
        :: else -> skip
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -25,14 +25,14 @@
 /// values becomes one text with commas.
 void flatten(Settings& into, const std::string& key, const json::Value& value) {
   const auto put = [&](std::string_view text) { put_setting(into, key, text); };
+  const std::string prefix = key.empty() ? key : key + ".";
   switch (value.kind) {
     case Kind::null: return;
     case Kind::boolean: return put(value.flag ? "true" : "false");
     case Kind::number:
     case Kind::text: return put(value.text);
     case Kind::object:
-      for (const auto& [name, member] : value.members)
-        flatten(into, key.empty() ? name : key + "." + name, member);
+      for (const auto& [name, member] : value.members) flatten(into, prefix + name, member);
       return;
     case Kind::list: break;
   }
@@ -67,7 +67,7 @@
 
 std::string address_of(const json::Value& root, const char* key, const char* variable,
                        const Environment& env) {
-  const std::string out = text_of(root, key, variable, env);
+  std::string out = text_of(root, key, variable, env);
   if (!net::parse_address(out)) throw ConfigError(key, "no address: '" + out + "'");
   return out;
 }
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -35,6 +35,7 @@
   ~EndpointListObserver() = default;
 };
 
+/// See the top of this file.
 enum class DiscoveryKind : std::uint8_t { agent, service };
 
 struct EndpointWatcherConfig {
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -328,27 +328,18 @@
       remaining_ -= taken;
       if (remaining_ == 0) stage_ = stage_ == Stage::sized_body ? Stage::complete : Stage::chunk_end;
       break;
-    case Stage::chunk_size: {
-      const auto line = first_line(bytes, max_chunk_line);
-      if (!line) return bytes.size() > max_chunk_line ? fail(400, "chunk line too long") : Progress::more;
-      if (!parse_chunk_size(*line)) return Progress::failed;
-      taken = line->size() + 2;
+    case Stage::chunk_size:
+      if (const Progress line = take_chunk_size(bytes, taken); line != Progress::complete) return line;
       break;
-    }
     case Stage::chunk_end:
       if (bytes.size() < 2) return Progress::more;
       if (bytes[0] != '\r' || bytes[1] != '\n') return fail(400, "chunk without end");
       taken = 2;
       stage_ = Stage::chunk_size;
       break;
-    case Stage::trailer: {
-      const auto line = first_line(bytes, limits_.head);
-      if (!line) return bytes.size() > limits_.head ? fail(431, "trailer too long") : Progress::more;
-      trailer_size_ += taken = line->size() + 2;
-      if (trailer_size_ > limits_.head) return fail(431, "trailer too long");
-      if (line->empty()) stage_ = Stage::complete;  // trailers are read and dropped
+    case Stage::trailer:
+      if (const Progress line = take_trailer(bytes, taken); line != Progress::complete) return line;
       break;
-    }
     case Stage::until_close:
       taken = bytes.size();
       piece = bytes;
@@ -363,6 +354,25 @@
   return stage_ == Stage::complete ? Progress::complete : Progress::more;
 }
 
+/// `complete`: a whole line has been taken.
+Progress Parser::take_chunk_size(std::string_view bytes, std::size_t& taken) {
+  const auto line = first_line(bytes, max_chunk_line);
+  if (!line) return bytes.size() > max_chunk_line ? fail(400, "chunk line too long") : Progress::more;
+  if (!parse_chunk_size(*line)) return Progress::failed;
+  taken = line->size() + 2;
+  return Progress::complete;
+}
+
+/// The same; an empty line ends the message. Trailers are dropped.
+Progress Parser::take_trailer(std::string_view bytes, std::size_t& taken) {
+  const auto line = first_line(bytes, limits_.head);
+  if (!line) return bytes.size() > limits_.head ? fail(431, "trailer too long") : Progress::more;
+  trailer_size_ += taken = line->size() + 2;
+  if (trailer_size_ > limits_.head) return fail(431, "trailer too long");
+  if (line->empty()) stage_ = Stage::complete;
+  return Progress::complete;
+}
+
 bool Parser::parse_chunk_size(std::string_view line) {
   // Another reader could take a control character for the line's end.
   if (has_control_char(line)) return fail(400, "control character in a chunk line"), false;
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -28,7 +28,9 @@
   std::size_t fields = 100;
 };
 
+/// Which start line a message has, and how its body is framed without a length.
 enum class Side : std::uint8_t { request, response };
+/// `more`: the bytes so far are fine, and not the whole message.
 enum class Progress : std::uint8_t { more, complete, failed };
 
 struct Field {
@@ -98,6 +100,7 @@
   std::string_view body() const { return {bytes_ + body_start_, body_size_}; }
 
  private:
+  /// What comes next in the bytes.
   enum class Stage : std::uint8_t {
     start,
     head,
@@ -133,6 +136,8 @@
   bool determine_framing();
   bool parse_framing_fields(bool& chunked);
   bool parse_chunk_size(std::string_view line);
+  Progress take_chunk_size(std::string_view bytes, std::size_t& taken);
+  Progress take_trailer(std::string_view bytes, std::size_t& taken);
   Progress step(std::string_view bytes, std::size_t& taken, std::string_view& piece);
 
   Side side_;
--- a/src/limit/limiter.hpp
+++ b/src/limit/limiter.hpp
@@ -36,6 +36,7 @@
   Span retry_after = Span::ms(250);
 };
 
+/// The limit that a rejected call would have exceeded.
 enum class Rejection : std::uint8_t {
   none,
   service_in_flight,
--- a/src/operator_file/explain.cpp
+++ b/src/operator_file/explain.cpp
@@ -12,6 +12,7 @@
 
 constexpr std::size_t max_other_routes = 5;  // that are listed
 
+/// The query as a route's matchers see it.
 class QueryRequest final : public route::RequestView {
  public:
   explicit QueryRequest(const ExplainQuery& query)
--- a/src/pool/cross_pool_retry.hpp
+++ b/src/pool/cross_pool_retry.hpp
@@ -37,6 +37,7 @@
   TimePoint deadline;  // the client's patience
 };
 
+/// Why a retry is not allowed.
 enum class RetryDenial : std::uint8_t {
   none,
   deadline_passed,
--- a/src/sidecar/balancer_driver.hpp
+++ b/src/sidecar/balancer_driver.hpp
@@ -25,6 +25,7 @@
 
 namespace chutevane::sidecar {
 
+/// One per pool of endpoints. Single-threaded, as everything on a scheduler.
 class BalancerDriver final : public DispatchObserver, public discovery::EndpointListObserver {
  public:
   /// References outlive it. Starts from the configuration's list, and watches discovery if that is
--- a/src/sidecar/call_protocol.hpp
+++ b/src/sidecar/call_protocol.hpp
@@ -27,6 +27,7 @@
   std::string affinity_key;  // a header of its own for the affinity key; empty: one of the attributes
 };
 
+/// What a client's request is: `invalid` is answered with 400, `no_route` with 404.
 enum class RequestKind : std::uint8_t { call, readiness_check, invalid, no_route };
 
 struct ClassifiedRequest {
--- a/src/sidecar/downstream_connection.hpp
+++ b/src/sidecar/downstream_connection.hpp
@@ -29,6 +29,8 @@
 
 class Listener;
 
+/// Closed by its peer, by a time-out or by its listener; then its coroutine ends and the listener destroys
+/// it.
 class DownstreamConnection final : public DownstreamRequest {
  public:
   /// Owned by `listener`, which outlives it; takes over the descriptor `fd`.
--- a/src/sidecar/service_router.hpp
+++ b/src/sidecar/service_router.hpp
@@ -30,6 +30,7 @@
   BalancerDriver driver;
 };
 
+/// Of the platform's configuration; a request's headers name its track.
 class SingleServiceRouter final : public CallRouter {
  public:
   SingleServiceRouter(const CallProtocol& protocol, BalancerDriver& driver)
@@ -48,6 +49,7 @@
   BalancerDriver& driver_;
 };
 
+/// Of an operator's file; a request's route gives its service and its track.
 class ServiceRouter final : public CallRouter {
  public:
   /// References outlive it; `pools` in the model's order.
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -37,6 +37,7 @@
   finished
 };
 
+/// Owns all that serves; runs on the scheduler's one thread.
 class Sidecar final : public admin::Desk {
  public:
   /// From the platform's configuration: one service with one pool. `scheduler` outlives it.
--- a/src/sidecar/upstream_connection.hpp
+++ b/src/sidecar/upstream_connection.hpp
@@ -51,6 +51,7 @@
   // closed the connection, the other end of a body pipe has moved.
   static constexpr Bits due = net::Waker::own, dispatched = net::Waker::own << 1U,
                         closed = net::Waker::own << 2U, pipe_moved = net::Waker::own << 3U;
+  /// The order is that of Counters::outcomes_by_stage; `streaming` ends no dispatch.
   enum class Stage : std::uint8_t { connecting, writing, reading, idle, closed, streaming };
 
   net::Task run();
