--- a/model/call.pml
+++ b/model/call.pml
@@ -33,7 +33,7 @@
 bool held = true;      /* the driver keeps the call */
 bool module_over = false;
 
-chan ends = [MOST] of { byte, mtype }; /* Driver::ends_ */
+chan ends = [MOST] of { byte, mtype }; /* BalancerDriver::dispatch_ends_ */
 
 /* --- What the driver does ---------------------------------------------------------------------- */
 
@@ -48,7 +48,7 @@
   withdraw_unsent()
 }
 
-/* EndpointConnection::report by way of Endpoints::drop: told once, then the connection is no more. */
+/* UpstreamConnection::report by way of UpstreamPool::drop: told once, then the connection is no more. */
 inline report(i, how) {
   assert(stage[i] != over && stage[i] != nothing);
   stage[i] = over;
@@ -56,7 +56,7 @@
   ends ! i, how
 }
 
-/* Driver::withdraw_unsent: what has not written its first byte when its call is over never does. */
+/* BalancerDriver::cancel_unsent: what has not written its first byte when its call is over never does. */
 inline withdraw_unsent() {
   byte w = 0;
   do
@@ -84,7 +84,7 @@
   mtype how;
   atomic { decide(); settle() }
   do
-  :: atomic { ends ? i, how ->                                        /* Driver::dispatch_over, pump */
+  :: atomic { ends ? i, how ->                                        /* BalancerDriver::on_dispatch_end */
        if
        :: how == done && caller == open_ -> module_over = true; answer(answered_done)
        :: else -> skip
@@ -110,7 +110,7 @@
   od
 }
 
-/* --- A connection: EndpointConnection::run ------------------------------------------------------ */
+/* --- A connection: UpstreamConnection::run ------------------------------------------------------ */
 
 proctype connection(byte i) {
 end_conn:
--- a/tests/simulator_protocol_test.cpp
+++ b/tests/simulator_protocol_test.cpp
@@ -1,5 +1,5 @@
 /// The simulator's wire: malformed frames are named by their offset, events are decoded and actions encoded.
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 #include "helpers.hpp"
 #include "simulator_protocol/action_frame.hpp"
 #include "simulator_protocol/event_frame.hpp"
