--- a/src/lab/ground.hpp
+++ b/src/lab/ground.hpp
@@ -1,5 +1,5 @@
 // What a fleet stands on: schedulers for its stand-ins, addresses, and sidecars as processes. One ground is
-// this machine, with real sidecars on loopback; another is the world (src/world), where all of it is played.
+// this machine, with real sidecars on loopback; another is the sidecar simulation (src/sidecar_simulation), where all of it is simulated.
 #pragma once
 
 #include <netinet/in.h>
--- a/src/net/system.hpp
+++ b/src/net/system.hpp
@@ -1,6 +1,6 @@
 // What net/ asks of the machine below it: time, readiness, sockets, signals. Nothing above net/ sees it.
 //
-// Two implement it: Epoll, the machine itself, and a process of the world (src/world), on a clock and a
+// Two implement it: Epoll, the machine itself, and a simulated process (src/network_simulation), on a clock and a
 // network of its own under a seed. Descriptors are the implementation's numbers, not below 0. What fails
 // returns a negative errno; nothing here throws or blocks but wait().
 #pragma once
--- a/src/world/coverage.cpp
+++ b/src/sidecar_simulation/coverage.cpp
@@ -1,9 +1,9 @@
-#include "world/coverage.hpp"
+#include "sidecar_simulation/coverage.hpp"
 
 #include <cstdio>
 #include <sstream>
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 constexpr const char* stage_names[] = {"connecting", "writing", "reading", "idle", "closed"};
@@ -101,4 +101,4 @@
   return out.str();
 }
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/coverage.hpp
+++ b/src/sidecar_simulation/coverage.hpp
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "sidecar/counters.hpp"
-#include "world/scenario.hpp"
+#include "sidecar_simulation/scenario.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 
 class Coverage {
  public:
@@ -40,4 +40,4 @@
   std::array<std::uint64_t, kinds> strikes_{};
 };
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/ground.cpp
+++ b/src/sidecar_simulation/environment.cpp
@@ -1,4 +1,4 @@
-#include "world/ground.hpp"
+#include "sidecar_simulation/environment.hpp"
 
 #include <algorithm>
 #include <stdexcept>
@@ -6,7 +6,7 @@
 #include "base/log.hpp"
 #include "lab/fleet.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 constexpr std::uint32_t block = 127U << 24U | 1U << 16U;  // names in the world only: nothing is sent anywhere
@@ -20,7 +20,7 @@
 }  // namespace
 
 struct PlayedSidecar::Life {
-  explicit Life(Process& process) : scheduler(process) {}
+  explicit Life(network_simulation::Process& process) : scheduler(process) {}
   net::Scheduler scheduler;
   opfile::Model model;
   std::unique_ptr<sidecar::Daemon> daemon;
@@ -29,11 +29,11 @@
 // What a sidecar stores, in the world: at once, as its turn ends with all it did.
 class PlayedStore final : public snapshot::Store {
  public:
-  PlayedStore(World& world, std::shared_ptr<PlayedSidecar::Disk> disk)
-      : world_(world), disk_(std::move(disk)) {}
+  PlayedStore(network_simulation::Simulator& simulator, std::shared_ptr<PlayedSidecar::Disk> disk)
+      : simulator_(simulator), disk_(std::move(disk)) {}
   snapshot::Stamp now() const override {
-    return {"start " + std::to_string(disk_->starts), world_.now() - disk_->started,
-            world_.now() + disk_->clock_ahead};
+    return {"start " + std::to_string(disk_->starts), simulator_.now() - disk_->started,
+            simulator_.now() + disk_->clock_ahead};
   }
   std::vector<std::string> generations() override { return disk_->generations; }
   void set_aside_newest() override {
@@ -52,17 +52,18 @@
   snapshot::StoreCounters counters() const override { return counters_; }
 
  private:
-  World& world_;
+  network_simulation::Simulator& simulator_;
   std::shared_ptr<PlayedSidecar::Disk> disk_;
   snapshot::StoreCounters counters_;
 };
 
-PlayedSidecar::PlayedSidecar(World& world, Process& process, std::size_t descriptors)
-    : world_(world), process_(process), descriptors_(descriptors) {}
+PlayedSidecar::PlayedSidecar(network_simulation::Simulator& simulator, network_simulation::Process& process,
+                             std::size_t descriptors)
+    : simulator_(simulator), process_(process), descriptors_(descriptors) {}
 
 void PlayedSidecar::new_start_of_machine() {
   ++disk_->starts;
-  disk_->started = world_.now();
+  disk_->started = simulator_.now();
 }
 
 PlayedSidecar::~PlayedSidecar() { kill(); }
@@ -76,7 +77,7 @@
   ended_.clear();
   config_ = reading_ = config;
   life_ = std::make_unique<Life>(process_);
-  process_.dark(false);
+  process_.set_powered_off(false);
   process_.run(
       life_->scheduler, [this] { return turn(); }, descriptors_);
   try {
@@ -87,7 +88,7 @@
       const auto reading = [this] { return config::read(reading_, no_environment); };
       std::unique_ptr<snapshot::Store> store;
       if (!config::read(config, no_environment).state.empty())
-        store = std::make_unique<PlayedStore>(world_, disk_);
+        store = std::make_unique<PlayedStore>(simulator_, disk_);
       life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, reading, "", std::move(store));
     }
     if (!life_->daemon->listen()) ended_ = "exit status 1";
@@ -119,14 +120,15 @@
   return std::exchange(ended_, "");
 }
 
-PlayedGround::PlayedGround(std::uint64_t seed, const Chances& chances, std::size_t descriptors, Trace& trace)
-    : world_(seed, chances, trace), descriptors_(descriptors), lab_(&named("callers", lab_ip)) {
+PlayedGround::PlayedGround(std::uint64_t seed, const network_simulation::NetworkConditions& chances,
+                           std::size_t descriptors, network_simulation::Trace& trace)
+    : simulator_(seed, chances, trace), descriptors_(descriptors), lab_(&named("callers", lab_ip)) {
   schedulers_.push_back(std::make_unique<net::Scheduler>(*lab_));
   lab_->run(
       *schedulers_.front(),
       [this] {
         own().turn();
-        world_.after(Span(), [] {});  // what it did to others is found in the next event
+        simulator_.run_after(Span(), [] {});  // what it did to others is found in the next event
         return true;
       },
       plenty);
@@ -134,7 +136,9 @@
 
 PlayedGround::~PlayedGround() = default;
 
-Process& PlayedGround::named(const std::string& name, std::uint32_t ip) { return world_.process(name, ip); }
+network_simulation::Process& PlayedGround::named(const std::string& name, std::uint32_t ip) {
+  return simulator_.process(name, ip);
+}
 
 net::Scheduler& PlayedGround::beside(const sockaddr_in& at) {
   const std::uint32_t ip = ntohl(at.sin_addr.s_addr);
@@ -142,10 +146,10 @@
   const int group = static_cast<int>(ip >> 8U & 255U);
   const bool endpoint = group < lab::sidecar_group;
   const int tier = group - (endpoint ? lab::endpoint_group : lab::discovery_group);
-  Process& p = named(
+  network_simulation::Process& p = named(
       (endpoint ? "endpoint-" : "discovery-") + std::to_string(tier) + "-" + std::to_string((ip & 255U) - 1),
       ip);
-  p.far_off();
+  p.set_remote();
   schedulers_.push_back(std::make_unique<net::Scheduler>(p));
   net::Scheduler* const scheduler = schedulers_.back().get();
   p.run(
@@ -168,21 +172,22 @@
   return out;
 }
 
-Process* PlayedGround::process(int group, std::size_t number) {
-  return world_.process_at(ntohl(at(group, number, 0).sin_addr.s_addr));
+network_simulation::Process* PlayedGround::process(int group, std::size_t number) {
+  return simulator_.process_at(ntohl(at(group, number, 0).sin_addr.s_addr));
 }
 
 std::unique_ptr<lab::SidecarProcess> PlayedGround::sidecar(const std::string& name,
                                                            const sockaddr_in& listen) {
-  Process& p = named("sidecar-" + name, ntohl(listen.sin_addr.s_addr));
-  auto out = std::make_unique<PlayedSidecar>(world_, p, descriptors_);
+  network_simulation::Process& p = named("sidecar-" + name, ntohl(listen.sin_addr.s_addr));
+  auto out = std::make_unique<PlayedSidecar>(simulator_, p, descriptors_);
   sidecars_.push_back(out.get());
   return out;
 }
 
 void PlayedGround::turn() {
-  if (!world_.turn()) throw std::runtime_error("nothing is left to happen, and the day is not over");
-  if (world_.events() > events_most) throw std::runtime_error("the day does not end: too many events");
+  if (!simulator_.run_next_event())
+    throw std::runtime_error("nothing is left to happen, and the day is not over");
+  if (simulator_.events() > events_most) throw std::runtime_error("the day does not end: too many events");
 }
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/ground.hpp
+++ b/src/sidecar_simulation/environment.hpp
@@ -7,18 +7,19 @@
 #include <vector>
 
 #include "lab/ground.hpp"
+#include "network_simulation/simulator.hpp"
 #include "sidecar/sidecar.hpp"
-#include "world/network.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 
 // A sidecar's whole program in a process of the world.
 class PlayedSidecar final : public lab::SidecarProcess {
  public:
-  PlayedSidecar(World& world, Process& process, std::size_t descriptors);
+  PlayedSidecar(network_simulation::Simulator& simulator, network_simulation::Process& process,
+                std::size_t descriptors);
   ~PlayedSidecar() override;
   void start(const std::string& config, bool operators_file) override;
-  void signal(int number) override { process_.signal(number); }
+  void signal(int number) override { process_.send_signal(number); }
   void kill() override;
   std::optional<std::string> ended() override;
   std::optional<lab::Usage> usage() override { return std::nullopt; }
@@ -31,7 +32,7 @@
   void step_clock(Span by) { disk_->clock_ahead = disk_->clock_ahead + by; }
   void new_start_of_machine();
 
-  Process& process() { return process_; }
+  network_simulation::Process& process() { return process_; }
   // What SIGHUP finds from now on.
   void next_reading(const std::string& config) { reading_ = config; }
   const std::string& configuration() const { return config_; }
@@ -52,8 +53,8 @@
     Span clock_ahead;  // of Unix time as its machine believes it
   };
   bool turn();
-  World& world_;
-  Process& process_;
+  network_simulation::Simulator& simulator_;
+  network_simulation::Process& process_;
   std::size_t descriptors_;
   std::string config_, reading_, last_log_, ended_;
   std::shared_ptr<Disk> disk_ = std::make_shared<Disk>();  // outlives processes
@@ -62,7 +63,8 @@
 
 class PlayedGround final : public lab::Ground {
  public:
-  PlayedGround(std::uint64_t seed, const Chances& chances, std::size_t descriptors, Trace& trace);
+  PlayedGround(std::uint64_t seed, const network_simulation::NetworkConditions& chances,
+               std::size_t descriptors, network_simulation::Trace& trace);
   ~PlayedGround() override;
 
   net::Scheduler& own() override { return *schedulers_.front(); }
@@ -72,20 +74,20 @@
   void turn() override;
   bool real_time() const override { return false; }
 
-  World& world() { return world_; }
-  Process& lab() { return *lab_; }
+  network_simulation::Simulator& simulator() { return simulator_; }
+  network_simulation::Process& lab() { return *lab_; }
   // The process at an address of a group, if something was ever put there.
-  Process* process(int group, std::size_t number);
+  network_simulation::Process* process(int group, std::size_t number);
   const std::vector<PlayedSidecar*>& sidecars() const { return sidecars_; }  // in the fleet's order
 
  private:
-  Process& named(const std::string& name, std::uint32_t ip);
-  World world_;
+  network_simulation::Process& named(const std::string& name, std::uint32_t ip);
+  network_simulation::Simulator simulator_;
   std::size_t descriptors_;
-  Process* lab_;
+  network_simulation::Process* lab_;
   std::vector<std::unique_ptr<net::Scheduler>> schedulers_;  // the lab's first
   std::map<std::uint32_t, net::Scheduler*> by_ip_;
   std::vector<PlayedSidecar*> sidecars_;
 };
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/main.cpp
+++ b/src/sidecar_simulation/main.cpp
@@ -1,13 +1,13 @@
-// chutevane-world: days of a whole fleet on a clock and a network that are played.
+// chutevane-sidecar-simulation: runs of a whole fleet on a simulated clock and network, by seed.
 #include <unistd.h>
 
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <fstream>
 
-#include "world/search.hpp"
+#include "sidecar_simulation/search.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 constexpr int all_well = 0, failed = 1, file_wrong = 2, rule_broken = 3;
@@ -23,10 +23,10 @@
 }
 
 int run(const Scenario& s, std::uint64_t seed, bool traced, bool hashed) {
-  TraceHash hash;
-  Trace trace;
+  network_simulation::TraceHash hash;
+  network_simulation::Trace trace;
   if (traced || hashed)
-    trace = Trace([&](std::string_view line) {
+    trace = network_simulation::Trace([&](std::string_view line) {
       hash.add(line);
       if (traced) std::printf("%.*s\n", static_cast<int>(line.size()), line.data());
     });
@@ -94,7 +94,7 @@
 }
 
 int command(int argc, char** argv) {
-  cxxopts::Options options("chutevane-world",
+  cxxopts::Options options("chutevane-sidecar-simulation",
                            "Days of a whole fleet on a clock and a network that are played");
   auto add = options.add_options();
   add("command", "run, search, shrink or show (the scenario that a seed draws)",
@@ -133,12 +133,12 @@
     std::fprintf(stderr, "%s\n", e.what());
     return file_wrong;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "chutevane-world: %s\n", e.what());
+    std::fprintf(stderr, "chutevane-sidecar-simulation: %s\n", e.what());
     return failed;
   }
 }
 
 }  // namespace
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
 
-int main(int argc, char** argv) { return chutevane::world::command(argc, argv); }
+int main(int argc, char** argv) { return chutevane::sidecar_simulation::command(argc, argv); }
--- a/src/world/day.cpp
+++ b/src/sidecar_simulation/run.cpp
@@ -1,4 +1,4 @@
-#include "world/day.hpp"
+#include "sidecar_simulation/run.hpp"
 
 #include <algorithm>
 #include <csignal>
@@ -8,9 +8,9 @@
 
 #include "base/log.hpp"
 #include "lab/fleet.hpp"
-#include "world/ground.hpp"
+#include "sidecar_simulation/environment.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 constexpr std::size_t breaches_kept = 5;
@@ -24,18 +24,18 @@
 
 class Day {
  public:
-  Day(const Scenario& s, Trace& trace)
+  Day(const Scenario& s, network_simulation::Trace& trace)
       : scenario_(s),
         trace_(trace),
         ground_(s.experiment.seed, s.chances, static_cast<std::size_t>(s.descriptors), trace),
         fleet_(with_slack(s), s.experiment.seed, ground_) {
     counted_.resize(ground_.sidecars().size());
-    world().on_close = [this](const Process&, const sockaddr_in& at) { closed(at); };
+    simulator().on_close = [this](const network_simulation::Process&, const sockaddr_in& at) { closed(at); };
     lab::Shared& shared = fleet_.shared();
     shared.told_when_asked_on = true;
     shared.on_taken = [this](std::uint64_t dispatch, const sockaddr_in& from) { taken(dispatch, from); };
     shared.on_call = [this](const char* what, lab::CallKey call) {
-      trace_.line(world().now(), "call id=%llu %s", static_cast<unsigned long long>(call), what);
+      trace_.record(simulator().now(), "call id=%llu %s", static_cast<unsigned long long>(call), what);
     };
     fleet_.on_begin = [this](TimePoint begins) { begin(begins); };
     fleet_.on_end = [this] { end(); };
@@ -50,7 +50,7 @@
   }
 
   ~Day() {
-    world().on_close = [](const Process&, const sockaddr_in&) {};
+    simulator().on_close = [](const network_simulation::Process&, const sockaddr_in&) {};
     send_log_to({});
   }
   Day(const Day&) = delete;
@@ -58,10 +58,10 @@
 
   DayReport play() {
     report_.seed = scenario_.experiment.seed;
-    const TimePoint began = world().now();
+    const TimePoint began = simulator().now();
     // Lines of the log belong to the trace; without one they go nowhere.
     send_log_to([this](std::string_view line) {
-      trace_.line(world().now(), "log %.*s", static_cast<int>(line.size()), line.data());
+      trace_.record(simulator().now(), "log %.*s", static_cast<int>(line.size()), line.data());
     });
     try {
       const lab::Result result = fleet_.run({});
@@ -84,24 +84,26 @@
     } catch (const std::exception& e) {
       tell(std::string("rule 0: ") + e.what());
     }
-    report_.simulated_s = (world().now() - began).as_ms() / 1000.0;
-    report_.events = world().events();
+    report_.simulated_s = (simulator().now() - began).as_ms() / 1000.0;
+    report_.events = simulator().events();
     return report_;
   }
 
  private:
   static lab::Experiment with_slack(const Scenario& s) {
     lab::Experiment out = s.experiment;
-    if (s.chances.resent > 0.0) out.rules.way_slack = s.chances.resent_after * ways_of_a_call;
+    if (s.chances.retransmit_probability > 0.0)
+      out.rules.way_slack = s.chances.retransmit_delay * ways_of_a_call;
     // Timers of a process that gets its turns late are late, several in a row for one call.
-    if (s.chances.late_turn > 0.0) out.rules.slack = out.rules.slack + s.chances.late_most * 4.0;
-    out.rules.slack = out.rules.slack + s.chances.delay_mean * 10.0;
+    if (s.chances.late_turn_probability > 0.0)
+      out.rules.slack = out.rules.slack + s.chances.max_late_turn_delay * 4.0;
+    out.rules.slack = out.rules.slack + s.chances.mean_delay * 10.0;
     return out;
   }
-  World& world() { return ground_.world(); }
+  network_simulation::Simulator& simulator() { return ground_.simulator(); }
 
   void tell(std::string what) {
-    trace_.line(world().now(), "breach %s", what.c_str());
+    trace_.record(simulator().now(), "breach %s", what.c_str());
     ++report_.breach_count;
     if (report_.breaches.size() < breaches_kept) report_.breaches.push_back(std::move(what));
   }
@@ -110,10 +112,10 @@
   using Place = std::pair<std::uint32_t, std::uint16_t>;
   static Place place(const sockaddr_in& a) { return {a.sin_addr.s_addr, a.sin_port}; }
   void closed(const sockaddr_in& at) {
-    closed_[place(at)] = world().now();
+    closed_[place(at)] = simulator().now();
     const auto found = out_.find(place(at));
     if (found == out_.end()) return;
-    fleet_.auditor().over(found->second, world().now());
+    fleet_.auditor().over(found->second, simulator().now());
     out_.erase(found);
   }
   void taken(std::uint64_t dispatch, const sockaddr_in& from) {
@@ -140,10 +142,11 @@
   // --- Troubles
   void begin(TimePoint begins) {
     for (std::size_t t = 0; t < scenario_.troubles.size(); ++t)
-      world().after(begins + scenario_.troubles[t].at - world().now(), [this, t] { strike(t); });
+      simulator().run_after(begins + scenario_.troubles[t].at - simulator().now(), [this, t] { strike(t); });
     for (const lab::FaultSpec& f : scenario_.experiment.faults) {
       const auto kind = static_cast<std::size_t>(f.kind);
-      world().after(begins + f.at - world().now(), [this, kind, lasts = f.lasts] { felt(kind, lasts); });
+      simulator().run_after(begins + f.at - simulator().now(),
+                            [this, kind, lasts = f.lasts] { felt(kind, lasts); });
     }
   }
 
@@ -152,7 +155,7 @@
   void felt(std::size_t kind, Span lasts) {
     count_verdicts();
     ++in_force_[kind];
-    world().after(lasts + aftermath, [this, kind] {
+    simulator().run_after(lasts + aftermath, [this, kind] {
       count_verdicts();
       --in_force_[kind];
     });
@@ -189,26 +192,27 @@
     return out;
   }
 
-  Process* endpoint(std::size_t tier, std::size_t at) {
+  network_simulation::Process* endpoint(std::size_t tier, std::size_t at) {
     return ground_.process(lab::endpoint_group + static_cast<int>(tier), at + 1);
   }
 
   // Who calls through a sidecar.
-  std::vector<Process*> callers_of(std::size_t sidecar) {
+  std::vector<network_simulation::Process*> callers_of(std::size_t sidecar) {
     const std::size_t tier = fleet_.tier_of_sidecar(sidecar);
     if (tier == 0) return {&ground_.lab()};
-    std::vector<Process*> out;
+    std::vector<network_simulation::Process*> out;
     const lab::Experiment& e = scenario_.experiment;
     for (std::size_t i = 0; i < static_cast<std::size_t>(e.tiers[tier - 1].endpoints); ++i) {
-      Process* const p = endpoint(tier - 1, i);
+      network_simulation::Process* const p = endpoint(tier - 1, i);
       if (p != nullptr && i % lab::sidecars_of(e, tier) == fleet_.place_of_sidecar(sidecar)) out.push_back(p);
     }
     return out;
   }
 
-  std::vector<Process*> at_other_end(const Trouble& t, std::size_t sidecar, lab::Chance& chance) {
+  std::vector<network_simulation::Process*> at_other_end(const Trouble& t, std::size_t sidecar,
+                                                         lab::Chance& chance) {
     if (t.link == Link::callers) return callers_of(sidecar);
-    std::vector<Process*> out;
+    std::vector<network_simulation::Process*> out;
     const std::size_t tier = fleet_.tier_of_sidecar(sidecar);
     const std::size_t last = scenario_.experiment.pools ? scenario_.experiment.tiers.size() : tier + 1;
     for (std::size_t of = tier; of < last; ++of) {
@@ -226,7 +230,7 @@
   // Its callers are owed nothing in time until so much later.
   void doubt(std::size_t sidecar, Span lasts) {
     fleet_.auditor().doubt(sidecar, true);
-    world().after(lasts + doubt_after, [this, sidecar] { fleet_.auditor().doubt(sidecar, false); });
+    simulator().run_after(lasts + doubt_after, [this, sidecar] { fleet_.auditor().doubt(sidecar, false); });
   }
   void doubt_below(std::size_t tier, std::size_t at, Span lasts) {
     for (std::size_t i = 0; i < fleet_.sidecar_count(); ++i) {
@@ -239,16 +243,16 @@
   void strike(std::size_t number) {
     const Trouble& t = scenario_.troubles[number];
     const std::size_t kind = lab::fault_kinds + static_cast<std::size_t>(t.kind);
-    trace_.line(world().now(), "trouble n=%zu kind=%s ms=%.0f", number, kind_name(kind).c_str(),
-                t.lasts.as_ms());
+    trace_.record(simulator().now(), "trouble n=%zu kind=%s ms=%.0f", number, kind_name(kind).c_str(),
+                  t.lasts.as_ms());
     felt(kind, t.lasts);
-    fleet_.auditor().uncounted(world().now() + t.lasts + doubt_after);
+    fleet_.auditor().uncounted(simulator().now() + t.lasts + doubt_after);
     lab::Chance chance(scenario_.experiment.seed, "trouble " + std::to_string(number));
     const std::size_t tier = tier_of(t);
     switch (t.kind) {
       case TroubleKind::endpoint_paused:
         for (const std::size_t at : places(t, tier, chance)) {
-          if (Process* const p = endpoint(tier, at)) p->pause(t.lasts);
+          if (network_simulation::Process* const p = endpoint(tier, at)) p->pause(t.lasts);
           doubt_below(tier, at, t.lasts);
           struck(kind);
         }
@@ -281,22 +285,24 @@
     const std::size_t own = s.process().number();
     switch (t.kind) {
       case TroubleKind::partition:
-        for (Process* p : at_other_end(t, i, chance)) block(t, own, p->number());
+        for (network_simulation::Process* p : at_other_end(t, i, chance)) block(t, own, p->number());
         if (t.link == Link::callers) doubt(i, t.lasts);
         break;
       case TroubleKind::slow_link:
-        for (Process* p : at_other_end(t, i, chance)) {
-          world().slow(own, p->number(), t.factor);
-          world().after(t.lasts, [this, own, other = p->number()] { world().slow(own, other, 1.0); });
+        for (network_simulation::Process* p : at_other_end(t, i, chance)) {
+          simulator().set_delay_factor(own, p->number(), t.factor);
+          simulator().run_after(
+              t.lasts, [this, own, other = p->number()] { simulator().set_delay_factor(own, other, 1.0); });
         }
         if (t.link == Link::callers) doubt(i, t.lasts);
         break;
       case TroubleKind::cut:
       case TroubleKind::lost_end:
         if (t.link == Link::callers) doubt(i, t.lasts);
-        for (Process* p : at_other_end(t, i, chance)) {
+        for (network_simulation::Process* p : at_other_end(t, i, chance)) {
           const bool here = t.direction == Direction::to_sidecar;
-          world().cut(here ? own : p->number(), here ? p->number() : own, t.kind == TroubleKind::cut);
+          simulator().break_connections(here ? own : p->number(), here ? p->number() : own,
+                                        t.kind == TroubleKind::cut);
         }
         break;
       case TroubleKind::sidecar_paused:
@@ -305,14 +311,15 @@
         break;
       case TroubleKind::discovery_paused: {
         const int group = lab::discovery_group + static_cast<int>(fleet_.tier_of_sidecar(i));
-        if (Process* const p = ground_.process(group, fleet_.place_of_sidecar(i) + 1)) p->pause(t.lasts);
+        if (network_simulation::Process* const p = ground_.process(group, fleet_.place_of_sidecar(i) + 1))
+          p->pause(t.lasts);
         break;
       }
       case TroubleKind::power_lost:
         if (!fleet_.serving(i)) return;
         doubt(i, t.lasts);
-        s.process().dark(true);
-        s.process().vanish();
+        s.process().set_powered_off(true);
+        s.process().lose_power();
         s.new_start_of_machine();
         fleet_.restart_sidecar(i, t.lasts);
         break;
@@ -336,22 +343,22 @@
 
   void block(const Trouble& t, std::size_t sidecar, std::size_t other) {
     const bool to = t.direction != Direction::from_sidecar, from = t.direction != Direction::to_sidecar;
-    if (to) world().block(other, sidecar);
-    if (from) world().block(sidecar, other);
-    world().after(t.lasts, [this, to, from, sidecar, other] {
-      if (to) world().unblock(other, sidecar);
-      if (from) world().unblock(sidecar, other);
+    if (to) simulator().block(other, sidecar);
+    if (from) simulator().block(sidecar, other);
+    simulator().run_after(t.lasts, [this, to, from, sidecar, other] {
+      if (to) simulator().unblock(other, sidecar);
+      if (from) simulator().unblock(sidecar, other);
     });
   }
 
   // All is quiet: no sidecar may still hold a call that nobody waits for.
   void end() {
-    const TimePoint until = world().now() + quiet;
-    while (world().now() < until) ground_.turn();
+    const TimePoint until = simulator().now() + quiet;
+    while (simulator().now() < until) ground_.turn();
     count_verdicts();
     for (PlayedSidecar* s : ground_.sidecars()) {
       const sidecar::Counters* const c = s->counters();
-      if (c == nullptr || s->process().paused()) continue;
+      if (c == nullptr || s->process().is_paused()) continue;
       const std::uint64_t over = c->done + c->rejected + c->broken_off + c->callers_left;
       if (c->calls != over)
         tell("rule 0: " + s->process().name() + " took " + std::to_string(c->calls) + " calls, " +
@@ -360,7 +367,7 @@
   }
 
   const Scenario& scenario_;
-  Trace& trace_;
+  network_simulation::Trace& trace_;
   DayReport report_;
   std::vector<std::array<std::uint64_t, Coverage::verdicts>> counted_;
   std::vector<int> in_force_ = std::vector<int>(Coverage::kinds, 0);
@@ -376,9 +383,9 @@
   return breaches.empty() ? "" : breaches.front().substr(0, breaches.front().find(':'));
 }
 
-DayReport play(const Scenario& scenario, Trace& trace) {
+DayReport play(const Scenario& scenario, network_simulation::Trace& trace) {
   Day day(scenario, trace);
   return day.play();
 }
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/day.hpp
+++ b/src/sidecar_simulation/run.hpp
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "lab/auditor.hpp"
-#include "world/coverage.hpp"
-#include "world/scenario.hpp"
+#include "sidecar_simulation/coverage.hpp"
+#include "sidecar_simulation/scenario.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 
 struct DayReport {
   std::uint64_t seed = 0;
@@ -25,6 +25,6 @@
 
 // Beside the four rules a day breaks one if a sidecar ends by an exception, or still holds a call when all is
 // quiet ("rule 0").
-DayReport play(const Scenario& scenario, Trace& trace);
+DayReport play(const Scenario& scenario, network_simulation::Trace& trace);
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/scenario.cpp
+++ b/src/sidecar_simulation/scenario.cpp
@@ -1,9 +1,9 @@
-#include "world/scenario.hpp"
+#include "sidecar_simulation/scenario.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 using checked::Errors;
@@ -65,21 +65,21 @@
 }
 
 void read_world(Table& t, Scenario& out) {
-  Chances& c = out.chances;
-  c.delay_least = t.span("delay_least_ms", c.delay_least.as_ms());
-  c.delay_mean = t.span("delay_mean_ms", c.delay_mean.as_ms());
-  if (c.delay_mean < c.delay_least) t.wrong("delay_mean_ms", "less than delay_least_ms");
-  c.split = t.number("split", c.split, 0.0, 1.0);
-  c.resent = t.number("resent", c.resent, 0.0, 0.9);
-  c.lost_connect = t.number("lost_connect", c.lost_connect, 0.0, 1.0);
-  c.dropped_unread = t.number("dropped_unread", c.dropped_unread, 0.0, 1.0);
-  c.late_turn = t.number("late_turn", c.late_turn, 0.0, 1.0);
-  c.late_most = t.span("late_most_ms", c.late_most.as_ms());
-  c.buffer_least =
-      static_cast<std::size_t>(t.whole("buffer_least", static_cast<int>(c.buffer_least), 16, 1 << 24));
-  c.buffer_most =
-      static_cast<std::size_t>(t.whole("buffer_most", static_cast<int>(c.buffer_most), 16, 1 << 24));
-  if (c.buffer_most < c.buffer_least) t.wrong("buffer_most", "less than buffer_least");
+  network_simulation::NetworkConditions& c = out.chances;
+  c.min_delay = t.span("delay_least_ms", c.min_delay.as_ms());
+  c.mean_delay = t.span("delay_mean_ms", c.mean_delay.as_ms());
+  if (c.mean_delay < c.min_delay) t.wrong("delay_mean_ms", "less than delay_least_ms");
+  c.split_probability = t.number("split", c.split_probability, 0.0, 1.0);
+  c.retransmit_probability = t.number("resent", c.retransmit_probability, 0.0, 0.9);
+  c.connect_loss_probability = t.number("lost_connect", c.connect_loss_probability, 0.0, 1.0);
+  c.unread_discard_probability = t.number("dropped_unread", c.unread_discard_probability, 0.0, 1.0);
+  c.late_turn_probability = t.number("late_turn", c.late_turn_probability, 0.0, 1.0);
+  c.max_late_turn_delay = t.span("late_most_ms", c.max_late_turn_delay.as_ms());
+  c.min_buffer_size =
+      static_cast<std::size_t>(t.whole("buffer_least", static_cast<int>(c.min_buffer_size), 16, 1 << 24));
+  c.max_buffer_size =
+      static_cast<std::size_t>(t.whole("buffer_most", static_cast<int>(c.max_buffer_size), 16, 1 << 24));
+  if (c.max_buffer_size < c.min_buffer_size) t.wrong("buffer_most", "less than buffer_least");
   out.descriptors = t.whole("descriptors", out.descriptors, 16, 1 << 20);
 }
 
@@ -191,8 +191,8 @@
   }
   {
     Table t(mine, "", errors);
-    if (const toml::table* world = t.table("world")) {
-      Table w(*world, "world.", errors);
+    if (const toml::table* world_table = t.table("world")) {
+      Table w(*world_table, "world.", errors);
       read_world(w, out);
     }
     if (const toml::table* swarm = t.table("swarm")) {
@@ -221,7 +221,7 @@
 
 std::string write_scenario(const Scenario& s) {
   const lab::Experiment& e = s.experiment;
-  const Chances& c = s.chances;
+  const network_simulation::NetworkConditions& c = s.chances;
   Text out;
   out.put("name", e.name).put("seed", static_cast<std::size_t>(e.seed)).put("settle_ms", e.settle);
   out.put("lasts_ms", e.lasts).put("pools", e.pools);
@@ -245,10 +245,16 @@
     out.table("\n[restart]").put("state", e.restart.state).put("snapshot_ms", e.restart.snapshot_every);
     out.put("ask_over_ms", e.restart.ask_over).put("part_with_per_s", e.restart.part_with);
   }
-  out.table("\n[world]").put("delay_least_ms", c.delay_least).put("delay_mean_ms", c.delay_mean);
-  out.put("split", c.split).put("resent", c.resent).put("lost_connect", c.lost_connect);
-  out.put("dropped_unread", c.dropped_unread).put("late_turn", c.late_turn).put("late_most_ms", c.late_most);
-  out.put("buffer_least", c.buffer_least).put("buffer_most", c.buffer_most).put("descriptors", s.descriptors);
+  out.table("\n[world]").put("delay_least_ms", c.min_delay).put("delay_mean_ms", c.mean_delay);
+  out.put("split", c.split_probability)
+      .put("resent", c.retransmit_probability)
+      .put("lost_connect", c.connect_loss_probability);
+  out.put("dropped_unread", c.unread_discard_probability)
+      .put("late_turn", c.late_turn_probability)
+      .put("late_most_ms", c.max_late_turn_delay);
+  out.put("buffer_least", c.min_buffer_size)
+      .put("buffer_most", c.max_buffer_size)
+      .put("descriptors", s.descriptors);
   if (s.swarm) out.table("\n[swarm]").put("on", true).put("faults_most", s.faults_most);
   for (const lab::TrackSpec& t : e.tracks) write_track(out, t);
   for (const lab::TierSpec& t : e.tiers) write_tier(out, t);
@@ -257,4 +263,4 @@
   return out.take();
 }
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/scenario.hpp
+++ b/src/sidecar_simulation/scenario.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "lab/experiment.hpp"
-#include "world/network.hpp"
+#include "network_simulation/simulator.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 
 // What goes wrong with processes and the ways between them, beside the lab's faults.
 enum class TroubleKind : std::uint8_t {
@@ -50,7 +50,7 @@
 
 struct Scenario {
   lab::Experiment experiment;
-  Chances chances;
+  network_simulation::NetworkConditions chances;
   int descriptors = 1024;  // of a sidecar
   bool swarm = false;      // all of the following is drawn by the seed
   int faults_most = 5;     // that a swarm draws
@@ -69,4 +69,4 @@
 // Faults of the lab first, then troubles.
 std::string kind_name(std::size_t kind);
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/swarm.cpp
+++ b/src/sidecar_simulation/scenario_sampler.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 
 #include "lab/timeline.hpp"
-#include "world/scenario.hpp"
+#include "sidecar_simulation/scenario.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 constexpr double possible = 0.25;  // of a kind, on one day
@@ -16,20 +16,22 @@
   Drawer(Scenario& out, std::uint64_t seed) : out_(out), e_(out.experiment), chance_(seed, "swarm") {}
 
   void network() {
-    Chances& c = out_.chances;
-    c.split = pick({0.0, 0.05, 0.5});
-    if (may(0.3)) c.delay_mean = c.delay_least + Span::ms(in(0.05, 2.0));
-    if (may(0.3)) c.lost_connect = in(0.02, 0.3);
-    if (may(0.3)) c.late_turn = in(0.005, 0.1), c.late_most = Span::ms(in(1.0, 8.0));
+    network_simulation::NetworkConditions& c = out_.chances;
+    c.split_probability = pick({0.0, 0.05, 0.5});
+    if (may(0.3)) c.mean_delay = c.min_delay + Span::ms(in(0.05, 2.0));
+    if (may(0.3)) c.connect_loss_probability = in(0.02, 0.3);
+    if (may(0.3)) c.late_turn_probability = in(0.005, 0.1), c.max_late_turn_delay = Span::ms(in(1.0, 8.0));
     // Not together: a message of many small windows over long ways takes longer than callers wait.
     const double odd = chance_.unit();
-    if (odd < 0.3) c.buffer_least = 256, c.buffer_most = 4096, c.delay_mean = Chances().delay_mean;
+    if (odd < 0.3)
+      c.min_buffer_size = 256, c.max_buffer_size = 4096,
+      c.mean_delay = network_simulation::NetworkConditions().mean_delay;
     if (odd < 0.3) {
       e_.callers.request_bytes = std::min<std::size_t>(e_.callers.request_bytes, 2000);
       for (lab::TierSpec& t : e_.tiers) t.answer_bytes = std::min<std::size_t>(t.answer_bytes, 2000);
     }
-    if (odd > 0.7) c.resent = in(0.002, 0.03);
-    c.dropped_unread = pick({0.0, 0.5, 1.0});
+    if (odd > 0.7) c.retransmit_probability = in(0.002, 0.03);
+    c.unread_discard_probability = pick({0.0, 0.5, 1.0});
     if (may(0.12)) out_.descriptors = 24 + static_cast<int>(chance_.below(60));
   }
 
@@ -122,10 +124,11 @@
   // A second answer that comes later than the next request was sent is none that a reader of HTTP/1.1 could
   // tell from that one's: the two copies come in one piece.
   void doubled_at_once() {
-    Chances& c = out_.chances;
-    c.split = 0.0;
-    c.resent = 0.0;
-    c.buffer_least = Chances().buffer_least, c.buffer_most = Chances().buffer_most;
+    network_simulation::NetworkConditions& c = out_.chances;
+    c.split_probability = 0.0;
+    c.retransmit_probability = 0.0;
+    c.min_buffer_size = network_simulation::NetworkConditions().min_buffer_size,
+    c.max_buffer_size = network_simulation::NetworkConditions().max_buffer_size;
     for (lab::TierSpec& t : e_.tiers) t.answer_bytes = std::min<std::size_t>(t.answer_bytes, 4000);
   }
 
@@ -166,4 +169,4 @@
   return read_scenario(write_scenario(out), "drawn");
 }
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/search.cpp
+++ b/src/sidecar_simulation/search.cpp
@@ -1,4 +1,4 @@
-#include "world/search.hpp"
+#include "sidecar_simulation/search.hpp"
 
 #include <poll.h>
 #include <sys/resource.h>
@@ -14,7 +14,7 @@
 #include <stdexcept>
 #include <system_error>
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 namespace {
 
 constexpr std::uint64_t days_between_coverage = 20;  // a crashed process loses what it had not told yet
@@ -115,7 +115,7 @@
   }
 
   void work(std::uint64_t from, int to) const {
-    Trace none;
+    network_simulation::Trace none;
     Coverage coverage;
     std::uint64_t days = 0;
     for (std::uint64_t seed = from; seed <= last_; seed += step_) {
@@ -301,7 +301,7 @@
 
   // The network as it is by default, one property after another.
   bool plainer() {
-    const Chances plain;
+    const network_simulation::NetworkConditions plain;
     bool out = false;
     const auto set = [&](auto member, const char* what) {
       if (best_.chances.*member == plain.*member) return;
@@ -309,16 +309,16 @@
       s.chances.*member = plain.*member;
       out = keeps(s, what) || out;
     };
-    set(&Chances::resent, "nothing sent again");
-    set(&Chances::lost_connect, "no connect lost");
-    set(&Chances::late_turn, "no turn late");
-    set(&Chances::delay_mean, "usual delays");
-    if (best_.chances.buffer_most != plain.buffer_most) {
+    set(&network_simulation::NetworkConditions::retransmit_probability, "nothing sent again");
+    set(&network_simulation::NetworkConditions::connect_loss_probability, "no connect lost");
+    set(&network_simulation::NetworkConditions::late_turn_probability, "no turn late");
+    set(&network_simulation::NetworkConditions::mean_delay, "usual delays");
+    if (best_.chances.max_buffer_size != plain.max_buffer_size) {
       Scenario s = best_;
-      s.chances.buffer_least = plain.buffer_least, s.chances.buffer_most = plain.buffer_most;
+      s.chances.min_buffer_size = plain.min_buffer_size, s.chances.max_buffer_size = plain.max_buffer_size;
       out = keeps(s, "usual buffers") || out;
     }
-    set(&Chances::split, "usual splits");
+    set(&network_simulation::NetworkConditions::split_probability, "usual splits");
     const auto usual = [&](auto member, auto value, const char* what) {
       if (best_.experiment.callers.*member == value) return;
       Scenario s = best_;
@@ -365,4 +365,4 @@
   return shrinker.run();
 }
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/world/search.hpp
+++ b/src/sidecar_simulation/search.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "world/day.hpp"
+#include "sidecar_simulation/run.hpp"
 
-namespace chutevane::world {
+namespace chutevane::sidecar_simulation {
 
 // A day in a process of its own; one that ends it by a signal is reported as broken ("rule 0: signal 11").
 DayReport play_apart(const Scenario& scenario);
@@ -36,4 +36,4 @@
 Scenario shrink(const Scenario& scenario, const std::string& kind, std::size_t tries,
                 const std::function<void(const std::string&)>& told);
 
-}  // namespace chutevane::world
+}  // namespace chutevane::sidecar_simulation
--- a/src/simulation/callers.cpp
+++ b/src/simulation/callers.cpp
@@ -9,7 +9,8 @@
 
 }  // namespace
 
-Callers::Callers(world::Process& process) : scheduler_(process), timers_(scheduler_), tasks_(scheduler_) {
+Callers::Callers(network_simulation::Process& process)
+    : scheduler_(process), timers_(scheduler_), tasks_(scheduler_) {
   process.run(
       scheduler_,
       [this] {
--- a/src/simulation/callers.hpp
+++ b/src/simulation/callers.hpp
@@ -11,7 +11,7 @@
 #include "net/channel.hpp"
 #include "net/task_group.hpp"
 #include "net/timer_queue.hpp"
-#include "world/network.hpp"
+#include "network_simulation/simulator.hpp"
 
 namespace chutevane::simulation {
 
@@ -26,7 +26,7 @@
   // `result`: none, where the connection was lost or `most` was over before an answer came.
   using Done = std::function<void(std::optional<HttpResult> result)>;
 
-  explicit Callers(world::Process& process);
+  explicit Callers(network_simulation::Process& process);
   net::TimerQueue& later() { return timers_; }
   net::Scheduler& scheduler() { return scheduler_; }
   void call(const sockaddr_in& to, std::string request, Span most, Done done);
--- a/src/simulation/checker.cpp
+++ b/src/simulation/checker.cpp
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-Checker::Checker(const Deployment& deployment, world::Trace& trace)
+Checker::Checker(const Deployment& deployment, network_simulation::Trace& trace)
     : deployment_(deployment), trace_(trace) {}
 
 void Checker::broken(const std::string& rule, const std::string& text) {
   if (!told_.insert(rule + text).second) return;
-  const TimePoint now = const_cast<Deployment&>(deployment_).world().now();
+  const TimePoint now = const_cast<Deployment&>(deployment_).simulator().now();
   violations_.push_back({now, rule, text});
-  trace_.line(now, "BROKEN %s: %s", rule.c_str(), text.c_str());
+  trace_.record(now, "BROKEN %s: %s", rule.c_str(), text.c_str());
 }
 
 Order& Checker::order_begun(const std::string& author, std::int64_t base, std::int64_t version,
@@ -31,12 +31,12 @@
   out.base = base;
   out.version = version;
   out.body = std::move(body);
-  out.first_sent = const_cast<Deployment&>(deployment_).world().now();
+  out.first_sent = const_cast<Deployment&>(deployment_).simulator().now();
   return out;
 }
 
 void Checker::order_answered(Order& order, int status) {
-  const TimePoint now = const_cast<Deployment&>(deployment_).world().now();
+  const TimePoint now = const_cast<Deployment&>(deployment_).simulator().now();
   if (status == 200) {
     if (order.refused) broken("refused-then-taken", text_of(order));
     if (!order.acknowledged) {
@@ -110,7 +110,7 @@
 }
 
 void Checker::sample() {
-  const TimePoint now = const_cast<Deployment&>(deployment_).world().now();
+  const TimePoint now = const_cast<Deployment&>(deployment_).simulator().now();
   const std::int64_t due = acknowledged_before(now - config_apply);
   for (const Machine* edge : deployment_.of(Role::edge)) {
     if (!deployment_.in_touch(*edge)) continue;
@@ -128,7 +128,7 @@
   if (order.acknowledged || order.refused || order.late_told || service_may_rest_) return;
   const TimePoint calm = deployment_.calm_since();
   if (calm == TimePoint::never()) return;
-  const TimePoint now = const_cast<Deployment&>(deployment_).world().now();
+  const TimePoint now = const_cast<Deployment&>(deployment_).simulator().now();
   if (now - std::max(order.first_sent, calm + contact_within) <= ack_within) return;
   order.late_told = true;
   broken("no-answer", text_of(order) + " has no clear answer in calm times");
--- a/src/simulation/checker.hpp
+++ b/src/simulation/checker.hpp
@@ -33,7 +33,7 @@
 
 class Checker {
  public:
-  Checker(const Deployment& deployment, world::Trace& trace);
+  Checker(const Deployment& deployment, network_simulation::Trace& trace);
 
   // While losses overlap beyond the tolerance service may rest: whether changes are in force and orders are
   // answered is judged at the end alone, when all have been back for as long as they may take.
@@ -84,7 +84,7 @@
   void check_late(Order& order);
 
   const Deployment& deployment_;
-  world::Trace& trace_;
+  network_simulation::Trace& trace_;
   std::vector<std::unique_ptr<Order>> orders_;
   std::map<std::int64_t, Order*> chain_;         // in force, by version
   std::map<std::int64_t, Order*> built_on_;      // in force, by base
--- a/src/simulation/deployment.cpp
+++ b/src/simulation/deployment.cpp
@@ -27,8 +27,11 @@
 
 }  // namespace
 
-Deployment::Deployment(world::World& world, const Shape& shape, std::uint64_t seed)
-    : world_(world), shape_(shape), chance_(seed), clients_(&world.process("clients", clients_ip)) {
+Deployment::Deployment(network_simulation::Simulator& simulator, const Shape& shape, std::uint64_t seed)
+    : simulator_(simulator),
+      shape_(shape),
+      chance_(seed),
+      clients_(&simulator.process("clients", clients_ip)) {
   for (std::size_t i = 1; i <= std::min(shape.controls, seeds_most); ++i)
     seeds_.push_back(address_of(ip_of(Role::control, i), control_port));
   for (std::size_t i = 0; i < shape.controls; ++i) add(Role::control);
@@ -57,7 +60,7 @@
 Machine& Deployment::add(Role role) {
   const std::size_t number = ++last_number_[role];
   machines_.push_back(
-      std::make_unique<Machine>(world_, role, ip_of(role, number), settings_of(role, number), drawn()));
+      std::make_unique<Machine>(simulator_, role, ip_of(role, number), settings_of(role, number), drawn()));
   Machine& out = *machines_.back();
   out.on_value = [this](Machine& m, const common::RegisterValue& value) {
     if (on_value) on_value(m, value);
@@ -69,7 +72,7 @@
 void Deployment::start_all() {
   for (const auto& m : machines_) {
     // All start within 0.3 s of each other, in any order.
-    world_.after(Span::ms(300) * chance_.unit(), [this, machine = m.get()] {
+    simulator_.run_after(Span::ms(300) * chance_.unit(), [this, machine = m.get()] {
       event(*machine);
       machine->start(true);
     });
@@ -116,8 +119,8 @@
 // ---- what is done to machines
 
 void Deployment::event(const Machine& machine) {
-  event_at_[&machine] = any_event_ = world_.now();
-  if (machine.role() != Role::edge) core_event_ = world_.now();
+  event_at_[&machine] = any_event_ = simulator_.now();
+  if (machine.role() != Role::edge) core_event_ = simulator_.now();
 }
 
 bool Deployment::core_machine(std::size_t number) const {
@@ -126,10 +129,10 @@
 }
 
 void Deployment::link_event(std::size_t a, std::size_t b) {
-  any_event_ = world_.now();
-  if (core_machine(a) && core_machine(b)) core_event_ = world_.now();
+  any_event_ = simulator_.now();
+  if (core_machine(a) && core_machine(b)) core_event_ = simulator_.now();
   for (const auto& m : machines_) {
-    if (m->number() == a || m->number() == b) event_at_[m.get()] = world_.now();
+    if (m->number() == a || m->number() == b) event_at_[m.get()] = simulator_.now();
   }
 }
 
@@ -164,9 +167,9 @@
 
 void Deployment::pause(Machine& machine, Span lasts) {
   event(machine);
-  paused_until_[&machine] = std::max(paused_until_[&machine], world_.now() + lasts);
+  paused_until_[&machine] = std::max(paused_until_[&machine], simulator_.now() + lasts);
   machine.pause(lasts);
-  world_.after(lasts, [this, at = &machine] { event(*at); });
+  simulator_.run_after(lasts, [this, at = &machine] { event(*at); });
 }
 
 Machine& Deployment::replace(Machine& machine) {
@@ -206,7 +209,7 @@
 void Deployment::block(std::size_t from, std::size_t to) {
   link_event(from, to);
   ++blocked_[{from, to}];
-  world_.block(from, to);
+  simulator_.block(from, to);
 }
 
 void Deployment::unblock(std::size_t from, std::size_t to) {
@@ -214,17 +217,17 @@
   if (found == blocked_.end() || found->second == 0) return;
   link_event(from, to);
   --found->second;
-  world_.unblock(from, to);
+  simulator_.unblock(from, to);
 }
 
 void Deployment::cut(std::size_t a, std::size_t b, bool told) {
   link_event(a, b);
-  world_.cut(a, b, told);
+  simulator_.break_connections(a, b, told);
 }
 
 void Deployment::slow(std::size_t a, std::size_t b, double factor) {
   link_event(a, b);
-  world_.slow(a, b, factor);
+  simulator_.set_delay_factor(a, b, factor);
   const std::pair pair(std::min(a, b), std::max(a, b));
   if (factor > 1.0) {
     slowed_.insert(pair);
@@ -251,7 +254,7 @@
   const bool ordered = leaving_.contains(&machine);
   if (ordered) return;  // who sent SIGTERM starts it again
   if (on_end) on_end(machine);
-  world_.after(restart_after, [this, at = &machine] {
+  simulator_.run_after(restart_after, [this, at = &machine] {
     if (!at->running() && !removed_.contains(at)) start(*at);
   });
 }
@@ -277,7 +280,7 @@
 }
 
 bool Deployment::core_stable() const {
-  if (world_.now() - core_event_ < contact_within) return false;
+  if (simulator_.now() - core_event_ < contact_within) return false;
   const std::vector<Machine*> core = of(Role::control);
   const bool troubled = std::any_of(troubled_.begin(), troubled_.end(),
                                     [](const Machine* m) { return m->role() != Role::edge; });
@@ -298,7 +301,7 @@
 bool Deployment::in_touch(const Machine& edge) const {
   if (!edge.running() || edge.paused() || troubled_.contains(&edge)) return false;
   const auto last = event_at_.find(&edge);
-  if (last != event_at_.end() && world_.now() - last->second < contact_within) return false;
+  if (last != event_at_.end() && simulator_.now() - last->second < contact_within) return false;
   if (!core_stable() || slowed(edge)) return false;
   const std::vector<Machine*> core = of(Role::control);
   return std::all_of(core.begin(), core.end(), [&](const Machine* m) {
--- a/src/simulation/deployment.hpp
+++ b/src/simulation/deployment.hpp
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
+#include "network_simulation/simulator.hpp"
 #include "simulation/machine.hpp"
-#include "world/network.hpp"
 
 namespace chutevane::simulation {
 
@@ -29,12 +29,12 @@
 
 class Deployment {
  public:
-  Deployment(world::World& world, const Shape& shape, std::uint64_t seed);
+  Deployment(network_simulation::Simulator& simulator, const Shape& shape, std::uint64_t seed);
 
   void start_all();
   const Shape& shape() const { return shape_; }
-  world::World& world() { return world_; }
-  world::Process& clients() { return *clients_; }
+  network_simulation::Simulator& simulator() { return simulator_; }
+  network_simulation::Process& clients() { return *clients_; }
   // Those of the role that were not removed, in the order of their names.
   std::vector<Machine*> of(Role role) const;
   std::vector<Machine*> all() const;
@@ -91,10 +91,10 @@
   std::vector<sockaddr_in> seeds_of_now();
   std::uint64_t drawn();
 
-  world::World& world_;
+  network_simulation::Simulator& simulator_;
   const Shape shape_;
   Pcg chance_;
-  world::Process* clients_;
+  network_simulation::Process* clients_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::map<Role, std::size_t> last_number_;
   std::set<const Machine*> removed_, leaving_, troubled_;
--- a/src/simulation/faults.cpp
+++ b/src/simulation/faults.cpp
@@ -20,7 +20,7 @@
 }
 
 void Faults::later(Span in, std::function<void()> what) {
-  deployment_.world().after(in, [this, what = std::move(what)] {
+  deployment_.simulator().run_after(in, [this, what = std::move(what)] {
     if (!over_) what();
   });
 }
@@ -42,15 +42,15 @@
 
 void Faults::apply(const Fault& fault) {
   if (over_) return;
-  world::World& world = deployment_.world();
+  network_simulation::Simulator& simulator = deployment_.simulator();
   ++applied_[static_cast<std::size_t>(fault.kind)];
-  world.trace().line(world.now(), "FAULT %s", describe(fault).c_str());
+  simulator.trace().record(simulator.now(), "FAULT %s", describe(fault).c_str());
   if (fault.kind == FaultKind::kill_all || fault.kind == FaultKind::power_all) return all_at_once(fault);
   if (fault.kind == FaultKind::halves) return halves(fault);
   Machine* const machine = target(fault);
   if (machine == nullptr || !machine->running()) return;
   if (machine->role() == Role::control) favourite_.machine = machine;
-  world.trace().line(world.now(), "FAULT it is %s", machine->name().c_str());
+  simulator.trace().record(simulator.now(), "FAULT it is %s", machine->name().c_str());
   apply_to(fault, *machine);
 }
 
@@ -90,7 +90,7 @@
 
 bool Faults::disk_troubled(const Machine& machine) const {
   const auto found = disk_troubled_until_.find(&machine);
-  return found != disk_troubled_until_.end() && deployment_.world().now() <= found->second;
+  return found != disk_troubled_until_.end() && deployment_.simulator().now() <= found->second;
 }
 
 void Faults::cut_off(const Fault& fault, Machine& machine) {
@@ -152,7 +152,7 @@
 
 void Faults::disk(const Fault& fault, Machine& machine) {
   TimePoint& until = disk_troubled_until_[&machine];
-  until = std::max(until, deployment_.world().now() + fault.lasts + disk_trouble_remembered);
+  until = std::max(until, deployment_.simulator().now() + fault.lasts + disk_trouble_remembered);
   const auto set = [this, &machine, kind = fault.kind](bool on) {
     if (kind == FaultKind::disk_slow) return deployment_.slow_disk(machine, on ? slow_sync : Span());
     const DiskTrouble trouble = kind == FaultKind::disk_full ? DiskTrouble::full : DiskTrouble::failing;
--- a/src/simulation/machine.cpp
+++ b/src/simulation/machine.cpp
@@ -32,18 +32,18 @@
 }
 
 struct Machine::Life {
-  explicit Life(world::Process& process) : scheduler(process), later(scheduler) {}
+  explicit Life(network_simulation::Process& process) : scheduler(process), later(scheduler) {}
   net::Scheduler scheduler;
   net::TimerQueue later;
   std::unique_ptr<common::Plane> plane;
 };
 
-Machine::Machine(world::World& world, Role role, std::uint32_t ip, common::ProcessSettings settings,
-                 std::uint64_t seed)
-    : world_(world),
+Machine::Machine(network_simulation::Simulator& simulator, Role role, std::uint32_t ip,
+                 common::ProcessSettings settings, std::uint64_t seed)
+    : simulator_(simulator),
       role_(role),
       settings_(std::move(settings)),
-      process_(world.process(settings_.node, ip)),
+      process_(simulator.process(settings_.node, ip)),
       chance_(seed) {
   wipe();
 }
@@ -71,7 +71,7 @@
   const AtWork scope(*this);
   ++lives_;
   settings_.initial_start = initial;
-  process_.dark(false);
+  process_.set_powered_off(false);
   life_ = std::make_unique<Life>(process_);
   process_.run(
       life_->scheduler, [this] { return turn(); }, descriptors);
@@ -80,7 +80,7 @@
   if (opened.ok()) return;
   last_failure = opened.ToString();
   kill();
-  world_.after(Span(), [this] {
+  simulator_.run_after(Span(), [this] {
     if (!running() && on_end) on_end(*this);
   });
 }
@@ -90,8 +90,8 @@
   life_->scheduler.turn();
   if (!life_->plane->finished()) return true;
   last_failure.clear();
-  // Its objects go once this turn is over; nothing else of the world may see it run again before.
-  world_.after(Span(), [this, life = lives_] {
+  // Its objects go once this turn is over; nothing else of the simulation may see it run again before.
+  simulator_.run_after(Span(), [this, life = lives_] {
     if (lives_ != life) return;
     life_.reset();
     if (on_end) on_end(*this);
@@ -105,8 +105,8 @@
 }
 
 void Machine::lose_power(std::uint64_t luck) {
-  process_.vanish();
-  process_.dark(true);
+  process_.lose_power();
+  process_.set_powered_off(true);
   life_.reset();
   disk_->contents.power_cycle(luck);
 }
@@ -115,15 +115,15 @@
 
 void Machine::terminate() {
   if (!running()) return;
-  life_->later.at(world_.now(), [this] { life_->plane->begin_shutdown(); });
-  process_.poke();
+  life_->later.at(simulator_.now(), [this] { life_->plane->begin_shutdown(); });
+  process_.schedule_if_ready();
 }
 
 void Machine::reload(const std::vector<sockaddr_in>& seeds) {
   settings_.seeds = seeds;
   if (!running()) return;
-  life_->later.at(world_.now(), [this] { life_->plane->reload(settings_); });
-  process_.poke();
+  life_->later.at(simulator_.now(), [this] { life_->plane->reload(settings_); });
+  process_.schedule_if_ready();
 }
 
 EdgePlane* Machine::edge() {
--- a/src/simulation/machine.hpp
+++ b/src/simulation/machine.hpp
@@ -1,4 +1,4 @@
-// A simulated machine: one plane of the tier in a process of the world, and the disk that outlives it.
+// A simulated machine: one plane of the tier in a simulated process, and the disk that outlives it.
 #pragma once
 
 #include <functional>
@@ -8,9 +8,9 @@
 
 #include "common/process.hpp"
 #include "net/timer_queue.hpp"
+#include "network_simulation/simulator.hpp"
 #include "simulation/disk.hpp"
 #include "simulation/edge_plane.hpp"
-#include "world/network.hpp"
 
 namespace chutevane::simulation {
 
@@ -19,8 +19,8 @@
 
 class Machine {
  public:
-  Machine(world::World& world, Role role, std::uint32_t ip, common::ProcessSettings settings,
-          std::uint64_t seed);
+  Machine(network_simulation::Simulator& simulator, Role role, std::uint32_t ip,
+          common::ProcessSettings settings, std::uint64_t seed);
   ~Machine();
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
@@ -37,9 +37,9 @@
   Role role() const { return role_; }
   const std::string& name() const { return settings_.node; }
   std::size_t number() const { return process_.number(); }
-  world::Process& process() { return process_; }
-  bool running() const { return life_ != nullptr && process_.alive(); }
-  bool paused() const { return process_.paused(); }
+  network_simulation::Process& process() { return process_; }
+  bool running() const { return life_ != nullptr && process_.is_running(); }
+  bool paused() const { return process_.is_paused(); }
   std::uint64_t lives() const { return lives_; }
   MachineDisk& disk() { return *disk_; }
   const common::ProcessSettings& settings() const { return settings_; }
@@ -55,10 +55,10 @@
   bool turn();
   std::unique_ptr<common::Plane> make_plane();
 
-  world::World& world_;
+  network_simulation::Simulator& simulator_;
   const Role role_;
   common::ProcessSettings settings_;
-  world::Process& process_;
+  network_simulation::Process& process_;
   Pcg chance_;
   std::shared_ptr<MachineDisk> disk_;
   std::unique_ptr<Life> life_;
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace chutevane::simulation;
-namespace world = chutevane::world;
+namespace network_simulation = chutevane::network_simulation;
 
 void print_tally(const std::string& scenario, const Tally& tally) {
   std::printf(
@@ -60,7 +60,7 @@
 
 int run_seed(const std::string& scenario, std::uint64_t seed, const std::string& trace_of, bool shrink) {
   Plan plan = make_plan(scenario, seed);
-  world::Trace off;
+  network_simulation::Trace off;
   chutevane::simulation::Outcome outcome = run(plan, seed, off);
   if (shrink && outcome.broken()) plan = shrunk(plan, seed, outcome.violations.front().rule);
   std::printf("scenario %s, seed %llu: %zu control, %zu storage, %zu edges, %zu losses borne\n",
@@ -69,7 +69,7 @@
   for (const Fault& fault : plan.faults) std::printf("  %s\n", describe(fault).c_str());
   const bool whole = trace_of == "all";
   std::string start;
-  world::Trace trace([&](std::string_view line) {
+  network_simulation::Trace trace([&](std::string_view line) {
     if (whole || told_by_story(line)) std::printf("%.*s\n", static_cast<int>(line.size()), line.data());
   });
   outcome = run(plan, seed, trace_of.empty() ? off : trace);
--- a/src/simulation/operators.cpp
+++ b/src/simulation/operators.cpp
@@ -72,7 +72,7 @@
     const Span within = lost ? Span::ms(60) * chance_.unit() : answer_within;
     callers_.call(to, Callers::post("/v1/Configuration.Replace", order->body, order->base), within,
                   [this, order, to, i](std::optional<HttpResult> result) {
-                    deployment_.world().trace().line(
+                    deployment_.simulator().trace().record(
                         callers_.later().now(), "order %zu of %s (version %lld on %lld): %s says %d",
                         order->id, name_.c_str(), static_cast<long long>(order->version),
                         static_cast<long long>(order->base), net::text_of(to).c_str(),
--- a/src/simulation/plan.cpp
+++ b/src/simulation/plan.cpp
@@ -66,13 +66,13 @@
   return out;
 }
 
-world::Chances drawn_chances(Draw& draw) {
-  world::Chances out;
-  out.delay_least = Span::us(30);
-  out.delay_mean = draw.skewed(0.08, 4);
-  out.split = draw.with(0.5) ? 0.05 : 0.0;
-  out.resent = draw.with(0.3) ? 0.003 : 0.0;
-  out.late_turn = draw.with(0.3) ? 0.002 : 0.0;
+network_simulation::NetworkConditions drawn_chances(Draw& draw) {
+  network_simulation::NetworkConditions out;
+  out.min_delay = Span::us(30);
+  out.mean_delay = draw.skewed(0.08, 4);
+  out.split_probability = draw.with(0.5) ? 0.05 : 0.0;
+  out.retransmit_probability = draw.with(0.3) ? 0.003 : 0.0;
+  out.late_turn_probability = draw.with(0.3) ? 0.002 : 0.0;
   return out;
 }
 
--- a/src/simulation/plan.hpp
+++ b/src/simulation/plan.hpp
@@ -60,7 +60,7 @@
 
 struct Plan {
   Shape shape;
-  world::Chances chances;
+  network_simulation::NetworkConditions chances;
   OperatorLoad operators;
   ProgramLoad programs;
   Span active = Span::ms(30000);  // then no more faults and orders
--- a/src/simulation/planned_work.cpp
+++ b/src/simulation/planned_work.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void PlannedWork::later(Span in, std::function<void()> what) {
-  deployment_.world().after(in, [this, what = std::move(what)] {
+  deployment_.simulator().run_after(in, [this, what = std::move(what)] {
     if (!over_) what();
   });
 }
@@ -34,12 +34,12 @@
   later(catch_up, [this, fault, at = &old] {
     if (!at->running()) return;
     deployment_.terminate(*at);
-    gone_when_ended(fault, *at, deployment_.world().now() + grace);
+    gone_when_ended(fault, *at, deployment_.simulator().now() + grace);
   });
 }
 
 void PlannedWork::gone_when_ended(const Fault& fault, Machine& old, TimePoint latest) {
-  if (!old.running() || deployment_.world().now() >= latest) return remove_and_wipe_another(fault, old);
+  if (!old.running() || deployment_.simulator().now() >= latest) return remove_and_wipe_another(fault, old);
   later(look_every, [this, fault, at = &old, latest] { gone_when_ended(fault, *at, latest); });
 }
 
@@ -54,7 +54,7 @@
                     if (tries < tries_most) retire(fault, *at, tries + 1);
                   });
                 });
-  deployment_.world().poke_all();
+  deployment_.simulator().schedule_ready_processes();
 }
 
 void PlannedWork::removed_when_completed(const Fault& fault, Machine& machine, std::size_t tries) {
@@ -68,20 +68,20 @@
                     if (tries < tries_most) removed_when_completed(fault, *at, tries + 1);
                   });
                 });
-  deployment_.world().poke_all();
+  deployment_.simulator().schedule_ready_processes();
 }
 
 void PlannedWork::remove_and_wipe_another(const Fault& fault, Machine& machine) {
   const Role role = machine.role();
-  deployment_.world().trace().line(deployment_.world().now(), "FAULT %s goes for good",
-                                   machine.name().c_str());
+  deployment_.simulator().trace().record(deployment_.simulator().now(), "FAULT %s goes for good",
+                                         machine.name().c_str());
   deployment_.remove(machine);
   later(Span::ms(static_cast<double>(fault.luck % gap_most)), [this, fault, role] {
     const std::vector<Machine*> left = deployment_.of(role);
     Machine& next = *left[fault.luck / gap_most % left.size()];
     if (!next.running()) return;
-    deployment_.world().trace().line(deployment_.world().now(), "FAULT %s loses its disk",
-                                     next.name().c_str());
+    deployment_.simulator().trace().record(deployment_.simulator().now(), "FAULT %s loses its disk",
+                                           next.name().c_str());
     deployment_.lose_power(next, fault.luck);
     deployment_.wipe(next);
     later(fault.lasts, [this, at = &next] { deployment_.start(*at); });
--- a/src/simulation/programs.cpp
+++ b/src/simulation/programs.cpp
@@ -44,7 +44,8 @@
     line->program = program();
     line->last.clear();
   }
-  deployment_.world().after(load_.pause * (0.3 + 1.4 * chance_.unit()), [this, line] { attempt(line); });
+  deployment_.simulator().run_after(load_.pause * (0.3 + 1.4 * chance_.unit()),
+                                    [this, line] { attempt(line); });
 }
 
 // One turn through one edge. Where nothing comes of it the line goes on from its last kept turn.
@@ -56,21 +57,21 @@
   }
   if (edges.empty()) return next(line);
   Machine& edge = *edges[chance_.next() % edges.size()];
-  deployment_.world().after(attempt_within, [this, line, number = line->attempt] {
+  deployment_.simulator().run_after(attempt_within, [this, line, number = line->attempt] {
     if (line->attempt == number) next(line);
   });
   EdgePlane& plane = *edge.edge();
-  plane.later().at(deployment_.world().now(), [this, line, at = &edge, number = line->attempt] {
+  plane.later().at(deployment_.simulator().now(), [this, line, at = &edge, number = line->attempt] {
     if (line->attempt != number) return;
     // A line that could not go on for long has nothing to go on from.
-    if (deployment_.world().now() + ask_within > line->last_kept + load_.keep) line->last.clear();
+    if (deployment_.simulator().now() + ask_within > line->last_kept + load_.keep) line->last.clear();
     if (line->last.empty()) {
       reserve(line, *at);
     } else {
       find(line, *at);
     }
   });
-  edge.process().poke();
+  edge.process().schedule_if_ready();
 }
 
 void Programs::find(const std::shared_ptr<Line>& line, Machine& edge) {
@@ -105,7 +106,7 @@
     if (m->edge() != nullptr) edges.push_back(m);
   }
   for (const auto& line : lines_) {
-    const bool over = deployment_.world().now() + ask_within > line->last_kept + load_.keep;
+    const bool over = deployment_.simulator().now() + ask_within > line->last_kept + load_.keep;
     if (edges.empty() || line->last.empty() || over) continue;
     Machine& edge = *edges[chance_.next() % edges.size()];
     line->found_again = false;
@@ -115,7 +116,7 @@
                           found(wanted, chain, at->name());
                           line->found_again = chain.verdict == edge::Ledger::Sought::whole;
                         });
-    edge.process().poke();
+    edge.process().schedule_if_ready();
   }
 }
 
@@ -167,7 +168,7 @@
                         if (line->attempt != number) return;
                         if (kept) {
                           line->last = id;
-                          line->last_kept = deployment_.world().now();
+                          line->last_kept = deployment_.simulator().now();
                         }
                         next(line);
                       });
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -17,15 +17,16 @@
 // Lines of the planes' logs, in the run's trace under the machine's name; what they tell of duties.
 class LogToTrace {
  public:
-  LogToTrace(world::World& world, Faults& faults) {
-    common::set_log_sink([&world, &faults](common::Level, std::string_view event, std::string_view detail) {
-      const Machine* const machine = machine_at_work();
-      if (machine == nullptr) return;
-      if (event == "duty.won") faults.duty_won(*machine);
-      world.trace().line(world.now(), "log %s: %.*s %.*s", machine->name().c_str(),
-                         static_cast<int>(event.size()), event.data(), static_cast<int>(detail.size()),
-                         detail.data());
-    });
+  LogToTrace(network_simulation::Simulator& simulator, Faults& faults) {
+    common::set_log_sink(
+        [&simulator, &faults](common::Level, std::string_view event, std::string_view detail) {
+          const Machine* const machine = machine_at_work();
+          if (machine == nullptr) return;
+          if (event == "duty.won") faults.duty_won(*machine);
+          simulator.trace().record(simulator.now(), "log %s: %.*s %.*s", machine->name().c_str(),
+                                   static_cast<int>(event.size()), event.data(),
+                                   static_cast<int>(detail.size()), detail.data());
+        });
   }
   ~LogToTrace() { common::set_log_sink(nullptr); }
   LogToTrace(const LogToTrace&) = delete;
@@ -34,27 +35,29 @@
 
 class Run {
  public:
-  Run(const Plan& plan, std::uint64_t seed, world::Trace& trace)
+  Run(const Plan& plan, std::uint64_t seed, network_simulation::Trace& trace)
       : plan_(plan),
         chance_(seed + 0x6a09e667),
-        world_(seed, plan.chances, trace),
-        deployment_(world_, plan.shape, seed + 1),
+        simulator_(seed, plan.chances, trace),
+        deployment_(simulator_, plan.shape, seed + 1),
         checker_(deployment_, trace),
         callers_(deployment_.clients()),
         faults_(deployment_),
         observers_(deployment_, callers_, checker_),
         planned_(deployment_, callers_),
         programs_(deployment_, checker_, plan.programs, seed + 2),
-        log_(world_, faults_) {
+        log_(simulator_, faults_) {
     if (plan.losses_overlap) checker_.service_may_rest();
     deployment_.on_value = [this](Machine& m, const common::RegisterValue& value) {
-      world_.trace().line(world_.now(), "%s has version %lld, number %lld", m.name().c_str(),
-                          static_cast<long long>(value.config_version), static_cast<long long>(value.number));
+      simulator_.trace().record(simulator_.now(), "%s has version %lld, number %lld", m.name().c_str(),
+                                static_cast<long long>(value.config_version),
+                                static_cast<long long>(value.number));
       checker_.pushed(m, value);
     };
     faults_.on_planned = [this](const Fault& fault, Machine& m) { planned_.apply(fault, m); };
     deployment_.on_end = [this](Machine& m) {
-      world_.trace().line(world_.now(), "%s ended by itself: %s", m.name().c_str(), m.last_failure.c_str());
+      simulator_.trace().record(simulator_.now(), "%s ended by itself: %s", m.name().c_str(),
+                                m.last_failure.c_str());
       if (!faults_.disk_troubled(m))
         checker_.broken("ended", m.name() + " ended by itself: " + m.last_failure);
     };
@@ -63,7 +66,8 @@
   Outcome play() {
     deployment_.start_all();
     add_operators();
-    for (const Fault& fault : plan_.faults) world_.after(fault.at, [this, &fault] { faults_.apply(fault); });
+    for (const Fault& fault : plan_.faults)
+      simulator_.run_after(fault.at, [this, &fault] { faults_.apply(fault); });
     sample();
     play_for(plan_.active);
     for (const auto& one : operators_) one->end();
@@ -89,14 +93,14 @@
                                                       faults_.favourite(),
                                                       "operator-" + std::to_string(i + 1), drawn()));
       operators_.back()->on_acknowledged = [this](const sockaddr_in& by) { faults_.acknowledged_by(by); };
-      world_.after(operators_begin, [at = operators_.back().get()] { at->begin(); });
+      simulator_.run_after(operators_begin, [at = operators_.back().get()] { at->begin(); });
     }
     for (std::size_t i = 0; i < load.readers; ++i) {
       readers_.push_back(
           std::make_unique<Reader>(deployment_, callers_, checker_, load, faults_.favourite(), drawn()));
-      world_.after(operators_begin, [at = readers_.back().get()] { at->begin(); });
+      simulator_.run_after(operators_begin, [at = readers_.back().get()] { at->begin(); });
     }
-    world_.after(operators_begin, [this] {
+    simulator_.run_after(operators_begin, [this] {
       programs_.begin();
       observers_.begin();
     });
@@ -104,13 +108,13 @@
 
   void sample() {
     checker_.sample();
-    world_.after(sample_every, [this] { sample(); });
+    simulator_.run_after(sample_every, [this] { sample(); });
   }
 
   void play_for(Span span) {
-    const TimePoint end = world_.now() + span;
-    while (world_.now() < end && world_.events() < events_most) world_.turn();
-    if (world_.events() >= events_most) checker_.broken("endless", "the run does not come to its end");
+    const TimePoint end = simulator_.now() + span;
+    while (simulator_.now() < end && simulator_.events() < events_most) simulator_.run_next_event();
+    if (simulator_.events() >= events_most) checker_.broken("endless", "the run does not come to its end");
   }
 
   void read_back() {
@@ -122,7 +126,7 @@
                       checker_.read_answered(reading, result->version, result->body, net::text_of(from));
                     });
     }
-    world_.poke_all();
+    simulator_.schedule_ready_processes();
   }
 
   Outcome outcome() const {
@@ -136,7 +140,7 @@
     out.bound = checker_.bound();
     out.turns_found = programs_.turns_found();
     out.faults = faults_.applied();
-    out.events = world_.events();
+    out.events = simulator_.events();
     return out;
   }
 
@@ -144,7 +148,7 @@
 
   const Plan& plan_;
   Pcg chance_;
-  world::World world_;
+  network_simulation::Simulator simulator_;
   Deployment deployment_;
   Checker checker_;
   Callers callers_;
@@ -159,7 +163,7 @@
 };
 
 bool breaks(const Plan& plan, std::uint64_t seed, const std::string& rule) {
-  world::Trace off;
+  network_simulation::Trace off;
   const Outcome got = run(plan, seed, off);
   return std::any_of(got.violations.begin(), got.violations.end(),
                      [&](const Violation& v) { return v.rule == rule; });
@@ -167,7 +171,7 @@
 
 }  // namespace
 
-Outcome run(const Plan& plan, std::uint64_t seed, world::Trace& trace) {
+Outcome run(const Plan& plan, std::uint64_t seed, network_simulation::Trace& trace) {
   return Run(plan, seed, trace).play();
 }
 
--- a/src/simulation/run.hpp
+++ b/src/simulation/run.hpp
@@ -22,7 +22,7 @@
 };
 
 // The same seed, plan and program give the same run, byte for byte of the trace.
-Outcome run(const Plan& plan, std::uint64_t seed, world::Trace& trace);
+Outcome run(const Plan& plan, std::uint64_t seed, network_simulation::Trace& trace);
 
 // The fewest faults of the plan, dropped one at a time, with which the run still breaks the same rule.
 Plan shrunk(const Plan& plan, std::uint64_t seed, const std::string& rule);
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -37,7 +37,7 @@
          const SearchOptions& options) {
   for (std::uint64_t seed = first; seed <= last; seed += options.jobs) {
     tell(pipe, "at " + std::to_string(first) + " " + std::to_string(seed));
-    world::Trace off;
+    network_simulation::Trace off;
     const Outcome outcome = run(make_plan(scenario, seed), seed, off);
     Tally one;
     add(one, outcome);
--- a/tests/simulation/checker_test.cpp
+++ b/tests/simulation/checker_test.cpp
@@ -11,12 +11,14 @@
 class CheckerTest : public testing::Test {
  protected:
   CheckerTest()
-      : world_(1, world::Chances(), off_), deployment_(world_, Shape(), 1), checker_(deployment_, off_) {}
+      : simulator_(1, network_simulation::NetworkConditions(), off_),
+        deployment_(simulator_, Shape(), 1),
+        checker_(deployment_, off_) {}
   // Time passes, and nothing else: no machine was started.
   void pass(Span span) {
     bool over = false;
-    world_.after(span, [&over] { over = true; });
-    while (!over) world_.turn();
+    simulator_.run_after(span, [&over] { over = true; });
+    while (!over) simulator_.run_next_event();
   }
   Order& order(std::int64_t base, std::int64_t version, const std::string& body) {
     return checker_.order_begun("operator", base, version, body);
@@ -33,8 +35,8 @@
     return out;
   }
 
-  world::Trace off_;
-  world::World world_;
+  network_simulation::Trace off_;
+  network_simulation::Simulator simulator_;
   Deployment deployment_;
   Checker checker_;
 };
@@ -125,11 +127,11 @@
 TEST_F(CheckerTest, WhatWasAcknowledgedBeforeATime) {
   checker_.order_answered(order(0, 2, "a"), 200);
   pass(Span::ms(1000));
-  const TimePoint between = world_.now();
+  const TimePoint between = simulator_.now();
   pass(Span::ms(1000));
   checker_.order_answered(order(2, 3, "b"), 200);
   EXPECT_EQ(checker_.acknowledged_before(between), 2);
-  EXPECT_EQ(checker_.acknowledged_before(world_.now() + Span::ms(1)), 3);
+  EXPECT_EQ(checker_.acknowledged_before(simulator_.now() + Span::ms(1)), 3);
   EXPECT_EQ(checker_.acknowledged_before(between - Span::ms(5000)), 0);
 }
 
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -12,8 +12,8 @@
 // ---- it is deterministic
 
 std::pair<std::uint64_t, std::uint64_t> traced(const std::string& scenario, std::uint64_t seed) {
-  world::TraceHash hash;
-  world::Trace trace([&hash](std::string_view line) { hash.add(line); });
+  network_simulation::TraceHash hash;
+  network_simulation::Trace trace([&hash](std::string_view line) { hash.add(line); });
   run(make_plan(scenario, seed), seed, trace);
   return {hash.value(), hash.lines()};
 }
@@ -109,7 +109,7 @@
 }
 
 TEST(Simulation, FindsAndShrinksALossBeyondTheTolerance) {
-  world::Trace off;
+  network_simulation::Trace off;
   const Outcome outcome = run(beyond_tolerance(), 1, off);
   ASSERT_TRUE(outcome.broken());
   const Plan least = shrunk(beyond_tolerance(), 1, outcome.violations.front().rule);
@@ -121,7 +121,7 @@
 TEST(Simulation, ACalmDayKeepsAllPromises) {
   Plan plan;
   plan.active = Span::ms(8000);
-  world::Trace off;
+  network_simulation::Trace off;
   const Outcome outcome = run(plan, 1, off);
   EXPECT_FALSE(outcome.broken());
   EXPECT_GT(outcome.acknowledged, 5U);
@@ -141,7 +141,7 @@
 TEST_P(FixedSeeds, KeepAllPromises) {
   std::size_t orders = 0, refused = 0, bound = 0, faults = 0;
   for (std::uint64_t seed = 1; seed <= GetParam().last; ++seed) {
-    world::Trace off;
+    network_simulation::Trace off;
     const Outcome outcome = run(make_plan(GetParam().scenario, seed), seed, off);
     for (const Violation& v : outcome.violations)
       ADD_FAILURE() << GetParam().scenario << ", seed " << seed << ": " << v.rule << ": " << v.text;
