--- a/src/sidecar_simulation/environment.cpp
+++ b/src/sidecar_simulation/environment.cpp
@@ -9,185 +9,200 @@
 namespace chutevane::sidecar_simulation {
 namespace {
 
-constexpr std::uint32_t block = 127U << 24U | 1U << 16U;  // names in the world only: nothing is sent anywhere
-constexpr std::uint32_t lab_ip = block | 250U << 8U | 1U;
-constexpr std::size_t plenty = 1U << 20U;  // descriptors of a stand-in
-// Events without an end to the day: something goes round and round.
-constexpr std::uint64_t events_most = 40'000'000;
+using network_simulation::Process;
+using network_simulation::Simulator;
+
+// Addresses are names in the simulator only: nothing is sent anywhere.
+constexpr std::uint32_t address_block = 127U << 24U | 1U << 16U;
+constexpr std::uint32_t lab_ip = address_block | 250U << 8U | 1U;
+constexpr std::size_t stand_in_descriptors = 1U << 20U;
+// A run with more events than this does not come to its end.
+constexpr std::uint64_t max_events = 40'000'000;
+constexpr std::size_t max_generations = 2;  // of a snapshot
 
 const char* no_environment(const char*) { return nullptr; }
 
 }  // namespace
 
-struct PlayedSidecar::Life {
-  explicit Life(network_simulation::Process& process) : scheduler(process) {}
+struct SimulatedSidecar::Incarnation {
+  explicit Incarnation(Process& process) : scheduler(process) {}
   net::Scheduler scheduler;
   opfile::Model model;
   std::unique_ptr<sidecar::Daemon> daemon;
 };
 
-// What a sidecar stores, in the world: at once, as its turn ends with all it did.
-class PlayedStore final : public snapshot::Store {
+// A sidecar's snapshots. A write takes effect at once, since a turn takes no simulated time.
+class SimulatedSnapshotStore final : public snapshot::Store {
  public:
-  PlayedStore(network_simulation::Simulator& simulator, std::shared_ptr<PlayedSidecar::Disk> disk)
+  SimulatedSnapshotStore(Simulator& simulator, std::shared_ptr<SimulatedSidecar::Disk> disk)
       : simulator_(simulator), disk_(std::move(disk)) {}
+
   snapshot::Stamp now() const override {
-    return {"start " + std::to_string(disk_->starts), simulator_.now() - disk_->started,
-            simulator_.now() + disk_->clock_ahead};
+    return {"start " + std::to_string(disk_->machine_starts), simulator_.now() - disk_->machine_started_at,
+            simulator_.now() + disk_->wall_clock_offset};
   }
   std::vector<std::string> generations() override { return disk_->generations; }
   void set_aside_newest() override {
     if (!disk_->generations.empty()) disk_->generations.erase(disk_->generations.begin());
   }
   void put(snapshot::Content content) override {
-    ++(disk_->refuses ? counters_.failed : counters_.written);
-    if (disk_->refuses) {
+    ++(disk_->write_fails ? counters_.failed : counters_.written);
+    if (disk_->write_fails) {
       counters_.trouble = "the played disk takes nothing";
       return;
     }
     disk_->generations.insert(disk_->generations.begin(), snapshot::write(content));
-    disk_->generations.resize(std::min<std::size_t>(disk_->generations.size(), 2));
+    disk_->generations.resize(std::min(disk_->generations.size(), max_generations));
   }
   void settle() override {}
   snapshot::StoreCounters counters() const override { return counters_; }
 
  private:
-  network_simulation::Simulator& simulator_;
-  std::shared_ptr<PlayedSidecar::Disk> disk_;
+  Simulator& simulator_;
+  std::shared_ptr<SimulatedSidecar::Disk> disk_;
   snapshot::StoreCounters counters_;
 };
 
-PlayedSidecar::PlayedSidecar(network_simulation::Simulator& simulator, network_simulation::Process& process,
-                             std::size_t descriptors)
-    : simulator_(simulator), process_(process), descriptors_(descriptors) {}
+// --- SimulatedSidecar
 
-void PlayedSidecar::new_start_of_machine() {
-  ++disk_->starts;
-  disk_->started = simulator_.now();
-}
+SimulatedSidecar::SimulatedSidecar(Simulator& simulator, Process& process, std::size_t max_descriptors)
+    : simulator_(simulator), process_(process), max_descriptors_(max_descriptors) {}
 
-PlayedSidecar::~PlayedSidecar() { kill(); }
+SimulatedSidecar::~SimulatedSidecar() { kill(); }
 
-const sidecar::Counters* PlayedSidecar::counters() const {
-  return life_ && life_->daemon ? &life_->daemon->sidecar().counters() : nullptr;
+void SimulatedSidecar::record_machine_restart() {
+  ++disk_->machine_starts;
+  disk_->machine_started_at = simulator_.now();
 }
 
-void PlayedSidecar::start(const std::string& config, bool operators_file) {
+const sidecar::Counters* SimulatedSidecar::counters() const {
+  return incarnation_ && incarnation_->daemon ? &incarnation_->daemon->sidecar().counters() : nullptr;
+}
+
+void SimulatedSidecar::start(const std::string& config, bool operators_file) {
   kill();
-  ended_.clear();
-  config_ = reading_ = config;
-  life_ = std::make_unique<Life>(process_);
+  exit_reason_.clear();
+  config_ = reload_config_ = config;
+  incarnation_ = std::make_unique<Incarnation>(process_);
   process_.set_powered_off(false);
   process_.run(
-      life_->scheduler, [this] { return turn(); }, descriptors_);
+      incarnation_->scheduler, [this] { return run_turn(); }, max_descriptors_);
   try {
-    if (operators_file) {
-      life_->model = opfile::read(config, process_.name());
-      life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, life_->model);
-    } else {
-      const auto reading = [this] { return config::read(reading_, no_environment); };
-      std::unique_ptr<snapshot::Store> store;
-      if (!config::read(config, no_environment).state.empty())
-        store = std::make_unique<PlayedStore>(simulator_, disk_);
-      life_->daemon = std::make_unique<sidecar::Daemon>(life_->scheduler, reading, "", std::move(store));
-    }
-    if (!life_->daemon->listen()) ended_ = "exit status 1";
+    start_daemon(config, operators_file);
+    if (!incarnation_->daemon->listen()) exit_reason_ = "exit status 1";
   } catch (const std::exception& e) {
-    ended_ = std::string("exception: ") + e.what();
+    exit_reason_ = std::string("exception: ") + e.what();
   }
-  if (!ended_.empty()) process_.kill();
+  if (!exit_reason_.empty()) process_.kill();
 }
 
-bool PlayedSidecar::turn() {
+void SimulatedSidecar::start_daemon(const std::string& config, bool operators_file) {
+  Incarnation& incarnation = *incarnation_;
+  if (operators_file) {
+    incarnation.model = opfile::read(config, process_.name());
+    incarnation.daemon = std::make_unique<sidecar::Daemon>(incarnation.scheduler, incarnation.model);
+    return;
+  }
+  const auto read_config = [this] { return config::read(reload_config_, no_environment); };
+  std::unique_ptr<snapshot::Store> store;
+  if (!config::read(config, no_environment).state.empty())
+    store = std::make_unique<SimulatedSnapshotStore>(simulator_, disk_);
+  incarnation.daemon =
+      std::make_unique<sidecar::Daemon>(incarnation.scheduler, read_config, "", std::move(store));
+}
+
+bool SimulatedSidecar::run_turn() {
   try {
-    if (life_->daemon->step()) return true;
-    ended_ = "exit status 0";
+    if (incarnation_->daemon->step()) return true;
+    exit_reason_ = "exit status 0";
   } catch (const std::exception& e) {
-    ended_ = std::string("exception: ") + e.what();
+    exit_reason_ = std::string("exception: ") + e.what();
   }
   return false;
 }
 
-void PlayedSidecar::kill() {
+void SimulatedSidecar::kill() {
   process_.kill();
-  if (const sidecar::Counters* c = counters()) on_end_of_life(*c);
-  life_.reset();
+  if (const sidecar::Counters* last_counters = counters()) on_incarnation_end(*last_counters);
+  incarnation_.reset();
 }
 
-std::optional<std::string> PlayedSidecar::ended() {
-  if (ended_.empty()) return std::nullopt;
+std::optional<std::string> SimulatedSidecar::ended() {
+  if (exit_reason_.empty()) return std::nullopt;
   kill();
-  return std::exchange(ended_, "");
+  return std::exchange(exit_reason_, "");
 }
 
-PlayedGround::PlayedGround(std::uint64_t seed, const network_simulation::NetworkConditions& chances,
-                           std::size_t descriptors, network_simulation::Trace& trace)
-    : simulator_(seed, chances, trace), descriptors_(descriptors), lab_(&named("callers", lab_ip)) {
+// --- SimulatedEnvironment
+
+SimulatedEnvironment::SimulatedEnvironment(std::uint64_t seed,
+                                           const network_simulation::NetworkConditions& conditions,
+                                           std::size_t max_descriptors, network_simulation::Trace& trace)
+    : simulator_(seed, conditions, trace),
+      max_descriptors_(max_descriptors),
+      lab_(&simulator_.process("callers", lab_ip)) {
   schedulers_.push_back(std::make_unique<net::Scheduler>(*lab_));
   lab_->run(
       *schedulers_.front(),
       [this] {
         own().turn();
-        simulator_.run_after(Span(), [] {});  // what it did to others is found in the next event
+        // What the lab did to other processes takes effect in the next event.
+        simulator_.run_after(Span(), [] {});
         return true;
       },
-      plenty);
+      stand_in_descriptors);
 }
 
-PlayedGround::~PlayedGround() = default;
-
-network_simulation::Process& PlayedGround::named(const std::string& name, std::uint32_t ip) {
-  return simulator_.process(name, ip);
-}
+SimulatedEnvironment::~SimulatedEnvironment() = default;
 
-net::Scheduler& PlayedGround::beside(const sockaddr_in& at) {
+net::Scheduler& SimulatedEnvironment::beside(const sockaddr_in& at) {
   const std::uint32_t ip = ntohl(at.sin_addr.s_addr);
-  if (const auto known = by_ip_.find(ip); known != by_ip_.end()) return *known->second;
+  if (const auto known = schedulers_by_ip_.find(ip); known != schedulers_by_ip_.end()) return *known->second;
   const int group = static_cast<int>(ip >> 8U & 255U);
-  const bool endpoint = group < lab::sidecar_group;
-  const int tier = group - (endpoint ? lab::endpoint_group : lab::discovery_group);
-  network_simulation::Process& p = named(
-      (endpoint ? "endpoint-" : "discovery-") + std::to_string(tier) + "-" + std::to_string((ip & 255U) - 1),
-      ip);
-  p.set_remote();
-  schedulers_.push_back(std::make_unique<net::Scheduler>(p));
+  const bool is_endpoint = group < lab::sidecar_group;
+  const int tier = group - (is_endpoint ? lab::endpoint_group : lab::discovery_group);
+  const std::string name = (is_endpoint ? "endpoint-" : "discovery-") + std::to_string(tier) + "-" +
+                           std::to_string((ip & 255U) - 1);
+  Process& process = simulator_.process(name, ip);
+  process.set_remote();
+  schedulers_.push_back(std::make_unique<net::Scheduler>(process));
   net::Scheduler* const scheduler = schedulers_.back().get();
-  p.run(
+  process.run(
       *scheduler,
       [scheduler] {
         scheduler->turn();
         return true;
       },
-      plenty);
-  by_ip_[ip] = scheduler;
+      stand_in_descriptors);
+  schedulers_by_ip_[ip] = scheduler;
   return *scheduler;
 }
 
-sockaddr_in PlayedGround::at(int group, std::size_t number, std::uint16_t port) const {
+sockaddr_in SimulatedEnvironment::at(int group, std::size_t number, std::uint16_t port) const {
   sockaddr_in out{};
   out.sin_family = AF_INET;
   out.sin_port = htons(port);
   out.sin_addr.s_addr =
-      htonl(block | static_cast<std::uint32_t>(group) << 8U | static_cast<std::uint32_t>(number));
+      htonl(address_block | static_cast<std::uint32_t>(group) << 8U | static_cast<std::uint32_t>(number));
   return out;
 }
 
-network_simulation::Process* PlayedGround::process(int group, std::size_t number) {
+Process* SimulatedEnvironment::process(int group, std::size_t number) {
   return simulator_.process_at(ntohl(at(group, number, 0).sin_addr.s_addr));
 }
 
-std::unique_ptr<lab::SidecarProcess> PlayedGround::sidecar(const std::string& name,
-                                                           const sockaddr_in& listen) {
-  network_simulation::Process& p = named("sidecar-" + name, ntohl(listen.sin_addr.s_addr));
-  auto out = std::make_unique<PlayedSidecar>(simulator_, p, descriptors_);
+std::unique_ptr<lab::SidecarProcess> SimulatedEnvironment::sidecar(const std::string& name,
+                                                                   const sockaddr_in& listen) {
+  Process& process = simulator_.process("sidecar-" + name, ntohl(listen.sin_addr.s_addr));
+  auto out = std::make_unique<SimulatedSidecar>(simulator_, process, max_descriptors_);
   sidecars_.push_back(out.get());
   return out;
 }
 
-void PlayedGround::turn() {
+void SimulatedEnvironment::turn() {
   if (!simulator_.run_next_event())
     throw std::runtime_error("nothing is left to happen, and the day is not over");
-  if (simulator_.events() > events_most) throw std::runtime_error("the day does not end: too many events");
+  if (simulator_.events() > max_events) throw std::runtime_error("the day does not end: too many events");
 }
 
 }  // namespace chutevane::sidecar_simulation
--- a/src/sidecar_simulation/main.cpp
+++ b/src/sidecar_simulation/main.cpp
@@ -1,4 +1,5 @@
-// chutevane-sidecar-simulation: runs of a whole fleet on a simulated clock and network, by seed.
+/// \file
+/// chutevane-sidecar-simulation: runs of a whole fleet on a simulated clock and network, by seed.
 #include <unistd.h>
 
 #include <cstdio>
@@ -6,23 +7,24 @@
 #include <fstream>
 
 #include "sidecar_simulation/search.hpp"
+#include "sidecar_simulation/shrink.hpp"
 
 namespace chutevane::sidecar_simulation {
 namespace {
 
-constexpr int all_well = 0, failed = 1, file_wrong = 2, rule_broken = 3;
-constexpr std::size_t broken_shown = 20;
+constexpr int exit_ok = 0, exit_failed = 1, exit_invalid_file = 2, exit_rule_broken = 3;
+constexpr std::size_t max_shown_broken = 20;
 
-void show(const DayReport& r) {
+void print_report(const RunReport& r) {
   for (const std::string& b : r.breaches) std::printf("%s\n", b.c_str());
   std::printf("seed %llu: %s; %.1f s played, %llu events, %llu calls, %llu dispatches, payoff %.3f\n",
-              static_cast<unsigned long long>(r.seed), r.broken() ? "BROKEN" : "all rules kept",
+              static_cast<unsigned long long>(r.seed), r.is_broken() ? "BROKEN" : "all rules kept",
               r.simulated_s, static_cast<unsigned long long>(r.events),
               static_cast<unsigned long long>(r.calls), static_cast<unsigned long long>(r.dispatches),
               r.service);
 }
 
-int run(const Scenario& s, std::uint64_t seed, bool traced, bool hashed) {
+int run_command(const Scenario& s, std::uint64_t seed, bool traced, bool hashed) {
   network_simulation::TraceHash hash;
   network_simulation::Trace trace;
   if (traced || hashed)
@@ -30,12 +32,12 @@
       hash.add(line);
       if (traced) std::printf("%.*s\n", static_cast<int>(line.size()), line.data());
     });
-  const DayReport r = play(draw_scenario(s, seed), trace);
-  show(r);
+  const RunReport r = simulate(sample_scenario(s, seed), trace);
+  print_report(r);
   if (hashed)
     std::printf("trace: %llu lines, hash %016llx\n", static_cast<unsigned long long>(hash.lines()),
                 static_cast<unsigned long long>(hash.value()));
-  return r.broken() ? rule_broken : all_well;
+  return r.is_broken() ? exit_rule_broken : exit_ok;
 }
 
 int search_command(const Scenario& s, const cxxopts::ParseResult& given) {
@@ -45,11 +47,11 @@
     throw std::runtime_error("--seeds " + seeds + ": write A..B, A not beyond B");
   const bool terminal = ::isatty(STDERR_FILENO) != 0;
   double next = 0.0;
-  const auto progress = [&](const SearchReport& r, std::uint64_t of) {
+  const auto progress = [&](const SearchReport& r, std::uint64_t total) {
     if (r.wall_s < next) return;
     next = r.wall_s + (terminal ? 0.5 : 10.0);
     std::fprintf(stderr, "%s%llu of %llu days, %.0f s, %zu broken%s", terminal ? "\r" : "",
-                 static_cast<unsigned long long>(r.days), static_cast<unsigned long long>(of), r.wall_s,
+                 static_cast<unsigned long long>(r.runs), static_cast<unsigned long long>(total), r.wall_s,
                  r.broken.size(), terminal ? "   " : "\n");
   };
   const SearchReport r =
@@ -57,45 +59,45 @@
   if (terminal) std::fputc('\n', stderr);
   std::printf(
       "%s: %llu days, %.0f s played in %.1f s (%.1f s of CPU): %.0f s a second of one core, %.2fM events/s\n",
-      s.experiment.name.c_str(), static_cast<unsigned long long>(r.days), r.simulated_s, r.wall_s, r.cpu_s,
+      s.experiment.name.c_str(), static_cast<unsigned long long>(r.runs), r.simulated_s, r.wall_s, r.cpu_s,
       r.simulated_s / r.cpu_s, static_cast<double>(r.events) / r.cpu_s / 1e6);
   std::printf("%llu calls, %llu dispatches, %llu events\n", static_cast<unsigned long long>(r.calls),
               static_cast<unsigned long long>(r.dispatches), static_cast<unsigned long long>(r.events));
   if (given.count("coverage") > 0) std::printf("%s", r.coverage.report().c_str());
   std::printf("%zu broken\n", r.broken.size());
-  for (std::size_t i = 0; i < std::min(broken_shown, r.broken.size()); ++i)
+  for (std::size_t i = 0; i < std::min(max_shown_broken, r.broken.size()); ++i)
     std::printf("seed %llu: %s\n", static_cast<unsigned long long>(r.broken[i].seed),
                 r.broken[i].breaches.empty() ? "" : r.broken[i].breaches.front().c_str());
-  if (r.broken.size() > broken_shown) std::printf("(%zu more)\n", r.broken.size() - broken_shown);
-  return r.broken.empty() ? all_well : rule_broken;
+  if (r.broken.size() > max_shown_broken) std::printf("(%zu more)\n", r.broken.size() - max_shown_broken);
+  return r.broken.empty() ? exit_ok : exit_rule_broken;
 }
 
 int shrink_command(const Scenario& s, std::uint64_t seed, const cxxopts::ParseResult& given) {
-  const Scenario whole = draw_scenario(s, seed);
-  const DayReport first = play_apart(whole);
-  if (!first.broken()) {
+  const Scenario whole = sample_scenario(s, seed);
+  const RunReport first = simulate_in_subprocess(whole);
+  if (!first.is_broken()) {
     std::fprintf(stderr, "seed %llu breaks no rule: nothing to shrink\n",
                  static_cast<unsigned long long>(seed));
-    return failed;
+    return exit_failed;
   }
   std::fprintf(stderr, "%s\n", first.breaches.front().c_str());
   const Scenario least =
-      shrink(whole, first.kind(), given["tries"].as<std::size_t>(),
+      shrink(whole, first.first_broken_rule(), given["tries"].as<std::size_t>(),
              [](const std::string& what) { std::fprintf(stderr, "  %s\n", what.c_str()); });
-  const DayReport last = play_apart(least);
+  const RunReport last = simulate_in_subprocess(least);
   const std::string out = given["out"].as<std::string>();
   std::ofstream file(out, std::ios::trunc);
   file << "# " << (last.breaches.empty() ? first : last).breaches.front() << "\n" << write_scenario(least);
   if (!file.flush()) throw std::runtime_error(out + ": cannot be written");
   std::printf("%s: %zu faults, %zu troubles left of %zu and %zu\n", out.c_str(),
-              least.experiment.faults.size(), least.troubles.size(), whole.experiment.faults.size(),
-              whole.troubles.size());
-  return all_well;
+              least.experiment.faults.size(), least.infrastructure_faults.size(),
+              whole.experiment.faults.size(), whole.infrastructure_faults.size());
+  return exit_ok;
 }
 
 int command(int argc, char** argv) {
   cxxopts::Options options("chutevane-sidecar-simulation",
-                           "Days of a whole fleet on a clock and a network that are played");
+                           "Runs a fleet of sidecars on a simulated clock and network");
   auto add = options.add_options();
   add("command", "run, search, shrink or show (the scenario that a seed draws)",
       cxxopts::value<std::string>());
@@ -116,25 +118,25 @@
   try {
     const auto given = options.parse(argc, argv);
     const std::string what = given.count("command") > 0 ? given["command"].as<std::string>() : "";
-    if (given.count("help") > 0) return std::printf("%s", options.help().c_str()) < 0 ? failed : all_well;
+    if (given.count("help") > 0) return std::printf("%s", options.help().c_str()) < 0 ? exit_failed : exit_ok;
     if (given.count("file") == 0 ||
         (what != "run" && what != "search" && what != "shrink" && what != "show")) {
       std::fprintf(stderr, "%s", options.help().c_str());
-      return file_wrong;
+      return exit_invalid_file;
     }
     const Scenario s = load_scenario(given["file"].as<std::string>());
     const std::uint64_t seed =
         given.count("seed") > 0 ? given["seed"].as<std::uint64_t>() : s.experiment.seed;
     if (what == "search") return search_command(s, given);
     if (what == "shrink") return shrink_command(s, seed, given);
-    if (what == "run") return run(s, seed, given.count("trace") > 0, given.count("hash") > 0);
-    return std::printf("%s", write_scenario(draw_scenario(s, seed)).c_str()) < 0 ? failed : all_well;
+    if (what == "run") return run_command(s, seed, given.count("trace") > 0, given.count("hash") > 0);
+    return std::printf("%s", write_scenario(sample_scenario(s, seed)).c_str()) < 0 ? exit_failed : exit_ok;
   } catch (const lab::ExperimentError& e) {
     std::fprintf(stderr, "%s\n", e.what());
-    return file_wrong;
+    return exit_invalid_file;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "chutevane-sidecar-simulation: %s\n", e.what());
-    return failed;
+    return exit_failed;
   }
 }
 
--- a/src/sidecar_simulation/scenario.cpp
+++ b/src/sidecar_simulation/scenario.cpp
@@ -10,51 +10,59 @@
 using checked::Table;
 using checked::Word;
 
-constexpr std::size_t file_most = 1U << 20U;  // bytes
+constexpr std::size_t max_file_size = 1U << 20U;  // bytes
 
-constexpr Word<TroubleKind> kind_words[] = {{"partition", TroubleKind::partition},
-                                            {"cut", TroubleKind::cut},
-                                            {"lost-end", TroubleKind::lost_end},
-                                            {"slow-link", TroubleKind::slow_link},
-                                            {"sidecar-paused", TroubleKind::sidecar_paused},
-                                            {"endpoint-paused", TroubleKind::endpoint_paused},
-                                            {"discovery-paused", TroubleKind::discovery_paused},
-                                            {"callers-paused", TroubleKind::callers_paused},
-                                            {"power-lost", TroubleKind::power_lost},
-                                            {"reload", TroubleKind::reload},
-                                            {"reload-wrong", TroubleKind::reload_wrong},
-                                            {"reload-and-end", TroubleKind::reload_and_end},
-                                            {"endpoint-drained", TroubleKind::endpoint_drained},
-                                            {"moved", TroubleKind::moved},
-                                            {"clock-stepped", TroubleKind::clock_stepped}};
-static_assert(std::size(kind_words) == trouble_kinds);
-constexpr Word<Link> link_words[] = {
-    {"callers", Link::callers}, {"endpoints", Link::endpoints}, {"discovery", Link::discovery}};
-constexpr Word<Direction> direction_words[] = {{"both", Direction::both},
+constexpr Word<InfrastructureFaultKind> infrastructure_fault_names[] = {
+    {"partition", InfrastructureFaultKind::partition},
+    {"cut", InfrastructureFaultKind::cut},
+    {"lost-end", InfrastructureFaultKind::lost_end},
+    {"slow-link", InfrastructureFaultKind::slow_link},
+    {"sidecar-paused", InfrastructureFaultKind::sidecar_paused},
+    {"endpoint-paused", InfrastructureFaultKind::endpoint_paused},
+    {"discovery-paused", InfrastructureFaultKind::discovery_paused},
+    {"callers-paused", InfrastructureFaultKind::callers_paused},
+    {"power-lost", InfrastructureFaultKind::power_lost},
+    {"reload", InfrastructureFaultKind::reload},
+    {"reload-wrong", InfrastructureFaultKind::reload_wrong},
+    {"reload-and-end", InfrastructureFaultKind::reload_and_end},
+    {"endpoint-drained", InfrastructureFaultKind::endpoint_drained},
+    {"moved", InfrastructureFaultKind::moved},
+    {"clock-stepped", InfrastructureFaultKind::clock_stepped}};
+static_assert(std::size(infrastructure_fault_names) == infrastructure_fault_kinds);
+constexpr Word<LinkPeer> link_peer_names[] = {
+    {"callers", LinkPeer::callers}, {"endpoints", LinkPeer::endpoints}, {"discovery", LinkPeer::discovery}};
+constexpr Word<Direction> direction_names[] = {{"both", Direction::both},
                                                {"to-sidecar", Direction::to_sidecar},
                                                {"from-sidecar", Direction::from_sidecar}};
 
 template <class E, std::size_t N>
-std::string word_of(const Word<E> (&words)[N], E value) {
+std::string name_of(const Word<E> (&words)[N], E value) {
   return std::string(std::find_if(std::begin(words), std::end(words), [&](const auto& w) {
                        return w.value == value;
                      })->text);
 }
 
-bool lasts_needed(TroubleKind k) {
-  return k != TroubleKind::cut && k != TroubleKind::lost_end && k != TroubleKind::reload &&
-         k != TroubleKind::reload_wrong && k != TroubleKind::reload_and_end && k != TroubleKind::moved &&
-         k != TroubleKind::clock_stepped;
+bool needs_duration(InfrastructureFaultKind kind) {
+  switch (kind) {
+    case InfrastructureFaultKind::cut:
+    case InfrastructureFaultKind::lost_end:
+    case InfrastructureFaultKind::reload:
+    case InfrastructureFaultKind::reload_wrong:
+    case InfrastructureFaultKind::reload_and_end:
+    case InfrastructureFaultKind::moved:
+    case InfrastructureFaultKind::clock_stepped: return false;
+    default: return true;
+  }
 }
 
-Trouble read_trouble(Table& t, const lab::Experiment& e) {
-  Trouble out;
-  out.kind = t.word<TroubleKind>("kind", kind_words, std::nullopt);
+InfrastructureFault read_infrastructure_fault(Table& t, const lab::Experiment& e) {
+  InfrastructureFault out;
+  out.kind = t.word<InfrastructureFaultKind>("kind", infrastructure_fault_names, std::nullopt);
   out.tier = t.text("tier", "");
-  out.link = t.word<Link>("link", link_words, Link::endpoints);
-  out.direction = t.word<Direction>("direction", direction_words, Direction::both);
+  out.link = t.word<LinkPeer>("link", link_peer_names, LinkPeer::endpoints);
+  out.direction = t.word<Direction>("direction", direction_names, Direction::both);
   out.at = t.span("at_ms", std::nullopt);
-  out.lasts = t.span("for_ms", lasts_needed(out.kind) ? std::nullopt : std::optional<double>(0.0));
+  out.duration = t.span("for_ms", needs_duration(out.kind) ? std::nullopt : std::optional<double>(0.0));
   out.sidecars = t.whole("sidecars", 0, 0, 200);
   out.endpoints = t.whole("endpoints", 0, 0, 200);
   out.zone = t.text("zone", "");
@@ -64,8 +72,8 @@
   return out;
 }
 
-void read_world(Table& t, Scenario& out) {
-  network_simulation::NetworkConditions& c = out.chances;
+void read_network_conditions(Table& t, Scenario& out) {
+  network_simulation::NetworkConditions& c = out.network;
   c.min_delay = t.span("delay_least_ms", c.min_delay.as_ms());
   c.mean_delay = t.span("delay_mean_ms", c.mean_delay.as_ms());
   if (c.mean_delay < c.min_delay) t.wrong("delay_mean_ms", "less than delay_least_ms");
@@ -80,35 +88,37 @@
   c.max_buffer_size =
       static_cast<std::size_t>(t.whole("buffer_most", static_cast<int>(c.max_buffer_size), 16, 1 << 24));
   if (c.max_buffer_size < c.min_buffer_size) t.wrong("buffer_most", "less than buffer_least");
-  out.descriptors = t.whole("descriptors", out.descriptors, 16, 1 << 20);
+  out.max_descriptors = t.whole("descriptors", out.max_descriptors, 16, 1 << 20);
 }
 
 // --- Writing ---------------------------------------------------------------------------------------
 
-class Text {
+class TomlWriter {
  public:
-  Text& table(const char* name) { return line(name); }
-  Text& line(const std::string& text) {
+  TomlWriter& table(const char* name) { return line(name); }
+  TomlWriter& line(const std::string& text) {
     out_ += text + "\n";
     return *this;
   }
-  Text& put(const char* key, double v) {
+  TomlWriter& put(const char* key, double v) {
     char room[64];
     std::snprintf(room, sizeof room, "%s = %.17g", key, v);
     return line(room);
   }
-  Text& put(const char* key, int v) { return line(std::string(key) + " = " + std::to_string(v)); }
-  Text& put(const char* key, std::size_t v) { return line(std::string(key) + " = " + std::to_string(v)); }
-  Text& put(const char* key, Span v) {
+  TomlWriter& put(const char* key, int v) { return line(std::string(key) + " = " + std::to_string(v)); }
+  TomlWriter& put(const char* key, std::size_t v) {
+    return line(std::string(key) + " = " + std::to_string(v));
+  }
+  TomlWriter& put(const char* key, Span v) {
     char room[64];
     std::snprintf(room, sizeof room, "%s = %.3f", key, v.as_ms());
     return line(room);
   }
-  Text& put(const char* key, bool v) { return line(std::string(key) + (v ? " = true" : " = false")); }
-  Text& put(const char* key, const std::string& v) {
+  TomlWriter& put(const char* key, bool v) { return line(std::string(key) + (v ? " = true" : " = false")); }
+  TomlWriter& put(const char* key, const std::string& v) {
     return v.empty() ? *this : line(std::string(key) + " = '" + v + "'");
   }
-  std::string take() { return std::move(out_); }
+  std::string take_text() { return std::move(out_); }
 
  private:
   std::string out_;
@@ -122,7 +132,7 @@
   return room;
 }
 
-void write_track(Text& out, const lab::TrackSpec& t) {
+void write_track(TomlWriter& out, const lab::TrackSpec& t) {
   static constexpr const char* effects[] = {"replayable", "referenced", "single-use"};
   static constexpr const char* scopes[] = {"all", "zone", "cell"};
   out.table("\n[[track]]").put("name", t.name).put("share", t.share);
@@ -133,7 +143,7 @@
   out.put("client_timeout_ms", t.client_timeout).put("client", t.client).put("in_turn", t.in_turn);
 }
 
-void write_tier(Text& out, const lab::TierSpec& t) {
+void write_tier(TomlWriter& out, const lab::TierSpec& t) {
   out.table("\n[[tier]]").put("name", t.name).put("endpoints", t.endpoints).put("sidecars", t.sidecars);
   std::string zones;
   for (const std::string& z : t.zones) zones += (zones.empty() ? "'" : ", '") + z + "'";
@@ -150,7 +160,7 @@
            " }");
 }
 
-void write_fault(Text& out, const lab::FaultSpec& f) {
+void write_fault(TomlWriter& out, const lab::FaultSpec& f) {
   out.table("\n[[fault]]")
       .put("kind", std::string(lab::name_of(f.kind)))
       .put("tier", f.tier)
@@ -164,10 +174,10 @@
   out.put("every_ms", f.every).put("age_ms", f.age);
 }
 
-void write_trouble(Text& out, const Trouble& t) {
-  out.table("\n[[trouble]]").put("kind", word_of(kind_words, t.kind)).put("tier", t.tier);
-  out.put("link", word_of(link_words, t.link)).put("direction", word_of(direction_words, t.direction));
-  out.put("at_ms", t.at).put("for_ms", t.lasts).put("sidecars", t.sidecars).put("endpoints", t.endpoints);
+void write_infrastructure_fault(TomlWriter& out, const InfrastructureFault& t) {
+  out.table("\n[[trouble]]").put("kind", name_of(infrastructure_fault_names, t.kind)).put("tier", t.tier);
+  out.put("link", name_of(link_peer_names, t.link)).put("direction", name_of(direction_names, t.direction));
+  out.put("at_ms", t.at).put("for_ms", t.duration).put("sidecars", t.sidecars).put("endpoints", t.endpoints);
   out.put("zone", t.zone).put("factor", t.factor);
 }
 
@@ -175,34 +185,34 @@
 
 std::string kind_name(std::size_t kind) {
   if (kind < lab::fault_kinds) return std::string(lab::name_of(static_cast<lab::FaultKind>(kind)));
-  return word_of(kind_words, static_cast<TroubleKind>(kind - lab::fault_kinds));
+  return name_of(infrastructure_fault_names, static_cast<InfrastructureFaultKind>(kind - lab::fault_kinds));
 }
 
 Scenario read_scenario(std::string_view text, const std::string& file) {
   toml::table root = lab::parse_experiment(text, file);
   Errors errors{file, ""};
   Scenario out;
-  toml::table rest = root;
-  for (const char* own : {"world", "swarm", "trouble"}) rest.erase(own);
-  out.experiment = lab::read_experiment(rest, errors);
-  toml::table mine;
+  toml::table experiment = root;
+  for (const char* own : {"world", "swarm", "trouble"}) experiment.erase(own);
+  out.experiment = lab::read_experiment(experiment, errors);
+  toml::table own_tables;
   for (const char* own : {"world", "swarm", "trouble"}) {
-    if (root.contains(own)) mine.insert(own, *root.get(own));
+    if (root.contains(own)) own_tables.insert(own, *root.get(own));
   }
   {
-    Table t(mine, "", errors);
+    Table t(own_tables, "", errors);
     if (const toml::table* world_table = t.table("world")) {
       Table w(*world_table, "world.", errors);
-      read_world(w, out);
+      read_network_conditions(w, out);
     }
     if (const toml::table* swarm = t.table("swarm")) {
       Table s(*swarm, "swarm.", errors);
-      out.swarm = s.flag("on", true);
-      out.faults_most = s.whole("faults_most", out.faults_most, 0, 50);
+      out.is_sampled = s.flag("on", true);
+      out.max_faults = s.whole("faults_most", out.max_faults, 0, 50);
     }
     for (const toml::table* one : t.tables("trouble")) {
       Table w(*one, "trouble.", errors);
-      out.troubles.push_back(read_trouble(w, out.experiment));
+      out.infrastructure_faults.push_back(read_infrastructure_fault(w, out.experiment));
     }
   }
   for (const lab::FaultSpec& f : out.experiment.faults) {
@@ -214,15 +224,15 @@
 }
 
 Scenario load_scenario(const std::string& file) {
-  const std::optional<std::string> text = checked::read_file(file, file_most);
+  const std::optional<std::string> text = checked::read_file(file, max_file_size);
   if (!text) throw lab::ExperimentError(file + ":1:1: file: cannot be read");
   return read_scenario(*text, file);
 }
 
 std::string write_scenario(const Scenario& s) {
   const lab::Experiment& e = s.experiment;
-  const network_simulation::NetworkConditions& c = s.chances;
-  Text out;
+  const network_simulation::NetworkConditions& c = s.network;
+  TomlWriter out;
   out.put("name", e.name).put("seed", static_cast<std::size_t>(e.seed)).put("settle_ms", e.settle);
   out.put("lasts_ms", e.lasts).put("pools", e.pools);
   if (!e.service.empty()) out.line("service = '''\n" + e.service + "'''");
@@ -254,13 +264,13 @@
       .put("late_most_ms", c.max_late_turn_delay);
   out.put("buffer_least", c.min_buffer_size)
       .put("buffer_most", c.max_buffer_size)
-      .put("descriptors", s.descriptors);
-  if (s.swarm) out.table("\n[swarm]").put("on", true).put("faults_most", s.faults_most);
+      .put("descriptors", s.max_descriptors);
+  if (s.is_sampled) out.table("\n[swarm]").put("on", true).put("faults_most", s.max_faults);
   for (const lab::TrackSpec& t : e.tracks) write_track(out, t);
   for (const lab::TierSpec& t : e.tiers) write_tier(out, t);
   for (const lab::FaultSpec& f : e.faults) write_fault(out, f);
-  for (const Trouble& t : s.troubles) write_trouble(out, t);
-  return out.take();
+  for (const InfrastructureFault& t : s.infrastructure_faults) write_infrastructure_fault(out, t);
+  return out.take_text();
 }
 
 }  // namespace chutevane::sidecar_simulation
--- a/src/sidecar_simulation/scenario.hpp
+++ b/src/sidecar_simulation/scenario.hpp
@@ -1,7 +1,9 @@
-// A day as its file describes it: an experiment of the lab, the network it is played on, what goes wrong with
-// that, and whether a swarm draws all this anew for each seed.
-//
-// The file is an experiment's, with [world], [swarm] and [[trouble]] beside its keys; each key is checked.
+/// \file
+/// A scenario: an experiment of the lab, the network that it runs on, infrastructure faults, and whether all
+/// this is sampled anew for each seed.
+///
+/// Its file is that of an experiment with the tables [world], [swarm] and [[trouble]] beside its keys; an
+/// unknown key is an error.
 #pragma once
 
 #include <string>
@@ -9,64 +11,67 @@
 #include <vector>
 
 #include "lab/experiment.hpp"
-#include "network_simulation/simulator.hpp"
+#include "network_simulation/network_conditions.hpp"
 
 namespace chutevane::sidecar_simulation {
 
-// What goes wrong with processes and the ways between them, beside the lab's faults.
-enum class TroubleKind : std::uint8_t {
-  partition,       // nothing comes through
-  cut,             // connections reset at both ends
-  lost_end,        // one end gone without a word to the other
-  slow_link,       // delays `factor` times as long
-  sidecar_paused,  // stopped, as by SIGSTOP
+/// Faults of processes, machines and links, beside the lab's faults of stand-ins.
+enum class InfrastructureFaultKind : std::uint8_t {
+  partition,       ///< nothing passes
+  cut,             ///< connections are reset at both ends
+  lost_end,        ///< one end of connections is gone, the other is not notified
+  slow_link,       ///< delays are `factor` times as long
+  sidecar_paused,  ///< stopped, as by SIGSTOP
   endpoint_paused,
   discovery_paused,
-  callers_paused,    // of the first tier
-  power_lost,        // a sidecar's machine: nobody is told; back after `for_ms`
-  reload,            // SIGHUP
-  reload_wrong,      // SIGHUP with a configuration that cannot be read
-  reload_and_end,    // SIGHUP and SIGTERM in one moment
-  endpoint_drained,  // takes nothing new, gone after `for_ms`, back cold
-  moved,             // an endpoint's id comes back at another's address
-  clock_stepped,     // a sidecar's Unix time, forward or back by `factor` seconds: what it stores is stamped
-                     // with it
+  callers_paused,    ///< those of the first tier
+  power_lost,        ///< of a sidecar's machine: no peer is notified; back after `duration`
+  reload,            ///< SIGHUP
+  reload_wrong,      ///< SIGHUP with a configuration that cannot be read
+  reload_and_end,    ///< SIGHUP and SIGTERM at the same moment
+  endpoint_drained,  ///< accepts nothing new, ends after `duration`, then comes back cold
+  moved,             ///< an endpoint's id comes back at the address of another
+  clock_stepped,     ///< a sidecar's Unix time steps by `factor` seconds, forward or back
 };
-inline constexpr std::size_t trouble_kinds = 15;
-enum class Link : std::uint8_t { callers, endpoints, discovery };        // between those and sidecars
-enum class Direction : std::uint8_t { both, to_sidecar, from_sidecar };  // what does not come through
+inline constexpr std::size_t infrastructure_fault_kinds = 15;
 
-struct Trouble {
-  TroubleKind kind = TroubleKind::partition;
-  std::string tier;  // its sidecars; the first, where none is named
-  Link link = Link::endpoints;
+/// The far side of the links of sidecars that a fault concerns.
+enum class LinkPeer : std::uint8_t { callers, endpoints, discovery };
+/// The direction that is lost.
+enum class Direction : std::uint8_t { both, to_sidecar, from_sidecar };
+
+struct InfrastructureFault {
+  InfrastructureFaultKind kind = InfrastructureFaultKind::partition;
+  std::string tier;  ///< its sidecars are concerned; empty: the first tier
+  LinkPeer link = LinkPeer::endpoints;
   Direction direction = Direction::both;
-  Span at, lasts;     // from the beginning of the measured time
-  int sidecars = 0;   // drawn by the seed; 0: all
-  int endpoints = 0;  // the same
-  std::string zone;   // of the endpoints
+  Span at;            ///< from the beginning of the measured time
+  Span duration;      ///< zero for momentary faults
+  int sidecars = 0;   ///< how many, drawn by the seed; 0: all
+  int endpoints = 0;  ///< likewise
+  std::string zone;   ///< of the endpoints; empty: any
   double factor = 20.0;
 };
 
 struct Scenario {
   lab::Experiment experiment;
-  network_simulation::NetworkConditions chances;
-  int descriptors = 1024;  // of a sidecar
-  bool swarm = false;      // all of the following is drawn by the seed
-  int faults_most = 5;     // that a swarm draws
-  std::vector<Trouble> troubles;
+  network_simulation::NetworkConditions network;
+  int max_descriptors = 1024;  ///< of a sidecar's process
+  bool is_sampled = false;     ///< each seed draws network, callers and faults
+  int max_faults = 5;          ///< that are drawn
+  std::vector<InfrastructureFault> infrastructure_faults;
 };
 
-// Throws lab::ExperimentError; `file` is for messages.
+/// Throws lab::ExperimentError, which names every mistake with line and column; `file` is for these messages.
 Scenario read_scenario(std::string_view text, const std::string& file);
 Scenario load_scenario(const std::string& file);
-// A file that reads as this scenario, to the microsecond and the last bit.
+/// A file that reads as the same scenario, to the microsecond and the last bit.
 std::string write_scenario(const Scenario& scenario);
 
-// The scenario that a seed draws from one with a swarm; another is returned as it is, with that seed.
-Scenario draw_scenario(const Scenario& from, std::uint64_t seed);
+/// What a seed draws from a sampled scenario; any other is returned as it is, with that seed.
+Scenario sample_scenario(const Scenario& from, std::uint64_t seed);
 
-// Faults of the lab first, then troubles.
+/// The name in files of a kind of fault: the lab's first, then infrastructure faults.
 std::string kind_name(std::size_t kind);
 
 }  // namespace chutevane::sidecar_simulation
--- a/src/sidecar_simulation/search.cpp
+++ b/src/sidecar_simulation/search.cpp
@@ -8,47 +8,55 @@
 #include <algorithm>
 #include <cerrno>
 #include <chrono>
-#include <cstdio>
 #include <cstdlib>
 #include <sstream>
-#include <stdexcept>
 #include <system_error>
 
 namespace chutevane::sidecar_simulation {
 namespace {
 
-constexpr std::uint64_t days_between_coverage = 20;  // a crashed process loses what it had not told yet
-constexpr int poll_ms = 200;
-constexpr unsigned day_most_s = 120;  // of real time, for one day: then its process is ended by an alarm
-
-// Lines of a worker: "S SEED" before a day, "B TEXT" for each breach, "D SEED BREACHES EVENTS CALLS
-// DISPATCHES SIMULATED" after it, "C NUMBERS" now and then, "Q" at the end.
-void put(int to, const std::string& line) {
-  const std::string whole = line + "\n";
-  for (std::size_t at = 0; at < whole.size();) {
-    const ssize_t n = ::write(to, whole.data() + at, whole.size() - at);
-    if (n < 0 && errno != EINTR) std::_Exit(3);
-    if (n > 0) at += static_cast<std::size_t>(n);
+// A worker that crashes loses the coverage that it has not reported yet.
+constexpr std::uint64_t runs_between_coverage_reports = 20;
+constexpr int poll_timeout_ms = 200;
+// Real time for one run: then an alarm ends its process.
+constexpr unsigned run_timeout_s = 120;
+constexpr int write_failed_status = 3;
+
+// A worker writes lines to its pipe; the first character is the kind:
+//   S SEED            a run begins
+//   B TEXT            a breach of the run
+//   D SEED BREACHES EVENTS CALLS DISPATCHES SIMULATED_S SERVICE   the run is done
+//   C NUMBERS         coverage since the last such line
+//   Q                 all seeds are done
+constexpr char run_begins = 'S', breach = 'B', run_done = 'D', coverage_counts = 'C', all_done = 'Q';
+
+void write_line(int fd, char kind, const std::string& text) {
+  const std::string line =
+      text.empty() ? std::string(1, kind) + "\n" : std::string(1, kind) + " " + text + "\n";
+  for (std::size_t written = 0; written < line.size();) {
+    const ssize_t n = ::write(fd, line.data() + written, line.size() - written);
+    if (n < 0 && errno != EINTR) std::_Exit(write_failed_status);
+    if (n > 0) written += static_cast<std::size_t>(n);
   }
 }
 
-void tell(int to, const DayReport& r) {
-  for (const std::string& b : r.breaches) put(to, "B " + b);
+void write_report(int fd, const RunReport& report) {
+  for (const std::string& text : report.breaches) write_line(fd, breach, text);
   std::ostringstream line;
   line.precision(9);
-  line << "D " << r.seed << ' ' << r.breach_count << ' ' << r.events << ' ' << r.calls << ' ' << r.dispatches
-       << ' ' << r.simulated_s << ' ' << r.service;
-  put(to, line.str());
+  line << report.seed << ' ' << report.breach_count << ' ' << report.events << ' ' << report.calls << ' '
+       << report.dispatches << ' ' << report.simulated_s << ' ' << report.service;
+  write_line(fd, run_done, line.str());
 }
 
 struct Worker {
   pid_t pid = 0;
-  int from = -1;
-  std::string rest;
-  std::uint64_t next = 0;  // the seed that it begins with, if it is started
-  std::uint64_t at = 0;    // the seed it plays
-  bool playing = false, over = true;
-  std::vector<std::string> breaches;
+  int output_fd = -1;
+  std::string incomplete_line;
+  std::uint64_t next_seed = 0;  // with which it begins when it is started (again)
+  std::uint64_t current_seed = 0;
+  bool is_running_seed = false, is_finished = true;
+  std::vector<std::string> breaches;  // of the current seed
 };
 
 double seconds_of(const timeval& t) {
@@ -57,312 +65,197 @@
 
 class Search {
  public:
-  Search(const Scenario& s, std::uint64_t first, std::uint64_t last, int jobs, std::size_t enough)
-      : scenario_(s), last_(last), step_(static_cast<std::uint64_t>(jobs)), enough_(enough) {
+  Search(const Scenario& scenario, std::uint64_t first, std::uint64_t last, int jobs, std::size_t max_broken)
+      : scenario_(scenario),
+        last_seed_(last),
+        seed_step_(static_cast<std::uint64_t>(jobs)),
+        max_broken_(max_broken) {
     for (int i = 0; i < jobs; ++i) {
-      Worker w;
-      w.next = first + static_cast<std::uint64_t>(i);
-      workers_.push_back(std::move(w));
+      Worker worker;
+      worker.next_seed = first + static_cast<std::uint64_t>(i);
+      workers_.push_back(std::move(worker));
     }
   }
 
   ~Search() {
-    for (Worker& w : workers_) end(w);
+    for (Worker& worker : workers_) kill_worker(worker);
   }
+  Search(const Search&) = delete;
+  Search& operator=(const Search&) = delete;
 
-  SearchReport run(const Progress& progress, std::uint64_t of) {
+  SearchReport run(const Progress& progress, std::uint64_t total) {
     const auto began = std::chrono::steady_clock::now();
-    for (Worker& w : workers_) start(w);
-    while (std::any_of(workers_.begin(), workers_.end(), [](const Worker& w) { return !w.over; })) {
-      std::vector<pollfd> ready;
-      for (const Worker& w : workers_) {
-        if (!w.over) ready.push_back({w.from, POLLIN, 0});
-      }
-      ::poll(ready.data(), ready.size(), poll_ms);
-      for (const pollfd& p : ready) {
-        if (p.revents == 0) continue;
-        take(
-            *std::find_if(workers_.begin(), workers_.end(), [&](const Worker& w) { return w.from == p.fd; }));
-      }
+    for (Worker& worker : workers_) start(worker);
+    while (std::any_of(workers_.begin(), workers_.end(), [](const Worker& w) { return !w.is_finished; })) {
+      read_ready_workers();
       report_.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-      if (progress) progress(report_, of);
-      if (enough_ > 0 && report_.broken.size() >= enough_) break;
+      if (progress) progress(report_, total);
+      if (max_broken_ > 0 && report_.broken.size() >= max_broken_) break;
     }
-    for (Worker& w : workers_) end(w);
+    for (Worker& worker : workers_) kill_worker(worker);
     std::sort(report_.broken.begin(), report_.broken.end(),
-              [](const Found& a, const Found& b) { return a.seed < b.seed; });
+              [](const BrokenRun& a, const BrokenRun& b) { return a.seed < b.seed; });
     return report_;
   }
 
  private:
-  void start(Worker& w) {
-    w.over = w.next > last_;
-    if (w.over) return;
-    int ends[2];
-    if (::pipe(ends) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
+  void start(Worker& worker) {
+    worker.is_finished = worker.next_seed > last_seed_;
+    if (worker.is_finished) return;
+    int pipe_fds[2];
+    if (::pipe(pipe_fds) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
     std::fflush(nullptr);
-    w.pid = ::fork();
-    if (w.pid < 0) throw std::system_error(errno, std::generic_category(), "fork");
-    if (w.pid == 0) {
-      ::close(ends[0]);
-      work(w.next, ends[1]);
+    worker.pid = ::fork();
+    if (worker.pid < 0) throw std::system_error(errno, std::generic_category(), "fork");
+    if (worker.pid == 0) {
+      ::close(pipe_fds[0]);
+      run_seeds(worker.next_seed, pipe_fds[1]);
       std::_Exit(0);
     }
-    ::close(ends[1]);
-    w.from = ends[0];
-    w.rest.clear();
-    w.playing = false;
+    ::close(pipe_fds[1]);
+    worker.output_fd = pipe_fds[0];
+    worker.incomplete_line.clear();
+    worker.is_running_seed = false;
   }
 
-  void work(std::uint64_t from, int to) const {
-    network_simulation::Trace none;
+  // In the worker's process.
+  void run_seeds(std::uint64_t first, int fd) const {
+    network_simulation::Trace no_trace;
     Coverage coverage;
-    std::uint64_t days = 0;
-    for (std::uint64_t seed = from; seed <= last_; seed += step_) {
-      put(to, "S " + std::to_string(seed));
-      ::alarm(day_most_s);
-      const DayReport r = play(draw_scenario(scenario_, seed), none);
-      coverage.add(r.coverage);
-      tell(to, r);
-      if (++days % days_between_coverage != 0) continue;
-      put(to, "C " + coverage.as_line());
+    std::uint64_t runs = 0;
+    for (std::uint64_t seed = first; seed <= last_seed_; seed += seed_step_) {
+      write_line(fd, run_begins, std::to_string(seed));
+      ::alarm(run_timeout_s);
+      const RunReport report = simulate(sample_scenario(scenario_, seed), no_trace);
+      coverage.add(report.coverage);
+      write_report(fd, report);
+      if (++runs % runs_between_coverage_reports != 0) continue;
+      write_line(fd, coverage_counts, coverage.serialize());
       coverage = Coverage();
     }
-    put(to, "C " + coverage.as_line());
-    put(to, "Q");
+    write_line(fd, coverage_counts, coverage.serialize());
+    write_line(fd, all_done, "");
+  }
+
+  void read_ready_workers() {
+    std::vector<pollfd> polled;
+    for (const Worker& worker : workers_) {
+      if (!worker.is_finished) polled.push_back({worker.output_fd, POLLIN, 0});
+    }
+    ::poll(polled.data(), polled.size(), poll_timeout_ms);
+    for (const pollfd& ready : polled) {
+      if (ready.revents == 0) continue;
+      read_output(*std::find_if(workers_.begin(), workers_.end(),
+                                [&](const Worker& w) { return w.output_fd == ready.fd; }));
+    }
   }
 
-  void take(Worker& w) {
-    char room[65536];
-    const ssize_t n = ::read(w.from, room, sizeof room);
+  void read_output(Worker& worker) {
+    char buffer[65536];
+    const ssize_t n = ::read(worker.output_fd, buffer, sizeof buffer);
     if (n < 0 && errno == EINTR) return;
-    if (n > 0) w.rest.append(room, static_cast<std::size_t>(n));
-    std::size_t at = 0;
-    for (std::size_t line; (line = w.rest.find('\n', at)) != std::string::npos; at = line + 1)
-      heard(w, w.rest.substr(at, line - at));
-    w.rest.erase(0, at);
-    if (n <= 0) ended(w);
+    if (n > 0) worker.incomplete_line.append(buffer, static_cast<std::size_t>(n));
+    std::size_t begin = 0;
+    for (std::size_t end; (end = worker.incomplete_line.find('\n', begin)) != std::string::npos;
+         begin = end + 1)
+      handle_line(worker, worker.incomplete_line.substr(begin, end - begin));
+    worker.incomplete_line.erase(0, begin);
+    if (n <= 0) handle_exit(worker);
   }
 
-  void heard(Worker& w, const std::string& line) {
+  void handle_line(Worker& worker, const std::string& line) {
     const std::string text = line.size() > 2 ? line.substr(2) : "";
-    std::istringstream in(text);
     switch (line.empty() ? ' ' : line[0]) {
-      case 'S':
-        in >> w.at;
-        w.playing = true;
-        w.breaches.clear();
+      case run_begins:
+        std::istringstream(text) >> worker.current_seed;
+        worker.is_running_seed = true;
+        worker.breaches.clear();
         break;
-      case 'B': w.breaches.push_back(text); break;
-      case 'D': {
-        std::uint64_t seed = 0, breaches = 0, events = 0, calls = 0, dispatches = 0;
-        double simulated = 0.0;
-        in >> seed >> breaches >> events >> calls >> dispatches >> simulated;
-        w.playing = false;
-        w.next = seed + step_;
-        ++report_.days;
-        report_.events += events;
-        report_.calls += calls;
-        report_.dispatches += dispatches;
-        report_.simulated_s += simulated;
-        if (breaches > 0) report_.broken.push_back({seed, w.breaches});
-        break;
-      }
-      case 'C': report_.coverage.add_line(text); break;
-      case 'Q': w.next = last_ + 1; break;
+      case breach: worker.breaches.push_back(text); break;
+      case run_done: handle_run_done(worker, text); break;
+      case coverage_counts: report_.coverage.add_serialized(text); break;
+      case all_done: worker.next_seed = last_seed_ + 1; break;
       default: break;
     }
   }
 
-  // Its process has ended: by itself, or amid a day, which is broken then; the days after it are played on.
-  void ended(Worker& w) {
-    const int status = reap(w);
-    if (w.playing) {
-      ++report_.days;
-      w.breaches.push_back(WIFSIGNALED(status)
-                               ? "rule 0: signal " + std::to_string(WTERMSIG(status))
-                               : "rule 0: exit status " + std::to_string(WEXITSTATUS(status)));
-      report_.broken.push_back({w.at, w.breaches});
-      w.next = w.at + step_;
+  void handle_run_done(Worker& worker, const std::string& text) {
+    std::uint64_t seed = 0, breaches = 0, events = 0, calls = 0, dispatches = 0;
+    double simulated_s = 0.0;
+    std::istringstream(text) >> seed >> breaches >> events >> calls >> dispatches >> simulated_s;
+    worker.is_running_seed = false;
+    worker.next_seed = seed + seed_step_;
+    ++report_.runs;
+    report_.events += events;
+    report_.calls += calls;
+    report_.dispatches += dispatches;
+    report_.simulated_s += simulated_s;
+    if (breaches > 0) report_.broken.push_back({seed, worker.breaches});
+  }
+
+  // A process that ended amid a run has broken that run; its further seeds are run by a new process.
+  void handle_exit(Worker& worker) {
+    const int status = reap(worker);
+    if (worker.is_running_seed) {
+      ++report_.runs;
+      worker.breaches.push_back(WIFSIGNALED(status)
+                                    ? "rule 0: signal " + std::to_string(WTERMSIG(status))
+                                    : "rule 0: exit status " + std::to_string(WEXITSTATUS(status)));
+      report_.broken.push_back({worker.current_seed, worker.breaches});
+      worker.next_seed = worker.current_seed + seed_step_;
     }
-    start(w);
+    start(worker);
   }
 
-  int reap(Worker& w) {
+  int reap(Worker& worker) {
     int status = 0;
     rusage used{};
-    ::close(w.from);
-    while (::wait4(w.pid, &status, 0, &used) < 0 && errno == EINTR) {
+    ::close(worker.output_fd);
+    while (::wait4(worker.pid, &status, 0, &used) < 0 && errno == EINTR) {
     }
     report_.cpu_s += seconds_of(used.ru_utime) + seconds_of(used.ru_stime);
-    w.pid = 0;
-    w.from = -1;
+    worker.pid = 0;
+    worker.output_fd = -1;
     return status;
   }
 
-  void end(Worker& w) {
-    if (w.pid <= 0) return;
-    ::kill(w.pid, SIGKILL);
-    reap(w);
-    w.over = true;
+  void kill_worker(Worker& worker) {
+    if (worker.pid <= 0) return;
+    ::kill(worker.pid, SIGKILL);
+    reap(worker);
+    worker.is_finished = true;
   }
 
   const Scenario& scenario_;
-  std::uint64_t last_, step_;
-  std::size_t enough_;
+  std::uint64_t last_seed_, seed_step_;
+  std::size_t max_broken_;
   std::vector<Worker> workers_;
   SearchReport report_;
 };
 
-// --- Making it small -------------------------------------------------------------------------------
-
-class Shrinker {
- public:
-  Shrinker(const Scenario& s, std::string kind, std::size_t tries,
-           const std::function<void(const std::string&)>& told)
-      : best_(s), kind_(std::move(kind)), left_(tries), told_(told) {}
-
-  Scenario run() {
-    bool smaller = true;
-    while (smaller && left_ > 0) {
-      smaller = false;
-      smaller = drop(best_.troubles, &Scenario::troubles, "trouble") || smaller;
-      smaller = drop_faults() || smaller;
-      smaller = fewer() || smaller;
-      smaller = plainer() || smaller;
-    }
-    return best_;
-  }
-
- private:
-  // Takes over what still breaks.
-  bool keeps(Scenario candidate, const std::string& what) {
-    if (left_ == 0) return false;
-    --left_;
-    try {
-      candidate = read_scenario(write_scenario(candidate), "shrunk");
-    } catch (const std::exception&) {
-      return false;  // no scenario: a fault that needs what was dropped
-    }
-    if (play_apart(candidate).kind() != kind_) return false;
-    best_ = std::move(candidate);
-    told_(what);
-    return true;
-  }
-
-  template <class T>
-  bool drop(const std::vector<T>& from, std::vector<T> Scenario::*member, const char* name) {
-    bool out = false;
-    for (std::size_t i = from.size(); i-- > 0;) {
-      Scenario s = best_;
-      (s.*member).erase((s.*member).begin() + static_cast<long>(i));
-      out = keeps(s, std::string("without ") + name + " " + std::to_string(i)) || out;
-    }
-    return out;
-  }
-
-  bool drop_faults() {
-    bool out = false;
-    for (std::size_t i = best_.experiment.faults.size(); i-- > 0;) {
-      Scenario s = best_;
-      s.experiment.faults.erase(s.experiment.faults.begin() + static_cast<long>(i));
-      out = keeps(s, "without fault " + std::to_string(i)) || out;
-    }
-    return out;
-  }
-
-  // Less of everything that comes in numbers, halved for as long as that works.
-  bool fewer() {
-    bool out = false;
-    const auto halve = [&](const char* what, auto change) {
-      for (bool again = true; again && left_ > 0;) {
-        Scenario s = best_;
-        again = change(s) && keeps(s, what);
-        out = out || again;
-      }
-    };
-    halve("a shorter day", [](Scenario& s) {
-      lab::Experiment& e = s.experiment;
-      e.lasts = Span::ms(static_cast<double>(static_cast<int>(e.lasts.as_ms() * 0.6)));
-      return e.lasts >= Span::ms(300);
-    });
-    halve("fewer calls", [](Scenario& s) { return (s.experiment.callers.rate /= 2.0) >= 2.0; });
-    for (std::size_t t = 0; t < best_.experiment.tiers.size(); ++t) {
-      halve("an endpoint less", [t](Scenario& s) { return --s.experiment.tiers[t].endpoints >= 1; });
-      halve("a sidecar less", [t](Scenario& s) { return --s.experiment.tiers[t].sidecars >= 1; });
-    }
-    for (std::size_t t = best_.experiment.tracks.size(); t-- > 0 && best_.experiment.tracks.size() > 1;) {
-      Scenario s = best_;
-      s.experiment.tracks.erase(s.experiment.tracks.begin() + static_cast<long>(t));
-      out = keeps(s, "without a track") || out;
-    }
-    return out;
-  }
-
-  // The network as it is by default, one property after another.
-  bool plainer() {
-    const network_simulation::NetworkConditions plain;
-    bool out = false;
-    const auto set = [&](auto member, const char* what) {
-      if (best_.chances.*member == plain.*member) return;
-      Scenario s = best_;
-      s.chances.*member = plain.*member;
-      out = keeps(s, what) || out;
-    };
-    set(&network_simulation::NetworkConditions::retransmit_probability, "nothing sent again");
-    set(&network_simulation::NetworkConditions::connect_loss_probability, "no connect lost");
-    set(&network_simulation::NetworkConditions::late_turn_probability, "no turn late");
-    set(&network_simulation::NetworkConditions::mean_delay, "usual delays");
-    if (best_.chances.max_buffer_size != plain.max_buffer_size) {
-      Scenario s = best_;
-      s.chances.min_buffer_size = plain.min_buffer_size, s.chances.max_buffer_size = plain.max_buffer_size;
-      out = keeps(s, "usual buffers") || out;
-    }
-    set(&network_simulation::NetworkConditions::split_probability, "usual splits");
-    const auto usual = [&](auto member, auto value, const char* what) {
-      if (best_.experiment.callers.*member == value) return;
-      Scenario s = best_;
-      s.experiment.callers.*member = value;
-      out = keeps(s, what) || out;
-    };
-    usual(&lab::CallersSpec::leave_share, 0.0, "no caller leaves");
-    usual(&lab::CallersSpec::repeats, 0, "no repeats");
-    usual(&lab::CallersSpec::spread, false, "connections used again");
-    return out;
-  }
-
-  Scenario best_;
-  std::string kind_;
-  std::size_t left_;
-  const std::function<void(const std::string&)>& told_;
-};
-
 }  // namespace
 
-DayReport play_apart(const Scenario& scenario) {
-  DayReport out;
+RunReport simulate_in_subprocess(const Scenario& scenario) {
+  RunReport out;
   out.seed = scenario.experiment.seed;
-  Scenario explicit_one = scenario;
-  explicit_one.swarm = false;
-  Search one(explicit_one, out.seed, out.seed, 1, 0);
-  const SearchReport r = one.run({}, 1);
-  out.events = r.events, out.calls = r.calls, out.dispatches = r.dispatches, out.simulated_s = r.simulated_s;
-  out.coverage = r.coverage;
-  if (!r.broken.empty()) out.breaches = r.broken.front().breaches;
+  Scenario as_it_stands = scenario;
+  as_it_stands.is_sampled = false;
+  Search search_one(as_it_stands, out.seed, out.seed, 1, 0);
+  const SearchReport result = search_one.run({}, 1);
+  out.events = result.events;
+  out.calls = result.calls;
+  out.dispatches = result.dispatches;
+  out.simulated_s = result.simulated_s;
+  out.coverage = result.coverage;
+  if (!result.broken.empty()) out.breaches = result.broken.front().breaches;
   out.breach_count = out.breaches.size();
   return out;
 }
 
 SearchReport search(const Scenario& scenario, std::uint64_t first, std::uint64_t last, int jobs,
-                    std::size_t enough, const Progress& progress) {
-  Search all(scenario, first, last, std::max(1, jobs), enough);
-  return all.run(progress, last - first + 1);
-}
-
-Scenario shrink(const Scenario& scenario, const std::string& kind, std::size_t tries,
-                const std::function<void(const std::string&)>& told) {
-  Shrinker shrinker(scenario, kind, tries, told);
-  return shrinker.run();
+                    std::size_t max_broken, const Progress& progress) {
+  Search search_all(scenario, first, last, std::max(1, jobs), max_broken);
+  return search_all.run(progress, last - first + 1);
 }
 
 }  // namespace chutevane::sidecar_simulation
--- a/src/sidecar_simulation/search.hpp
+++ b/src/sidecar_simulation/search.hpp
@@ -1,7 +1,9 @@
-// Many days in processes of their own: a day that crashes or never ends costs that day. And a broken day made
-// small: what it does not need is dropped while it still breaks.
+/// \file
+/// Runs many seeds of a scenario, each job in a process of its own: a run that crashes or never ends costs
+/// that run alone.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <vector>
@@ -10,30 +12,28 @@
 
 namespace chutevane::sidecar_simulation {
 
-// A day in a process of its own; one that ends it by a signal is reported as broken ("rule 0: signal 11").
-DayReport play_apart(const Scenario& scenario);
+/// Runs one scenario, as it stands, in a process of its own. A run that ends its process by a signal is
+/// reported as broken ("rule 0: signal 11").
+RunReport simulate_in_subprocess(const Scenario& scenario);
 
-struct Found {
+struct BrokenRun {
   std::uint64_t seed = 0;
   std::vector<std::string> breaches;
 };
 
 struct SearchReport {
-  std::uint64_t days = 0, events = 0, calls = 0, dispatches = 0;
+  std::uint64_t runs = 0, events = 0, calls = 0, dispatches = 0;
   double simulated_s = 0.0, cpu_s = 0.0, wall_s = 0.0;
-  std::vector<Found> broken;  // by seed
+  std::vector<BrokenRun> broken;  ///< by seed
   Coverage coverage;
 };
 
-// Seeds from `first` to `last`, both included, over `jobs` processes. `progress` hears of it a few times a
-// second. `enough`: broken days after which it stops; 0: none.
-using Progress = std::function<void(const SearchReport& so_far, std::uint64_t of)>;
-SearchReport search(const Scenario& scenario, std::uint64_t first, std::uint64_t last, int jobs,
-                    std::size_t enough, const Progress& progress);
+/// Called a few times a second with the state so far and the number of runs wanted.
+using Progress = std::function<void(const SearchReport& so_far, std::uint64_t total)>;
 
-// The smallest scenario found that breaks as the given one does, over at most `tries` days; `told` hears of
-// each step. The given one has no swarm.
-Scenario shrink(const Scenario& scenario, const std::string& kind, std::size_t tries,
-                const std::function<void(const std::string&)>& told);
+/// Runs the seeds from `first` to `last`, both included, over `jobs` processes. Stops early once `max_broken`
+/// runs have broken a rule; 0: never. Throws std::system_error if no process can be created.
+SearchReport search(const Scenario& scenario, std::uint64_t first, std::uint64_t last, int jobs,
+                    std::size_t max_broken, const Progress& progress);
 
 }  // namespace chutevane::sidecar_simulation
