--- a/src/control/endpoint_list_publisher.cpp
+++ b/src/control/endpoint_list_publisher.cpp
@@ -41,7 +41,7 @@
   const EndpointListPosition before = position();
   if (!table_.update(election_.fencing_token(), entries)) return;
   for (auto& [address, peer] : peers_) {
-    for (const common::EndpointList& change : table_.since(before.token, before.number))
+    for (const common::EndpointList& change : table_.changes_since(before.token, before.number))
       peer.connection->send(change);
   }
   on_changed_();
@@ -55,7 +55,7 @@
 void EndpointListPublisher::on_peer_position(Peer& peer, const EndpointListPosition& position) {
   step_down_if_overtaken(position.token);
   if (!election_.is_leader()) return;
-  for (const common::EndpointList& change : table_.since(position.token, position.number))
+  for (const common::EndpointList& change : table_.changes_since(position.token, position.number))
     peer.connection->send(change);
 }
 
--- a/src/control/member_sessions.cpp
+++ b/src/control/member_sessions.cpp
@@ -61,7 +61,7 @@
   }
   const EndpointListPosition& position = session.list_position;
   if (!endpoints_.newer_than(position.token, position.number)) return;
-  for (const common::EndpointList& change : endpoints_.since(position.token, position.number))
+  for (const common::EndpointList& change : endpoints_.changes_since(position.token, position.number))
     connection->send(change);
   session.list_position = {endpoints_.term(), endpoints_.number()};
 }
--- a/src/ctl/data_folder.cpp
+++ b/src/ctl/data_folder.cpp
@@ -9,7 +9,10 @@
 #include <cerrno>
 #include <memory>
 
-#include "storage/store.hpp"
+#include "common/durable_state.hpp"
+#include "common/record_framing.hpp"
+#include "storage/replica_store.hpp"
+#include "storage/segment_log.hpp"
 
 namespace chutevane::ctl {
 namespace {
@@ -87,18 +90,17 @@
 void classify_files(const std::map<std::string, std::string>& files, FolderContents& out) {
   for (const auto& [name, text] : files) {
     out.file_bytes += text.size();
-    const auto segment = storage::Store::segment_of(name);
+    const auto segment = storage::SegmentLog::parse_file_name(name);
     if (segment) {
-      std::size_t good_size = 0;
-      const std::size_t records = storage::Store::records(text, *segment, &good_size).size();
-      out.segments.push_back({*segment, text.size(), records});
+      const common::ParsedFrames frames = storage::SegmentLog::parse_file(text, *segment);
+      const std::size_t good_size = frames.valid_size;
+      out.segments.push_back({*segment, text.size(), frames.records.size()});
       if (good_size < text.size()) out.torn_tails.push_back({name, good_size, text.size() - good_size});
     } else if (state_name(name).empty()) {
       out.unknown_files.push_back(name);
     } else if (name.find(".slot") != std::string::npos) {
       // The write of the older slot may have been cut short.
-      std::size_t good_size = 0;
-      common::unframed(text, 0, &good_size);
+      const std::size_t good_size = common::parse_frames(text, 0).valid_size;
       if (good_size < text.size()) out.torn_tails.push_back({name, good_size, text.size() - good_size});
     }
   }
@@ -174,17 +176,17 @@
   out.controller_state = read_state(snapshot, "control", out.controller);
   out.storage_node_state = read_state(snapshot, "storage", out.storage_node);
   out.torn_tails.insert(out.torn_tails.end(), snapshot.torn_tails().begin(), snapshot.torn_tails().end());
-  storage::Store store(snapshot, static_cast<std::size_t>(-1));
-  if (absl::Status opened = store.open(TimePoint()); !opened.ok()) return opened;
-  store.each_turn("", [&](const common::Turn& turn) {
+  storage::ReplicaStore store(snapshot, static_cast<std::size_t>(-1));
+  if (absl::Status opened = store.recover(TimePoint()); !opened.ok()) return opened;
+  store.for_each_turn("", [&](const common::Turn& turn) {
     out.turns.push_back(turn);
     return true;
   });
-  store.each_account("", [&](const common::Account& account) {
+  store.for_each_account("", [&](const common::Account& account) {
     out.accounts.push_back(account);
     return true;
   });
-  out.turn_bytes = store.bytes();
+  out.turn_bytes = store.turn_bytes();
   return out;
 }
 
--- a/src/sidecar/balancer_driver.cpp
+++ b/src/sidecar/balancer_driver.cpp
@@ -364,28 +364,28 @@
 
 // --- What outlives the process
 
-snapshot::Content BalancerDriver::learned_state() const {
-  snapshot::Content out;
+snapshot::Snapshot BalancerDriver::learned_state() const {
+  snapshot::Snapshot out;
   for (const Learnt& learned : balancer_.learnt()) {
     const std::string id = pool_.discovery_id_of(learned.endpoint);
     const auto listed = listed_.find(id);
     if (listed == listed_.end()) continue;
     out.endpoints.push_back({id, listed->second.address, learned.came_up, learned.latency_ms});
   }
-  out.carried = balancer_.carried(scheduler_.now());
-  out.list.version = list_version_;
-  out.list.full = true;
-  for (const auto& [id, entry] : listed_) out.list.entries.push_back(entry);
+  out.load = balancer_.carried(scheduler_.now());
+  out.endpoint_list.version = list_version_;
+  out.endpoint_list.full = true;
+  for (const auto& [id, entry] : listed_) out.endpoint_list.entries.push_back(entry);
   return out;
 }
 
-void BalancerDriver::restore(const snapshot::Evidence& evidence) {
+void BalancerDriver::restore(const snapshot::WarmStart& warm_start) {
   std::vector<Learnt> learned;
-  for (const snapshot::Remembered& one : evidence.endpoints) {
-    if (const EndpointId id = pool_.id_of(one.name)) learned.push_back({id, one.came_up, one.latency_ms});
+  for (const snapshot::EndpointRecord& one : warm_start.endpoints) {
+    if (const EndpointId id = pool_.id_of(one.name)) learned.push_back({id, one.started_at, one.latency_ms});
   }
   balancer_.recall(learned, scheduler_.now());
-  balancer_.carry(evidence.carried, scheduler_.now());
+  balancer_.carry(warm_start.load, scheduler_.now());
 }
 
 }  // namespace chutevane::sidecar
--- a/src/sidecar/balancer_driver.hpp
+++ b/src/sidecar/balancer_driver.hpp
@@ -21,7 +21,7 @@
 #include "sidecar/downstream_request.hpp"
 #include "sidecar/recent_removals.hpp"
 #include "sidecar/upstream_pool.hpp"
-#include "snapshot/evidence.hpp"
+#include "snapshot/warm_start.hpp"
 
 namespace chutevane::sidecar {
 
@@ -47,8 +47,8 @@
   std::size_t ejected_endpoints() const { return balancer_.avoided(scheduler_.now()); }
   std::size_t ready_endpoints() const { return pool_.ready_count(); }
   /// What the balancer has learned, and the list; owner, time and deployment are for the caller to fill in.
-  snapshot::Content learned_state() const;
-  void restore(const snapshot::Evidence& evidence);
+  snapshot::Snapshot learned_state() const;
+  void restore(const snapshot::WarmStart& warm_start);
   /// This process's part, 0 to 1, of the sidecar's budgets, while two processes serve side by side.
   void set_share(double share) { balancer_.share(share), pool_.set_share(share); }
 
--- a/src/sidecar/daemon.cpp
+++ b/src/sidecar/daemon.cpp
@@ -44,7 +44,7 @@
 }
 
 Daemon::Daemon(net::Scheduler& scheduler, ConfigReader reader, const std::string& folder,
-               std::unique_ptr<snapshot::Store> store)
+               std::unique_ptr<snapshot::SnapshotStore> store)
     : scheduler_(scheduler),
       waker_(scheduler),
       signals_(scheduler, waker_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}),
@@ -79,20 +79,20 @@
 
 /// The list of the predecessor, or of the last snapshot, replaces the configuration's, which may be old.
 config::Config Daemon::with_known_list(config::Config config) {
-  if (!store_ && !config.state_file.empty()) store_ = snapshot::open_files(config.state_file);
+  if (!store_ && !config.state_file.empty()) store_ = snapshot::open_file_store(config.state_file);
   if (store_) load_snapshot();
   if (predecessor_.link >= 0) {
     try {
-      snapshot::Content content = snapshot::read(predecessor_.state);
+      snapshot::Snapshot snapshot = snapshot::parse(predecessor_.state);
       // A list that was cut to fit is none to start from; one of another deployment names other endpoints.
-      if (content.list.full && content.deployment == snapshot::deployment_of(config.settings))
-        config.known_endpoints = std::move(content.list);
-    } catch (const snapshot::FormError&) {
+      if (snapshot.endpoint_list.full && snapshot.deployment == snapshot::deployment_name(config.settings))
+        config.known_endpoints = std::move(snapshot.endpoint_list);
+    } catch (const snapshot::FormatError&) {
       // restore_learned_state() reads it again and logs the error.
     }
   } else if (store_) {
-    config.known_endpoints = snapshot::newer(config.known_endpoints, last_snapshot_, evidence_);
-    evidence_ = snapshot::against(evidence_, config.known_endpoints);
+    config.known_endpoints = snapshot::newer_list(config.known_endpoints, last_snapshot_, warm_start_);
+    warm_start_ = snapshot::restrict_to_list(warm_start_, config.known_endpoints);
   }
   return config;
 }
@@ -101,41 +101,41 @@
   return static_cast<std::uint32_t>(SettingsReader(config_.settings).number("sidecars"));
 }
 
-snapshot::Situation Daemon::present_situation() const {
-  return {config_.name, snapshot::deployment_of(config_.settings), sidecar_count(), store_->now()};
+snapshot::ProcessContext Daemon::process_context() const {
+  return {config_.name, snapshot::deployment_name(config_.settings), sidecar_count(), store_->now()};
 }
 
 /// Takes the newest generation of the snapshot that can be read.
 void Daemon::load_snapshot() {
-  const snapshot::Situation here = present_situation();
-  evidence_ = snapshot::nothing("there is no state");
-  for (const std::string& text : store_->generations()) {
+  const snapshot::ProcessContext here = process_context();
+  warm_start_ = snapshot::cold_start("there is no state");
+  for (const std::string& text : store_->read_generations()) {
     try {
-      last_snapshot_ = snapshot::read(text);
-      evidence_ = snapshot::judge(last_snapshot_, here);
+      last_snapshot_ = snapshot::parse(text);
+      warm_start_ = snapshot::evaluate(last_snapshot_, here);
       return;
-    } catch (const snapshot::FormError& e) {
+    } catch (const snapshot::FormatError& e) {
       log_line("state: set aside: %s", e.what());
-      evidence_ = snapshot::nothing(e.what());
-      store_->set_aside_newest();
+      warm_start_ = snapshot::cold_start(e.what());
+      store_->quarantine_newest();
     }
   }
 }
 
-/// Gives the sidecar the predecessor's state, or else what the snapshot's evidence is.
+/// Gives the sidecar the predecessor's state, or else what the snapshot's warm start is.
 void Daemon::restore_learned_state() {
   if (predecessor_.is_refused) throw std::runtime_error("another successor starts at " + hot_restart_socket_);
   if (store_) next_snapshot_at_ = scheduler_.now() + config_.snapshot_interval * random_.unit();
   if (predecessor_.link >= 0 && config_reader_) {
     try {
       return sidecar_.restore_state(predecessor_.state);
-    } catch (const snapshot::FormError& e) {
+    } catch (const snapshot::FormatError& e) {
       log_line("handover: state set aside, all is learnt anew: %s", e.what());
     }
   }
   if (!store_) return;
-  log_line("state: %s", evidence_.why.c_str());
-  sidecar_.restore(evidence_);
+  log_line("state: %s", warm_start_.reason.c_str());
+  sidecar_.restore(warm_start_);
 }
 
 bool Daemon::listen() {
@@ -206,7 +206,7 @@
   if (!sidecar_.finished()) return true;
   if (store_) {
     write_snapshot(true);
-    store_->settle();
+    store_->flush();
   }
   log_line("%s", sidecar_.counters().as_json().c_str());
   return false;
@@ -217,13 +217,13 @@
 void Daemon::write_snapshot(bool is_final) {
   next_snapshot_at_ =
       scheduler_.now() + config_.snapshot_interval * (min_interval_part + interval_spread * random_.unit());
-  snapshot::Content content = sidecar_.learned_state();
-  content.owner = config_.name;
-  content.sidecars = sidecar_count();
-  content.life = last_snapshot_.life + 1;
-  content.ended = is_final;
-  content.written = store_->now();
-  store_->put(std::move(content));
+  snapshot::Snapshot snapshot = sidecar_.learned_state();
+  snapshot.sidecar_name = config_.name;
+  snapshot.sidecar_count = sidecar_count();
+  snapshot.incarnation = last_snapshot_.incarnation + 1;
+  snapshot.is_clean_shutdown = is_final;
+  snapshot.written_at = store_->now();
+  store_->save(std::move(snapshot));
 }
 
 /// A store that fails is logged once, and once more when it works again.
@@ -231,11 +231,11 @@
   const snapshot::StoreCounters now = store_->counters();
   const bool has_failed = now.failed > logged_store_status_.failed;
   const bool has_written = now.written > logged_store_status_.written;
-  if (has_failed && !store_is_failing_) log_line("state: not kept: %s", now.trouble.c_str());
+  if (has_failed && !store_is_failing_) log_line("state: not kept: %s", now.last_error.c_str());
   if (has_written && !has_failed && store_is_failing_) log_line("state: kept again");
-  if (now.passed_over > logged_store_status_.passed_over)
+  if (now.superseded > logged_store_status_.superseded)
     log_line("state: the disk is slow, %llu snapshots were replaced before they were written",
-             static_cast<unsigned long long>(now.passed_over - logged_store_status_.passed_over));
+             static_cast<unsigned long long>(now.superseded - logged_store_status_.superseded));
   if (has_failed || has_written) store_is_failing_ = has_failed;
   logged_store_status_ = now;
 }
--- a/src/sidecar/daemon.hpp
+++ b/src/sidecar/daemon.hpp
@@ -23,8 +23,8 @@
 #include "net/scheduler.hpp"
 #include "net/signals.hpp"
 #include "sidecar/sidecar.hpp"
-#include "snapshot/evidence.hpp"
-#include "snapshot/store.hpp"
+#include "snapshot/warm_start.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace chutevane::sidecar {
 
@@ -41,7 +41,7 @@
   /// `store`: of the snapshots; null: the files that the configuration names, if it does. Throws ConfigError,
   /// and std::runtime_error where another successor is starting already.
   explicit Daemon(net::Scheduler& scheduler, ConfigReader reader, const std::string& folder = "",
-                  std::unique_ptr<snapshot::Store> store = nullptr);
+                  std::unique_ptr<snapshot::SnapshotStore> store = nullptr);
   /// From an operator's file: without snapshots, and SIGHUP changes nothing.
   Daemon(net::Scheduler& scheduler, const operator_file::Model& model, const std::string& folder = "");
 
@@ -59,7 +59,7 @@
   // The start
   config::Config with_known_list(config::Config config);
   void load_snapshot();
-  snapshot::Situation present_situation() const;
+  snapshot::ProcessContext process_context() const;
   void restore_learned_state();
 
   // Hot restart
@@ -76,9 +76,9 @@
   net::Signals signals_;
   ConfigReader config_reader_;              // empty: an operator's file
   config::Config config_;                   // as it was at the start
-  std::unique_ptr<snapshot::Store> store_;  // null: no snapshots
-  snapshot::Content last_snapshot_;         // an earlier process's, if it could be read
-  snapshot::Evidence evidence_;             // what of it still counts
+  std::unique_ptr<snapshot::SnapshotStore> store_;  // null: no snapshots
+  snapshot::Snapshot last_snapshot_;         // an earlier process's, if it could be read
+  snapshot::WarmStart warm_start_;             // what of it still counts
   TimePoint next_snapshot_at_;
   Pcg random_;  // spreads the snapshots of sidecars that started together
   snapshot::StoreCounters logged_store_status_;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -35,7 +35,7 @@
     : scheduler_(scheduler),
       listen_addresses_{*net::parse_address(config.listen)},
       longest_client_timeout_(config.max_client_timeout),
-      deployment_(snapshot::deployment_of(config.settings)),
+      deployment_(snapshot::deployment_name(config.settings)),
       protocol_(config.settings),
       buffer_budget_(max_buffered_bytes(config.max_memory)),
       waker_(scheduler),
@@ -76,7 +76,7 @@
 void Sidecar::create_admin_server(const std::string& address, std::size_t descriptors) {
   if (address.empty()) return;
   admin_listen_address_ = net::parse_address(address);
-  admin_ = std::make_unique<admin::Server>(
+  admin_ = std::make_unique<admin::AdminServer>(
       scheduler_, *this,
       std::clamp(descriptors / admin_fraction, min_admin_connections, max_admin_connections));
 }
@@ -102,7 +102,7 @@
 void Sidecar::start_serving() {
   if (admin_) admin_->listen(*admin_listen_address_);
   enter(DrainPhase::serving, scheduler_.now());
-  coming_back_.began(scheduler_.now(), started_from_);
+  startup_progress_.start(scheduler_.now(), started_from_);
   phase_task_.start();
 }
 
@@ -125,20 +125,20 @@
 
 // --- Hot restart and warm start
 
-std::string Sidecar::serialize_state() const { return snapshot::write(learned_state()); }
+std::string Sidecar::serialize_state() const { return snapshot::serialize(learned_state()); }
 
 void Sidecar::restore_state(std::string_view serialized) {
-  const snapshot::Content content = snapshot::read(serialized);
+  const snapshot::Snapshot content = snapshot::parse(serialized);
   if (content.deployment != deployment_)
-    throw snapshot::FormError("deployment: '" + content.deployment + "', this is '" + deployment_ + "'");
+    throw snapshot::FormatError("deployment: '" + content.deployment + "', this is '" + deployment_ + "'");
   // The predecessor serves: all that it knows is of this moment and counts as it is.
-  snapshot::Evidence evidence;
-  evidence.endpoints = content.endpoints;
-  evidence.carried = content.carried;
-  pools_.front()->driver.restore(evidence);
+  snapshot::WarmStart warm_start;
+  warm_start.endpoints = content.endpoints;
+  warm_start.load = content.load;
+  pools_.front()->driver.restore(warm_start);
   started_from_ = "the process before";
   log_line("handover: %zu endpoints known, a limit of %.1f calls", content.endpoints.size(),
-           content.carried.limit);
+           content.load.limit);
 }
 
 void Sidecar::on_peer_status(bool successor_serves, bool predecessor_serves, bool peer_lives) {
@@ -160,27 +160,27 @@
   waker_.set(phase_changed);
 }
 
-snapshot::Content Sidecar::learned_state() const {
-  snapshot::Content out = pools_.front()->driver.learned_state();
+snapshot::Snapshot Sidecar::learned_state() const {
+  snapshot::Snapshot out = pools_.front()->driver.learned_state();
   out.deployment = deployment_;
   return out;
 }
 
-void Sidecar::restore(const snapshot::Evidence& evidence) {
-  pools_.front()->driver.restore(evidence);
-  started_from_ = evidence.why;
+void Sidecar::restore(const snapshot::WarmStart& warm_start) {
+  pools_.front()->driver.restore(warm_start);
+  started_from_ = warm_start.reason;
 }
 
 void Sidecar::update_warm_start() {
-  if (!admin_ || coming_back_.full()) return;
-  coming_back_.look({counters_.calls, counters_.rejected + counters_.aborted}, scheduler_.now());
+  if (!admin_ || startup_progress_.is_at_full_service()) return;
+  startup_progress_.update({counters_.calls, counters_.rejected + counters_.aborted}, scheduler_.now());
 }
 
 // --- Operators
 
-std::string Sidecar::coming_back_text() const { return coming_back_.as_json(scheduler_.now()); }
+std::string Sidecar::startup_progress_json() const { return startup_progress_.to_json(scheduler_.now()); }
 
-std::string Sidecar::figures() const {
+std::string Sidecar::counters_json() const {
   std::size_t listed = 0, ejected = 0;
   for (const auto& pool : pools_) {
     listed += pool->driver.listed_endpoints();
@@ -189,7 +189,7 @@
   return counters_.summary_json(listed, ejected);
 }
 
-bool Sidecar::out_of_service() {
+bool Sidecar::take_out_of_service() {
   if (phase_ == DrainPhase::serving) {
     log_line("out of service: told at the second address");
     enter(DrainPhase::announcing, scheduler_.now());
@@ -197,7 +197,7 @@
   return true;
 }
 
-bool Sidecar::in_service() {
+bool Sidecar::return_to_service() {
   if (is_ending_) return false;
   if (phase_ == DrainPhase::announcing || phase_ == DrainPhase::draining) {
     log_line("in service again");
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "admin/server.hpp"
+#include "admin/admin_server.hpp"
 #include "config/config.hpp"
 #include "net/scheduler.hpp"
 #include "net/task.hpp"
@@ -18,8 +18,8 @@
 #include "sidecar/listener.hpp"
 #include "sidecar/service_router.hpp"
 #include "sidecar/upstream_pool.hpp"
-#include "snapshot/coming_back.hpp"
-#include "snapshot/evidence.hpp"
+#include "snapshot/startup_progress.hpp"
+#include "snapshot/warm_start.hpp"
 
 namespace chutevane::sidecar {
 
@@ -38,7 +38,7 @@
 };
 
 /// Owns all that serves; runs on the scheduler's one thread.
-class Sidecar final : public admin::Desk {
+class Sidecar final : public admin::AdminHandler {
  public:
   /// From the platform's configuration: one service with one pool. `scheduler` outlives it.
   Sidecar(net::Scheduler& scheduler, const config::Config& config);
@@ -80,18 +80,18 @@
   bool finished() const { return phase_ == DrainPhase::finished; }
 
   /// What a snapshot keeps for the next process; owner and times are for the caller to fill in.
-  snapshot::Content learned_state() const;
+  snapshot::Snapshot learned_state() const;
   /// Takes what of an earlier process's snapshot still counts.
-  void restore(const snapshot::Evidence& evidence);
+  void restore(const snapshot::WarmStart& warm_start);
   /// Follows how far the sidecar is on its way to full service, where somebody can ask for it.
   void update_warm_start();
 
-  // admin::Desk: operators' calls, from the admin address
-  bool takes_clients() const override { return phase_ == DrainPhase::serving; }
-  std::string figures() const override;
-  std::string coming_back_text() const override;
-  bool out_of_service() override;
-  bool in_service() override;
+  // admin::AdminHandler: operators' calls, from the admin address
+  bool accepts_clients() const override { return phase_ == DrainPhase::serving; }
+  std::string counters_json() const override;
+  std::string startup_progress_json() const override;
+  bool take_out_of_service() override;
+  bool return_to_service() override;
   std::optional<sockaddr_in> admin_address() const { return admin_ ? admin_->address() : std::nullopt; }
 
   /// Null with the platform's configuration.
@@ -116,7 +116,7 @@
   const Span longest_client_timeout_;
   const std::string deployment_;  // a fingerprint of the settings; empty: an operator's file
   Counters counters_;
-  snapshot::ComingBack coming_back_;
+  snapshot::StartupProgress startup_progress_;
   std::string started_from_ = "nothing";  // whose state it was restored from, for operators
   CallProtocol protocol_;
   net::BufferBudget buffer_budget_;  // the bytes of all connections: declared before whatever counts in it
@@ -128,7 +128,7 @@
   ActiveRequestIds active_ids_;
   std::vector<std::unique_ptr<Listener>> listeners_;
   std::optional<sockaddr_in> admin_listen_address_;
-  std::unique_ptr<admin::Server> admin_;  // null: no admin address
+  std::unique_ptr<admin::AdminServer> admin_;  // null: no admin address
   DrainPhase phase_ = DrainPhase::starting;
   bool peer_serves_ = false;  // new connections are another process's
   bool is_ending_ = false;    // the phases lead to the process's end and not back
--- a/src/sidecar_simulation/environment.cpp
+++ b/src/sidecar_simulation/environment.cpp
@@ -5,6 +5,7 @@
 
 #include "base/log.hpp"
 #include "lab/fleet.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace chutevane::sidecar_simulation {
 namespace {
@@ -27,34 +28,34 @@
 struct SimulatedSidecar::Incarnation {
   explicit Incarnation(Process& process) : scheduler(process) {}
   net::Scheduler scheduler;
-  opfile::Model model;
+  operator_file::Model model;
   std::unique_ptr<sidecar::Daemon> daemon;
 };
 
 // A sidecar's snapshots. A write takes effect at once, since a turn takes no simulated time.
-class SimulatedSnapshotStore final : public snapshot::Store {
+class SimulatedSnapshotStore final : public snapshot::SnapshotStore {
  public:
   SimulatedSnapshotStore(Simulator& simulator, std::shared_ptr<SimulatedSidecar::Disk> disk)
       : simulator_(simulator), disk_(std::move(disk)) {}
 
-  snapshot::Stamp now() const override {
+  snapshot::ClockReading now() const override {
     return {"start " + std::to_string(disk_->machine_starts), simulator_.now() - disk_->machine_started_at,
             simulator_.now() + disk_->wall_clock_offset};
   }
-  std::vector<std::string> generations() override { return disk_->generations; }
-  void set_aside_newest() override {
+  std::vector<std::string> read_generations() override { return disk_->generations; }
+  void quarantine_newest() override {
     if (!disk_->generations.empty()) disk_->generations.erase(disk_->generations.begin());
   }
-  void put(snapshot::Content content) override {
+  void save(snapshot::Snapshot content) override {
     ++(disk_->write_fails ? counters_.failed : counters_.written);
     if (disk_->write_fails) {
-      counters_.trouble = "the played disk takes nothing";
+      counters_.last_error = "the simulated disk refuses writes";
       return;
     }
-    disk_->generations.insert(disk_->generations.begin(), snapshot::write(content));
+    disk_->generations.insert(disk_->generations.begin(), snapshot::serialize(content));
     disk_->generations.resize(std::min(disk_->generations.size(), max_generations));
   }
-  void settle() override {}
+  void flush() override {}
   snapshot::StoreCounters counters() const override { return counters_; }
 
  private:
@@ -99,13 +100,13 @@
 void SimulatedSidecar::start_daemon(const std::string& config, bool operators_file) {
   Incarnation& incarnation = *incarnation_;
   if (operators_file) {
-    incarnation.model = opfile::read(config, process_.name());
+    incarnation.model = operator_file::read(config, process_.name());
     incarnation.daemon = std::make_unique<sidecar::Daemon>(incarnation.scheduler, incarnation.model);
     return;
   }
   const auto read_config = [this] { return config::read(reload_config_, no_environment); };
-  std::unique_ptr<snapshot::Store> store;
-  if (!config::read(config, no_environment).state.empty())
+  std::unique_ptr<snapshot::SnapshotStore> store;
+  if (!config::read(config, no_environment).state_file.empty())
     store = std::make_unique<SimulatedSnapshotStore>(simulator_, disk_);
   incarnation.daemon =
       std::make_unique<sidecar::Daemon>(incarnation.scheduler, read_config, "", std::move(store));
--- a/src/sidecar_simulation/environment.hpp
+++ b/src/sidecar_simulation/environment.hpp
@@ -10,7 +10,7 @@
 
 #include "lab/ground.hpp"
 #include "network_simulation/simulator.hpp"
-#include "sidecar/sidecar.hpp"
+#include "sidecar/daemon.hpp"
 
 namespace chutevane::sidecar_simulation {
 
--- a/src/sidecar_simulation/run.cpp
+++ b/src/sidecar_simulation/run.cpp
@@ -172,7 +172,7 @@
       const sidecar::Counters* const counters = sidecar->counters();
       if (counters == nullptr || sidecar->process().is_paused()) continue;
       const std::uint64_t over =
-          counters->done + counters->rejected + counters->broken_off + counters->callers_left;
+          counters->completed + counters->rejected + counters->aborted + counters->client_disconnects;
       if (counters->calls != over)
         report_breach("rule 0: " + sidecar->process().name() + " took " + std::to_string(counters->calls) +
                       " calls, " + std::to_string(over) + " of them are over");
--- a/src/simulator_host/simulator_host.cpp
+++ b/src/simulator_host/simulator_host.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 #include "simulator_protocol/settings_text.hpp"
 
 namespace chutevane::simulator_host {
--- a/src/simulator_protocol/settings_text.cpp
+++ b/src/simulator_protocol/settings_text.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "config/names.hpp"
+#include "config/setting_names.hpp"
 
 namespace chutevane::simulator_protocol {
 namespace {
--- a/src/snapshot/describe.cpp
+++ b/src/snapshot/describe.cpp
@@ -35,7 +35,7 @@
 
 std::string describe(const Snapshot& snapshot, const ClockReading& now) {
   const Carried& load = snapshot.load;
-  const discovery::List& list = snapshot.endpoint_list;
+  const discovery::EndpointList& list = snapshot.endpoint_list;
   std::string out = line("sidecar", snapshot.sidecar_name);
   out += line("deployment", snapshot.deployment + ", one of " + std::to_string(snapshot.sidecar_count));
   out += line("life", std::to_string(snapshot.incarnation) +
--- a/src/snapshot/snapshot_format.cpp
+++ b/src/snapshot/snapshot_format.cpp
@@ -71,13 +71,13 @@
     out.close('}');
   }
   out.close(']').key("list");
-  const std::vector<discovery::Entry>& entries = snapshot.endpoint_list.entries;
-  discovery::List list;
+  const std::vector<discovery::EndpointEntry>& entries = snapshot.endpoint_list.entries;
+  discovery::EndpointList list;
   list.version = snapshot.endpoint_list.version;
   list.entries.assign(entries.begin(), entries.begin() + static_cast<long>(entry_count));
   // A list that was cut is none to start from.
   list.full = entry_count == entries.size() && snapshot.endpoint_list.full;
-  discovery::write_list(out, list);
+  discovery::write_endpoint_list(out, list);
   return out.close('}').result();
 }
 
@@ -156,8 +156,8 @@
                                   number_member(endpoint, "latency_ms", max_latency_ms)});
   }
   try {
-    snapshot.endpoint_list = discovery::read_list(member(root, "list", Kind::object));
-  } catch (const discovery::ListError& e) {
+    snapshot.endpoint_list = discovery::parse_endpoint_list(member(root, "list", Kind::object));
+  } catch (const discovery::EndpointListError& e) {
     throw FormatError(std::string("list: ") + e.what());
   }
   return snapshot;
--- a/src/snapshot/snapshot_format.hpp
+++ b/src/snapshot/snapshot_format.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "chutevane/types.hpp"
-#include "discovery/list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "snapshot/age.hpp"
 
 namespace chutevane::snapshot {
@@ -40,7 +40,7 @@
   ClockReading written_at;
   std::vector<EndpointRecord> endpoints;
   Carried load;
-  discovery::List endpoint_list;  ///< as last received, complete
+  discovery::EndpointList endpoint_list;  ///< as last received, complete
 };
 
 /// Some 2,600 endpoints; a parsed snapshot takes less than 32 MB.
--- a/src/snapshot/warm_start.cpp
+++ b/src/snapshot/warm_start.cpp
@@ -71,9 +71,9 @@
   return result;
 }
 
-WarmStart restrict_to_list(WarmStart warm_start, const discovery::List& list) {
-  std::map<std::string, const discovery::Entry*> ready_entries;
-  for (const discovery::Entry& entry : list.entries) {
+WarmStart restrict_to_list(WarmStart warm_start, const discovery::EndpointList& list) {
+  std::map<std::string, const discovery::EndpointEntry*> ready_entries;
+  for (const discovery::EndpointEntry& entry : list.entries) {
     if (entry.availability == Availability::ready) ready_entries[entry.id] = &entry;
   }
   const double before = static_cast<double>(warm_start.endpoints.size());
@@ -87,7 +87,7 @@
   return warm_start;
 }
 
-const discovery::List& newer_list(const discovery::List& configured, const Snapshot& snapshot,
+const discovery::EndpointList& newer_list(const discovery::EndpointList& configured, const Snapshot& snapshot,
                                   const WarmStart& warm_start) {
   return warm_start.is_list_usable && snapshot.endpoint_list.version > configured.version
              ? snapshot.endpoint_list
--- a/src/snapshot/warm_start.hpp
+++ b/src/snapshot/warm_start.hpp
@@ -35,9 +35,9 @@
 [[nodiscard]] WarmStart cold_start(const std::string& reason);
 /// Keeps the endpoints that `list` has with the same address and start, and lowers the limit in proportion:
 /// it was learned with the endpoints of that time.
-[[nodiscard]] WarmStart restrict_to_list(WarmStart warm_start, const discovery::List& list);
+[[nodiscard]] WarmStart restrict_to_list(WarmStart warm_start, const discovery::EndpointList& list);
 /// The list to start from: the snapshot's, if it may be used and has a higher version than `configured`.
-[[nodiscard]] const discovery::List& newer_list(const discovery::List& configured, const Snapshot& snapshot,
+[[nodiscard]] const discovery::EndpointList& newer_list(const discovery::EndpointList& configured, const Snapshot& snapshot,
                                                 const WarmStart& warm_start);
 
 }  // namespace chutevane::snapshot
--- a/tests/control/fencing_token_test.cpp
+++ b/tests/control/fencing_token_test.cpp
@@ -114,7 +114,7 @@
       controller.election->observe_fencing_token(token, controller.incarnation);
   }
   void send_changes(std::size_t from, std::size_t to, FencingToken token, std::int64_t number) {
-    for (const common::EndpointList& change : lists_[from].table.since(token, number)) {
+    for (const common::EndpointList& change : lists_[from].table.changes_since(token, number)) {
       clock.later.after(delay(), [this, from, to, change] {
         if (!reaches(from, to)) return;
         observe_if_leader(to, change.term);
@@ -146,7 +146,7 @@
       const FencingToken token = follower.table.term();
       controllers[i].election->observe_fencing_token(token, controllers[i].incarnation);
       lists_[i].newest_member_token = std::max(lists_[i].newest_member_token, token);
-      for (const common::EndpointList& change : lists_[i].table.since(token, follower.table.number())) {
+      for (const common::EndpointList& change : lists_[i].table.changes_since(token, follower.table.number())) {
         const std::pair before{follower.table.term(), follower.table.number()};
         if (!follower.table.apply(change)) continue;
         if (std::pair{follower.table.term(), follower.table.number()} <= before)
