--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -72,15 +72,21 @@
     return false;
   const std::string_view digits = text.substr(colon + 1);
   int port = 0;
-  const auto got = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  return got.ec == std::errc() && got.ptr == digits.data() + digits.size() && port > 0 && port < 65536;
+  const char* const end = digits.data() + digits.size();
+  const auto parsed = std::from_chars(digits.data(), end, port);
+  return parsed.ec == std::errc() && parsed.ptr == end && port > 0 && port < 65536;
 }
 
+absl::Status malformed_address(const std::string& origin, const std::string& address) {
+  return usage_error(origin + ": '" + address + "' is not HOST:PORT");
+}
+
+/// `origin`: where the list is from, for errors.
 absl::Status parse_control_addresses(const std::string& list, const std::string& origin, CommandLine& into) {
   std::istringstream in(list);
   for (std::string address; std::getline(in, address, ',');) {
     if (address.empty()) continue;
-    if (!is_address(address)) return usage_error(origin + ": '" + address + "' is not HOST:PORT");
+    if (!is_address(address)) return malformed_address(origin, address);
     into.control_addresses.push_back(address);
   }
   if (into.control_addresses.size() > max_control_addresses)
--- a/src/ctl/data_folder.cpp
+++ b/src/ctl/data_folder.cpp
@@ -63,7 +63,7 @@
 
 /// The name of the DurableState that this is a file of; empty: of none.
 std::string state_name(const std::string& name) {
-  for (const std::string state : {"acceptor", "control", "storage"}) {
+  for (std::string state : {"acceptor", "control", "storage"}) {
     for (const std::string kind : {".slot0", ".slot1", ".log0", ".log1"}) {
       if (name == state + kind) return state;
     }
@@ -119,12 +119,13 @@
 }
 
 absl::StatusOr<DiskSnapshot> DiskSnapshot::of_folder(const std::string& path) {
+  const std::string prefix = path + "/";
   for (int reading = 1;; ++reading) {
     const absl::StatusOr<FileVersions> before = file_versions(path);
     if (!before.ok()) return before.status();
     DiskSnapshot out;
     for (const auto& [name, version] : *before) {
-      absl::StatusOr<std::string> text = read_file(path + "/" + name);
+      absl::StatusOr<std::string> text = read_file(prefix + name);
       if (absl::IsNotFound(text.status())) continue;  // the process has removed it: the versions differ
       if (!text.ok()) return text.status();
       out.files_[name] = *std::move(text);
--- a/src/ctl/http_transport.cpp
+++ b/src/ctl/http_transport.cpp
@@ -141,37 +141,46 @@
   return out;
 }
 
-/// Reads one response, and drops interim ones (1xx). The error's message does not name the address.
-absl::StatusOr<Response> receive_response(int fd, Deadline& deadline) {
-  const auto failure = [](const std::string& what) { return absl::UnavailableError(what); };
-  http::Parser parser(http::Side::response, response_limits);
-  std::string in;
+/// Appends what comes next to `in`. False: the peer has closed the connection in good order.
+absl::StatusOr<bool> receive_some(int fd, Deadline& deadline, std::string& in) {
   std::array<char, receive_size> chunk;
-  bool is_closed = false;
-  while (!is_closed) {
+  while (true) {
     const ssize_t received = ::recv(fd, chunk.data(), chunk.size(), 0);
-    if (received < 0 && errno == EINTR) continue;
-    if (received < 0 && errno == EAGAIN) {
-      if (!deadline.wait_for(fd, POLLIN)) return failure(in.empty() ? "silent" : "silent within its answer");
-      continue;
-    }
-    // An error is no end: a body without a length would pass for complete.
-    if (received < 0) return failure(in.empty() ? "broken off" : "broken off within its answer");
-    is_closed = received == 0;
     if (received > 0) in.append(chunk.data(), static_cast<std::size_t>(received));
-    if (is_closed && in.empty()) return failure("closed without an answer");
-    http::Progress progress = parser.feed(std::span<char>(in), is_closed);
-    while (progress == http::Progress::complete && parser.status() >= 100 && parser.status() < 200) {
-      in.erase(0, parser.size());
-      parser.reset();
-      progress =
-          in.empty() && !is_closed ? http::Progress::more : parser.feed(std::span<char>(in), is_closed);
-    }
-    if (progress == http::Progress::failed) return failure("no HTTP: " + std::string(parser.error()));
+    if (received >= 0) return received > 0;
+    if (errno == EINTR) continue;
+    const char* const where = in.empty() ? "" : " within its answer";
+    // An error is no end: a body without a length would pass for complete.
+    if (errno != EAGAIN) return absl::UnavailableError(std::string("broken off") + where);
+    if (!deadline.wait_for(fd, POLLIN)) return absl::UnavailableError(std::string("silent") + where);
+  }
+}
+
+/// Parses what has come, and removes interim responses (1xx) from it.
+http::Progress parse_final_response(http::Parser& parser, std::string& in, bool is_closed) {
+  http::Progress progress = parser.feed(std::span<char>(in), is_closed);
+  while (progress == http::Progress::complete && parser.status() >= 100 && parser.status() < 200) {
+    in.erase(0, parser.size());
+    parser.reset();
+    progress = in.empty() && !is_closed ? http::Progress::more : parser.feed(std::span<char>(in), is_closed);
+  }
+  return progress;
+}
+
+/// Reads one response. The messages of its errors do not name the address.
+absl::StatusOr<Response> receive_response(int fd, Deadline& deadline) {
+  http::Parser parser(http::Side::response, response_limits);
+  std::string in;
+  while (true) {
+    const auto is_open = receive_some(fd, deadline, in);
+    if (!is_open.ok()) return is_open.status();
+    if (!*is_open && in.empty()) return absl::UnavailableError("closed without an answer");
+    const http::Progress progress = parse_final_response(parser, in, !*is_open);
     if (progress == http::Progress::complete) return response_of(parser);
-    if (!is_closed && deadline.is_over()) return failure("ended within its answer");
+    if (progress == http::Progress::failed)
+      return absl::UnavailableError("no HTTP: " + std::string(parser.error()));
+    if (!*is_open || deadline.is_over()) return absl::UnavailableError("ended within its answer");
   }
-  return failure("ended within its answer");
 }
 
 }  // namespace
--- a/tests/ctl/data_folder_test.cpp
+++ b/tests/ctl/data_folder_test.cpp
@@ -206,12 +206,12 @@
 
 TEST(data_folder, disk_show_and_turns_on_a_real_folder_write_nothing) {
   char name[] = "/tmp/ctl-folder-XXXXXX";
-  const std::string path = ::mkdtemp(name);
+  const std::string path = ::mkdtemp(name), prefix = path + "/";
   {
     write_controller();
     write_store();
     for (const std::string& file : disk.list_files())
-      std::ofstream(path + "/" + file, std::ios::binary) << text(file);
+      std::ofstream(prefix + file, std::ios::binary) << text(file);
     std::ofstream(path + "/turns.1", std::ios::binary | std::ios::app) << "torn";
     ::chmod((path + "/turns.1").c_str(), 0444);
   }
@@ -232,7 +232,7 @@
   CHECK(snapshot.ok());
   CHECK(!snapshot->changed_while_read());
   LONGS_EQUAL(disk.list_files().size(), snapshot->list_files().size());
-  for (const std::string& file : disk.list_files()) ::unlink((path + "/" + file).c_str());
+  for (const std::string& file : disk.list_files()) ::unlink((prefix + file).c_str());
   LONGS_EQUAL(0, ::rmdir(path.c_str()));
   LONGS_EQUAL(2, run.run({"disk", "show", path}));
   CHECK(run.err.str().find(path) != std::string::npos);
--- a/tests/ctl/http_transport_test.cpp
+++ b/tests/ctl/http_transport_test.cpp
@@ -30,7 +30,7 @@
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof at;
-    ::bind(fd_, reinterpret_cast<sockaddr*>(&at), size);
+    static_cast<void>(::bind(fd_, reinterpret_cast<sockaddr*>(&at), size));
     ::listen(fd_, 8);
     ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
     port = ntohs(at.sin_port);
--- a/tests/ctl/run_test.cpp
+++ b/tests/ctl/run_test.cpp
@@ -277,7 +277,9 @@
   const std::string rest =
       "nodeName=n\nmachineClass=m\nipAddress=10.0.0.1\nzone=z\nseedNodes=10.0.0.2:8144\n";
   for (const std::string ports : {"7380x,7399", "7380,7399 x", "7380,73.99"}) {
-    const TemporaryFile file(rest + "internalPorts=" + ports + "\n");
+    std::string text = rest;
+    text.append("internalPorts=").append(ports).append("\n");
+    const TemporaryFile file(text);
     LONGS_EQUAL(1, program.run({"settings", "check", file.path()}, ""));
     CHECK(has(program.err.str(), "line 6, internalPorts"));
   }
