--- a/tests/common/avro_test.cpp
+++ b/tests/common/avro_test.cpp
@@ -190,7 +190,7 @@
 }
 
 // The kind stands on the wire: two of one kind would be taken for each other.
-TEST(AvroMessages, KindsAreApart) {
+TEST(AvroMessages, KindsAreUnique) {
   std::set<int> kinds;
   std::size_t count = 0;
   each_message([&](auto& message) {
@@ -201,7 +201,7 @@
   CHECK_FALSE(kinds.contains(0));
 }
 
-TEST(AvroNoise, EachComesBackAsItWas) {
+TEST(AvroNoise, RoundTrip) {
   RandomSource luck(5);
   for (int round = 0; round < 40; ++round) {
     each_message([&](auto& message) {
--- a/tests/common/configuration_test.cpp
+++ b/tests/common/configuration_test.cpp
@@ -106,7 +106,7 @@
                  .empty());
 }
 
-TEST(OperatorConfiguration, WeightsAddUpToNothing) {
+TEST(OperatorConfiguration, WeightsSumToZero) {
   const std::string split = R"([{"service":"huvo11a","weight":90},{"service":"wuno96b","weight":10}])";
   check_found(split, R"([{"service":"huvo11a","weight":0},{"service":"wuno96b","weight":0}])",
               "routes[0].trafficSplit");
@@ -117,7 +117,7 @@
                  .empty());
 }
 
-TEST(OperatorConfiguration, NoTimeAtAll) {
+TEST(OperatorConfiguration, ZeroTimeout) {
   check_found("\"timeoutMs\":6000", "\"timeoutMs\":0", "routes[0].timeoutMs");
   check_found("\"timeoutMs\":6000", "\"timeoutMs\":0", "routes[1].timeoutMs", 1);
   check_found("\"timeoutMs\":6000", "\"timeoutMs\":-1", "routes[0].timeoutMs");
--- a/tests/common/endpoint_table_test.cpp
+++ b/tests/common/endpoint_table_test.cpp
@@ -31,7 +31,7 @@
   }
 };
 
-TEST(EndpointTable, AFollowerHasTheSameList) {
+TEST(EndpointTable, AFollowerConverges) {
   CHECK_TRUE(holder.empty() && holder.changes_since(0, 0).empty());
   std::vector<EndpointEntry> all;
   for (int n = 0; n < 40; ++n) {
@@ -47,7 +47,7 @@
   CHECK_TRUE(follower.entries() == holder.entries() && follower.number() == holder.number());
 }
 
-TEST(EndpointTable, ChangesAreSmallAndTheWholeIsSentOnlyWhereTheyAreNotKept) {
+TEST(EndpointTable, ChangesAreSmallAndTheCompleteListIsSentOnlyIfTheyAreGone) {
   std::vector<EndpointEntry> all;
   for (int n = 0; n < 500; ++n) all.push_back(endpoint(n));
   holder.update(1, all);
@@ -67,7 +67,7 @@
 }
 
 // A change that does not follow what is held, of another term, or told again, changes nothing.
-TEST(EndpointTable, WhatDoesNotFitIsNotTaken) {
+TEST(EndpointTable, ChangesThatDoNotFollowAreRejected) {
   holder.update(3, {endpoint(1)});
   follow();
   holder.update(3, {endpoint(1), endpoint(2)});
@@ -93,7 +93,7 @@
 }
 
 // Two holders of one duty number alike; their lists go under terms of their own, and the higher is whole.
-TEST(EndpointTable, AHigherTermBringsItsWholeList) {
+TEST(EndpointTable, AHigherTermBringsACompleteList) {
   EndpointTable second;
   holder.update(11, {endpoint(1)});
   second.update(12, {endpoint(2)});
--- a/tests/common/http_server_test.cpp
+++ b/tests/common/http_server_test.cpp
@@ -1,5 +1,5 @@
-// The operators' port on real sockets: each answer goes to the call that it belongs to, on one connection or
-// many, whatever order the answers come in, and nowhere where the caller has gone.
+/// The HTTP server on real sockets: each reply reaches the request that it belongs to, on one connection or
+/// many, whatever the order of the replies, and is dropped where the connection is closed.
 #include "common/http_server.hpp"
 
 #include <arpa/inet.h>
@@ -25,65 +25,66 @@
 
 namespace {
 
-// A port whose answers are given when the test says so, by the target of the call.
-struct Port {
-  Port() {
+/// A server that replies when the test says so, by the target of the request.
+struct TestServer {
+  TestServer() {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    port.listen(at);
+    server.listen(at);
   }
   void turn(const std::function<bool()>& enough) {
     const auto end = scheduler.now() + Span::ms(3000);
     while (!enough() && scheduler.now() < end) {
-      later.after(Span::ms(2), [] {});
+      timers.after(Span::ms(2), [] {});
       scheduler.turn();
     }
   }
-  bool came(const std::string& target) {
-    turn([&] { return waiting.contains(target); });
-    return waiting.contains(target);
+  bool has_request(const std::string& target) {
+    turn([&] { return pending.contains(target); });
+    return pending.contains(target);
   }
-  void answer(const std::string& target) { waiting.at(target)({200, "to " + target, {}}); }
+  void reply_to(const std::string& target) { pending.at(target)({200, "to " + target, {}}); }
 
   chutevane::net::Epoll system;
   chutevane::net::Scheduler scheduler{system};
-  chutevane::net::TimerQueue later{scheduler};
-  std::map<std::string, HttpServer::Reply> waiting;
-  std::size_t asked = 0;
-  bool at_once = false;
-  HttpServer port{scheduler, 1U << 20U, [this](const Parser& request, HttpServer::Reply reply) {
-                    ++asked;
-                    const std::string target(request.target());
-                    if (at_once) return reply({200, "to " + target, {}});
-                    waiting[target] = std::move(reply);
-                  }};
+  chutevane::net::TimerQueue timers{scheduler};
+  std::map<std::string, HttpServer::Reply> pending;
+  std::size_t requests = 0;
+  bool reply_at_once = false;
+  HttpServer server{scheduler, 1U << 20U, [this](const Parser& request, HttpServer::Reply reply) {
+                      ++requests;
+                      const std::string target(request.target());
+                      if (reply_at_once) return reply({200, "to " + target, {}});
+                      pending[target] = std::move(reply);
+                    }};
 };
 
-class Caller {
+class Connection {
  public:
-  explicit Caller(Port& port) : port_(port), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    const sockaddr_in at = *port.port.address();
+  explicit Connection(TestServer& server)
+      : server_(server), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    const sockaddr_in at = *server.server.address();
     CHECK_EQUAL(0, ::connect(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at));
   }
-  ~Caller() { close(); }
-  Caller(const Caller&) = delete;
-  Caller& operator=(const Caller&) = delete;
+  ~Connection() { close(); }
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
   void close() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
-  void ask(const std::string& target) {
+  void send_request(const std::string& target) {
     const std::string text = "GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n";
     CHECK_EQUAL(static_cast<ssize_t>(text.size()), ::write(fd_, text.data(), text.size()));
   }
-  // So many answers, by their bodies, and nothing more.
-  std::vector<std::string> hear(std::size_t answers) {
+  /// The bodies of so many responses; nothing may follow them.
+  std::vector<std::string> receive_bodies(std::size_t count) {
     std::vector<std::string> out;
-    port_.turn([&] {
+    server_.turn([&] {
       read();
       while (const auto body = next_body()) out.push_back(*body);
-      return out.size() >= answers;
+      return out.size() >= count;
     });
     CHECK_TRUE(in_.empty());
     return out;
@@ -107,7 +108,7 @@
     in_.erase(0, parser.size());
     return body;
   }
-  Port& port_;
+  TestServer& server_;
   int fd_;
   std::string in_;
 };
@@ -116,76 +117,76 @@
 
 }  // namespace
 
-TEST_GROUP(OperatorPort) { Port port; };
+TEST_GROUP(HttpServerReplies) { TestServer server; };
 
-TEST(OperatorPort, EightConnectionsAnsweredInAnyOrder) {
-  std::vector<std::unique_ptr<Caller>> callers;
+TEST(HttpServerReplies, EightConnectionsRepliedToInAnyOrder) {
+  std::vector<std::unique_ptr<Connection>> connections;
   for (std::size_t i = 0; i < 8; ++i) {
-    callers.push_back(std::make_unique<Caller>(port));
-    callers.back()->ask(target(i));
+    connections.push_back(std::make_unique<Connection>(server));
+    connections.back()->send_request(target(i));
   }
-  for (std::size_t i = 0; i < 8; ++i) CHECK_TRUE(port.came(target(i)));
-  for (const std::size_t i : {5U, 0U, 7U, 2U, 1U, 6U, 4U, 3U}) port.answer(target(i));
+  for (std::size_t i = 0; i < 8; ++i) CHECK_TRUE(server.has_request(target(i)));
+  for (const std::size_t i : {5U, 0U, 7U, 2U, 1U, 6U, 4U, 3U}) server.reply_to(target(i));
   for (std::size_t i = 0; i < 8; ++i) {
-    const auto heard = callers[i]->hear(1);
-    CHECK_EQUAL(static_cast<std::size_t>(1), heard.size());
-    STRCMP_EQUAL(("to " + target(i)).c_str(), heard[0].c_str());
+    const auto received = connections[i]->receive_bodies(1);
+    CHECK_EQUAL(static_cast<std::size_t>(1), received.size());
+    STRCMP_EQUAL(("to " + target(i)).c_str(), received[0].c_str());
   }
 }
 
 // On one connection they are handled one after the other.
-TEST(OperatorPort, EightOnOneConnection) {
-  Caller caller(port);
-  for (std::size_t i = 0; i < 8; ++i) caller.ask(target(i));
+TEST(HttpServerReplies, EightOnOneConnection) {
+  Connection connection(server);
+  for (std::size_t i = 0; i < 8; ++i) connection.send_request(target(i));
   for (std::size_t i = 0; i < 8; ++i) {
-    CHECK_TRUE(port.came(target(i)));
-    CHECK_EQUAL(i + 1, port.asked);
-    port.answer(target(i));
+    CHECK_TRUE(server.has_request(target(i)));
+    CHECK_EQUAL(i + 1, server.requests);
+    server.reply_to(target(i));
   }
-  const auto heard = caller.hear(8);
-  CHECK_EQUAL(static_cast<std::size_t>(8), heard.size());
-  for (std::size_t i = 0; i < 8; ++i) STRCMP_EQUAL(("to " + target(i)).c_str(), heard[i].c_str());
+  const auto received = connection.receive_bodies(8);
+  CHECK_EQUAL(static_cast<std::size_t>(8), received.size());
+  for (std::size_t i = 0; i < 8; ++i) STRCMP_EQUAL(("to " + target(i)).c_str(), received[i].c_str());
 }
 
 // Thousands that wait in one buffer, each answered at once: no deeper for the last than for the first.
-TEST(OperatorPort, ThousandsAnsweredAtOnce) {
-  port.at_once = true;
-  Caller caller(port);
-  for (std::size_t i = 0; i < 3000; ++i) caller.ask(target(i));
-  const auto heard = caller.hear(3000);
-  CHECK_EQUAL(static_cast<std::size_t>(3000), heard.size());
-  STRCMP_EQUAL(("to " + target(2999)).c_str(), heard.back().c_str());
+TEST(HttpServerReplies, ThousandsRepliedToAtOnce) {
+  server.reply_at_once = true;
+  Connection connection(server);
+  for (std::size_t i = 0; i < 3000; ++i) connection.send_request(target(i));
+  const auto received = connection.receive_bodies(3000);
+  CHECK_EQUAL(static_cast<std::size_t>(3000), received.size());
+  STRCMP_EQUAL(("to " + target(2999)).c_str(), received.back().c_str());
 }
 
-// The caller has gone before its answer: the next connection, also one of the same descriptor, gets its own
-// alone.
-TEST(OperatorPort, AnAnswerToOneThatHasGoneGoesNowhere) {
-  auto gone = std::make_unique<Caller>(port);
-  gone->ask(target(1));
-  CHECK_TRUE(port.came(target(1)));
+// The connection is closed before its reply: the next connection, even one with the same descriptor, gets
+// only its own.
+TEST(HttpServerReplies, AReplyToAClosedConnectionIsDropped) {
+  auto gone = std::make_unique<Connection>(server);
+  gone->send_request(target(1));
+  CHECK_TRUE(server.has_request(target(1)));
   gone->close();
-  Caller next(port);
-  next.ask(target(2));
-  CHECK_TRUE(port.came(target(2)));
-  port.answer(target(1));
-  port.answer(target(2));
-  const auto heard = next.hear(1);
-  CHECK_EQUAL(static_cast<std::size_t>(1), heard.size());
-  STRCMP_EQUAL(("to " + target(2)).c_str(), heard[0].c_str());
+  Connection next(server);
+  next.send_request(target(2));
+  CHECK_TRUE(server.has_request(target(2)));
+  server.reply_to(target(1));
+  server.reply_to(target(2));
+  const auto received = next.receive_bodies(1);
+  CHECK_EQUAL(static_cast<std::size_t>(1), received.size());
+  STRCMP_EQUAL(("to " + target(2)).c_str(), received[0].c_str());
 }
 
 // An answer that is given twice does not become the answer to the call behind it.
-TEST(OperatorPort, ASecondAnswerGoesNowhere) {
-  Caller caller(port);
-  caller.ask(target(1));
-  caller.ask(target(2));
-  CHECK_TRUE(port.came(target(1)));
-  port.answer(target(1));
-  CHECK_TRUE(port.came(target(2)));
-  port.answer(target(1));
-  port.answer(target(2));
-  const auto heard = caller.hear(2);
-  CHECK_EQUAL(static_cast<std::size_t>(2), heard.size());
-  STRCMP_EQUAL(("to " + target(1)).c_str(), heard[0].c_str());
-  STRCMP_EQUAL(("to " + target(2)).c_str(), heard[1].c_str());
+TEST(HttpServerReplies, ASecondReplyIsDropped) {
+  Connection connection(server);
+  connection.send_request(target(1));
+  connection.send_request(target(2));
+  CHECK_TRUE(server.has_request(target(1)));
+  server.reply_to(target(1));
+  CHECK_TRUE(server.has_request(target(2)));
+  server.reply_to(target(1));
+  server.reply_to(target(2));
+  const auto received = connection.receive_bodies(2);
+  CHECK_EQUAL(static_cast<std::size_t>(2), received.size());
+  STRCMP_EQUAL(("to " + target(1)).c_str(), received[0].c_str());
+  STRCMP_EQUAL(("to " + target(2)).c_str(), received[1].c_str());
 }
--- a/tests/common/invariant_test.cpp
+++ b/tests/common/invariant_test.cpp
@@ -57,7 +57,7 @@
   }
 };
 
-TEST(Invariants, WhatHoldsCostsNoText) {
+TEST(Invariants, TheDetailIsMadeOnlyOnAViolation) {
   bool described = false;
   CHECK_TRUE(check_invariant(Invariant::not_sent_twice, true, [&] {
     described = true;
@@ -79,7 +79,7 @@
   CHECK_TRUE(captured.size() <= 20);
 }
 
-TEST(Invariants, FatalWhereItIsWanted) {
+TEST(Invariants, FatalModeAborts) {
   chutevane::common::set_invariant_mode(InvariantMode::fatal);
   std::fflush(nullptr);
   const pid_t child = ::fork();
@@ -92,7 +92,7 @@
   CHECK_TRUE(WIFSIGNALED(status) && WTERMSIG(status) == SIGABRT);
 }
 
-TEST(Invariants, EachHasANameOfItsOwn) {
+TEST(Invariants, NamesAreUnique) {
   for (std::size_t i = 0; i < invariants; ++i) {
     const auto name = name_of(static_cast<Invariant>(i));
     CHECK_FALSE(name.empty());
@@ -119,7 +119,7 @@
       text.c_str());
 }
 
-TEST(Metrics, ProcessTellsItsInvariants) {
+TEST(Metrics, ProcessMetricsHaveTheInvariants) {
   MetricsWriter out;
   chutevane::common::write_process_metrics(out);
   const std::string text = std::move(out).finish();
@@ -128,13 +128,13 @@
   CHECK_TRUE(contains(text, "process_resident_memory_bytes "));
 }
 
-TEST_GROUP(BoundedLines) {
+TEST_GROUP(RateLimitedLines) {
   TimePoint now = TimePoint::at_ms(1e6);
   void setup() override { capture(); }
   void teardown() override { chutevane::common::set_log_sink({}); }
 };
 
-TEST(BoundedLines, RateAndSize) {
+TEST(RateLimitedLines, RateAndSize) {
   RateLimitedLog log("event", 3);
   for (int i = 0; i < 10; ++i) {
     if (log.admits(now)) log.line(std::string(5000, 'x'));
--- a/tests/common/settings_test.cpp
+++ b/tests/common/settings_test.cpp
@@ -123,7 +123,7 @@
 }
 
 // Where peers hear: one port for each plane, on the machine's own address.
-TEST(ProcessSettingsFile, InternalAddressesAreApart) {
+TEST(ProcessSettingsFile, InternalAddressesDiffer) {
   const auto got = read_settings(example);
   CHECK_TRUE(chutevane::net::text_of(got->internal_address(chutevane::common::control_plane_port)) ==
              "10.1.0.30:7380");
@@ -137,7 +137,7 @@
 }
 
 // Other lines' ends, and none at the end.
-TEST(ProcessSettingsFile, EndsOfLines) {
+TEST(ProcessSettingsFile, LineEndings) {
   std::string dos;
   for (const char c : example) dos += c == '\n' ? "\r\n" : std::string(1, c);
   const auto got = read_settings(dos);
@@ -145,7 +145,7 @@
   CHECK_TRUE(read_settings(example.substr(0, example.size() - 1)).ok());
 }
 
-TEST(ProcessSettingsFile, WhatIsNeededAndMissingIsFound) {
+TEST(ProcessSettingsFile, MissingRequiredSettingsAreFound) {
   for (const char* key : {"nodeName", "machineClass", "ipAddress", "zone", "internalPorts", "seedNodes"}) {
     CHECK_WHERE(says(told(with(key, "")), std::string(key) + ": missing"), key);
     CHECK_WHERE(says(told(with(key, std::string(key) + "=")), "missing"), key);
@@ -197,7 +197,7 @@
     CHECK_WHERE(says(got, part), std::string(part) + " in: " + got);
 }
 
-TEST(ProcessSettingsFile, LineThatIsNoneIsFound) {
+TEST(ProcessSettingsFile, MalformedLineIsFound) {
   const std::string got = told(example + "no equal sign here\n");
   CHECK_WHERE(says(got, numbered("line ", 51)), got);
 }
@@ -208,7 +208,7 @@
   CHECK_FALSE(read_settings("").ok());
 }
 
-TEST(ProcessSettingsFile, FileThatIsNotThere) {
+TEST(ProcessSettingsFile, MissingFile) {
   CHECK_TRUE(absl::IsNotFound(chutevane::common::load_settings("no-such-folder/boot.conf").status()));
 }
 
--- a/tests/common/value_difference_test.cpp
+++ b/tests/common/value_difference_test.cpp
@@ -71,7 +71,7 @@
   }
 }
 
-TEST(ValueDifference, RandomEditsComeBack) {
+TEST(ValueDifference, RandomEditsRoundTrip) {
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
     RandomSource luck(seed);
     const std::size_t size = luck.below(8000);
@@ -111,7 +111,7 @@
 }
 
 // The search gives up on what is new altogether, and what comes behind is literal.
-TEST(ValueDifference, LargeAndNewComesBack) {
+TEST(ValueDifference, LargeAndNewRoundTrips) {
   RandomSource luck(5);
   const std::string base = noise(luck, 3U << 20U);
   check_round_trip(base, noise(luck, 3U << 20U) + base, "new and long");
--- a/tests/common/value_update_test.cpp
+++ b/tests/common/value_update_test.cpp
@@ -61,7 +61,7 @@
 }
 
 // Guards against a wrong value: another value of the base's number, on either side.
-TEST(ValueUpdate, AnotherBaseIsRefusedAndTheWholeIsSent) {
+TEST(ValueUpdate, AnotherBaseIsRejectedAndTheFullValueIsSent) {
   const std::vector<RegisterValue> values = history(3, 5000);
   RegisterValue other = values[1];
   other.config.data[2500] ^= 1;
@@ -86,7 +86,7 @@
 }
 
 // A difference that is spoilt on its way makes nothing, wherever.
-TEST(ValueUpdate, SpoiltDifferencesAreRefused) {
+TEST(ValueUpdate, CorruptDifferencesAreRejected) {
   const std::vector<RegisterValue> values = history(2, 3000);
   RecentValues sent;
   sent.add(values[1]);
@@ -105,7 +105,7 @@
 }
 
 // A receiver whose base is long gone, that holds nothing, or that knows nothing of the base's number.
-TEST(ValueUpdate, WholeWhereTheBaseIsNotHeld) {
+TEST(ValueUpdate, FullValueWhereTheBaseIsNotStored) {
   const std::vector<RegisterValue> values = history(200, 3000);
   RecentValues sent;
   for (std::size_t i = 1; i < values.size(); ++i) sent.add(values[i]);
@@ -363,7 +363,7 @@
 TEST_GROUP(ValueUpdateDays){};
 
 // 1,000 changes at 20 a second, eight sidecars: bytes a change and sidecar.
-TEST(ValueUpdateDays, BytesOfACalmDay) {
+TEST(ValueUpdateDays, BytesOfADayWithoutFaults) {
   for (const std::size_t bytes : {1024U, 16U << 10U, 64U << 10U}) {
     PlayedDay day(7, bytes, 8);
     day.run(1000, false);
@@ -378,7 +378,7 @@
   }
 }
 
-TEST(ValueUpdateDays, EveryTroubleByManySeeds) {
+TEST(ValueUpdateDays, EveryFaultByManySeeds) {
   for (std::uint64_t seed = 0; seed < 6; ++seed) {
     PlayedDay day(seed, 2000 + 1500 * seed, 6);
     day.run(1000, true);
