--- a/tests/ctl/main.cpp
+++ b/tests/ctl/main.cpp
@@ -27,11 +27,11 @@
 // avro-c loses three small objects of its own where a class is made of a schema with links, once in a
 // process's life. Only what comes from that place is let pass, which takes whole stacks: the library has no
 // frame pointers.
-// NOLINTNEXTLINE(bugprone-reserved-identifier,readability-identifier-naming): the sanitizer calls it by this
-// name
+// The sanitizers call both functions by name.
+// NOLINTBEGIN(bugprone-reserved-identifier,readability-identifier-naming)
 extern "C" const char* __lsan_default_suppressions() { return "leak:Schemas\n"; }
-// NOLINTNEXTLINE(bugprone-reserved-identifier,readability-identifier-naming): as above
 extern "C" const char* __asan_default_options() { return "fast_unwind_on_malloc=0"; }
+// NOLINTEND(bugprone-reserved-identifier,readability-identifier-naming)
 
 int main(int argc, char** argv) {
   // Values of the Avro schemas are made at their first use and stay: no leak of the test that comes first.
