--- a/tests/control/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "common/memory_disk.hpp"
 #include "order_history.hpp"
 #include "simulated_control.hpp"
 #include "unit.hpp"
@@ -16,7 +17,7 @@
 namespace common = chutevane::common;
 using chutevane::Span;
 using chutevane::TimePoint;
-using chutevane::control::remembered_configurations;
+using chutevane::control::configuration_history_limit;
 using chutevane::simulated::configuration;
 using chutevane::simulated::ControlProcess;
 using chutevane::simulated::Field;
@@ -34,7 +35,7 @@
 struct Plan {
   Weather weather = {.lost = 0.05, .repeated = 0.1, .slow = 0.05};
   std::size_t orders = 14;
-  std::size_t remembered = remembered_configurations;
+  std::size_t history_limit = configuration_history_limit;
   bool ends = true, losses_of_power = true, wipe = false;
 };
 
@@ -94,16 +95,16 @@
   void start_process(std::size_t i) {
     if (processes_.size() <= i) processes_.resize(i + 1);
     if (processes_[i]) {
-      processes_[i]->voters.ended = true;
+      processes_[i]->transport.ended = true;
       ended_.push_back(std::move(processes_[i]));
     }
-    processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.remembered);
-    processes_[i]->reg.learn_epoch(newest_set());
+    processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.history_limit);
+    processes_[i]->reg.observe_epoch(newest_set());
   }
   const RegisterValue& newest_set() const {
     const RegisterValue* newest = &first_;
     for (const auto& p : processes_) {
-      if (p && p->reg.initial().epoch > newest->epoch) newest = &p->reg.initial();
+      if (p && p->reg.epoch_value().epoch > newest->epoch) newest = &p->reg.epoch_value();
     }
     return *newest;
   }
@@ -112,14 +113,14 @@
   void end_process() {
     const std::size_t i = field_.luck.below(processes_.size());
     ControlProcess& p = *processes_[i];
-    if (p.voters.ended || p.voters.sends_left) return;
+    if (p.transport.ended || p.transport.sends_left) return;
     ++came_.ends;
-    p.voters.on_end = [this, i, ended = &p] {
+    p.transport.on_end = [this, i, ended = &p] {
       field_.clock.later.after(Span::ms(50 + 400 * field_.luck.unit()), [this, i, ended] {
         if (processes_[i].get() == ended) start_process(i);
       });
     };
-    p.voters.sends_left = field_.luck.below(14);
+    p.transport.sends_left = field_.luck.below(14);
   }
 
   // ---- acceptors
@@ -136,15 +137,15 @@
     Machine& m = field_.all[field_.luck.below(field_.all.size())];
     if (plan_.ends && kind < 0.4) return end_process();
     if (plan_.losses_of_power && kind < 0.6 && m.up)
-      return m.disk->fail_from(m.disk->steps() + field_.luck.below(9));
+      return m.disk->lose_power_at(m.disk->step_count() + field_.luck.below(9));
     if (plan_.losses_of_power && kind < 0.65) {  // all at once
       for (Machine& one : field_.all) {
         if (one.up) field_.died(one);
       }
     } else if (kind < 0.8) {
       ControlProcess& p = luck_process();
-      p.voters.cut_off = true;
-      field_.clock.later.after(Span::ms(700 * field_.luck.unit()), [&p] { p.voters.cut_off = false; });
+      p.transport.cut_off = true;
+      field_.clock.later.after(Span::ms(700 * field_.luck.unit()), [&p] { p.transport.cut_off = false; });
     }
   }
   // One disk of the set, while all others are there: as much as is borne until another set is in force.
@@ -208,7 +209,7 @@
   }
   void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
     ControlProcess& at = luck_process();
-    if (at.voters.ended) return;
+    if (at.transport.ended) return;
     at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpResponse& answer) {
       history_.answered(sending->key, sent, now(), answer.status);
       if (lost()) return;
@@ -243,7 +244,7 @@
   }
 
   void read_back(ControlProcess& at, Operator* by = nullptr) {
-    if (at.voters.ended) return;
+    if (at.transport.ended) return;
     at.call("GET", "/v1/Configuration.Retrieve", "", "",
             [this, by, sent = now()](const common::HttpResponse& answer) {
               if (answer.status != 200 && answer.status != 404) return;
@@ -262,7 +263,7 @@
   void calm() {
     field_.weather = {};
     for (Machine& m : field_.all) {
-      m.disk->fail_from(static_cast<std::size_t>(-1));
+      m.disk->lose_power_at(common::MemoryDisk::no_step);
       if (m.up) continue;
       m.lose_power(field_.luck.next());
       m.start();
@@ -276,7 +277,7 @@
         status = answer.status;
       });
       field_.clock.play(Span::ms(4000), [&] { return status != 0; });
-      const bool record_is_whole = plan_.remembered == remembered_configurations;
+      const bool record_is_whole = plan_.history_limit == configuration_history_limit;
       const bool ahead = sending->key.base > newest_read_ && status == 503;
       if (status == 0) unfinished_ = "an order was not answered once it was calm";
       if (status == 503 && record_is_whole && !ahead) unfinished_ = "an order was unclear once it was calm";
@@ -355,5 +356,5 @@
 
 // The record reaches back four configurations: what it does not reach is unclear, and never refused.
 TEST(OrdersOfOperators, AShortRecord) {
-  search(4000000, 300, {.orders = 30, .remembered = 4, .losses_of_power = false});
+  search(4000000, 300, {.orders = 30, .history_limit = 4, .losses_of_power = false});
 }
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -1,5 +1,5 @@
 // The files on disk: written today byte by byte as those stored in tests/golden/, and those read with all
-// that they hold. And what a sidecar leaves for its next process, in a file and over the handover's socket.
+// that they hold. And what a sidecar leaves for its next process, in a file and over the hot restart channel.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -15,13 +15,15 @@
 #include <vector>
 
 #include "common/disk.hpp"
+#include "common/durable_state.hpp"
+#include "common/memory_disk.hpp"
 #include "common/messages.hpp"
+#include "control/acceptor.hpp"
 #include "control/control_plane.hpp"
-#include "control/register.hpp"
 #include "ctl/folder.hpp"
 #include "golden_data.hpp"
-#include "handover/post.hpp"
 #include "harness.hpp"
+#include "hot_restart/hot_restart_channel.hpp"
 #include "net/scheduler.hpp"
 #include "snapshot/form.hpp"
 #include "snapshot/store.hpp"
@@ -145,7 +147,7 @@
 TEST(GoldenFiles, Acceptor) {
   golden::Stored stored("files.txt");
   MemoryDisk disk;
-  control::AcceptorState acceptor(disk, seed_address, disk_id, true);
+  control::DurableAcceptor acceptor(disk, seed_address, disk_id, true);
   ASSERT_TRUE(acceptor.open().ok());
   for (const std::int64_t epoch : {1, 2}) {
     common::Prepare prepare;
@@ -170,13 +172,13 @@
   fill(before, stored, "acceptor_record/");
   const common::AcceptorRecord record = holdings_of(before).acceptor;
   EXPECT_EQ(record.promised, (common::Ballot{9, 78}));
-  control::AcceptorState opened(before, seed_address, disk_id, true);
+  control::DurableAcceptor opened(before, seed_address, disk_id, true);
   ASSERT_TRUE(opened.open().ok());
   common::RegisterValue value = value_of_epoch(2);
-  EXPECT_EQ(opened.initial(), value);
+  EXPECT_EQ(opened.epoch_value(), value);
   ++value.number;
-  EXPECT_EQ(opened.value(), value);
-  EXPECT_EQ(opened.accepted(), (common::Ballot{6, 77}));
+  EXPECT_EQ(opened.accepted_value(), value);
+  EXPECT_EQ(opened.accepted_ballot(), (common::Ballot{6, 77}));
   EXPECT_EQ(opened.epoch(), 2);
 }
 
@@ -210,7 +212,7 @@
   const common::ControllerRecord record = holdings_of(before).controller;
   EXPECT_EQ(record.disk, disk_id);
   EXPECT_TRUE(record.first);
-  EXPECT_EQ(record.initial, control::first_value({{seed_address, ""}}));
+  EXPECT_EQ(record.initial, control::first_epoch_value({{seed_address, ""}}));
   settings.initial_start = false;  // a new disk would have another record
   ASSERT_TRUE(open(before).ok());
   compare_files(stored, "control_first_start/", before);
@@ -303,7 +305,7 @@
   out.list.version = 7;
   out.list.full = true;
   for (const Availability availability : {Availability::ready, Availability::draining}) {
-    discovery::Entry entry;
+    discovery::EndpointEntry entry;
     entry.id = availability == Availability::ready ? "s-1" : "s-2";
     entry.address = "127.0.0.1:9001";
     entry.zone = "z1";
@@ -373,21 +375,21 @@
 }
 
 // No file: a socket's name and the bytes that the process before sends to the next one.
-TEST(GoldenHandover, BytesAsStored) {
+TEST(GoldenHotRestart, BytesAsStored) {
   golden::Stored stored("handover.txt");
   const Folder folder;
-  const std::string place = handover::meeting_place(folder.file(""), "edge 1");
-  stored.compare("socket_name", place.substr(folder.file("").size()));
+  const std::string socket_path = hot_restart::socket_path_for(folder.file(""), "edge 1");
+  stored.compare("socket_name", socket_path.substr(folder.file("").size()));
   net::Scheduler scheduler;
-  handover::Estate given;
-  given.state = "what is known";
-  given.listeners = {0};
-  handover::Post post(
-      scheduler, place, [&] { return given; }, [] {});
-  post.open();
+  hot_restart::TransferPayload payload;
+  payload.state = "what is known";
+  payload.listeners = {0};
+  hot_restart::HotRestartChannel channel(
+      scheduler, socket_path, [&] { return payload; }, [] {});
+  channel.listen();
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
-  place.copy(at.sun_path, sizeof at.sun_path - 1);
+  socket_path.copy(at.sun_path, sizeof at.sun_path - 1);
   const auto connect = [&] {
     const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
@@ -403,7 +405,7 @@
   std::string all = receive(successor);
   all += receive(successor);  // what comes with descriptors comes by itself
   stored.compare("given_and_does_not_serve", all);
-  post.say(true);
+  channel.announce(true);
   stored.compare("serves", receive(successor));
   const int third = connect();
   stored.compare("too_many", receive(third));
