--- a/src/edge/client_request.cpp
+++ b/src/edge/client_request.cpp
@@ -23,8 +23,7 @@
   return lower;
 }
 
-// ID:TOKENS, separated by commas. Engines cache blocks for one model each:
-// `model` is the hash of its name.
+// ID:TOKENS, separated by commas. Engines cache blocks for one model each: `model` is the hash of its name.
 std::vector<PromptBlock> parse_prompt_blocks(std::string_view text, std::uint64_t model) {
   std::vector<PromptBlock> blocks;
   while (!text.empty() && blocks.size() < max_prompt_blocks) {
@@ -67,8 +66,7 @@
          same_name(name, "Priority");
 }
 
-// Takes over what the header says. Returns what is wrong with it; empty:
-// nothing.
+// Takes over what the header says. Returns what is wrong with it; empty: nothing.
 std::string read_header(const http::Field& header, const http::Parser& parser, ClientRequest& request) {
   if (same_name(header.name, "X-Chutevane-Attempt-Id")) {
     if (!request.attempt_id.empty()) return "X-Chutevane-Attempt-Id: comes twice";
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -1,5 +1,4 @@
-/// State from control, choices for requests, and the graceful shutdown of the
-/// edge.
+/// State from control, choices for requests, and the graceful shutdown of the edge.
 #include "edge/data_plane.hpp"
 
 #include <xxhash.h>
@@ -201,8 +200,7 @@
 void DataPlane::begin_shutdown() {
   if (is_shutting_down_) return;
   is_shutting_down_ = true;
-  // Sessions with control stay until the end: it serves on, and has to hear of
-  // drains and changes.
+  // Sessions with control stay until the end: it serves on, and has to hear of drains and changes.
   timers_.after(accept_period, [this] {
     is_closing_ = true;
     listener_.close();
@@ -224,8 +222,7 @@
   check_accounting();
 }
 
-// The time is over: requests in progress end without their response, and are
-// reported.
+// The time is over: requests in progress end without their response, and are reported.
 void DataPlane::finish_now() {
   if (is_finished_) return;
   is_finished_ = true;
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -1,15 +1,12 @@
-/// The edge: carries requests of clients to endpoints by what control has
-/// pushed.
+/// The edge: carries requests of clients to endpoints by what control has pushed.
 ///
-/// Owns everything of the process but its sessions' protocol: the clients'
-/// connections with the requests in progress, the pool of connections to
-/// endpoints, one balancer for each service, and the client of the storage
-/// nodes. It keeps nothing on disk. Three kinds of state come from control and
-/// are replaced as a whole when they change: the configuration, the endpoint
-/// list and the storage map (the latter within the register's value).
+/// Owns everything of the process but its sessions' protocol: the clients' connections with the requests in
+/// progress, the pool of connections to endpoints, one balancer for each service, and the client of the
+/// storage nodes. It keeps nothing on disk. Three kinds of state come from control and are replaced as a
+/// whole when they change: the configuration, the endpoint list and the storage map (the latter within the
+/// register's value).
 ///
-/// One thread, one event loop (common/process.hpp). Graceful shutdown:
-/// begin_shutdown().
+/// One thread, one event loop (common/process.hpp). Graceful shutdown: begin_shutdown().
 #pragma once
 
 #include <map>
@@ -48,6 +45,7 @@
   std::uint64_t budgets_exhausted = 0;  ///< 402
 };
 
+/// The plane of chutevane-edge; one per process, which runs it (common::run_process).
 class DataPlane final : public common::Plane {
  public:
   DataPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings);
@@ -55,10 +53,9 @@
   // ---- common::Plane
 
   absl::Status open() override;
-  /// Graceful shutdown. The readiness page answers 503 at once, but new
-  /// connections are accepted for 2.6 s more, until the platform has noticed.
-  /// Then each connection ends with its next response, and the process when
-  /// there is none left, or 0.6 s before the platform would kill it.
+  /// Graceful shutdown. The readiness page answers 503 at once, but new connections are accepted for 2.6 s
+  /// more, until the platform has noticed. Then each connection ends with its next response, and the process
+  /// when there is none left, or 0.6 s before the platform would kill it.
   void begin_shutdown() override;
   bool finished() const override { return is_finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
@@ -80,20 +77,19 @@
   bool has_control_session() const { return sessions_->usable_count() > 0; }
   /// Whether enough has come from control to send any request on.
   bool has_routing_state() const;
-  /// A graceful shutdown has begun: responses are the last of their
-  /// connections.
+  /// A graceful shutdown has begun: responses are the last of their connections.
   bool is_shutting_down() const { return is_shutting_down_; }
   /// ... and no new connections are accepted any more.
   bool is_closing() const { return is_closing_; }
   ServiceBalancer& balancer_for(const std::string& service);
   /// The service of the route's split that takes the next request.
   const std::string& choose_service(const common::Route& route);
-  /// Whether a request may be sent there now: on an idle connection, or because
-  /// this process may open one more. An endpoint resets connections beyond its
-  /// limit, which all edges share, and what was sent on them may have run.
+  /// Whether a request may be sent there now: on an idle connection, or because this process may open one
+  /// more. An endpoint resets connections beyond its limit, which all edges share, and what was sent on them
+  /// may have run.
   bool may_connect(const Endpoint& endpoint) const;
-  /// Value of a Retry-After header: 0.1 to 0.4 s, at random, so that those
-  /// refused together do not return together.
+  /// Value of a Retry-After header: 0.1 to 0.4 s, at random, so that those refused together do not return
+  /// together.
   std::string retry_after();
   /// Adds what is known from control.
   void add_control_state(FailureReport& report) const;
--- a/src/edge/downstream_connection.cpp
+++ b/src/edge/downstream_connection.cpp
@@ -1,5 +1,4 @@
-/// Reading of requests, time limits, and framing of responses on a client's
-/// connection.
+/// Reading of requests, time limits, and framing of responses on a client's connection.
 #include "edge/downstream_connection.hpp"
 
 #include <algorithm>
@@ -32,8 +31,7 @@
 
 // ---- time limits
 
-// A request is held to the configuration that is in force when its first byte
-// comes.
+// A request is held to the configuration that is in force when its first byte comes.
 http::Limits DownstreamConnection::request_limits() const {
   const common::ClientLimits limits = plane_.client_limits();
   return {.head = limits.header_bytes, .body = limits.body_bytes, .fields = max_header_fields};
@@ -49,8 +47,7 @@
   plane_.timers().cancel(timer_);
   timer_ = plane_.timers().after(is_awaiting_head_ ? limits.header : limits.idle, [this] {
     if (!channel_.unread()) return on_request_timeout();
-    // It has arrived and was not read yet: this process stood still, not
-    // the client.
+    // It has arrived and was not read yet: this process stood still, not the client.
     timer_ = plane_.timers().after(unread_grace, [this] { on_request_timeout(); });
   });
 }
@@ -61,8 +58,7 @@
   reject_unread(FailureCause::slow_request, 408, "the request did not come whole in time");
 }
 
-// Between two requests, and before the client ends the connection. `elapsed`:
-// how much of the limit is over.
+// Between two requests, and before the client ends the connection. `elapsed`: how much of the limit is over.
 void DownstreamConnection::start_idle_timer(Span limit, Span elapsed) {
   plane_.timers().cancel(timer_);
   timer_ = plane_.timers().after(
@@ -75,8 +71,7 @@
   // Clients go by the limit that is in force: it may have grown meanwhile.
   if (state_ == State::reading && idle_limit() > limit) return start_idle_timer(idle_limit(), limit);
   if (state_ != State::reading || !channel_.unread()) return close(FailureCause::client_stalled);
-  // A request has arrived and was not read yet: this process stood still, not
-  // the client.
+  // A request has arrived and was not read yet: this process stood still, not the client.
   timer_ = plane_.timers().after(unread_grace, [this] { on_request_timeout(); });
 }
 
@@ -130,8 +125,7 @@
   request_->start(std::move(parsed));
 }
 
-// What follows a request that was not read completely can't be told from it:
-// the connection ends.
+// What follows a request that was not read completely can't be told from it: the connection ends.
 void DownstreamConnection::reject_unread(FailureCause cause, int status, std::string_view text) {
   plane_.timers().cancel(timer_);
   state_ = State::serving;
@@ -154,8 +148,8 @@
   if (channel_.in_size() > 0) read_pipelined();
 }
 
-// In a later turn of the loop: other connections have theirs first, and the
-// finished request is still on the stack.
+// In a later turn of the loop: other connections have theirs first, and the finished request is still on the
+// stack.
 void DownstreamConnection::read_pipelined() {
   plane_.timers().cancel(timer_);
   timer_ = plane_.timers().after(Span(), [this] {
--- a/src/edge/downstream_connection.hpp
+++ b/src/edge/downstream_connection.hpp
@@ -1,14 +1,11 @@
-/// One client's connection: HTTP/1.1 requests, read and answered one after the
-/// other.
+/// One client's connection: HTTP/1.1 requests, read and answered one after the other.
 ///
-/// States: reading a request (or waiting for one), serving it (ProxiedRequest),
-/// closing (the last response is on its way, then the client's end is awaited),
-/// closed. What a client sends ahead is read only after the response before it.
-/// The connection bounds how long a request may take to come and how long the
-/// client may be idle; both limits are those of the configuration in force.
+/// States: reading a request (or waiting for one), serving it (ProxiedRequest), closing (the last response is
+/// on its way, then the client's end is awaited), closed. What a client sends ahead is read only after the
+/// response before it. The connection bounds how long a request may take to come and how long the client may
+/// be idle; both limits are those of the configuration in force.
 ///
-/// This class owns the framing of responses; which response is sent, and when,
-/// is the request's part.
+/// This class owns the framing of responses; which response is sent, and when, is the request's part.
 #pragma once
 
 #include <memory>
@@ -36,22 +33,18 @@
   void adopt(int fd) { channel_.adopt(fd); }
   std::size_t group_index = 0;
 
-  /// Whether nothing of a request has come and nothing of a response has still
-  /// to go out.
+  /// Whether nothing of a request has come and nothing of a response has still to go out.
   bool is_idle() const { return state_ == State::reading && channel_.unsent() == 0 && channel_.quiet(); }
   bool has_open_attempt() const { return request_->has_open_attempt(); }
-  /// Closes the connection at once; a request in progress fails with `cause`.
-  /// Idempotent.
+  /// Closes the connection at once; a request in progress fails with `cause`. Idempotent.
   void close(FailureCause cause);
 
   // ---- for the request in progress
 
-  /// Status line, headers, and `Connection: close` where this is the last
-  /// response.
+  /// Status line, headers, and `Connection: close` where this is the last response.
   void write_head(int status, const std::vector<std::pair<std::string, std::string>>& headers);
-  /// Ends the head and writes the body, unless the method or the status forbids
-  /// one. `content_length`: of the body that a GET would get, where the method
-  /// is HEAD.
+  /// Ends the head and writes the body, unless the method or the status forbids one. `content_length`: of the
+  /// body that a GET would get, where the method is HEAD.
   void write_body(int status, std::string_view method, std::string_view body, std::size_t content_length);
   /// Ends the head of a response whose body follows in chunks.
   void begin_chunks();
@@ -60,14 +53,11 @@
   void end_chunks();
   /// Hands to the socket what was written.
   void flush() { channel_.flush(); }
-  /// The response is complete: the next request is read, or the connection
-  /// ends.
+  /// The response is complete: the next request is read, or the connection ends.
   void on_request_finished();
-  /// Resets the connection, so that a response of which a part is out can't
-  /// pass for complete.
+  /// Resets the connection, so that a response of which a part is out can't pass for complete.
   void reset(FailureCause cause);
-  /// Counts and logs a failure; `status` of the edge's own response, 0: the
-  /// connection ends without one.
+  /// Counts and logs a failure; `status` of the edge's own response, 0: the connection ends without one.
   void record_failure(FailureCause cause, int status);
 
  private:
--- a/src/edge/engine_model.cpp
+++ b/src/edge/engine_model.cpp
@@ -27,8 +27,7 @@
 void EngineModel::observe_prefill(double tokens, Span latency) {
   mean_prefill_tokens_ += (tokens - mean_prefill_tokens_) * smoothing_gain;
   if (tokens < min_prefill_tokens) return;
-  // The latency holds the wait for a slot too. A long wait must not pass for
-  // slow reading.
+  // The latency holds the wait for a slot too. A long wait must not pass for slow reading.
   const double ms_per_token = std::max(latency.as_ms(), min_latency_ms) / tokens;
   prefill_ms_per_token_ +=
       (std::min(ms_per_token, prefill_ms_per_token_ * 2) - prefill_ms_per_token_) * smoothing_gain;
@@ -43,9 +42,8 @@
   return mean_other_requests_ + (reported - mean_other_requests_) * std::exp(-age.as_ms() / slot_ms_);
 }
 
-// The number of other requests is taken as Poisson distributed (variance =
-// mean), its excess over the free slots as normal; each request of the excess
-// waits for one slot to become free.
+// The number of other requests is taken as Poisson distributed (variance = mean), its excess over the free
+// slots as normal; each request of the excess waits for one slot to become free.
 double EngineModel::expected_wait_ms(double own, double others, double slots) const {
   if (slots <= 0) return 0;
   return expected_excess(own + others + 1 - slots, others) * slot_ms_ / slots;
--- a/src/edge/prefix_cache_index.hpp
+++ b/src/edge/prefix_cache_index.hpp
@@ -1,10 +1,8 @@
-/// An estimate of which blocks of prompts an endpoint's engine has in its
-/// prefix cache (its KV cache).
+/// An estimate of which blocks of prompts an endpoint's engine has in its prefix cache (its KV cache).
 ///
-/// Engines do not tell what they have cached. The index is kept from what this
-/// process itself has sent there: a block that was sent is taken as cached, and
-/// the least recently used blocks are taken as evicted once the sum of all
-/// exceeds the engine's memory. What other processes send there is not seen.
+/// Engines do not tell what they have cached. The index is kept from what this process itself has sent there:
+/// a block that was sent is taken as cached, and the least recently used blocks are taken as evicted once the
+/// sum of all exceeds the engine's memory. What other processes send there is not seen.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +12,8 @@
 
 namespace chutevane::edge {
 
-/// A block of a prompt, as clients name them in X-Chutevane-Prompt-Prefix.
-/// Blocks with the same id have the same text and the same model.
+/// A block of a prompt, as clients name them in X-Chutevane-Prompt-Prefix. Blocks with the same id have the
+/// same text and the same model.
 struct PromptBlock {
   std::uint64_t id = 0;
   double tokens = 0;  ///< length of the block
@@ -26,9 +24,8 @@
  public:
   bool contains(std::uint64_t id) const { return entries_.contains(id); }
 
-  /// Tokens of the prompt that the engine has to read (its prefill). A block
-  /// can be reused only behind the blocks that stood before it: all from the
-  /// first missing one on count.
+  /// Tokens of the prompt that the engine has to read (its prefill). A block can be reused only behind the
+  /// blocks that stood before it: all from the first missing one on count.
   double uncached_tokens(const std::vector<PromptBlock>& prompt) const {
     double uncached = 0;
     bool is_prefix_cached = true;
@@ -39,9 +36,8 @@
     return uncached;
   }
 
-  /// The block was sent to the endpoint: it is the most recently used one.
-  /// Evicts the least recently used blocks while the sum is above `max_tokens`,
-  /// but never the block itself.
+  /// The block was sent to the endpoint: it is the most recently used one. Evicts the least recently used
+  /// blocks while the sum is above `max_tokens`, but never the block itself.
   void touch(std::uint64_t id, double tokens, double max_tokens) {
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
--- a/src/edge/proxied_request.cpp
+++ b/src/edge/proxied_request.cpp
@@ -1,5 +1,4 @@
-/// From a request's last byte to its first attempt: route, previous turns,
-/// budget.
+/// From a request's last byte to its first attempt: route, previous turns, budget.
 #include "edge/proxied_request.hpp"
 
 #include <algorithm>
@@ -53,8 +52,8 @@
 // ---- route
 
 void ProxiedRequest::choose_route() {
-  // A process that has just started knows routes and endpoints within a moment:
-  // waiting is sooner than a retry of the client.
+  // A process that has just started knows routes and endpoints within a moment: waiting is sooner than a
+  // retry of the client.
   const Span wait =
       std::min(startup_wait, request_.time_remaining.value_or(unlimited) * startup_wait_fraction);
   if (!plane_.has_routing_state() && plane_.timers().now() - received_at_ < wait) {
@@ -67,8 +66,7 @@
   const std::string_view path = std::string_view(request_.target).substr(0, request_.target.find('?'));
   route_ = configuration_->route_of(request_.host, path);
   if (route_ == nullptr) {
-    // Without contact to control the route may be in a configuration that is
-    // not known here.
+    // Without contact to control the route may be in a configuration that is not known here.
     if (!plane_.has_control_session())
       return respond(FailureCause::route_uncertain, 503, "no route known here yet", RetryAfter::yes);
     return respond(FailureCause::no_route, 404, "no route");
--- a/src/edge/proxied_request.hpp
+++ b/src/edge/proxied_request.hpp
@@ -1,28 +1,20 @@
 /// One request of a client, from its last byte to the end of its response.
 ///
 /// In turn, each step only where the request wants it:
-///  1. route: the configuration in force is pinned, and with it the route, the
-///  service and the deadline;
-///  2. the chain of turns that it continues is read from storage, and a budget
-///  is reserved there;
-///  3. attempts: an endpoint is chosen, the request is sent, the response
-///  awaited (proxied_request_attempts.cpp);
-///  4. the response is passed on: a stream event by event, any other once it is
-///  complete
-///     (proxied_request_responses.cpp);
+///  1. route: the configuration in force is pinned, and with it the route, the service and the deadline;
+///  2. the chain of turns that it continues is read from storage, and a budget is reserved there;
+///  3. attempts (proxied_request_attempts.cpp): an endpoint is chosen and the request is sent;
+///  4. the response is passed on (proxied_request_responses.cpp), a stream event by event, others whole;
 ///  5. a turn is stored; only then does its response end.
 ///
-/// Further attempts. A request may be sent again as long as it has certainly
-/// not run: no byte of it went out, or the endpoint's response proves it
-/// (X-Chutevane-Not-Executed, 421). Once it may have run
-/// (`may_have_run_`), it is sent again only on idempotent routes, and on
-/// resumable ones from the last event on that the client has. Everything else
-/// ends with 502 or 504, or with a reset where a part of the response is out.
-/// 503 is answered only where it has not run and will not.
+/// Further attempts. A request may be sent again as long as it has certainly not run: no byte of it went out,
+/// or the endpoint's response proves it (X-Chutevane-Not-Executed, 421). Once it may have run
+/// (`may_have_run_`), it is sent again only on idempotent routes, and on resumable ones from the last event
+/// on that the client has. Everything else ends with 502 or 504, or with a reset where a part of the response
+/// is out. 503 is answered only where it has not run and will not.
 ///
-/// Ownership: the client's connection owns it, for as long as no further
-/// request begins. It is over when the connection has been told
-/// (DownstreamConnection::on_request_finished, reset) or has told it (abort).
+/// Ownership: the client's connection owns it, for as long as no further request begins. It is over when the
+/// connection has been told (DownstreamConnection::on_request_finished, reset) or has told it (abort).
 /// Callbacks of storage and of timers that come after that have no effect.
 #pragma once
 
@@ -59,15 +51,13 @@
   void start(ParsedClientRequest parsed);
   /// Answers a request that could not be read completely.
   void reject(FailureCause cause, int status, std::string_view text);
-  /// The client's connection is closed: ends the attempt in flight, and gives
-  /// back or commits the budget.
+  /// The client's connection is closed: ends the attempt in flight, and gives back or commits the budget.
   void abort();
 
   /// Whether an attempt is counted as in flight at an endpoint.
   bool has_open_attempt() const { return attempt_.is_open; }
   const std::string& attempt_id() const { return request_.attempt_id; }
-  /// Adds what is known of the request; the views are valid as long as it does
-  /// not change.
+  /// Adds what is known of the request; the views are valid as long as it does not change.
   void add_to(FailureReport& report) const;
 
  private:
@@ -78,7 +68,7 @@
     storing,     // the turn is being stored
     finished,
   };
-  // How the last attempt ended: decides the cause that is reported.
+  // How the last attempt ended. It decides the cause that is reported.
   enum class AttemptResult : std::uint8_t {
     none,
     not_sent,
@@ -154,14 +144,12 @@
   void finish();
   void commit_budget();
   void check_response_belongs() const;
-  // Of the events that were passed on; nothing: the configuration does not
-  // state how many an event has.
+  // Of the events that were passed on; nothing: the configuration does not state how many an event has.
   std::optional<std::int64_t> tokens_passed_on() const;
 
   Span time_left() const;
   ServiceBalancer& balancer() const;
-  // Wraps a callback that may come after the request is over: it has no effect
-  // then.
+  // Wraps a callback that may come after the request is over: it has no effect then.
   template <class Callback>
   auto guarded(Callback callback) {
     return [guard = std::weak_ptr<int>(guard_), callback = std::move(callback)](auto&&... args) {
--- a/src/edge/proxied_request_attempts.cpp
+++ b/src/edge/proxied_request_attempts.cpp
@@ -1,5 +1,4 @@
-/// Attempts of a request: where it is sent, how long its response is awaited,
-/// and whether it is sent again.
+/// Attempts of a request: where it is sent, how long its response is awaited, and whether it is sent again.
 #include <algorithm>
 #include <cstdio>
 
@@ -32,8 +31,7 @@
   if (!endpoint) return give_up(cause_without_endpoint());
   begin_attempt(*endpoint, now);
   const Span timeout = start_attempt_timer(time_left, now);
-  // The adaptive time-out of a stream ends with its first event: the endpoint
-  // may work on.
+  // The adaptive time-out of a stream ends with its first event: the endpoint may work on.
   const Span endpoint_time = is_stream_ ? std::min(route_->timeout, time_left) : timeout;
   attempt_.connection = plane_.upstreams().send(endpoint, *this, make_upstream_request(endpoint_time));
 }
@@ -53,8 +51,7 @@
 
 // Null: there is none that it may be sent to.
 std::shared_ptr<Endpoint> ProxiedRequest::choose_endpoint(TimePoint now) {
-  // An idempotent request goes once more to where it has been, rather than
-  // nowhere with time left.
+  // An idempotent request goes once more to where it has been, rather than nowhere with time left.
   if (route_->repeatable() && !placement_.avoid.empty() && !balancer().choose_endpoint(placement_, now))
     placement_.avoid.clear();
   const std::size_t avoided = placement_.avoid.size();
@@ -251,8 +248,8 @@
   start_attempt();
 }
 
-// No further attempt. `cause_if_not_run`: of the 503 where it has not run; else
-// 502 or 504 by how the last attempt ended.
+// No further attempt. `cause_if_not_run`: of the 503 where it has not run; else 502 or 504 by how the last
+// attempt ended.
 void ProxiedRequest::give_up(FailureCause cause_if_not_run) {
   if (is_head_written_) return reset(cause_of_reset());
   if (may_have_run_) {
--- a/src/edge/proxied_request_responses.cpp
+++ b/src/edge/proxied_request_responses.cpp
@@ -1,5 +1,5 @@
-/// The response to the client: an endpoint's, passed on whole or event by
-/// event, or one of the edge's own; and what follows from its end for storage.
+/// The response to the client: an endpoint's, passed on whole or event by event, or one of the edge's own;
+/// and what follows from its end for storage.
 #include "common/invariant.hpp"
 #include "edge/data_plane.hpp"
 #include "edge/downstream_connection.hpp"
@@ -34,8 +34,7 @@
   finish();
 }
 
-// Passes on the complete events that have come; `is_end`: also what is behind
-// them.
+// Passes on the complete events that have come; `is_end`: also what is behind them.
 void ProxiedRequest::pass_on_events(bool is_end) {
   const TimePoint now = plane_.timers().now();
   const std::string_view received = attempt_.body;
@@ -105,8 +104,7 @@
 
 // ---- turns and budgets
 
-// The response ends only once the turn is stored: a client that has all of it
-// may continue the turn.
+// The response ends only once the turn is stored: a client that has all of it may continue the turn.
 void ProxiedRequest::store_turn() {
   stage_ = Stage::storing;
   common::Turn turn;
@@ -160,14 +158,12 @@
   guard_.reset();
   is_counted_ = is_head_written_ = false;
   budget_.abandon();
-  request_ = {};  // an idle connection holds no bodies, and its end is not
-                  // reported as this request's
+  request_ = {};  // an idle connection holds no bodies, and its end is not reported as this request's
   stage_ = Stage::finished;
   connection_.on_request_finished();
 }
 
-// A part of the response is out: the connection must not end as if it were
-// complete.
+// A part of the response is out: the connection must not end as if it were complete.
 void ProxiedRequest::reset(FailureCause cause) { connection_.reset(cause); }
 
 void ProxiedRequest::abort() {
--- a/src/edge/request_failure.cpp
+++ b/src/edge/request_failure.cpp
@@ -67,15 +67,13 @@
 void FailureRecorder::write(common::MetricsWriter& out) const {
   using Type = common::MetricsWriter::Type;
   out.begin(Type::counter, "chutevane_own_answers", "",
-            "Requests answered by this sidecar itself and not by an endpoint, "
-            "by cause.");
+            "Requests answered by this sidecar itself and not by an endpoint, by cause.");
   for (std::size_t i = 0; i < failure_cause_count; ++i) {
     const auto cause = static_cast<FailureCause>(i);
     if (!closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", names[i]}});
   }
   out.begin(Type::counter, "chutevane_closed_without_answer", "",
-            "Connections of clients that ended before the request in hand was "
-            "answered whole, by cause.");
+            "Connections of clients that ended before the request in hand was answered whole, by cause.");
   for (std::size_t i = 0; i < failure_cause_count; ++i) {
     const auto cause = static_cast<FailureCause>(i);
     if (closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", names[i]}});
--- a/src/edge/service_balancer.cpp
+++ b/src/edge/service_balancer.cpp
@@ -50,8 +50,8 @@
     state.capacity = info.capacity;
     updated.push_back(std::move(state));
   }
-  // Each process has an order of its own: else all would have the same subset,
-  // or each a connection to every endpoint.
+  // Each process has an order of its own: else all would have the same subset, or each a connection to every
+  // endpoint.
   const auto is_far = [&](const EndpointState& endpoint) { return endpoint.zone != zone_; };
   std::sort(updated.begin(), updated.end(), [&](const EndpointState& left, const EndpointState& right) {
     return std::pair(is_far(left), rank(left.id, seed_)) < std::pair(is_far(right), rank(right.id, seed_));
@@ -116,8 +116,7 @@
 }
 
 std::size_t ServiceBalancer::subset_size(TimePoint now) {
-  // Little's law: rate times duration. Before any attempt has ended there is no
-  // duration yet.
+  // Little's law: rate times duration. Before any attempt has ended there is no duration yet.
   const double mean_in_flight = mean_attempt_ms_ > 0
                                     ? recent_attempts_.sum(now) * mean_attempt_ms_ / attempt_window.as_ms()
                                     : in_flight();
@@ -125,8 +124,8 @@
   return std::min(endpoints_.size(), std::max(min_subset_size, wanted));
 }
 
-// In turn: a draw from the subset, its least loaded endpoint, a draw from all,
-// the least loaded of all for its speed.
+// In turn: a draw from the subset, its least loaded endpoint, a draw from all, the least loaded of all for
+// its speed.
 std::string ServiceBalancer::choose_by_weight(const std::vector<std::size_t>& candidates, TimePoint now) {
   double in_flight = 0;
   std::vector<bool> is_candidate(endpoints_.size());
@@ -157,9 +156,8 @@
   return endpoints_[*least].id;
 }
 
-// The whole subset is above the mean. It is left only where its endpoints are
-// nearly full: with free slots nobody waits there, and a connection outside the
-// subset has its price.
+// The whole subset is above the mean. It is left only where its endpoints are nearly full: with free slots
+// nobody waits there, and a connection outside the subset has its price.
 std::optional<std::size_t> ServiceBalancer::least_loaded_in_subset(std::size_t subset,
                                                                    const std::vector<bool>& is_candidate,
                                                                    TimePoint now) const {
@@ -182,8 +180,7 @@
   return model_.expected_other_requests(endpoint.other_requests, now - endpoint.load_reported_at);
 }
 
-// In tokens of prefill: what could be read in the time that the request costs
-// there.
+// In tokens of prefill: what could be read in the time that the request costs there.
 double ServiceBalancer::placement_cost(const EndpointState& endpoint, const AttemptContext& attempt,
                                        TimePoint now) const {
   const double uncached = endpoint.prefix_cache.uncached_tokens(attempt.prompt);
@@ -197,8 +194,8 @@
   return cost;
 }
 
-// Of endpoints that cost the same all processes take the same one, by a hash of
-// the prompt's first block: the prompt is then read and cached once.
+// Of endpoints that cost the same all processes take the same one, by a hash of the prompt's first block: the
+// prompt is then read and cached once.
 std::string ServiceBalancer::choose_by_cost(const std::vector<std::size_t>& candidates,
                                             const AttemptContext& attempt, TimePoint now) {
   double least_cost = 0;
@@ -256,8 +253,7 @@
   EndpointState* const endpoint = find(id);
   if (endpoint == nullptr) return;
   endpoint->in_flight = std::max(0.0, endpoint->in_flight - 1);
-  // Rounding errors, and attempts that ended without being read, must not add
-  // up.
+  // Rounding errors, and attempts that ended without being read, must not add up.
   if (endpoint->in_flight < 0.5) endpoint->pending_prefill_tokens = 0;
   if (outcome == AttemptOutcome::served) return;
   complete_prefill(*endpoint, attempt);
--- a/src/edge/service_balancer.hpp
+++ b/src/edge/service_balancer.hpp
@@ -1,44 +1,33 @@
-/// Load balancing for one service: how long an attempt may take, whether a
-/// retry is worth it, and which endpoint gets it. No I/O. Time is passed with
-/// every call, so that tests control it.
+/// Load balancing for one service: how long an attempt may take, whether a retry is worth it, and which
+/// endpoint gets it. No I/O. Time is passed with every call, so that tests control it.
 ///
-/// Time-outs and retries (after NResilience; docs/design.md, departures in
-/// docs/system.md):
-///  - attempt_timeout(): the least of the route's timeout, the time that the
-///  client still waits, and three
-///    times the 95th percentile of the latencies of the last 10 s, 50 ms at
-///    least. The third term applies only where another attempt may follow,
-///    where 20 responses or more were observed, and while attempts that it
-///    ended do not starve the estimate that it is made from.
+/// Time-outs and retries (after NResilience; docs/design.md, departures in docs/system.md):
+///  - attempt_timeout(): the least of the route's timeout, the time that the client still waits, and three
+///    times the 95th percentile of the latencies of the last 10 s, 50 ms at least. The third term applies
+///    only where another attempt may follow, where 20 responses or more were observed, and while attempts
+///    that it ended do not starve the estimate that it is made from.
 ///  - is_expired(): no time is left, nothing is sent.
-///  - allows_retry(): less time is left than the median attempt takes, no
-///  retry.
+///  - allows_retry(): less time is left than the median attempt takes, no retry.
 ///
 /// Choice of the endpoint, choose_endpoint():
-///  - Candidates are all but those that the request has met already
-///  (AttemptContext::avoid) and those that
-///    are ejected after failures (300 ms, doubling to 5 s). Where more are
-///    ejected than not, the fault is hardly theirs: nobody is excluded.
-///  - The subset: attempts go to the first endpoints of an order of this
-///  process's own, its zone first, as
-///    many that each has half an attempt in flight on the mean, three at least.
-///    Each connection has a price, and what is known of a few endpoints is more
-///    recent.
-///  - By cost: requests that name the blocks of their prompt, on routes with
-///  affinity, go where they cost
-///    the least: placement_cost(), in tokens of prefill (EngineModel has the
-///    terms). Endpoints outside the subset cost a connection more.
-///  - By weight: all others are drawn at random by weights inverse to the
-///  smoothed latency, which are
-///    recomputed every 2 s; endpoints with well above the mean in flight are
-///    passed over. The subset is left only where it is nearly full.
+///  - Candidates are all but those that the request has met already (AttemptContext::avoid) and those that
+///    are ejected after failures (300 ms, doubling to 5 s). Where more are ejected than not, the fault is
+///    hardly theirs: nobody is excluded.
+///  - The subset: attempts go to the first endpoints of an order of this process's own, its zone first, as
+///    many that each has half an attempt in flight on the mean, three at least. Each connection has a price,
+///    and what is known of a few endpoints is more recent.
+///  - By cost: requests that name the blocks of their prompt, on routes with affinity, go where they cost
+///    the least: placement_cost(), in tokens of prefill (EngineModel has the terms). Endpoints outside the
+///    subset cost a connection more.
+///  - By weight: all others are drawn at random by weights inverse to the smoothed latency, which are
+///    recomputed every 2 s; endpoints with well above the mean in flight are passed over. The subset is left
+///    only where it is nearly full.
 ///
-/// What is known of an endpoint: this process's own attempts in flight, their
-/// latencies, consecutive failures, the blocks of prompts that were sent there
-/// (PrefixCacheIndex), and the load that its responses report. Such a report is
-/// used in two ways that give different results: a weighted draw counts it in
-/// full for 2 s and not at all after that (recent_load), a cost lets it fade
-/// towards the mean of all endpoints (EngineModel::expected_other_requests).
+/// What is known of an endpoint: this process's own attempts in flight, their latencies, consecutive
+/// failures, the blocks of prompts that were sent there (PrefixCacheIndex), and the load that its responses
+/// report. Such a report is used in two ways that give different results: a weighted draw counts it in full
+/// for 2 s and not at all after that (recent_load), a cost lets it fade towards the mean of all endpoints
+/// (EngineModel::expected_other_requests).
 #pragma once
 
 #include <cstdint>
@@ -58,17 +47,16 @@
 
 namespace chutevane::edge {
 
-/// A request as the balancer sees it: what decides where its next attempt goes,
-/// and what the balancer itself keeps of the attempt in flight. One per
-/// request, owned by the caller, used for its attempts one after the other.
+/// A request as the balancer sees it: what decides where its next attempt goes, and what the balancer itself
+/// keeps of the attempt in flight. One per request, owned by the caller, used for its attempts one after the
+/// other.
 struct AttemptContext {
   bool has_affinity = false;        ///< its route prefers endpoints that have its prompt cached
   std::vector<PromptBlock> prompt;  ///< blocks of the prompt, in order; empty: not known
   double body_bytes = 0;
   std::vector<std::string> avoid;  ///< ids of endpoints that have rejected or failed it
 
-  // Written by on_attempt_sent() and read until on_attempt_ended(), also
-  // through a const reference.
+  // Written by on_attempt_sent() and read until on_attempt_ended(), also through a const reference.
   mutable double pending_prefill_tokens = 0;  ///< that its endpoint has still to read
   mutable std::optional<TimePoint> sent_at{};
 };
@@ -76,21 +64,17 @@
 /// How an attempt ended, for the estimates of the service and of its endpoint.
 enum class AttemptOutcome : std::uint8_t {
   served,
-  failed,            ///< connection lost, invalid response, server error, or no response
-                     ///< within the route's timeout
-  rejected,          ///< the endpoint has proven that it did not execute it
-  adaptive_timeout,  ///< ended by the measured term of attempt_timeout(): no
-                     ///< failure of the endpoint
+  failed,    ///< connection lost, invalid response, server error, or no response within the route's timeout
+  rejected,  ///< the endpoint has proven that it did not execute it
+  adaptive_timeout,  ///< ended by the measured term of attempt_timeout(): no failure of the endpoint
   cancelled,         ///< the client is gone
 };
 
-/// The balancer of one service in one process. Not thread-safe. For each
-/// attempt: choose_endpoint(), on_attempt_sent(), perhaps on_response(), and
-/// exactly one on_attempt_ended().
+/// The balancer of one service in one process. Not thread-safe. For each attempt: choose_endpoint(),
+/// on_attempt_sent(), perhaps on_response(), and exactly one on_attempt_ended().
 class ServiceBalancer {
  public:
-  /// `zone`: of this process. `seed`: of the random draws and of the order of
-  /// the subset.
+  /// `zone`: of this process. `seed`: of the random draws and of the order of the subset.
   ServiceBalancer(std::string zone, std::uint64_t seed);
 
   /// An endpoint of the service as the endpoint list has it.
@@ -99,36 +83,30 @@
     std::string zone;
     std::size_t capacity = 0;  ///< slots: requests that it runs at once
   };
-  /// Replaces the endpoints that may be chosen. What was learned of those that
-  /// stay is kept.
+  /// Replaces the endpoints that may be chosen. What was learned of those that stay is kept.
   void update_endpoints(const std::vector<EndpointInfo>& endpoints, TimePoint now);
-  /// The service's engine: tokens of its KV cache, and requests per batch (0:
-  /// the endpoint's capacity).
+  /// The service's engine: tokens of its KV cache, and requests per batch (0: the endpoint's capacity).
   void set_engine(double kv_cache_tokens, std::size_t batch_size) {
     kv_cache_tokens_ = kv_cache_tokens;
     batch_size_ = static_cast<double>(batch_size);
   }
   bool empty() const { return endpoints_.empty(); }
 
-  /// Time-out of an attempt that is sent now. `may_retry`: another attempt may
-  /// follow it; only then may it be shorter than `route_timeout` and
-  /// `time_left` allow.
+  /// Time-out of an attempt that is sent now. `may_retry`: another attempt may follow it; only then may it be
+  /// shorter than `route_timeout` and `time_left` allow.
   Span attempt_timeout(Span route_timeout, Span time_left, bool may_retry, TimePoint now);
   static bool is_expired(Span time_left) { return time_left <= Span(); }
-  /// Whether a retry can be expected to end in time. Not asked for first
-  /// attempts.
+  /// Whether a retry can be expected to end in time. Not asked for first attempts.
   bool allows_retry(Span time_left, TimePoint now);
 
   /// The endpoint for an attempt; nothing where all are to be avoided.
   [[nodiscard]] std::optional<std::string> choose_endpoint(const AttemptContext& attempt, TimePoint now);
   void on_attempt_sent(const std::string& id, const AttemptContext& attempt, TimePoint now);
-  /// `latency`: from sending to the first event of a stream, or to the end of
-  /// any other response.
+  /// `latency`: from sending to the first event of a stream, or to the end of any other response.
   void on_response(const std::string& id, const AttemptContext& attempt, Span latency, TimePoint now);
   void on_attempt_ended(const std::string& id, const AttemptContext& attempt, AttemptOutcome outcome,
                         TimePoint now);
-  /// An endpoint's response has reported how many requests run and wait there,
-  /// from all processes.
+  /// An endpoint's response has reported how many requests run and wait there, from all processes.
   void on_load_report(const std::string& id, double running, double waiting, TimePoint now);
 
   /// Attempts of this process in flight at the endpoints of the list.
--- a/src/edge/storage_client.hpp
+++ b/src/edge/storage_client.hpp
@@ -1,18 +1,14 @@
-/// The edge's client of the storage nodes: reserves budgets before a request
-/// runs, stores a turn before its response ends, and reads the chain of turns
-/// that a request continues.
+/// The edge's client of the storage nodes: reserves budgets before a request runs, stores a turn before its
+/// response ends, and reads the chain of turns that a request continues.
 ///
-/// Each program has a replica group of 2 x losses + 1 storage nodes, which the
-/// storage map gives (docs/state.md). Of a write, as many nodes as a quorum and
-/// more than may be lost have it on disk before it counts, all of them under
-/// the same map: a node that has it under an older map may be lost, and the
-/// node that succeeds it may have copied the others' data before they had the
-/// write. Answers under two maps are therefore never added up; an operation
-/// whose map is superseded starts over.
+/// Each program has a replica group of 2 x losses + 1 storage nodes, which the storage map gives
+/// (docs/state.md). Of a write, as many nodes as a quorum and more than may be lost have it on disk before it
+/// counts, all of them under the same map: a node that has it under an older map may be lost, and the node
+/// that succeeds it may have copied the others' data before they had the write. Answers under two maps are
+/// therefore never added up; an operation whose map is superseded starts over.
 ///
-/// Each operation ends with exactly one call of its `done`, by its deadline or
-/// shortly after (tens of ms), from the event loop or from inside the call that
-/// began it. Operations can't be cancelled.
+/// Each operation ends with exactly one call of its `done`, by its deadline or shortly after (tens of ms),
+/// from the event loop or from inside the call that began it. Operations can't be cancelled.
 #pragma once
 
 #include <cstdint>
@@ -28,13 +24,14 @@
 
 namespace chutevane::edge {
 
+/// What came of a reservation.
 enum class ReservationResult : std::uint8_t {
   granted,
   exhausted,    ///< others have reserved or used too much of the program's budget
-  unavailable,  ///< no quorum has answered in time; some nodes may have the
-                ///< reservation
+  unavailable,  ///< no quorum has answered in time; some nodes may have the reservation
 };
 
+/// What came of a lookup.
 enum class LookupResult : std::uint8_t {
   complete,
   not_found,    ///< proven: there is no such turn
@@ -47,43 +44,38 @@
   std::vector<std::shared_ptr<const common::Turn>> turns;  ///< the oldest first; all of them only if complete
 };
 
-/// Not thread-safe: everything happens on the scheduler's thread. Must outlive
-/// its operations.
+/// Not thread-safe: everything happens on the scheduler's thread. Must outlive its operations.
 class StorageClient {
  public:
-  /// `zone`: of this process, whose nodes are asked first. `tolerated_losses`:
-  /// storage nodes that may be lost at once. `cache_bytes`: for turns that went
-  /// through here. `seed`: of the pauses between attempts to connect.
+  /// `zone`: of this process, whose nodes are asked first. `tolerated_losses`: storage nodes that may be lost
+  /// at once. `cache_bytes`: for turns that went through here. `seed`: of the pauses between attempts to
+  /// connect.
   StorageClient(net::Scheduler& scheduler, net::TimerQueue& timers, std::string zone,
                 std::size_t tolerated_losses, std::size_t cache_bytes, std::uint64_t seed);
 
-  /// The storage nodes by the map of this version; an older version than the
-  /// known one is ignored.
+  /// The storage nodes by the map of this version; an older version than the known one is ignored.
   void on_storage_map(std::int64_t map_version, const std::vector<common::StorageNode>& storage_nodes);
   /// Whether enough nodes are known to survive the tolerated losses.
   bool can_replicate() const;
   std::int64_t map_version() const { return map_version_; }
 
-  /// Reserves `tokens` of the program's `budget` for the attempt, unless others
-  /// have too much of it.
+  /// Reserves `tokens` of the program's `budget` for the attempt, unless others have too much of it.
   void reserve(const std::string& program, const std::string& attempt_id, std::int64_t tokens,
                std::int64_t budget, TimePoint deadline, std::function<void(ReservationResult)> done);
-  /// The attempt has used so many of the reserved tokens. Sent once to each
-  /// node of the group, without an answer.
+  /// The attempt has used so many of the reserved tokens. Sent once to each node of the group, without an
+  /// answer.
   void commit_usage(const std::string& program, const std::string& attempt_id, std::int64_t tokens);
   /// The attempt has not run and will not.
   void release(const std::string& program, const std::string& attempt_id) {
     commit_usage(program, attempt_id, 0);
   }
 
-  /// Stores a turn; `done(true)` once enough nodes have it on disk.
-  /// `used_tokens`: commits the reservation of the turn's attempt along with
-  /// it; -1: it has none.
+  /// Stores a turn; `done(true)` once enough nodes have it on disk. `used_tokens`: commits the reservation of
+  /// the turn's attempt along with it; -1: it has none.
   void store_turn(const common::Turn& turn, std::int64_t used_tokens, TimePoint deadline,
                   std::function<void(bool)> done);
 
-  /// Reads the turn `id` and all that it continues. `attempt_id`: of the
-  /// request that asks, for logs.
+  /// Reads the turn `id` and all that it continues. `attempt_id`: of the request that asks, for logs.
   void find_chain(const std::string& id, const std::string& program, const std::string& attempt_id,
                   TimePoint deadline, std::function<void(TurnChain)> done);
   std::size_t cached_turns() const { return cache_.size(); }
--- a/src/edge/storage_client_lookups.cpp
+++ b/src/edge/storage_client_lookups.cpp
@@ -1,15 +1,12 @@
-/// Lookups of a turn and all that it continues, from the newest back to the
-/// first.
+/// Lookups of a turn and all that it continues, from the newest back to the first.
 ///
-/// What is cached is followed first. For the next turn storage nodes are asked
-/// one after the other, the program's group first and in it the own zone, a
-/// further one after a hedging delay. A node returns as much of the chain as it
-/// has. Other nodes are asked as well, since a turn may have been stored under
-/// an older map.
+/// What is cached is followed first. For the next turn storage nodes are asked one after the other, the
+/// program's group first and in it the own zone, a further one after a hedging delay. A node returns as much
+/// of the chain as it has. Other nodes are asked as well, since a turn may have been stored under an older
+/// map.
 ///
-/// That there is no such turn is proven by negative answers: a turn that was
-/// acknowledged is at more nodes than may be lost, so it is nowhere if all but
-/// that many nodes do not have it.
+/// That there is no such turn is proven by negative answers: a turn that was acknowledged is at more nodes
+/// than may be lost, so it is nowhere if all but that many nodes do not have it.
 #include <algorithm>
 
 #include "edge/storage_client.hpp"
--- a/src/edge/storage_client_reservations.cpp
+++ b/src/edge/storage_client_reservations.cpp
@@ -1,15 +1,13 @@
 /// Reservations of budgets at a quorum of the program's replica group.
 ///
-/// Every other reservation that was granted is at a quorum of the group, so at
-/// least one of any quorum reports it. No two nodes need report the same ones:
-/// the reports are merged by attempt.
+/// Every other reservation that was granted is at a quorum of the group, so at least one of any quorum
+/// reports it. No two nodes need report the same ones: the reports are merged by attempt.
 ///
-/// The first quorum of answers does not decide. Of three requests through three
-/// edges each may be told of one other alone, and all three be granted on a
-/// budget for two. What decides is either the answers of the whole group, since
-/// the last request at any node is told of all others there; or a second round
-/// at a quorum under the same map (confirmation), begun once a quorum has the
-/// reservation: whoever reserves later is told of it by then (docs/state.md).
+/// The first quorum of answers does not decide. Of three requests through three edges each may be told of one
+/// other alone, and all three be granted on a budget for two. What decides is either the answers of the whole
+/// group, since the last request at any node is told of all others there; or a second round at a quorum under
+/// the same map (confirmation), begun once a quorum has the reservation: whoever reserves later is told of it
+/// by then (docs/state.md).
 #include <algorithm>
 
 #include "edge/storage_client.hpp"
@@ -18,8 +16,7 @@
 namespace chutevane::edge {
 namespace {
 
-// For the rest of the group after a quorum has answered; then the quorum is
-// asked again.
+// For the rest of the group after a quorum has answered; then the quorum is asked again.
 constexpr Span straggler_timeout = Span::ms(12);
 
 }  // namespace
--- a/src/edge/storage_client_writes.cpp
+++ b/src/edge/storage_client_writes.cpp
@@ -1,9 +1,8 @@
 /// Replicated writes of turns.
 ///
-/// The nearest nodes of the program's group are asked first, as many as are
-/// required. The rest of the group is asked only where one of them does not
-/// answer within a hedging delay, or rejects it. All nodes that count have the
-/// turn under one map (storage_client.hpp).
+/// The nearest nodes of the program's group are asked first, as many as are required. The rest of the group
+/// is asked only where one of them does not answer within a hedging delay, or rejects it. All nodes that
+/// count have the turn under one map (storage_client.hpp).
 #include <algorithm>
 #include <set>
 
@@ -66,8 +65,7 @@
     return;
   }
   for (std::size_t sent = 0; sent < write->required; ++sent) write_to_next(write);
-  // The others get the use without the turn: else they would count the
-  // reservation in full.
+  // The others get the use without the turn: else they would count the reservation in full.
   for (std::size_t rest = write->required; rest < write->group.size(); ++rest) {
     if (write->used_tokens >= 0)
       node(write->group[rest])
--- a/src/edge/traffic_splitter.hpp
+++ b/src/edge/traffic_splitter.hpp
@@ -1,11 +1,8 @@
-/// Chooses the service that takes the next request of a route whose traffic is
-/// split by weight.
+/// Chooses the service that takes the next request of a route whose traffic is split by weight.
 ///
-/// Successive requests take the points of a golden-ratio sequence on [0, 1),
-/// which is divided between the services in proportion to their weights. Such
-/// points are spread evenly from the first one on: each service is within two
-/// requests of its share at any time, where independent random draws keep it
-/// only on the mean.
+/// Successive requests take the points of a golden-ratio sequence on [0, 1), which is divided between the
+/// services in proportion to their weights. Such points are spread evenly from the first one on: each service
+/// is within two requests of its share at any time, where independent random draws keep it only on the mean.
 #pragma once
 
 #include <optional>
@@ -19,10 +16,9 @@
 /// State of one route. Not thread-safe.
 class TrafficSplitter {
  public:
-  /// Index in `split` of the service that takes the next request. `split` may
-  /// differ from call to call, and must not be empty. `random` is drawn from
-  /// once, for the first point: processes that know nothing of each other keep
-  /// to the weights together.
+  /// Index in `split` of the service that takes the next request. `split` may differ from call to call, and
+  /// must not be empty. `random` is drawn from once, for the first point: processes that know nothing of each
+  /// other keep to the weights together.
   std::size_t next(const std::vector<common::Weighted>& split, Pcg& random) {
     advance(random);
     double weight_sum = 0;
@@ -44,8 +40,7 @@
     if (*point_ >= 1) *point_ -= 1;
   }
 
-  // Its multiples modulo 1 leave the smallest gaps for any number of them
-  // (Weyl).
+  // Its multiples modulo 1 leave the smallest gaps for any number of them (Weyl).
   static constexpr double golden_ratio = 0.6180339887498949;
   std::optional<double> point_;  // 0 to 1
 };
--- a/src/edge/turn_cache.hpp
+++ b/src/edge/turn_cache.hpp
@@ -1,5 +1,4 @@
-/// Turns that went through this process, so that a chain need not be read from
-/// storage for each request.
+/// Turns that went through this process, so that a chain need not be read from storage for each request.
 #pragma once
 
 #include <cstddef>
@@ -12,12 +11,11 @@
 
 namespace chutevane::edge {
 
-/// Least recently used cache, bounded by bytes. Turns never change once they
-/// are stored, so entries need no invalidation. Not thread-safe.
+/// Least recently used cache, bounded by bytes. Turns never change once they are stored, so entries need no
+/// invalidation. Not thread-safe.
 class TurnCache {
  public:
-  /// `max_bytes`: of all entries; the most recently used entry stays even if it
-  /// alone is larger.
+  /// `max_bytes`: of all entries; the most recently used entry stays even if it alone is larger.
   explicit TurnCache(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   /// A turn that is there already stays as it is.
--- a/src/edge/upstream_connection.cpp
+++ b/src/edge/upstream_connection.cpp
@@ -52,8 +52,8 @@
   return false;
 }
 
-// From here on the request may run. What waited for the connection is not sent
-// to an endpoint that has begun to drain meanwhile.
+// From here on the request may run. What waited for the connection is not sent to an endpoint that has begun
+// to drain meanwhile.
 void UpstreamConnection::write_request() {
   if (endpoint_->is_draining || endpoint_->is_removed) return fail(UpstreamFailure::not_sent);
   is_request_written_ = true;
@@ -104,8 +104,7 @@
   return progress == http::Progress::complete ? end_response() : Step::again;
 }
 
-// 100 Continue and 103 Early Hints. Nobody has asked to switch protocols: what
-// follows a 101 is not HTTP.
+// 100 Continue and 103 Early Hints. Nobody has asked to switch protocols: what follows a 101 is not HTTP.
 UpstreamConnection::Step UpstreamConnection::read_interim_head(http::Progress progress) {
   if (progress != http::Progress::complete || parser_.status() == 101) return fail_response();
   channel_.in().consume(parser_.size());
@@ -147,16 +146,14 @@
   return Step::again;
 }
 
-// The head names another attempt: an earlier one, whose response was not
-// expected any more.
+// The head names another attempt: an earlier one, whose response was not expected any more.
 bool UpstreamConnection::is_for_other_request() const {
   const auto id = parser_.find("X-Chutevane-Attempt-Id");
   return id && *id != attempt_id_;
 }
 
-// A head without an id, after another request on this connection, may belong to
-// the surplus of that one's response: it neither answers this request nor
-// proves that it did not run.
+// A head without an id, after another request on this connection, may belong to the surplus of that one's
+// response: it neither answers this request nor proves that it did not run.
 bool UpstreamConnection::may_be_surplus() const {
   return requests_written_ > 1 && !attempt_id_.empty() && !parser_.find("X-Chutevane-Attempt-Id");
 }
@@ -184,8 +181,8 @@
 
 void UpstreamConnection::complete() {
   ResponseHandler* const handler = std::exchange(handler_, nullptr);
-  // Bytes behind a complete response belong to no request, and the rest of a
-  // request that was answered early would stand before the next one.
+  // Bytes behind a complete response belong to no request, and the rest of a request that was answered early
+  // would stand before the next one.
   const bool is_clean = channel_.in().empty() && channel_.unsent() == 0;
   if (!is_persistent_ || !is_clean || endpoint_->is_draining || endpoint_->is_removed ||
       idle_timeout_ <= Span()) {
--- a/src/edge/upstream_connection.hpp
+++ b/src/edge/upstream_connection.hpp
@@ -1,10 +1,8 @@
-/// One connection to an endpoint: HTTP/1.1, one request at a time, reused while
-/// that is safe.
+/// One connection to an endpoint: HTTP/1.1, one request at a time, reused while that is safe.
 ///
-/// States: connecting, then in turn busy (a ResponseHandler waits for a
-/// response) and idle (listed in Endpoint::idle_connections), at last closed. A
-/// response is matched to its request by X-Chutevane-Attempt-Id, which
-/// endpoints return: a surplus response to an earlier request is skipped and
+/// States: connecting, then in turn busy (a ResponseHandler waits for a response) and idle (listed in
+/// Endpoint::idle_connections), at last closed. A response is matched to its request by
+/// X-Chutevane-Attempt-Id, which endpoints return: a surplus response to an earlier request is skipped and
 /// never passed on. Whatever leaves the connection in doubt closes it.
 #pragma once
 
@@ -22,14 +20,14 @@
 class UpstreamPool;
 struct Endpoint;
 
+/// Why there is no complete response, as far as it matters for sending the request again.
 enum class UpstreamFailure : std::uint8_t {
   not_sent,         ///< not one byte of the request went out: it has not run
   connection_lost,  ///< or an invalid response: it may have run
 };
 
-/// Receives the response to one request. Each call may cancel the request
-/// (UpstreamConnection::cancel); after on_response_complete() or
-/// on_response_failed() the connection no longer belongs to it.
+/// Receives the response to one request. Each call may cancel the request (UpstreamConnection::cancel); after
+/// on_response_complete() or on_response_failed() the connection no longer belongs to it.
 class ResponseHandler {
  public:
   /// `response` is valid during the call.
@@ -42,6 +40,7 @@
   ~ResponseHandler() = default;
 };
 
+/// A request as it is sent to an endpoint.
 struct UpstreamRequest {
   std::string head;        ///< as it is written, with its empty line
   std::string_view body;   ///< copied before UpstreamPool::send() returns
@@ -49,30 +48,26 @@
   bool is_head = false;    ///< method HEAD: no body follows the response's Content-Length
 };
 
-/// Created and owned by an UpstreamPool, which it tells of its end. Not
-/// thread-safe.
+/// Created and owned by an UpstreamPool, which it tells of its end. Not thread-safe.
 class UpstreamConnection final : net::Channel::Observer {
  public:
   UpstreamConnection(UpstreamPool& pool, net::Scheduler& scheduler, net::TimerQueue& timers,
                      std::shared_ptr<Endpoint> endpoint);
   std::size_t group_index = 0;
 
-  /// Writes the request once the connection is established, or at once. The
-  /// handler may be called before this returns.
+  /// Writes the request once the connection is established, or at once. The handler may be called before this
+  /// returns.
   void send(ResponseHandler& handler, UpstreamRequest request);
-  /// Begins to connect; the request that waits fails if that takes too long.
-  /// False: it has failed already.
+  /// Begins to connect; the request that waits fails if that takes too long. False: it has failed already.
   bool connect(const sockaddr_in& address);
-  /// Closes the connection; its handler gets no further call. Whether any of
-  /// the request may have gone out.
+  /// Closes the connection; its handler gets no further call. Whether any of the request may have gone out.
   bool cancel();
   /// Closes the connection without a call of the handler. Idempotent.
   void close();
 
   bool is_closed() const { return is_closed_; }
   bool serves(const ResponseHandler& handler) const { return handler_ == &handler; }
-  /// Whether an idle connection is still open and the endpoint has not sent
-  /// what nobody asked for.
+  /// Whether an idle connection is still open and the endpoint has not sent what nobody asked for.
   bool is_reusable() const { return channel_.up() && channel_.quiet(); }
   Endpoint& endpoint() const { return *endpoint_; }
 
--- a/src/edge/upstream_pool.hpp
+++ b/src/edge/upstream_pool.hpp
@@ -1,5 +1,5 @@
-/// The endpoints of the list and the connections to them. The most recently
-/// used idle connection is used first, so that surplus ones time out.
+/// The endpoints of the list and the connections to them. The most recently used idle connection is used
+/// first, so that surplus ones time out.
 #pragma once
 
 #include <map>
@@ -13,8 +13,7 @@
 
 namespace chutevane::edge {
 
-/// A server of a service. Kept alive by its connections after it has gone from
-/// the list.
+/// A server of a service. Kept alive by its connections after it has gone from the list.
 struct Endpoint {
   std::string id;
   std::string service;
@@ -27,14 +26,14 @@
   std::vector<UpstreamConnection*> idle_connections;  ///< the most recently used last
 };
 
-/// Not thread-safe.
+/// Endpoints and connections of one process. Not thread-safe. Must outlive all requests that it sends.
 class UpstreamPool {
  public:
   /// `max_connections`: over all endpoints.
   UpstreamPool(net::Scheduler& scheduler, net::TimerQueue& timers, std::size_t max_connections);
 
-  /// Replaces the list. What is draining or gone gets nothing from now on, not
-  /// even requests that wait for their connection.
+  /// Replaces the list. What is draining or gone gets nothing from now on, not even requests that wait for
+  /// their connection.
   void update_endpoints(const std::vector<Endpoint>& list);
   /// Null: it is not on the list.
   std::shared_ptr<Endpoint> find(const std::string& id) const;
@@ -42,19 +41,17 @@
   std::vector<std::shared_ptr<Endpoint>> endpoints_of(const std::string& service) const;
   std::size_t size() const { return endpoints_.size(); }
 
-  /// Sends a request on an idle or a new connection. Null: the handler has been
-  /// called already, with a failure or a response.
+  /// Sends a request on an idle or a new connection. Null: the handler has been called already, with a
+  /// failure or a response.
   [[nodiscard]] UpstreamConnection* send(const std::shared_ptr<Endpoint>& endpoint, ResponseHandler& handler,
                                          UpstreamRequest request);
 
   std::size_t connections_opened() const { return connections_opened_; }  ///< since the start
   std::size_t open_connections() const { return connections_.size(); }
-  /// Checks the invariant that the connections counted at each endpoint are
-  /// those that are open.
+  /// Checks the invariant that the connections counted at each endpoint are those that are open.
   void check_connection_counts();
 
-  /// Called by a connection that has closed; it is destroyed in a later turn of
-  /// the loop.
+  /// Called by a connection that has closed; it is destroyed in a later turn of the loop.
   void on_closed(UpstreamConnection& connection);
 
  private:
