--- a/model/absent.pml
+++ b/model/absent.pml
@@ -48,7 +48,7 @@
 #define taking_over(s) (map[s] > 0 && !whole[s] && named(s, map[s]))
 #define away_mask (away[0] + 2 * away[1] + 4 * away[2] + 8 * away[3])
 
-/* Ledger::sought */
+/* StorageClient::on_find_reply */
 inline check_denied(m) {
   assert(!(kept && count(denied[m]) + 1 >= count(in_map[m])))
 }
--- a/model/budget.pml
+++ b/model/budget.pml
@@ -105,7 +105,7 @@
   g = 0; j = 0
 }
 
-/* on Reserve, and its answer at Ledger::ask_reserve */
+/* on Reserve, and its answer at StorageClient::on_reserve_reply */
 inline reserve(e, s) {
 #ifdef PLANT_MAXIMUM
   if
--- a/model/retire.pml
+++ b/model/retire.pml
@@ -44,7 +44,7 @@
 byte losses = 0, leaves = 0;
 byte pending = NOBODY; /* the machine whose loss is not made up for */
 
-/* The edge: Ledger::keep */
+/* The edge: StorageClient::store_turn */
 byte edge_map = 1, yes = 0;
 bool kept = false;
 
