--- a/src/sidecar/daemon.cpp
+++ b/src/sidecar/daemon.cpp
@@ -8,6 +8,7 @@
 
 #include "base/log.hpp"
 #include "base/settings_reader.hpp"
+#include "snapshot/file_snapshot_store.hpp"
 
 namespace chutevane::sidecar {
 namespace {
--- a/src/sidecar/daemon.hpp
+++ b/src/sidecar/daemon.hpp
@@ -23,8 +23,8 @@
 #include "net/scheduler.hpp"
 #include "net/signals.hpp"
 #include "sidecar/sidecar.hpp"
-#include "snapshot/warm_start.hpp"
 #include "snapshot/snapshot_store.hpp"
+#include "snapshot/warm_start.hpp"
 
 namespace chutevane::sidecar {
 
@@ -74,11 +74,11 @@
   net::Scheduler& scheduler_;
   net::Waker waker_;
   net::Signals signals_;
-  ConfigReader config_reader_;              // empty: an operator's file
-  config::Config config_;                   // as it was at the start
+  ConfigReader config_reader_;                      // empty: an operator's file
+  config::Config config_;                           // as it was at the start
   std::unique_ptr<snapshot::SnapshotStore> store_;  // null: no snapshots
-  snapshot::Snapshot last_snapshot_;         // an earlier process's, if it could be read
-  snapshot::WarmStart warm_start_;             // what of it still counts
+  snapshot::Snapshot last_snapshot_;                // an earlier process's, if it could be read
+  snapshot::WarmStart warm_start_;                  // what of it still counts
   TimePoint next_snapshot_at_;
   Pcg random_;  // spreads the snapshots of sidecars that started together
   snapshot::StoreCounters logged_store_status_;
