--- a/src/route/route_table.cpp
+++ b/src/route/route_table.cpp
@@ -72,21 +72,24 @@
                     prefix_length, kinds[2]);
 }
 
-/// Whether no request can match the headers of both.
+/// Whether no value of one header can match both.
+bool are_exclusive(const HeaderMatcher& a, const HeaderMatcher& b) {
+  if (!same_name(a.name, b.name)) return false;
+  if (a.kind == HeaderMatcher::Kind::present || b.kind == HeaderMatcher::Kind::present) return false;
+  const bool a_is_exact = a.kind == HeaderMatcher::Kind::exact,
+             b_is_exact = b.kind == HeaderMatcher::Kind::exact;
+  if (a_is_exact && b_is_exact) return a.value != b.value;
+  if (a_is_exact) return !a.value.starts_with(b.value);
+  if (b_is_exact) return !b.value.starts_with(a.value);
+  return !a.value.starts_with(b.value) && !b.value.starts_with(a.value);
+}
+
+/// Whether no request can match the headers of both routes.
 bool are_exclusive(const Route& a, const Route& b) {
-  for (const HeaderMatcher& x : a.headers) {
-    for (const HeaderMatcher& y : b.headers) {
-      if (!same_name(x.name, y.name)) continue;
-      if (x.kind == HeaderMatcher::Kind::present || y.kind == HeaderMatcher::Kind::present) continue;
-      const bool x_exact = x.kind == HeaderMatcher::Kind::exact,
-                 y_exact = y.kind == HeaderMatcher::Kind::exact;
-      if (x_exact && y_exact && x.value != y.value) return true;
-      if (x_exact && !y_exact && !x.value.starts_with(y.value)) return true;
-      if (!x_exact && y_exact && !y.value.starts_with(x.value)) return true;
-      if (!x_exact && !y_exact && !x.value.starts_with(y.value) && !y.value.starts_with(x.value)) return true;
-    }
-  }
-  return false;
+  return std::any_of(a.headers.begin(), a.headers.end(), [&](const HeaderMatcher& x) {
+    return std::any_of(b.headers.begin(), b.headers.end(),
+                       [&](const HeaderMatcher& y) { return are_exclusive(x, y); });
+  });
 }
 
 std::uint64_t combine_hash(std::uint64_t hash, std::string_view value) {
--- a/src/sidecar/balancer_driver.cpp
+++ b/src/sidecar/balancer_driver.cpp
@@ -321,6 +321,7 @@
   }
   if (kind != ListKind::changes) {
     std::vector<EndpointId> ids;
+    ids.reserve(entries.size());
     for (const ListedEndpoint& one : entries) ids.push_back(one.id);
     pool_.remove_unlisted(std::move(ids));
   }
--- a/src/sidecar/upstream_connection.cpp
+++ b/src/sidecar/upstream_connection.cpp
@@ -42,18 +42,9 @@
     while (const Bits events = write_request()) on_write_event(co_await waker_.wait(events));
     if (!finish_request()) break;
     while (const Bits events = wait_for_response()) on_response_event(co_await waker_.wait(events));
-    if (!is_usable_) {
-      report(failure_);
-      break;
-    }
-    timer_.cancel();
-    if (progress_ == http::Progress::complete) {
-      if (!finish_response()) break;
-    } else {
-      if (!start_streaming()) break;
-      while (const Bits events = wait_for_body()) on_body_event(co_await waker_.wait(events));
-      if (!finish_streaming()) break;
-    }
+    if (!start_delivery()) break;
+    while (const Bits events = wait_for_body()) on_body_event(co_await waker_.wait(events));
+    if (!finish_delivery()) break;
     buffer_.shrink(idle_buffer_bytes);
     // `readable` may stand for bytes that have been read since; it does not end the connection by itself.
     Bits events = 0;
@@ -227,6 +218,19 @@
          exceeds_buffer(parser_, max_buffered_body(pool_.buffer_budget_, parser_.length().has_value()));
 }
 
+/// Whether there is a response that somebody wants: all of it, or the beginning of a streamed one.
+bool UpstreamConnection::start_delivery() {
+  if (!is_usable_) {
+    report(failure_);
+    return false;
+  }
+  timer_.cancel();
+  return progress_ == http::Progress::complete || start_streaming();
+}
+
+/// Returns whether the connection is kept.
+bool UpstreamConnection::finish_delivery() { return response_body_ ? finish_streaming() : finish_response(); }
+
 /// Reports a complete response. Returns whether the connection is kept.
 bool UpstreamConnection::finish_response() {
   // It becomes idle before the report: what the balancer decides on hearing of the end may go out on it.
@@ -254,7 +258,7 @@
 }
 
 UpstreamConnection::Bits UpstreamConnection::wait_for_body() {
-  if (!is_usable_ || progress_ != http::Progress::more) return 0;
+  if (!response_body_ || !is_usable_ || progress_ != http::Progress::more) return 0;
   progress_ = response_body_->receive(parser_, buffer_);
   if (progress_ != http::Progress::more || response_body_->has_lost_consumer()) return 0;
   const bool must_pause = pool_.buffer_budget_.full() && !response_body_->readable().empty();
--- a/src/sidecar/upstream_connection.hpp
+++ b/src/sidecar/upstream_connection.hpp
@@ -65,10 +65,12 @@
   bool finish_request();
   Bits wait_for_response();
   void on_response_event(Bits events);
-  bool finish_response();
+  bool start_delivery();
   bool start_streaming();
   Bits wait_for_body();
   void on_body_event(Bits events);
+  bool finish_delivery();
+  bool finish_response();
   bool finish_streaming();
   bool resume(Bits events);
   void close();
