--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -129,6 +129,8 @@
          track("plan", "safe") + "," + track("sale", "unsafe") + "]}}";
 }
 
+inline const std::string get_ready = "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n";
+
 inline std::string request_text(const std::string& id, const std::string& track,
                                 const std::string& wait = "4000m", const std::string& body = "abc") {
   const std::string head = " /api?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id +
