--- a/src/common/disk.cpp
+++ b/src/common/disk.cpp
@@ -1,3 +1,4 @@
+/// Identities of disks.
 #include "common/disk.hpp"
 
 #include <array>
--- a/src/common/durable_state.cpp
+++ b/src/common/durable_state.cpp
@@ -1,3 +1,4 @@
+/// Recovery, checkpoints and changes of a durable state. The header has the protocol.
 #include "common/durable_state.hpp"
 
 #include <cstring>
--- a/src/common/durable_state.hpp
+++ b/src/common/durable_state.hpp
@@ -25,6 +25,7 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "common/disk.hpp"
@@ -38,6 +39,7 @@
   /// `disk` outlives this object. `name` begins the names of the files.
   DurableState(Disk& disk, std::string name) : disk_(disk), name_(std::move(name)) {}
 
+  /// What a recovery has found.
   struct Recovered {
     std::string checkpoint;            ///< the state as it was written
     std::vector<std::string> changes;  ///< to apply to it, the oldest first
@@ -73,12 +75,13 @@
   static constexpr std::size_t number_bytes = sizeof(std::uint64_t);
   static constexpr std::size_t record_overhead = frame_header_bytes + number_bytes;
 
+  /// The content of a slot.
   struct Checkpoint {
     int slot = 0;
     std::uint64_t number = 0;
     std::string state;
   };
-  /// The newest complete slot. `damaged`: a slot has content and is not complete.
+  /// What the slots have: the newest complete one. `damaged`: a slot has content and is not complete.
   struct SlotScan {
     std::optional<Checkpoint> newest;
     bool damaged = false;
--- a/src/common/memory_disk.cpp
+++ b/src/common/memory_disk.cpp
@@ -1,3 +1,4 @@
+/// The model of a disk: steps, faults, and what a loss of power leaves.
 #include "common/memory_disk.hpp"
 
 #include <algorithm>
--- a/src/common/memory_disk.hpp
+++ b/src/common/memory_disk.hpp
@@ -69,6 +69,7 @@
   };
   /// What a loss of power has made of one write. The order of the enumerators is that of the random draw.
   enum class WriteOutcome : std::uint8_t { missing, torn, complete };
+  /// A file, as it is read now and as far as it is durable.
   struct File {
     std::string durable;        // what survives for sure
     std::string current;        // what read() returns
--- a/src/common/posix_disk.cpp
+++ b/src/common/posix_disk.cpp
@@ -1,3 +1,4 @@
+/// Files of a directory by POSIX calls. The header has the contract.
 #include "common/posix_disk.hpp"
 
 #include <dirent.h>
--- a/src/common/posix_disk.hpp
+++ b/src/common/posix_disk.hpp
@@ -1,9 +1,11 @@
 /// A Disk that is a directory of the machine.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "common/disk.hpp"
@@ -34,6 +36,7 @@
 
  private:
   enum class OpenMode : std::uint8_t { existing, create };
+  /// An open file.
   struct File {
     int descriptor = -1;        // owned
     bool name_durable = false;  // the directory was synced since this process opened or created the file
--- a/src/common/record_framing.cpp
+++ b/src/common/record_framing.cpp
@@ -1,3 +1,4 @@
+/// Writing and parsing of frames. The header has the layout.
 #include "common/record_framing.hpp"
 
 #include <xxhash.h>
--- a/src/storage/ancestor_fetcher.cpp
+++ b/src/storage/ancestor_fetcher.cpp
@@ -1,3 +1,4 @@
+/// Fetching of missing ancestors, one node of the map after the other. The header has the contract.
 #include "storage/ancestor_fetcher.hpp"
 
 #include <vector>
@@ -9,6 +10,7 @@
 
 }  // namespace
 
+/// One chain being completed.
 struct AncestorFetcher::Fetch {
   common::Turn turn;
   std::function<void()> done;
--- a/src/storage/ancestor_fetcher.hpp
+++ b/src/storage/ancestor_fetcher.hpp
@@ -32,7 +32,7 @@
   void complete_chain(const common::Turn& turn, std::function<void()> done);
 
  private:
-  struct Fetch;
+  struct Fetch;  ///< one chain being completed
   void request_next(const std::shared_ptr<Fetch>& fetch);
   void on_reply(const std::shared_ptr<Fetch>& fetch, const absl::StatusOr<common::FindTurnReply>& reply);
 
--- a/src/storage/group_commit.cpp
+++ b/src/storage/group_commit.cpp
@@ -1,3 +1,4 @@
+/// Group commit and its retries. The header has the contract.
 #include "storage/group_commit.hpp"
 
 namespace chutevane::storage {
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -26,7 +26,7 @@
 /// Smallest number of a group of `group_size` that shares a member with every other such number.
 inline std::size_t quorum_size(std::size_t group_size) { return group_size / 2 + 1; }
 
-/// Indices into `storage_nodes` of the program's replicas, the first choice first. Nodes that are leaving
+/// Indices into `storage_nodes` of the program's replicas, the first choice first. Nodes that are draining
 /// hold none. Fewer than replica_group_size() where there are no more nodes.
 ///
 /// Zones are spread over: no zone gets a second replica before every zone has one, so that the loss of a zone
--- a/src/storage/pull_responder.cpp
+++ b/src/storage/pull_responder.cpp
@@ -1,3 +1,4 @@
+/// Replies to PullRequests: what each kind of reply contains, and its limits.
 #include "storage/pull_responder.hpp"
 
 #include <algorithm>
@@ -13,6 +14,7 @@
 constexpr std::size_t max_listed_turns = 2000;
 constexpr std::size_t max_accounts = 500;
 
+/// Fills in one reply.
 class ReplyBuilder {
  public:
   ReplyBuilder(const common::PullRequest& request, const PullSource& source)
--- a/src/storage/pull_responder.hpp
+++ b/src/storage/pull_responder.hpp
@@ -10,7 +10,7 @@
 
 namespace chutevane::storage {
 
-/// Who answers.
+/// The node that replies, and what it replies from.
 struct PullSource {
   const ReplicaStore& store;
   const ServedMap& map;
@@ -19,14 +19,13 @@
   std::size_t tolerated_losses;
 };
 
-/// What `request.node` is to hold by the map and this node has, from `request.after_id` on, as much as fits
-/// into a reply: entries of accounts; or names of turns; or the turns that were asked for by name.
+/// What `request.node` is to hold by the map and this node has, behind `request.after_id`, as much as fits
+/// into a reply: accounts, or ids of turns, or the turns whose ids are in the request.
 ///
 /// Only while both go by the same map (otherwise the reply says which of the two is behind): from then on
 /// this node accepts nothing under an earlier map, so the requester misses nothing; and under a later map the
 /// requester may be assigned less, while edges still ask it by its own. A node that the map names with
-/// another disk is no source
-/// (`not_ready`): what its place in the map held is not on this disk.
+/// another disk is no source (`not_ready`): what that disk held is not on this one.
 ///
 /// The reply may contain what is not durable here yet. Send it after the next commit: had this node lost it
 /// then, the requester would hold the only replica of something that counts as stored elsewhere.
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -1,3 +1,4 @@
+/// Turns and accounts in memory, their log records, expiry and the reclaiming of segments.
 #include "storage/replica_store.hpp"
 
 #include <algorithm>
--- a/src/storage/replica_store.hpp
+++ b/src/storage/replica_store.hpp
@@ -68,7 +68,7 @@
   /// before `max_bytes` are exceeded, but returns one turn at least. Counts as a use of those returned. Valid
   /// until the store changes.
   std::vector<const common::Turn*> read_chain(const std::string& id, std::size_t max_bytes, TimePoint now);
-  /// The newest turn of the chain of `id` that is not here; empty: all are.
+  /// The first turn that is not here, from `id` back along its chain; empty: all are here.
   std::string first_missing_ancestor(const std::string& id) const;
   /// Turns that are continued by a turn of another program, one that `is_wanted`, with their whole chains.
   /// They have to live where that program's turns live.
@@ -92,11 +92,13 @@
   void expire(TimePoint now);
 
  private:
+  /// A turn in memory, and which segment has its record.
   struct StoredTurn {
     common::Turn turn;
     TimePoint expires_at;
     std::uint64_t segment = 0;  // that has its record; 0: just created
   };
+  /// An account that has not expired.
   struct OpenAccount {
     common::Account account;
     TimePoint expires_at;
--- a/src/storage/request_stats.cpp
+++ b/src/storage/request_stats.cpp
@@ -1,3 +1,4 @@
+/// Counting and logging of answers to edges. The header has the contract.
 #include "storage/request_stats.hpp"
 
 namespace chutevane::storage {
--- a/src/storage/segment_log.cpp
+++ b/src/storage/segment_log.cpp
@@ -1,3 +1,4 @@
+/// Files of segments: names, commits, recovery. docs/storage-format.md has them by the byte.
 #include "storage/segment_log.hpp"
 
 #include <charconv>
--- a/src/storage/segment_log.hpp
+++ b/src/storage/segment_log.hpp
@@ -30,17 +30,17 @@
   /// `disk` outlives this object.
   explicit SegmentLog(common::Disk& disk) : disk_(disk) {}
 
-  /// Number of the segment in the file of that name; none: the file is no segment.
+  /// Number of the segment in the file of that name; nullopt: the file is no segment.
   static std::optional<std::uint64_t> parse_file_name(const std::string& name);
   static std::string file_name(std::uint64_t segment);
   /// The intact records of a segment's file.
   static common::ParsedFrames parse_file(std::string_view content, std::uint64_t segment);
 
+  using RecordHandler = std::function<void(const std::string& record, std::uint64_t segment)>;
   /// Reads all segments, the oldest first, and begins a new one. Called once, before everything else. A
   /// damaged record ends its segment; the other segments are read. Each file is synced before its records are
   /// handed out: an earlier process may have been killed before it did, and what is told of must not vanish
   /// at a loss of power. An error is the disk's.
-  using RecordHandler = std::function<void(const std::string& record, std::uint64_t segment)>;
   [[nodiscard]] absl::Status recover(TimePoint now, const RecordHandler& on_record);
 
   /// Buffers a record for the current segment. Durable once commit() has returned OK.
@@ -59,6 +59,7 @@
   void add_reference(std::uint64_t segment) { ++segments_[segment].references; }
   void drop_reference(std::uint64_t segment) { --segments_[segment].references; }
 
+  /// A segment that is not appended to any more.
   struct ClosedSegment {
     std::uint64_t number = 0;
     std::size_t references = 0;
@@ -69,6 +70,7 @@
   [[nodiscard]] absl::Status remove(std::uint64_t segment);
 
  private:
+  /// A file of the log; the newest one has no file before its first commit.
   struct Segment {
     std::size_t references = 0;
     TimePoint opened_at;
--- a/src/storage/served_map_record.cpp
+++ b/src/storage/served_map_record.cpp
@@ -1,3 +1,4 @@
+/// Recovery and writing of the record, with retries. The header has the contract.
 #include "storage/served_map_record.hpp"
 
 #include <utility>
--- a/src/storage/served_map_record.hpp
+++ b/src/storage/served_map_record.hpp
@@ -1,10 +1,10 @@
 /// The durable record of the map that a node has served under: `map.slot0` and `map.slot1`.
 ///
-/// Before a node answers anything under a map, its version is on disk. A process that is started anew then
-/// neither goes back to an older map, which a controller that lags may still send (what it has answered under
-/// the later one must not change any more), nor has to transfer all its state again where it is sent the very
-/// map under which it was complete: it is like a node that was silent for a while, and what it has missed
-/// lies at a quorum of each group.
+/// Before a node reserves, stores or hands out anything under a map, the version of the map is on disk;
+/// looking up turns does not wait for it. A process that is started anew then does not go back to an earlier
+/// map, which a controller that lags may still push: what was answered under the later one must stand. Nor
+/// does it have to transfer its state again where it is pushed the very map under which it was complete: it
+/// is like a node that was silent for a while, and what it has missed lies at a quorum of each group.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
   /// the map of that version is on its disk.
   void write(std::int64_t version, bool complete);
 
-  /// The newest record is not durable yet: nothing may be answered.
+  /// The newest record is not durable yet: nothing may be reserved, stored or handed out.
   bool is_pending() const { return pending_; }
   /// Of the newest record; 0: there is none.
   std::int64_t version() const { return record_.map_version; }
--- a/src/storage/state_transfer.cpp
+++ b/src/storage/state_transfer.cpp
@@ -1,3 +1,5 @@
+/// The receiving side of a state transfer. The header has the protocol, storage/pull_responder.hpp the other
+/// side.
 #include "storage/state_transfer.hpp"
 
 #include <algorithm>
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -1,3 +1,4 @@
+/// A storage node's start, its requests, changes of the map, shutdown. Metrics: storage_plane_metrics.cpp.
 #include "storage/storage_plane.hpp"
 
 #include <algorithm>
@@ -79,7 +80,7 @@
   }
   if (!absl::IsNotFound(recovered.status()) && !absl::IsDataLoss(recovered.status()))
     return recovered.status();
-  // A new disk, or one that has lost who it was, which counts as a new one.
+  // A new disk, or one that has lost its identity, which counts as new.
   identity_.disk = disk_->generate_id();
   return identity_file_.write_checkpoint(common::encoded(identity_));
 }
@@ -223,7 +224,7 @@
 }
 
 void StoragePlane::on_value(const common::RegisterValue& value) {
-  // A controller that lags.
+  // From a controller that lags.
   if (value.map_version <= map_.version || value.map_version < map_record_.version()) return;
   const ServedMap previous = std::exchange(map_, ServedMap{value.map_version, value.storage_nodes});
   if (stays_complete(previous)) {
