--- /dev/null
+++ b/src/tier_simulation/agent_programs.cpp
@@ -0,0 +1,192 @@
+#include "tier_simulation/agent_programs.hpp"
+
+#include <algorithm>
+#include <cstdio>
+
+namespace chutevane::tier_simulation {
+namespace {
+
+constexpr Span reply_timeout = Span::ms(1200);    // of one call to the ledger
+constexpr Span attempt_timeout = Span::ms(6000);  // then its edge is assumed to be gone
+
+}  // namespace
+
+AgentPrograms::AgentPrograms(Deployment& deployment, Checker& checker, const ProgramLoad& load,
+                             std::uint64_t seed)
+    : deployment_(deployment), checker_(checker), load_(load), random_(seed) {}
+
+std::string AgentPrograms::new_id() {
+  char text[24];
+  std::snprintf(text, sizeof text, "%08x%08x", random_.next(), static_cast<unsigned>(++last_id_));
+  return text;
+}
+
+std::shared_ptr<AgentPrograms::Program> AgentPrograms::new_program() {
+  auto out = std::make_shared<Program>();
+  out->id = new_id();
+  return out;
+}
+
+void AgentPrograms::begin() {
+  for (std::size_t i = 0; i < load_.programs; ++i) {
+    const auto program = new_program();
+    for (std::size_t j = 0; j < load_.conversations; ++j) {
+      auto conversation = std::make_shared<Conversation>();
+      conversation->program = program;
+      conversations_.push_back(conversation);
+      schedule_next(conversation);
+    }
+  }
+}
+
+void AgentPrograms::schedule_next(const std::shared_ptr<Conversation>& conversation) {
+  ++conversation->attempt;
+  if (conversation->program->budget_spent) {  // the next program begins
+    conversation->program = new_program();
+    conversation->last_turn.clear();
+  }
+  deployment_.simulator().run_after(load_.pause * (0.3 + 1.4 * random_.unit()),
+                                    [this, conversation] { attempt(conversation); });
+}
+
+std::vector<Machine*> AgentPrograms::running_edges() const {
+  std::vector<Machine*> out;
+  for (Machine* machine : deployment_.machines_of(Role::edge)) {
+    if (machine->edge() != nullptr) out.push_back(machine);
+  }
+  return out;
+}
+
+// One turn through one edge. If it fails the conversation continues from its last stored turn.
+void AgentPrograms::attempt(const std::shared_ptr<Conversation>& conversation) {
+  if (stopped_) return;
+  const std::vector<Machine*> edges = running_edges();
+  if (edges.empty()) return schedule_next(conversation);
+  Machine& edge = *edges[random_.next() % edges.size()];
+  deployment_.simulator().run_after(attempt_timeout, [this, conversation, number = conversation->attempt] {
+    if (conversation->attempt == number) schedule_next(conversation);
+  });
+  EdgePlane& plane = *edge.edge();
+  plane.timers().at(
+      deployment_.simulator().now(), [this, conversation, at = &edge, number = conversation->attempt] {
+        if (conversation->attempt != number) return;
+        // The turns of a conversation that paused for too long have expired.
+        if (deployment_.simulator().now() + reply_timeout > conversation->last_stored_at + load_.retention)
+          conversation->last_turn.clear();
+        if (conversation->last_turn.empty()) {
+          reserve(conversation, *at);
+        } else {
+          look_up(conversation, *at);
+        }
+      });
+  edge.process().schedule_if_ready();
+}
+
+void AgentPrograms::look_up(const std::shared_ptr<Conversation>& conversation, Machine& edge) {
+  EdgePlane& plane = *edge.edge();
+  const std::uint64_t number = conversation->attempt;
+  plane.ledger().find(
+      conversation->last_turn, conversation->program->id, "", plane.timers().now() + reply_timeout,
+      [this, conversation, at = &edge, number, wanted = conversation->last_turn](edge::Ledger::Chain chain) {
+        check_chain(wanted, chain, at->name());
+        if (conversation->attempt != number) return;
+        if (chain.verdict != edge::Ledger::Sought::whole) return schedule_next(conversation);
+        reserve(conversation, *at);
+      });
+}
+
+void AgentPrograms::check_chain(const std::string& wanted, const edge::Ledger::Chain& chain,
+                                const std::string& by) {
+  if (chain.verdict == edge::Ledger::Sought::unknown)
+    return checker_.report_violation("turn-lost", by + " does not know turn " + wanted);
+  if (chain.verdict != edge::Ledger::Sought::whole) return;
+  ++turns_found_;
+  std::string previous;
+  for (const auto& turn : chain.turns) {
+    const auto sent = stored_.find(turn->id);
+    if (turn->previous != previous || sent == stored_.end() || turn->output.data != sent->second.output)
+      checker_.report_violation("turn-altered", by + " finds turn " + turn->id + " other than it was kept");
+    previous = turn->id;
+  }
+}
+
+void AgentPrograms::look_up_all() {
+  const std::vector<Machine*> edges = running_edges();
+  for (const auto& conversation : conversations_) {
+    const bool over =
+        deployment_.simulator().now() + reply_timeout > conversation->last_stored_at + load_.retention;
+    if (edges.empty() || conversation->last_turn.empty() || over) continue;
+    Machine& edge = *edges[random_.next() % edges.size()];
+    conversation->found_again = false;
+    EdgePlane& plane = *edge.edge();
+    plane.ledger().find(
+        conversation->last_turn, conversation->program->id, "", plane.timers().now() + reply_timeout,
+        [this, conversation, at = &edge, wanted = conversation->last_turn](const edge::Ledger::Chain& chain) {
+          check_chain(wanted, chain, at->name());
+          conversation->found_again = chain.verdict == edge::Ledger::Sought::whole;
+        });
+    edge.process().schedule_if_ready();
+  }
+}
+
+void AgentPrograms::finish() {
+  for (const auto& conversation : conversations_) {
+    if (!conversation->found_again)
+      checker_.report_violation("turn-gone", "at the end turn " + conversation->last_turn + " is not found");
+  }
+}
+
+void AgentPrograms::reserve(const std::shared_ptr<Conversation>& conversation, Machine& edge) {
+  EdgePlane& plane = *edge.edge();
+  const std::uint64_t number = conversation->attempt;
+  const std::string id = new_id();
+  plane.ledger().reserve(conversation->program->id, id, load_.max_tokens, load_.budget,
+                         plane.timers().now() + reply_timeout,
+                         [this, conversation, at = &edge, number, id](edge::Ledger::Granted granted) {
+                           if (conversation->attempt != number) return;
+                           if (granted == edge::Ledger::Granted::spent)
+                             conversation->program->budget_spent = true;
+                           if (granted != edge::Ledger::Granted::yes) return schedule_next(conversation);
+                           generate(conversation, *at, id);
+                         });
+}
+
+void AgentPrograms::generate(const std::shared_ptr<Conversation>& conversation, Machine& edge,
+                             const std::string& id) {
+  const std::int64_t used =
+      1 + static_cast<std::int64_t>(random_.next() % static_cast<std::uint32_t>(load_.max_tokens));
+  Program& program = *conversation->program;
+  program.granted_tokens += used;
+  if (program.granted_tokens > load_.budget + load_.max_tokens)
+    checker_.report_violation("budget", program.id + " was granted_tokens " +
+                                            std::to_string(program.granted_tokens) + " tokens of " +
+                                            std::to_string(load_.budget));
+  common::Turn turn;
+  turn.id = id;
+  turn.previous = conversation->last_turn;
+  turn.program = program.id;
+  turn.input.data = "in " + id;
+  turn.output.data = std::string(static_cast<std::size_t>(used), 'o') + id;
+  turn.retention_ms = static_cast<std::int64_t>(load_.retention.as_ms());
+  stored_[id] = {turn.previous, turn.output.data};  // it may be found even if its storing is not acknowledged
+  edge.edge()->timers().after(Span::ms(80) * random_.unit(), [this, conversation, at = &edge, turn, used] {
+    store(conversation, *at, turn, used);
+  });
+}
+
+void AgentPrograms::store(const std::shared_ptr<Conversation>& conversation, Machine& edge,
+                          const common::Turn& turn, std::int64_t used) {
+  EdgePlane& plane = *edge.edge();
+  const std::uint64_t number = conversation->attempt;
+  plane.ledger().keep(turn, used, plane.timers().now() + reply_timeout,
+                      [this, conversation, number, id = turn.id](bool kept) {
+                        if (conversation->attempt != number) return;
+                        if (kept) {
+                          conversation->last_turn = id;
+                          conversation->last_stored_at = deployment_.simulator().now();
+                        }
+                        schedule_next(conversation);
+                      });
+}
+
+}  // namespace chutevane::tier_simulation
--- a/src/simulation/edge_plane.cpp
+++ b/src/tier_simulation/edge_plane.cpp
@@ -1,12 +1,12 @@
-#include "simulation/edge_plane.hpp"
+#include "tier_simulation/edge_plane.hpp"
 
 #include <xxhash.h>
 
-namespace chutevane::simulation {
+namespace chutevane::tier_simulation {
 namespace {
 
-constexpr std::size_t cache_bytes = 20000;    // some chains: what other edges kept is asked of storage
-constexpr Span leaves_after = Span::ms(500);  // SIGTERM to the end of the process
+constexpr std::size_t cache_size = 20000;  // bytes, a few chains: turns of other edges are asked of storage
+constexpr Span shutdown_duration = Span::ms(500);  // from SIGTERM to the end of the process
 
 std::uint64_t seed_of(const common::ProcessSettings& settings, TimePoint now) {
   return XXH3_64bits_withSeed(settings.node.data(), settings.node.size(),
@@ -15,13 +15,14 @@
 
 }  // namespace
 
-EdgePlane::EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings, Told told)
+EdgePlane::EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
+                     ValueCallback on_value)
     : scheduler_(scheduler),
       settings_(settings),
       timers_(scheduler),
-      ledger_(scheduler, timers_, settings.zone, settings.machine_losses, cache_bytes,
+      ledger_(scheduler, timers_, settings.zone, settings.machine_losses, cache_size,
               seed_of(settings, scheduler.now())),
-      told_(std::move(told)) {}
+      on_value_(std::move(on_value)) {}
 
 absl::Status EdgePlane::open() {
   common::Member self;
@@ -33,13 +34,13 @@
   sessions_ = std::make_unique<common::ControlSessions>(scheduler_, timers_, settings_, self);
   sessions_->on_value([this](const common::RegisterValue& value) {
     ledger_.map_came(value.map_version, value.storage_nodes);
-    told_(value);
+    on_value_(value);
   });
   return absl::OkStatus();
 }
 
 void EdgePlane::begin_shutdown() {
-  timers_.after(leaves_after, [this] { finished_ = true; });
+  timers_.after(shutdown_duration, [this] { finished_ = true; });
 }
 
-}  // namespace chutevane::simulation
+}  // namespace chutevane::tier_simulation
--- a/src/simulation/edge_plane.hpp
+++ b/src/tier_simulation/edge_plane.hpp
@@ -1,4 +1,6 @@
-// An edge without traffic: its sessions with control and its ledger, as the program of the edge holds them.
+/// \file
+/// An edge without traffic: its sessions with control machines and its ledger, as the edge's program has
+/// them.
 #pragma once
 
 #include <functional>
@@ -10,20 +12,20 @@
 #include "edge/ledger.hpp"
 #include "net/timer_queue.hpp"
 
-namespace chutevane::simulation {
+namespace chutevane::tier_simulation {
 
 class EdgePlane final : public common::Plane {
  public:
-  // Told of each value that comes into force in this process.
-  using Told = std::function<void(const common::RegisterValue&)>;
-  EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings, Told told);
+  /// Called with each value that comes into force in this process.
+  using ValueCallback = std::function<void(const common::RegisterValue&)>;
+  EdgePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings, ValueCallback on_value);
   absl::Status open() override;
   void begin_shutdown() override;
   bool finished() const override { return finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
 
   edge::Ledger& ledger() { return ledger_; }
-  net::TimerQueue& later() { return timers_; }
+  net::TimerQueue& timers() { return timers_; }
 
  private:
   net::Scheduler& scheduler_;
@@ -31,8 +33,8 @@
   net::TimerQueue timers_;
   edge::Ledger ledger_;
   std::unique_ptr<common::ControlSessions> sessions_;
-  Told told_;
+  ValueCallback on_value_;
   bool finished_ = false;
 };
 
-}  // namespace chutevane::simulation
+}  // namespace chutevane::tier_simulation
--- a/src/simulation/disk.cpp
+++ b/src/tier_simulation/machine_disk.cpp
@@ -1,8 +1,8 @@
-#include "simulation/disk.hpp"
+#include "tier_simulation/machine_disk.hpp"
 
 #include <cstdio>
 
-namespace chutevane::simulation {
+namespace chutevane::tier_simulation {
 namespace {
 
 absl::Status io_error(const std::string& name) {
@@ -16,10 +16,10 @@
   return disk_->contents.read(name);
 }
 
-// A full disk takes half of what is written: what a write leaves behind is torn.
+// A full disk takes half of what is written, so that the write is torn.
 absl::Status DiskHandle::append(const std::string& name, std::string_view bytes) {
   if (failing()) return io_error(name);
-  if (disk_->trouble == DiskTrouble::full) {
+  if (disk_->fault == DiskFault::full) {
     if (absl::Status s = disk_->contents.append(name, bytes.substr(0, bytes.size() / 2)); !s.ok()) return s;
     return absl::ResourceExhaustedError(name + ": no space left on device");
   }
@@ -33,7 +33,7 @@
 
 absl::Status DiskHandle::sync(const std::string& name) {
   if (failing()) return io_error(name);
-  if (disk_->sync_takes > Span()) stand_still_(disk_->sync_takes);
+  if (disk_->sync_duration > Span()) block_process_(disk_->sync_duration);
   return disk_->contents.sync(name);
 }
 
@@ -44,9 +44,9 @@
 
 std::string DiskHandle::generate_id() {
   char text[33];
-  std::snprintf(text, sizeof text, "%08x%08x%08x%08x", disk_->identities.next(), disk_->identities.next(),
-                disk_->identities.next(), disk_->identities.next());
+  std::snprintf(text, sizeof text, "%08x%08x%08x%08x", disk_->id_generator.next(), disk_->id_generator.next(),
+                disk_->id_generator.next(), disk_->id_generator.next());
   return text;
 }
 
-}  // namespace chutevane::simulation
+}  // namespace chutevane::tier_simulation
--- a/src/simulation/main.cpp
+++ b/src/tier_simulation/main.cpp
@@ -1,34 +1,36 @@
-// chutevane-simulation: plays the serving tier under seeds and looks for broken promises.
+/// \file
+/// chutevane-tier-simulation: runs the serving tier under seeds and faults, and looks for broken promises.
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <sstream>
 #include <stdexcept>
 
-#include "simulation/search.hpp"
+#include "tier_simulation/search.hpp"
 
 namespace {
 
-using namespace chutevane::simulation;
+using namespace chutevane::tier_simulation;
 namespace network_simulation = chutevane::network_simulation;
 
-void print_tally(const std::string& scenario, const Tally& tally) {
+void print_report(const std::string& scenario, const SearchReport& report) {
   std::printf(
       "%s: %llu seeds, %zu broken; orders %llu, acknowledged %llu, refused %llu, reads %llu, pushes %llu, "
       "turns found %llu, samples in touch %llu\n",
-      scenario.c_str(), static_cast<unsigned long long>(tally.seeds), tally.found.size(),
-      static_cast<unsigned long long>(tally.orders), static_cast<unsigned long long>(tally.acknowledged),
-      static_cast<unsigned long long>(tally.refused), static_cast<unsigned long long>(tally.reads),
-      static_cast<unsigned long long>(tally.pushes), static_cast<unsigned long long>(tally.turns_found),
-      static_cast<unsigned long long>(tally.bound));
+      scenario.c_str(), static_cast<unsigned long long>(report.seeds), report.broken.size(),
+      static_cast<unsigned long long>(report.submissions),
+      static_cast<unsigned long long>(report.acknowledged), static_cast<unsigned long long>(report.rejected),
+      static_cast<unsigned long long>(report.reads), static_cast<unsigned long long>(report.pushes),
+      static_cast<unsigned long long>(report.turns_found),
+      static_cast<unsigned long long>(report.checked_samples));
   std::printf("faults:");
   for (std::size_t i = 0; i < fault_kinds; ++i) {
-    if (tally.faults[i] > 0)
+    if (report.faults[i] > 0)
       std::printf(" %s %llu;", name_of(static_cast<FaultKind>(i)),
-                  static_cast<unsigned long long>(tally.faults[i]));
+                  static_cast<unsigned long long>(report.faults[i]));
   }
   std::printf("\n");
-  for (const std::string& crash : tally.crashes) std::printf("CRASH %s\n", crash.c_str());
-  for (const FoundSeed& found : tally.found)
+  for (const std::string& crash : report.crashes) std::printf("CRASH %s\n", crash.c_str());
+  for (const BrokenSeed& found : report.broken)
     std::printf("seed %llu: %s:%s\n", static_cast<unsigned long long>(found.seed), found.rule.c_str(),
                 found.text.c_str());
 }
@@ -43,13 +45,13 @@
 int search_seeds(const std::string& scenario, const std::string& seeds, const SearchOptions& options) {
   const std::size_t dots = seeds.find("..");
   if (dots == std::string::npos) throw std::invalid_argument("--seeds A..B");
-  const Tally tally =
+  const SearchReport report =
       search(scenario, std::stoull(seeds.substr(0, dots)), std::stoull(seeds.substr(dots + 2)), options);
-  print_tally(scenario, tally);
-  return tally.found.empty() && tally.crashes.empty() ? 0 : 1;
+  print_report(scenario, report);
+  return report.broken.empty() && report.crashes.empty() ? 0 : 1;
 }
 
-bool told_by_story(std::string_view line) {
+bool belongs_to_story(std::string_view line) {
   for (const char* what : {"connect ", "accept ", "arrive ", "close ", "listen ",
                            "cut c=", "refused c=", "lost-connect", "block from"}) {
     if (line.find(what) != std::string_view::npos && line.find("order ") == std::string_view::npos)
@@ -61,31 +63,32 @@
 int run_seed(const std::string& scenario, std::uint64_t seed, const std::string& trace_of, bool shrink) {
   Plan plan = make_plan(scenario, seed);
   network_simulation::Trace off;
-  chutevane::simulation::Outcome outcome = run(plan, seed, off);
-  if (shrink && outcome.broken()) plan = shrunk(plan, seed, outcome.violations.front().rule);
+  chutevane::tier_simulation::RunResult result = simulate(plan, seed, off);
+  if (shrink && result.is_broken()) plan = shrink_plan(plan, seed, result.violations.front().rule);
   std::printf("scenario %s, seed %llu: %zu control, %zu storage, %zu edges, %zu losses borne\n",
               scenario.c_str(), static_cast<unsigned long long>(seed), plan.shape.controls,
-              plan.shape.storages, plan.shape.edges, plan.shape.losses);
+              plan.shape.storages, plan.shape.edges, plan.shape.tolerated_losses);
   for (const Fault& fault : plan.faults) std::printf("  %s\n", describe(fault).c_str());
   const bool whole = trace_of == "all";
   std::string start;
   network_simulation::Trace trace([&](std::string_view line) {
-    if (whole || told_by_story(line)) std::printf("%.*s\n", static_cast<int>(line.size()), line.data());
+    if (whole || belongs_to_story(line)) std::printf("%.*s\n", static_cast<int>(line.size()), line.data());
   });
-  outcome = run(plan, seed, trace_of.empty() ? off : trace);
-  for (const Violation& v : outcome.violations)
+  result = simulate(plan, seed, trace_of.empty() ? off : trace);
+  for (const Violation& v : result.violations)
     std::printf("BROKEN at %.3f: %s: %s\n", v.at.as_ms() / 1000, v.rule.c_str(), v.text.c_str());
   std::printf(
       "%zu orders, %zu acknowledged, %zu refused, %zu reads, %zu pushes, %zu turns found, %llu events\n",
-      outcome.orders, outcome.acknowledged, outcome.refused, outcome.reads, outcome.pushes,
-      outcome.turns_found, static_cast<unsigned long long>(outcome.events));
-  return outcome.broken() ? 1 : 0;
+      result.submissions, result.acknowledged, result.rejected, result.reads, result.pushes,
+      result.turns_found, static_cast<unsigned long long>(result.events));
+  return result.is_broken() ? 1 : 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("chutevane-simulation", "search or run: plays the serving tier under seeds");
+  cxxopts::Options options("chutevane-tier-simulation",
+                           "search or run: the serving tier under seeds and faults");
   options.add_options()("command", "search, run or list", cxxopts::value<std::string>())(
       "scenario", "its name", cxxopts::value<std::string>()->default_value("everything"))(
       "seeds", "of a search: A..B", cxxopts::value<std::string>()->default_value("1..100"))(
@@ -119,7 +122,7 @@
                       given.count("shrink") > 0);
     throw std::invalid_argument("no command " + command);
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "chutevane-simulation: %s\n", e.what());
+    std::fprintf(stderr, "chutevane-tier-simulation: %s\n", e.what());
     return 2;
   }
 }
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/tier_simulation/tier_simulation_test.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "simulation/run.hpp"
+#include "tier_simulation/run.hpp"
 
-namespace chutevane::simulation {
+namespace chutevane::tier_simulation {
 namespace {
 
 // ---- it is deterministic
@@ -14,7 +14,7 @@
 std::pair<std::uint64_t, std::uint64_t> traced(const std::string& scenario, std::uint64_t seed) {
   network_simulation::TraceHash hash;
   network_simulation::Trace trace([&hash](std::string_view line) { hash.add(line); });
-  run(make_plan(scenario, seed), seed, trace);
+  simulate(make_plan(scenario, seed), seed, trace);
   return {hash.value(), hash.lines()};
 }
 
@@ -40,19 +40,19 @@
       if (plan.losses_overlap) continue;  // the next test
       std::vector<Lost> all;
       for (const Fault& fault : plan.faults) {
-        if (counted(fault)) all.push_back({fault.at, fault.at + fault.lasts + catch_up});
+        if (is_counted_loss(fault)) all.push_back({fault.at, fault.at + fault.duration + catch_up_duration});
       }
       for (const Lost& one : all) {
         std::size_t at_once = 0;
         for (const Lost& other : all) at_once += other.from <= one.from && one.from < other.until ? 1 : 0;
-        ASSERT_LE(at_once, plan.shape.losses) << scenario << ", seed " << seed;
+        ASSERT_LE(at_once, plan.shape.tolerated_losses) << scenario << ", seed " << seed;
       }
       // Nor does one begin while those that went all at once are coming back.
       for (const Fault& all_gone : plan.faults) {
         if (all_gone.kind != FaultKind::kill_all && all_gone.kind != FaultKind::power_all) continue;
-        const Span until = all_gone.at + all_gone.lasts + catch_up;
+        const Span until = all_gone.at + all_gone.duration + catch_up_duration;
         for (const Fault& fault : plan.faults)
-          ASSERT_FALSE(counted(fault) && fault.at > all_gone.at && fault.at < until)
+          ASSERT_FALSE(is_counted_loss(fault) && fault.at > all_gone.at && fault.at < until)
               << scenario << ", seed " << seed;
       }
     }
@@ -71,14 +71,15 @@
       disks += fault.kind == FaultKind::wipe || fault.kind == FaultKind::replace ? 1 : 0;
       std::size_t away = 0;
       for (const Fault& other : plan.faults) {
-        const bool now = counted(other) && other.at <= fault.at && fault.at < other.at + other.lasts;
+        const bool now =
+            is_counted_loss(other) && other.at <= fault.at && fault.at < other.at + other.duration;
         away += now ? 1 : 0;
       }
       most_away = std::max(most_away, away);
     }
-    ASSERT_LE(disks, plan.shape.losses) << "seed " << seed;
+    ASSERT_LE(disks, plan.shape.tolerated_losses) << "seed " << seed;
     disks_lost += disks;
-    overlapping += most_away > plan.shape.losses ? 1 : 0;
+    overlapping += most_away > plan.shape.tolerated_losses ? 1 : 0;
   }
   EXPECT_GT(overlapping, plans * 8 / 10);
   EXPECT_GT(disks_lost, plans / 2);
@@ -91,13 +92,13 @@
 // Two of three control machines wiped at once leave no majority that knows anything.
 Plan beyond_tolerance() {
   Plan plan;
-  plan.active = Span::ms(9000);
+  plan.active_duration = Span::ms(9000);
   for (std::size_t place = 0; place < 2; ++place) {
     Fault fault;
     fault.kind = FaultKind::wipe;
-    fault.place = place;
+    fault.machine_index = place;
     fault.at = Span::ms(4000);
-    fault.lasts = Span::ms(500);
+    fault.duration = Span::ms(500);
     plan.faults.push_back(fault);
   }
   Fault other;
@@ -110,23 +111,23 @@
 
 TEST(Simulation, FindsAndShrinksALossBeyondTheTolerance) {
   network_simulation::Trace off;
-  const Outcome outcome = run(beyond_tolerance(), 1, off);
-  ASSERT_TRUE(outcome.broken());
-  const Plan least = shrunk(beyond_tolerance(), 1, outcome.violations.front().rule);
+  const RunResult outcome = simulate(beyond_tolerance(), 1, off);
+  ASSERT_TRUE(outcome.is_broken());
+  const Plan least = shrink_plan(beyond_tolerance(), 1, outcome.violations.front().rule);
   ASSERT_EQ(least.faults.size(), 2U);
   EXPECT_EQ(least.faults[0].kind, FaultKind::wipe);
   EXPECT_EQ(least.faults[1].kind, FaultKind::wipe);
 }
 
-TEST(Simulation, ACalmDayKeepsAllPromises) {
+TEST(Simulation, ARunWithoutFaultsKeepsAllPromises) {
   Plan plan;
-  plan.active = Span::ms(8000);
+  plan.active_duration = Span::ms(8000);
   network_simulation::Trace off;
-  const Outcome outcome = run(plan, 1, off);
-  EXPECT_FALSE(outcome.broken());
+  const RunResult outcome = simulate(plan, 1, off);
+  EXPECT_FALSE(outcome.is_broken());
   EXPECT_GT(outcome.acknowledged, 5U);
   EXPECT_GT(outcome.turns_found, 20U);
-  EXPECT_GT(outcome.bound, 50U);
+  EXPECT_GT(outcome.checked_samples, 50U);
 }
 
 // ---- fixed seeds
@@ -139,20 +140,20 @@
 class FixedSeeds : public testing::TestWithParam<Seeds> {};
 
 TEST_P(FixedSeeds, KeepAllPromises) {
-  std::size_t orders = 0, refused = 0, bound = 0, faults = 0;
+  std::size_t submissions = 0, rejected = 0, bound = 0, faults = 0;
   for (std::uint64_t seed = 1; seed <= GetParam().last; ++seed) {
     network_simulation::Trace off;
-    const Outcome outcome = run(make_plan(GetParam().scenario, seed), seed, off);
+    const RunResult outcome = simulate(make_plan(GetParam().scenario, seed), seed, off);
     for (const Violation& v : outcome.violations)
       ADD_FAILURE() << GetParam().scenario << ", seed " << seed << ": " << v.rule << ": " << v.text;
-    orders += outcome.acknowledged;
-    refused += outcome.refused;
-    bound += outcome.bound;
+    submissions += outcome.acknowledged;
+    rejected += outcome.rejected;
+    bound += outcome.checked_samples;
     for (const std::size_t n : outcome.faults) faults += n;
   }
   // It was no calm day, and what is bound by time was checked.
-  EXPECT_GT(orders, 5 * GetParam().last);
-  EXPECT_GT(refused, 0U);
+  EXPECT_GT(submissions, 5 * GetParam().last);
+  EXPECT_GT(rejected, 0U);
   EXPECT_GT(bound, 20 * GetParam().last);
   EXPECT_GE(faults, GetParam().last);
 }
@@ -168,4 +169,4 @@
                          });
 
 }  // namespace
-}  // namespace chutevane::simulation
+}  // namespace chutevane::tier_simulation
