--- a/src/ctl/data_folder.cpp
+++ b/src/ctl/data_folder.cpp
@@ -9,7 +9,10 @@
 #include <cerrno>
 #include <memory>
 
-#include "storage/store.hpp"
+#include "common/durable_state.hpp"
+#include "common/record_framing.hpp"
+#include "storage/replica_store.hpp"
+#include "storage/segment_log.hpp"
 
 namespace chutevane::ctl {
 namespace {
@@ -63,7 +66,7 @@
 
 /// The name of the DurableState that this is a file of; empty: of none.
 std::string state_name(const std::string& name) {
-  for (const std::string state : {"acceptor", "control", "storage"}) {
+  for (std::string state : {"acceptor", "control", "storage"}) {
     for (const std::string kind : {".slot0", ".slot1", ".log0", ".log1"}) {
       if (name == state + kind) return state;
     }
@@ -87,18 +90,17 @@
 void classify_files(const std::map<std::string, std::string>& files, FolderContents& out) {
   for (const auto& [name, text] : files) {
     out.file_bytes += text.size();
-    const auto segment = storage::Store::segment_of(name);
+    const auto segment = storage::SegmentLog::parse_file_name(name);
     if (segment) {
-      std::size_t good_size = 0;
-      const std::size_t records = storage::Store::records(text, *segment, &good_size).size();
-      out.segments.push_back({*segment, text.size(), records});
+      const common::ParsedFrames frames = storage::SegmentLog::parse_file(text, *segment);
+      const std::size_t good_size = frames.valid_size;
+      out.segments.push_back({*segment, text.size(), frames.records.size()});
       if (good_size < text.size()) out.torn_tails.push_back({name, good_size, text.size() - good_size});
     } else if (state_name(name).empty()) {
       out.unknown_files.push_back(name);
     } else if (name.find(".slot") != std::string::npos) {
       // The write of the older slot may have been cut short.
-      std::size_t good_size = 0;
-      common::unframed(text, 0, &good_size);
+      const std::size_t good_size = common::parse_frames(text, 0).valid_size;
       if (good_size < text.size()) out.torn_tails.push_back({name, good_size, text.size() - good_size});
     }
   }
@@ -119,12 +121,13 @@
 }
 
 absl::StatusOr<DiskSnapshot> DiskSnapshot::of_folder(const std::string& path) {
+  const std::string prefix = path + "/";
   for (int reading = 1;; ++reading) {
     const absl::StatusOr<FileVersions> before = file_versions(path);
     if (!before.ok()) return before.status();
     DiskSnapshot out;
     for (const auto& [name, version] : *before) {
-      absl::StatusOr<std::string> text = read_file(path + "/" + name);
+      absl::StatusOr<std::string> text = read_file(prefix + name);
       if (absl::IsNotFound(text.status())) continue;  // the process has removed it: the versions differ
       if (!text.ok()) return text.status();
       out.files_[name] = *std::move(text);
@@ -174,17 +177,17 @@
   out.controller_state = read_state(snapshot, "control", out.controller);
   out.storage_node_state = read_state(snapshot, "storage", out.storage_node);
   out.torn_tails.insert(out.torn_tails.end(), snapshot.torn_tails().begin(), snapshot.torn_tails().end());
-  storage::Store store(snapshot, static_cast<std::size_t>(-1));
-  if (absl::Status opened = store.open(TimePoint()); !opened.ok()) return opened;
-  store.each_turn("", [&](const common::Turn& turn) {
+  storage::ReplicaStore store(snapshot, static_cast<std::size_t>(-1));
+  if (absl::Status opened = store.recover(TimePoint()); !opened.ok()) return opened;
+  store.for_each_turn("", [&](const common::Turn& turn) {
     out.turns.push_back(turn);
     return true;
   });
-  store.each_account("", [&](const common::Account& account) {
+  store.for_each_account("", [&](const common::Account& account) {
     out.accounts.push_back(account);
     return true;
   });
-  out.turn_bytes = store.bytes();
+  out.turn_bytes = store.turn_bytes();
   return out;
 }
 
