--- a/model/call.pml
+++ b/model/call.pml
@@ -70,7 +70,7 @@
 /* The module's answers after an end, and to a new call: any that its guards allow. */
 inline decide() {
   if
-  :: sent < MOST && (EFFECT == 0 || !bound) && out == 0 ->           /* State::send */
+  :: sent < MOST && (EFFECT == 0 || !bound) && out == 0 ->           /* State::dispatch */
      stage[sent] = connecting; sent++; out++
   :: out == 0 && (EFFECT == 0 || !bound) -> module_over = true; answer(answered_rejected)  /* give_up: reject */
   :: module_over = true; answer(answered_broken)                      /* give_up: break off */
--- a/src/edge/tier.cpp
+++ b/src/edge/tier.cpp
@@ -54,7 +54,7 @@
   places_ = std::move(next);
   index_.clear();
   for (std::size_t i = 0; i < places_.size(); ++i) index_[places_[i].id] = i;
-  shares_.begin(now);  // of none: solved anew
+  shares_.begin_update(now);  // of none: solved anew
   solve(now);
 }
 
@@ -67,18 +67,18 @@
 Span Tier::ceiling(Span deadline, Span left, bool repeatable, TimePoint now) {
   const Span most = std::min(deadline, left);
   if (!repeatable) return most;
-  estimate_.starve(now);
-  return estimate_.ceiling(most, now);
+  estimate_.update_starved(now);
+  return estimate_.attempt_timeout(most, now);
 }
 
 bool Tier::worth_retry(Span left, TimePoint now) { return !spent(left) && left >= estimate_.median(now); }
 
 void Tier::solve(TimePoint now) {
-  if (now < shares_.solve_at() && shares_.size() == places_.size()) return;
-  shares_.begin(now);
-  for (const Place& p : places_) shares_.hear(p.smoothed_ms);
+  if (now < shares_.next_update_at() && shares_.size() == places_.size()) return;
+  shares_.begin_update(now);
+  for (const Place& p : places_) shares_.add_measured_latency(p.smoothed_ms);
   for (const Place& p : places_)
-    shares_.add(shares_.speed(p.smoothed_ms) * (p.zone == zone_ ? 1.0 : other_zone));
+    shares_.add_weight(shares_.speed(p.smoothed_ms) * (p.zone == zone_ ? 1.0 : other_zone));
 }
 
 std::optional<std::string> Tier::place(const Placing& placing, TimePoint now) {
@@ -106,14 +106,15 @@
     in_flight += load(places_[i]);
     may[i] = true;
   }
-  const double bound = shares_.pass_over(in_flight, static_cast<int>(open.size()));
+  const double bound = shares_.overload_threshold(in_flight, static_cast<int>(open.size()));
   const auto fit = [&](std::size_t i, int) {
-    return may[i] && load(places_[i]) <= bound ? Shares::Fit::yes : Shares::Fit::no;
+    return may[i] && load(places_[i]) <= bound ? LatencyWeights::Fit::accepted
+                                               : LatencyWeights::Fit::rejected;
   };
   const std::size_t near = part(now);
-  int drawn = shares_.draw(Arc{0, near}, random_, 0, fit);
+  int drawn = shares_.draw(RingRange{0, near}, random_, 0, fit);
   if (drawn < 0) drawn = least_loaded_of_part(near, may, load);
-  if (drawn < 0 && near < shares_.size()) drawn = shares_.draw(Arc{0, shares_.size()}, random_, 0, fit);
+  if (drawn < 0 && near < shares_.size()) drawn = shares_.draw(RingRange{0, shares_.size()}, random_, 0, fit);
   if (drawn >= 0) return places_[static_cast<std::size_t>(drawn)].id;
   const auto cost = [&](std::size_t i) {
     return (load(places_[i]) + 1) / shares_.speed(places_[i].smoothed_ms);
@@ -204,7 +205,7 @@
 }
 
 void Tier::answered(const std::string& id, const Placing& placing, Span latency, TimePoint now) {
-  estimate_.served(latency, now);
+  estimate_.record_response(latency, now);
   if (!placing.parts.empty()) model_.prompt_read(placing.unread, latency);
   Place* const p = find(id);
   if (p == nullptr) return;
@@ -216,7 +217,7 @@
 }
 
 void Tier::ended(const std::string& id, const Placing& placing, Ended how, TimePoint now) {
-  if (how == Ended::cut) estimate_.cut(Span::ms(1), now);
+  if (how == Ended::cut) estimate_.record_adaptive_timeout(Span::ms(1), now);
   note_held(placing, how, now);
   Place* const p = find(id);
   if (p == nullptr) return;
--- a/src/edge/tier.hpp
+++ b/src/edge/tier.hpp
@@ -43,8 +43,8 @@
 #include "chutevane/types.hpp"
 #include "edge/engine_model.hpp"
 #include "edge/held_parts.hpp"
-#include "policy/estimate.hpp"
-#include "policy/shares.hpp"
+#include "policy/latency_estimate.hpp"
+#include "policy/latency_weights.hpp"
 
 namespace chutevane::edge {
 
@@ -146,11 +146,11 @@
   EngineModel model_;
   std::vector<Place> places_;
   std::unordered_map<std::string, std::size_t> index_;  // by id
-  Estimate estimate_;
+  LatencyEstimate estimate_;
   static constexpr Span recent_window = Span::ms(10000);
   WindowedCount recent_{recent_window};  // attempts
   double held_ms_ = 0;                   // by an attempt, smoothed
-  Shares shares_{TimePoint()};
+  LatencyWeights shares_{TimePoint()};
 };
 
 }  // namespace chutevane::edge
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -1,100 +1,114 @@
-// Admission at the first tier: a limit on calls in flight that follows lateness, reports and payoff.
-#include "policy/shared.hpp"
+/// Admission at the first tier: a limit on the calls in progress, adjusted by lateness, load reports and the
+/// calls' value. It grows while responses come in time and there is demand for more (additive in time), and
+/// is cut by a factor while too many are late, as in congestion control.
+#include <algorithm>
+#include <cmath>
+
+#include "base/remembered.hpp"
+#include "policy/balancer_state.hpp"
+#include "policy/policy_constants.hpp"
 
 namespace chutevane {
 
-constexpr double late_at = 0.6;        // of the soft limit: answers beyond it warn of lateness
-constexpr double late_share = 0.2;     // of answers in a step: more lowers the limit
-constexpr double late_gain = 0.04;     // per answer: the share of about the last 25
-constexpr double limit_cut = 0.9;      // factor per step: halves in under 2 s
-constexpr double limit_growth = 0.02;  // per step when it binds: a tenth a second, as crowding shows late
-constexpr double room_gain = 0.05;     // per step: the room reported over some 5 s
-constexpr double room_kept = 0.5;      // of it, whatever lateness says: all sidecars then cut alike
-constexpr double used_calm = 0.8;      // of what may be in use: under that the cores do not make answers late
-constexpr double used_ahead = 1.5;     // x limit: so far may calls run ahead of reports that tell of room
-constexpr double payoff_slope = 0.2;   // of the limit, per doubling of payoff over the mean
-constexpr double level_low = 0.2, level_high = 1.3;  // bounds of a call's part of the limit
-constexpr double mean_spread = 2.0;    // standard deviations of a Poisson count: what is still chance
-constexpr double mean_pull = 4.0;      // a mean off by a quarter of the limit moves the bound by the whole
-constexpr double same_left = 0.01;     // of the client timeout: transit varies by less
-constexpr double usual_decay = 0.995;  // per call: the usual wait is learnt over some 200 calls
-constexpr double usual_sure = 10.0;    // calls with the usual wait before others count as repeats
+constexpr double late_threshold = 0.6;     // of the latency target: slower results warn of lateness
+constexpr double max_late_fraction = 0.2;  // of the results: more lowers the limit
+constexpr double late_gain = 0.04;         // per result: the fraction of about the last 25
+constexpr double limit_decrease = 0.9;     // factor per step: halves in under 2 s
+constexpr double limit_increase = 0.02;   // per step while it binds: a tenth a second, as overload shows late
+constexpr double capacity_gain = 0.05;    // per step: the reported capacity over some 5 s
+constexpr double kept_capacity = 0.5;     // of it, whatever lateness says: all sidecars cut at the same time
+constexpr double low_utilization = 0.8;   // under it responses are not late for want of cores
+constexpr double min_utilization = 0.25;  // that a capacity is inferred from
+constexpr double report_lag_factor = 1.5;  // x limit: calls may run ahead of reports, which lag by 1 to 2 s
+constexpr double value_slope = 0.2;        // of the limit, per doubling of a call's value over the mean
+constexpr double min_value_level = 0.2, max_value_level = 1.3;  // bounds of a call's part of the limit
+constexpr double chance_deviations = 2.0;  // standard deviations of a Poisson count: what is still chance
+constexpr double mean_correction = 4.0;  // a mean off by a quarter of the limit moves the bound by the whole
+constexpr double same_timeout_tolerance = 0.01;  // of the client timeout: transit varies by less
+constexpr double timeout_decay = 0.995;          // per call: the usual timeout is learned over some 200 calls
+constexpr double min_usual_weight = 10.0;  // calls with the usual timeout before others count as retries
 
-// The floor of the admission limit. A call that waits on deeper tiers keeps no core busy.
-double Balancer::State::least_limit() const {
-  return limit_least / own_part / sidecars * std::max(1.0, ready_warm);
+// The floor of the limit. A call that waits for deeper tiers keeps no core busy.
+double Balancer::State::min_limit() const {
+  return min_calls_per_endpoint / own_time_fraction / sidecar_count * std::max(1.0, warm_ready_count);
 }
 
-// How long ago the client first tried, by its stated wait: repeats past their soft limit pay nothing.
-Span Balancer::State::age_of(const ApiCall& call) {
-  const Span whole = tracks[call.track].client_timeout;
-  UsualWait& w = waits[call.track];
-  const auto same = [&](const auto& g) { return std::abs((g.left - call.left) / whole) <= same_left; };
-  const std::size_t at = remember(w.guesses, usual_decay, {call.left, 0.0}, same);
-  w.guesses[at].weight += 1.0;
-  if (w.guesses[at].weight > 2.0 * w.guesses[w.usual].weight) w.usual = at;
-  if (((at == w.usual || marks_repeats) && !call.repeated) || w.guesses[w.usual].weight < usual_sure)
-    return Span();
-  return std::max(Span(), whole - call.left);
+// How long ago the client first tried, by the timeout that it states: a retry past its latency target has no
+// value. Zero for a first try.
+Span Balancer::State::time_since_first_try(std::uint32_t track, const ApiCall& request) {
+  using Candidate = TimeoutStatistics::Candidate;
+  const Span client_timeout = tracks[track].client_timeout;
+  TimeoutStatistics& statistics = timeout_statistics[track];
+  const auto is_same = [&](const Candidate& candidate) {
+    return std::abs((candidate.timeout - request.left) / client_timeout) <= same_timeout_tolerance;
+  };
+  const std::size_t at = remember(statistics.candidates, timeout_decay, {request.left, 0.0}, is_same);
+  statistics.candidates[at].weight += 1.0;
+  if (statistics.candidates[at].weight > 2.0 * statistics.candidates[statistics.usual].weight)
+    statistics.usual = at;
+  const bool may_be_first = at == statistics.usual || clients_mark_retries;
+  if (may_be_first && !request.repeated) return Span();
+  if (statistics.candidates[statistics.usual].weight < min_usual_weight) return Span();
+  return std::max(Span(), client_timeout - request.left);
 }
 
-// Deeper tiers turn nothing away early: work is already in the call, and its caller was admitted.
-bool Balancer::State::admitted(const Call& c) {
-  if (!first_tier) return true;
-  // Repeats only: with a median over a track's soft limit its first tries would all be turned away for good.
-  const Span whole = tracks[c.track].soft_limit, useful = c.soft_end - c.arrived;
-  if (tracks[c.track].late_payoff <= 0.0 && useful < std::min(whole, estimate.quantile(0.5, c.arrived)))
+// Deeper tiers reject nothing early: work has already gone into the call, and its caller was admitted.
+bool Balancer::State::is_admitted(const Call& call) {
+  if (!is_first_tier) return true;
+  const Track& track = tracks[call.track];
+  // Retries only: with a median over a track's latency target all its first tries would be rejected, for
+  // good.
+  const Span useful = call.target_deadline - call.arrived_at;
+  if (track.late_value <= 0.0 &&
+      useful < std::min(track.latency_target, estimate.quantile(0.5, call.arrived_at)))
     return false;
-  const double above = std::log2(std::max(1e-6, c.payoff / std::max(1e-6, payoff_mean)));
-  const double level = std::clamp(1.0 + payoff_slope * above, level_low, level_high);
-  // It holds the mean of the calls in flight: as a bound on the moment it turned away half idle tiers.
-  const double ahead = told && used < 1.0 ? used_ahead : 1.0;  // reports lag by a second or two
-  const double room = std::max(limit, least_limit()) * level * ahead;
-  if (will_tell && !told) return true;
-  const double chance_off = mean_spread * std::sqrt(room);
-  if (calls_out - 1 < room + std::clamp((room - mean_out) * mean_pull, -chance_off, chance_off)) return true;
-  limited = true;
+  const double above_mean = std::log2(std::max(1e-6, call.value / std::max(1e-6, mean_value)));
+  const double level = std::clamp(1.0 + value_slope * above_mean, min_value_level, max_value_level);
+  const double ahead = has_load_reports && utilization < 1.0 ? report_lag_factor : 1.0;
+  const double bound = std::max(limit, min_limit()) * level * ahead;
+  if (expects_load_reports && !has_load_reports) return true;
+  // The limit holds the mean of the calls in progress, not each moment's number: as a bound on that it would
+  // reject calls at tiers that are half idle.
+  const double chance = chance_deviations * std::sqrt(bound);
+  const double correction = std::clamp((bound - mean_in_progress) * mean_correction, -chance, chance);
+  if (calls_in_progress - 1 < bound + correction) return true;
+  has_rejected_in_step = true;
   return false;
 }
 
-void Balancer::State::count_answer(const Call& c, bool done, TimePoint now) {
-  // A call whose caller waits too little for a late answer is none, however it ends.
-  if (!first_tier || c.timeout - c.arrived < tracks[c.track].soft_limit * late_at) return;
-  ++step_ends;
-  const bool late = !done || (now - c.arrived) / tracks[c.track].soft_limit > late_at;
-  late_part += ((late ? 1.0 : 0.0) - late_part) * late_gain;
-  // Guards endpoints that choke against a limit from before: it falls to the floor, and is learnt anew.
-  if (on_trial > 0 && (--on_trial, late) && ++trial_late > late_share * trial_answers) limit = on_trial = 0;
+void Balancer::State::record_result(const Call& call, bool is_served, TimePoint now) {
+  const Span target = tracks[call.track].latency_target;
+  // A call whose client waits too little for a late response says nothing of lateness, however it ends.
+  if (!is_first_tier || call.deadline - call.arrived_at < target * late_threshold) return;
+  ++results_in_step;
+  const bool is_late = !is_served || (now - call.arrived_at) / target > late_threshold;
+  late_fraction += ((is_late ? 1.0 : 0.0) - late_fraction) * late_gain;
+  // A restored limit that lets too much in falls to the floor at once, and is learned anew.
+  if (trial_results_left == 0) return;
+  --trial_results_left;
+  if (is_late && ++late_trial_results > max_late_fraction * trial_results) limit = trial_results_left = 0;
 }
 
-void Balancer::State::step_limit(TimePoint now) {
-  step_at = now + limit_every;
-  // While endpoints report room the calls in flight may grow by it: the floor counts all sidecars alike.
-  if (told && used < 1.0) room_told += (mean_out / std::max(0.25, used) - room_told) * room_gain;
-  const double least = std::max(least_limit(), room_told * room_kept);
-  limit = std::max({limit, least, told && used < 1.0 ? mean_out / std::max(0.25, used) : 0.0});
-  // Answers late while the endpoints report room are not late by crowding: fewer calls would not mend it.
-  if (step_ends > 0 && late_part > late_share && (!told || used > used_calm)) {
-    limit = std::max(least, std::min<double>(limit, step_peak) * limit_cut);
-  } else if (limited && step_ends > 0 && used < 1.0) {  // no answer, no evidence of room
-    limit += limit * limit_growth;
+void Balancer::State::update_limit(TimePoint now) {
+  next_limit_update_at = now + limit_update_interval;
+  const bool has_spare_capacity = has_load_reports && utilization < 1.0;
+  const double inferred_capacity = mean_in_progress / std::max(min_utilization, utilization);
+  // While endpoints report spare capacity the calls in progress may grow into it: the floor alone would count
+  // all sidecars alike.
+  if (has_spare_capacity) reported_capacity += (inferred_capacity - reported_capacity) * capacity_gain;
+  const double floor = std::max(min_limit(), reported_capacity * kept_capacity);
+  limit = std::max({limit, floor, has_spare_capacity ? inferred_capacity : 0.0});
+  // Responses that are late while the cores are idle are not late by overload: fewer calls would not help.
+  const bool may_be_overloaded = !has_load_reports || utilization > low_utilization;
+  if (results_in_step > 0 && late_fraction > max_late_fraction && may_be_overloaded) {
+    limit = std::max(floor, std::min<double>(limit, max_in_progress_in_step) * limit_decrease);
+  } else if (has_rejected_in_step && results_in_step > 0 && utilization < 1.0) {
+    limit += limit * limit_increase;  // without a result there is no evidence of capacity
   }
-  widen(now);
-  step_ends = 0;
-  step_peak = calls_out;
-  limited = false;
-}
-
-Answer Balancer::State::give_up(std::uint32_t at, TimePoint now, bool crowded) {
-  Call& c = calls[at];
-  const Track& t = tracks[c.track];
-  const bool may_reject = c.bound_to < 0 || (t.effect == Effect::referenced && t.group == Group::all);
-  Answer a{.verdict = Verdict::break_off, .call = c.id};
-  if (t.effect == Effect::replayable || (may_reject && c.out == 0)) a.verdict = Verdict::reject;
-  if (a.verdict == Verdict::reject && can_come_back)
-    a.span = crowded ? most_come_back : most_come_back * 0.25;
-  finish(at, now);
-  return a;
+  update_subset(now);
+  results_in_step = 0;
+  max_in_progress_in_step = calls_in_progress;
+  has_rejected_in_step = false;
 }
 
 }  // namespace chutevane
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -1,143 +1,187 @@
-// What ended dispatches tell of endpoints: speed, load, failures. An outlier, whose high quantile is far
-// above its fellows', gets one call at a time; one that answers nothing while its fellows do, or fails, is
-// passed over and tried again after pauses.
-#include "policy/shared.hpp"
+/// What ended attempts say of endpoints: speed, load, failures. An outlier, whose tail latency is far above
+/// its peers', gets one call at a time. One that fails, or is silent while its peers respond, is ejected and
+/// tried again after pauses that grow.
+#include <algorithm>
+
+#include "policy/balancer_state.hpp"
+#include "policy/policy_constants.hpp"
 
 namespace chutevane {
 
-constexpr double model_gain = 0.02;  // per answer: the mean of some 50
-constexpr double held_full = 1.2;    // calls an endpoint, reported: with more there is no room to grow into
-constexpr double full_held = 4.0;    // x limit_least: taken as held by one that turns calls away
-constexpr Span tell_pause = Span::ms(500);    // between news of one endpoint: as old as reports are
-constexpr double busy_edge = 0.02;            // a core that is never idle counts as 50 calls held
-constexpr double busy_gain = 0.05;            // per answer that tells: the mean of some 20
-constexpr Span told_memory = Span::ms(1000);  // so long a sidecar that hears little goes by what it heard
-constexpr double used_jammed = 1.2;           // what a time-out or a full queue tells, for want of a report
-constexpr double busy_most = 0.88;  // of the cores, reported: busier than that there is no room to grow into
-constexpr double fresh_growth = 0.2;          // per answer: doubles in about 4 round trips
-constexpr double fresh_done = 3.0;            // x mean in flight: then the cap is lifted
-constexpr int misses_allowed = 3;             // in a row: chance errors are rare and alone
-constexpr Span bar_first = Span::ms(500);     // about the time a passing fault takes to show it passed
-constexpr Span bar_most = Span::ms(4000);     // a returned endpoint is found this soon
-constexpr Span full_pause = Span::ms(50);     // a full queue drains a few calls in this time
-constexpr double silence_factor = 1.5;        // x p95 without any answer with two or more out
-constexpr double silence_alone = 2.5;         // x p95 with a single one out: it may just be a long call
-constexpr double refused_gain = 0.1;          // per dispatch: the part of the last 10 or so
-constexpr double refused_most = 0.3;          // of the dispatches: single endpoints that are down are fewer
-constexpr Span idle_least = Span::ms(500);    // no network drops what was used just before
-constexpr double idle_margin = 0.8;           // of the idle time that one was lost at
-constexpr Span idle_doubt = Span::ms(20000);  // after a loss; new connections cost endpoints work
-
-bool Balancer::State::healthy(const Endpoint& e, TimePoint now) {
-  if (now < e.barred_until || (e.outlier && e.in_flight > 0)) return false;
-  return all_silent || !silent(e, now);
+constexpr double model_gain = 0.02;     // per response: the mean of some 50
+constexpr double full_load = 1.2;       // calls an endpoint, reported: with more it has no spare capacity
+constexpr double rejecting_load = 4.0;  // x min_calls_per_endpoint: taken for that of one which rejects
+constexpr Span publish_interval = Span::ms(500);     // of one endpoint's load: reports are as old
+constexpr double busy_offset = 0.02;                 // a core that is never idle counts as 50 calls
+constexpr double load_gain = 0.05;                   // per report: the mean of some 20
+constexpr Span utilization_memory = Span::ms(1000);  // so long a sidecar with few reports goes by its last
+constexpr double overload_utilization = 1.2;  // for what a time-out or a full queue says, without a report
+constexpr double full_busy = 0.88;            // of the cores, reported: busier ones have no spare capacity
+constexpr double cap_growth = 0.2;            // per response: doubles in about 4 round trips
+constexpr double min_lifted_cap = 2.0;
+constexpr double lifted_cap_factor = 3.0;            // x mean in flight: then the cap is lifted
+constexpr int max_consecutive_failures = 3;          // chance errors are rare and alone
+constexpr Span min_ejection_pause = Span::ms(500);   // about the time a passing fault takes to show it passed
+constexpr Span max_ejection_pause = Span::ms(4000);  // a recovered endpoint is found this soon
+constexpr Span full_queue_pause = Span::ms(50);      // a full queue drains a few calls in this time
+constexpr double silence_factor = 1.5;  // x p95 without any response, with two or more calls in flight
+constexpr double single_call_silence_factor = 2.5;  // with one: it may just be a long call
+constexpr double refused_gain = 0.1;                // per dispatch: the fraction of the last 10 or so
+constexpr double max_refused_fraction = 0.3;        // more is not a matter of single endpoints that are down
+constexpr Span min_suspect_idle = Span::ms(500);    // no network drops what was used just before
+constexpr double safe_idle_factor = 0.8;            // of the idle time that one was lost at
+constexpr Span suspicion_time = Span::ms(20000);    // after a loss; new connections cost endpoints work
+
+bool Balancer::State::is_healthy(const Endpoint& endpoint, TimePoint now) {
+  if (now < endpoint.ejected_until || (endpoint.is_outlier && endpoint.in_flight > 0)) return false;
+  return are_most_silent || !is_silent(endpoint, now);
 }
 
-bool Balancer::State::silent(const Endpoint& e, TimePoint now) {
-  if (e.in_flight == 0 || !estimate.measured(now)) return false;
-  const Span patience = estimate.high(now) * (e.in_flight > 1 ? silence_factor : silence_alone);
-  return now - e.quiet_since > std::max(estimate.spec().floor, patience);
+bool Balancer::State::is_silent(const Endpoint& endpoint, TimePoint now) {
+  if (endpoint.in_flight == 0 || !estimate.is_measured(now)) return false;
+  const double factor = endpoint.in_flight > 1 ? silence_factor : single_call_silence_factor;
+  const Span patience = estimate.high(now) * factor;
+  return now - endpoint.active_since > std::max(estimate.config().min_timeout, patience);
 }
 
-// Its connection has idled as long as one that was lost: a new one is needed.
-bool Balancer::State::doubted(const Endpoint& e, TimePoint now) const {
-  return now - idle_lost_at < idle_doubt && e.in_flight == 0 && e.last_used > TimePoint() &&
-         now - e.last_used >= idle_safe;
+// The endpoint's connection has idled as long as one that was lost: a new one is needed.
+bool Balancer::State::is_connection_suspect(const Endpoint& endpoint, TimePoint now) const {
+  return now - idle_loss_at < suspicion_time && endpoint.in_flight == 0 &&
+         endpoint.last_used_at > TimePoint() && now - endpoint.last_used_at >= safe_idle_time;
 }
 
-bool Balancer::State::spare_connection(const Endpoint& e, TimePoint now) const {
-  return e.connections > e.in_flight && !doubted(e, now);
+bool Balancer::State::has_spare_connection(const Endpoint& endpoint, TimePoint now) const {
+  return endpoint.connections > endpoint.in_flight && !is_connection_suspect(endpoint, now);
 }
 
-void Balancer::State::miss(Endpoint& e, TimePoint now, const char* what, int weight) {
-  e.misses += weight;
-  if (e.misses < misses_allowed || now < e.barred_until) return;
-  if (e.bar == Span()) answers.say_of(e.id, "passed over: ", what);
-  e.bar = std::clamp(e.bar * 2.0, bar_first, bar_most);
-  e.barred_until = now + e.bar;
-  e.fresh_cap = fresh_start;
-  if (e.unlisted) e.availability = Availability::gone;
+void Balancer::State::record_failure(Endpoint& endpoint, TimePoint now, const char* what, int weight) {
+  endpoint.consecutive_failures += weight;
+  if (endpoint.consecutive_failures < max_consecutive_failures || now < endpoint.ejected_until) return;
+  if (endpoint.ejection_pause == Span()) answers.say_of(endpoint.id, "passed over: ", what);
+  endpoint.ejection_pause = std::clamp(endpoint.ejection_pause * 2.0, min_ejection_pause, max_ejection_pause);
+  endpoint.ejected_until = now + endpoint.ejection_pause;
+  endpoint.concurrency_cap = initial_concurrency_cap;
+  if (endpoint.is_unlisted) endpoint.availability = Availability::gone;
 }
 
-// Dropped unseen while it idled, for all one can know: not the endpoint's fault, but doubted for a while.
-// Silence is held against a connection only where many calls share it: else it may be the endpoint's.
-bool Balancer::State::dropped(const Endpoint& e, const Dispatch& d, bool reset, TimePoint now) {
-  if ((!shared_connections && !reset) || d.idle < idle_least || e.quiet_since > d.sent) return false;
-  idle_safe =
-      now - idle_lost_at < idle_doubt ? std::min(idle_safe, d.idle * idle_margin) : d.idle * idle_margin;
-  idle_lost_at = now;
+// Whether a connection was dropped unseen while it idled, as far as one can know: that is not the endpoint's
+// fault, but such connections are suspect for a while. Silence counts only where many calls share a
+// connection: otherwise it may be the endpoint's.
+bool Balancer::State::is_idle_connection_loss(const Endpoint& endpoint, const Dispatch& dispatch,
+                                              bool is_immediate_reset, TimePoint now) {
+  if (!has_shared_connections && !is_immediate_reset) return false;
+  if (dispatch.connection_idle < min_suspect_idle || endpoint.active_since > dispatch.sent_at) return false;
+  const Span safe = dispatch.connection_idle * safe_idle_factor;
+  safe_idle_time = now - idle_loss_at < suspicion_time ? std::min(safe_idle_time, safe) : safe;
+  idle_loss_at = now;
   return true;
 }
 
-void Balancer::State::tell_use(double part, TimePoint now) {
-  used += (part - used) * (told ? std::clamp((now - told_at) / told_memory, busy_gain, 1.0) : 1.0);
-  told_at = now;
+// A sidecar with few reports follows the newest more closely.
+void Balancer::State::record_utilization(double measured, TimePoint now) {
+  const double gain = has_load_reports
+                          ? std::clamp((now - utilization_measured_at) / utilization_memory, load_gain, 1.0)
+                          : 1.0;
+  utilization += (measured - utilization) * gain;
+  utilization_measured_at = now;
+}
+
+void Balancer::State::learn_from_load_report(Endpoint& endpoint, const LoadReport& report, TimePoint now) {
+  if (report.busy < 0.0 && report.held < 0.0) return;
+  record_utilization(report.busy >= 0.0 ? report.busy / full_busy : report.held / full_load, now);
+  has_load_reports = true;
+  // How busy the cores are says how many calls one queue before them would hold.
+  const double load = report.held >= 0.0 ? report.held : report.busy / (1.0 + busy_offset - report.busy);
+  mean_reported_load += (load - mean_reported_load) * load_gain;
+  endpoint.reported_load = load;
+  endpoint.load_reported_at = now;
+  if (!can_publish_load || !has_warm_keys || load <= high_reported_load()) return;
+  if (now - endpoint.load_published_at <= publish_interval) return;
+  answers.add(Verdict::tell, 0, static_cast<std::uint32_t>(load * published_load_scale), endpoint.id);
+  endpoint.load_published_at = now;
+}
+
+void Balancer::State::learn_from_response(Endpoint& endpoint, const DispatchEnd& end, TimePoint now) {
+  const double latency_ms = end.load.service_ms > 0.0 ? end.load.service_ms : end.elapsed.as_ms();
+  estimate.record_response(end.elapsed, now);
+  endpoint.response_times.add(end.elapsed, now);
+  endpoint.last_used_at = now;
+  endpoint.connections = std::max(endpoint.connections, endpoint.in_flight + 1);
+  weights.smooth(endpoint.latency_ms, latency_ms);
+  // Models that are not measured are taken to be like it.
+  std::replace(model_latency_ms.begin(), model_latency_ms.end(), 0.0, latency_ms);
+  double& model_latency = model_latency_ms[endpoint.model];
+  model_latency += (latency_ms - model_latency) * model_gain;
+  if (endpoint.ejection_pause > Span()) answers.say_of(endpoint.id, "answers again");
+  endpoint.consecutive_failures = 0;
+  endpoint.ejection_pause = Span();
+  endpoint.active_since = now;
+  learn_from_load_report(endpoint, end.load, now);
+  if (endpoint.concurrency_cap < 0.0) return;
+  endpoint.concurrency_cap += cap_growth;
+  const double enough = lifted_cap_factor * (in_flight + 1.0) / std::max(1, subset_ready_count);
+  const bool may_be_lifted = endpoint.concurrency_cap > std::max(min_lifted_cap, enough);
+  if (may_be_lifted && slow_start_factor(endpoint, now) >= 1.0) endpoint.concurrency_cap = -1.0;
 }
 
-void Balancer::State::learn(Endpoint& e, const Dispatch& d, const DispatchEnd& end, TimePoint now) {
-  --e.in_flight;
+void Balancer::State::count_connections(Endpoint& endpoint, Outcome outcome, TimePoint now) {
+  const bool is_refused = outcome == Outcome::not_connected;
+  if (outcome == Outcome::reset || outcome == Outcome::timed_out || outcome == Outcome::cancelled)
+    endpoint.connections = std::max(0, endpoint.connections - 1);
+  if (is_refused) endpoint.connections = endpoint.in_flight;
+  refused_fraction += ((is_refused ? 1.0 : 0.0) - refused_fraction) * refused_gain;
+  if ((has_warm_keys || uses_subset) && refused_fraction > max_refused_fraction)
+    connections_scarce_until = now + suspicion_time;
+}
+
+void Balancer::State::learn_from_timeout(Endpoint& endpoint, const Dispatch& dispatch, const DispatchEnd& end,
+                                         TimePoint now) {
+  if (dispatch.has_adaptive_timeout) estimate.record_adaptive_timeout(end.elapsed, now);
+  if (is_idle_connection_loss(endpoint, dispatch, false, now)) return;
+  // A timeout that is shorter than most responses take says something of the caller, not of the endpoint.
+  if (estimate.is_measured(now) && end.elapsed < estimate.high(now)) return;
+  // An endpoint that is overloaded may answer nothing, and reports come with answers.
+  if (has_load_reports) record_utilization(overload_utilization, now);
+  record_failure(endpoint, now, "dispatches time out");
+}
+
+void Balancer::State::learn_from(Endpoint& endpoint, const Dispatch& dispatch, const DispatchEnd& end,
+                                 TimePoint now) {
+  --endpoint.in_flight;
   --in_flight;
-  const double speed_ms = end.load.service_ms > 0.0 ? end.load.service_ms : end.elapsed.as_ms();
-  if (end.outcome == Outcome::reset || end.outcome == Outcome::timed_out || end.outcome == Outcome::cancelled)
-    e.connections = std::max(0, e.connections - 1);
-  if (end.outcome == Outcome::not_connected) e.connections = e.in_flight;
-  refused += ((end.outcome == Outcome::not_connected ? 1.0 : 0.0) - refused) * refused_gain;
-  if ((warm_keys || own_parts) && refused > refused_most) scarce_until = now + idle_doubt;
+  count_connections(endpoint, end.outcome, now);
   switch (end.outcome) {
-    case Outcome::done:
-      estimate.served(end.elapsed, now);
-      e.times.add(end.elapsed, now);
-      e.last_used = now, e.connections = std::max(e.connections, e.in_flight + 1);
-      shares.smooth(e.latency_ms, speed_ms);
-      std::replace(models.begin(), models.end(), 0.0, speed_ms);  // unheard ones are taken for like it
-      models[e.model] += (speed_ms - models[e.model]) * model_gain;
-      if (e.bar > Span()) answers.say_of(e.id, "answers again");
-      e.misses = 0;
-      e.bar = Span();
-      e.quiet_since = now;
-      if (end.load.busy >= 0.0 || end.load.held >= 0.0) {
-        tell_use(end.load.busy >= 0.0 ? end.load.busy / busy_most : end.load.held / held_full, now);
-        told = true;
-        // How busy the cores are tells of calls held as one queue would have them.
-        const double holds =
-            end.load.held >= 0.0 ? end.load.held : end.load.busy / (1.0 + busy_edge - end.load.busy);
-        mean_held += (holds - mean_held) * busy_gain;
-        e.held = holds, e.held_at = now;
-        if (can_tell && warm_keys && holds > held_high() && now - e.told_at > tell_pause) {
-          answers.add(Verdict::tell, 0, static_cast<std::uint32_t>(holds * tell_scale), e.id);
-          e.told_at = now;
-        }
-      }
-      if (e.fresh_cap >= 0.0) {
-        e.fresh_cap += fresh_growth;
-        const double enough = fresh_done * (in_flight + 1.0) / std::max(1, spread);
-        if (e.fresh_cap > std::max(2.0, enough) && warmth(e, now) >= 1.0) e.fresh_cap = -1.0;
-      }
-      break;
+    case Outcome::done: learn_from_response(endpoint, end, now); break;
     case Outcome::turned_away:
-      e.quiet_since = now;
-      e.barred_until = std::max(e.barred_until, now + full_pause);
-      if (told) e.held = full_held * limit_least, e.held_at = now, tell_use(used_jammed, now);
+      endpoint.active_since = now;
+      endpoint.ejected_until = std::max(endpoint.ejected_until, now + full_queue_pause);
+      if (!has_load_reports) break;
+      endpoint.reported_load = rejecting_load * min_calls_per_endpoint;
+      endpoint.load_reported_at = now;
+      record_utilization(overload_utilization, now);
       break;
-    case Outcome::timed_out:
-      if (d.cut) estimate.cut(end.elapsed, now);
-      // A wait shorter than most answers take tells of the caller, not of the endpoint.
-      if (dropped(e, d, false, now) || (estimate.measured(now) && end.elapsed < estimate.high(now))) break;
-      if (told) tell_use(used_jammed, now);  // a jam answers nothing, and reports come with answers
-      miss(e, now, "dispatches time out");
+    case Outcome::timed_out: learn_from_timeout(endpoint, dispatch, end, now); break;
+    case Outcome::not_connected:  // never by chance
+      record_failure(endpoint, now, "no connection", max_consecutive_failures);
       break;
-    case Outcome::not_connected: miss(e, now, "no connection", misses_allowed); break;  // no chance error
-    case Outcome::reset:
-      // At once, before any work could be done: the connection was gone before the call came.
-      if (!dropped(e, d, end.elapsed < estimate.spec().floor, now)) miss(e, now, "connections break");
+    case Outcome::reset: {
+      // Before any work could be done: the connection was lost before the call was sent.
+      const bool is_immediate = end.elapsed < estimate.config().min_timeout;
+      if (!is_idle_connection_loss(endpoint, dispatch, is_immediate, now))
+        record_failure(endpoint, now, "connections break");
       break;
+    }
     case Outcome::cancelled:
-      if (d.rescued && !dropped(e, d, false, now)) miss(e, now, "silent");
+      if (dispatch.is_abandoned && !is_idle_connection_loss(endpoint, dispatch, false, now))
+        record_failure(endpoint, now, "silent");
       break;
-    case Outcome::error:  // three running are the endpoint's own: failing fast, it would draw the most calls
-      e.quiet_since = now;
-      if (++e.misses >= misses_allowed && now >= e.barred_until)
-        e.barred_until = now + (e.bar = std::clamp(e.bar * 2.0, bar_first, bar_most));
+    case Outcome::error:
+      // Several in a row are the endpoint's own. As it fails fast it would otherwise draw the most calls.
+      endpoint.active_since = now;
+      if (++endpoint.consecutive_failures < max_consecutive_failures || now < endpoint.ejected_until) break;
+      endpoint.ejection_pause =
+          std::clamp(endpoint.ejection_pause * 2.0, min_ejection_pause, max_ejection_pause);
+      endpoint.ejected_until = now + endpoint.ejection_pause;
       break;
     case Outcome::not_sent: break;
   }
