--- a/src/tier_simulation/agent_programs.cpp
+++ b/src/tier_simulation/agent_programs.cpp
@@ -6,7 +6,7 @@
 namespace chutevane::tier_simulation {
 namespace {
 
-constexpr Span reply_timeout = Span::ms(1200);    // of one call to the ledger
+constexpr Span reply_timeout = Span::ms(1200);    // of one call to the storage nodes
 constexpr Span attempt_timeout = Span::ms(6000);  // then its edge is assumed to be gone
 
 }  // namespace
--- a/src/tier_simulation/session_observers.cpp
+++ b/src/tier_simulation/session_observers.cpp
@@ -59,7 +59,7 @@
     if (!common::decode(record, push)) return;
     const std::int64_t before = session.values.number(), number = push.number;
     // On a single session each difference comes after the value that it applies to.
-    if (number < before || session.values.receive(std::move(push)) == common::ValueReceiver::Result::rejected)
+    if (number < before || session.values.receive(push) == common::ValueReceiver::Result::rejected)
       checker_.report_violation("pushed-back", name + " pushes what can't follow: number " +
                                                    std::to_string(number) + " after " +
                                                    std::to_string(before));
