--- a/src/edge/service_balancer.cpp
+++ b/src/edge/service_balancer.cpp
@@ -59,7 +59,7 @@
   endpoints_ = std::move(updated);
   index_.clear();
   for (std::size_t i = 0; i < endpoints_.size(); ++i) index_[endpoints_[i].id] = i;
-  shares_.begin(now);  // empties it, so that update_weights() computes it anew
+  shares_.begin_update(now);  // empties it, so that update_weights() computes it anew
   update_weights(now);
 }
 
@@ -74,8 +74,8 @@
 Span ServiceBalancer::attempt_timeout(Span route_timeout, Span time_left, bool may_retry, TimePoint now) {
   const Span upper_bound = std::min(route_timeout, time_left);
   if (!may_retry) return upper_bound;
-  estimate_.starve(now);
-  return estimate_.ceiling(upper_bound, now);
+  estimate_.update_starved(now);
+  return estimate_.attempt_timeout(upper_bound, now);
 }
 
 bool ServiceBalancer::allows_retry(Span time_left, TimePoint now) {
@@ -85,12 +85,12 @@
 // ---- choice of the endpoint
 
 void ServiceBalancer::update_weights(TimePoint now) {
-  if (now < shares_.solve_at() && shares_.size() == endpoints_.size()) return;
-  shares_.begin(now);
-  for (const EndpointState& endpoint : endpoints_) shares_.hear(endpoint.smoothed_latency_ms);
+  if (now < shares_.next_update_at() && shares_.size() == endpoints_.size()) return;
+  shares_.begin_update(now);
+  for (const EndpointState& endpoint : endpoints_) shares_.add_measured_latency(endpoint.smoothed_latency_ms);
   for (const EndpointState& endpoint : endpoints_) {
     const double zone_weight = endpoint.zone == zone_ ? 1.0 : other_zone_weight;
-    shares_.add(shares_.speed(endpoint.smoothed_latency_ms) * zone_weight);
+    shares_.add_weight(shares_.speed(endpoint.smoothed_latency_ms) * zone_weight);
   }
 }
 
@@ -133,17 +133,18 @@
     in_flight += recent_load(endpoints_[i], now);
     is_candidate[i] = true;
   }
-  const double max_load = shares_.pass_over(in_flight, static_cast<int>(candidates.size()));
+  const double max_load = shares_.overload_threshold(in_flight, static_cast<int>(candidates.size()));
   const auto fit = [&](std::size_t index, int) {
-    return is_candidate[index] && recent_load(endpoints_[index], now) <= max_load ? Shares::Fit::yes
-                                                                                  : Shares::Fit::no;
+    return is_candidate[index] && recent_load(endpoints_[index], now) <= max_load
+               ? LatencyWeights::Fit::accepted
+               : LatencyWeights::Fit::rejected;
   };
   const std::size_t subset = subset_size(now);
-  if (const int drawn = shares_.draw(Arc{0, subset}, random_, 0, fit); drawn >= 0)
+  if (const int drawn = shares_.draw(RingRange{0, subset}, random_, 0, fit); drawn >= 0)
     return endpoints_[static_cast<std::size_t>(drawn)].id;
   if (const auto least = least_loaded_in_subset(subset, is_candidate, now)) return endpoints_[*least].id;
   if (subset < shares_.size()) {
-    const int drawn = shares_.draw(Arc{0, shares_.size()}, random_, 0, fit);
+    const int drawn = shares_.draw(RingRange{0, shares_.size()}, random_, 0, fit);
     if (drawn >= 0) return endpoints_[static_cast<std::size_t>(drawn)].id;
   }
   const auto expected_delay = [&](std::size_t index) {
@@ -236,7 +237,7 @@
 
 void ServiceBalancer::on_response(const std::string& id, const AttemptContext& attempt, Span latency,
                                   TimePoint now) {
-  estimate_.served(latency, now);
+  estimate_.record_response(latency, now);
   if (!attempt.prompt.empty()) model_.observe_prefill(attempt.pending_prefill_tokens, latency);
   EndpointState* const endpoint = find(id);
   if (endpoint == nullptr) return;
@@ -248,7 +249,7 @@
 
 void ServiceBalancer::on_attempt_ended(const std::string& id, const AttemptContext& attempt,
                                        AttemptOutcome outcome, TimePoint now) {
-  if (outcome == AttemptOutcome::adaptive_timeout) estimate_.cut(Span::ms(1), now);
+  if (outcome == AttemptOutcome::adaptive_timeout) estimate_.record_adaptive_timeout(Span::ms(1), now);
   observe_duration(attempt, outcome, now);
   EndpointState* const endpoint = find(id);
   if (endpoint == nullptr) return;
--- a/src/edge/service_balancer.hpp
+++ b/src/edge/service_balancer.hpp
@@ -42,8 +42,8 @@
 #include "chutevane/types.hpp"
 #include "edge/engine_model.hpp"
 #include "edge/prefix_cache_index.hpp"
-#include "policy/estimate.hpp"
-#include "policy/shares.hpp"
+#include "policy/latency_estimate.hpp"
+#include "policy/latency_weights.hpp"
 
 namespace chutevane::edge {
 
@@ -159,10 +159,10 @@
   EngineModel model_;
   std::vector<EndpointState> endpoints_;                // the subset is at its front
   std::unordered_map<std::string, std::size_t> index_;  // by id, into endpoints_
-  Estimate estimate_;
+  LatencyEstimate estimate_;
   WindowedCount recent_attempts_{attempt_window};
   double mean_attempt_ms_ = 0;  // smoothed; 0: none has ended yet
-  Shares shares_{TimePoint()};
+  LatencyWeights shares_{TimePoint()};
 };
 
 }  // namespace chutevane::edge
