--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -45,15 +45,16 @@
 Fleet::Fleet(const Experiment& experiment, std::uint64_t seed, const Places& places)
     : Fleet(experiment, seed, std::make_unique<Loopback>(places), nullptr) {}
 
-Fleet::Fleet(const Experiment& experiment, std::uint64_t seed, Ground& ground)
-    : Fleet(experiment, seed, nullptr, &ground) {}
+Fleet::Fleet(const Experiment& experiment, std::uint64_t seed, Environment& environment)
+    : Fleet(experiment, seed, nullptr, &environment) {}
 
-Fleet::Fleet(const Experiment& experiment, std::uint64_t seed, std::unique_ptr<Ground> own, Ground* ground)
+Fleet::Fleet(const Experiment& experiment, std::uint64_t seed, std::unique_ptr<Environment> own,
+             Environment* environment)
     : experiment_(experiment),
       seed_(seed),
-      own_ground_(std::move(own)),
-      ground_(ground != nullptr ? *ground : *own_ground_),
-      scheduler_(ground_.own()),
+      own_environment_(std::move(own)),
+      environment_(environment != nullptr ? *environment : *own_environment_),
+      scheduler_(environment_.lab_scheduler()),
       timeline_(experiment_, seed),
       auditor_(experiment_.rules, experiment_.tracks, experiment_.allowed.copies),
       shared_(experiment_, auditor_, seed),
@@ -101,14 +102,14 @@
       s->tier = t;
       s->before = i;
       s->name = experiment_.tiers[t].name + "-" + std::to_string(i);
-      s->listen = ground_.at(sidecar_group + static_cast<int>(t), i + 1, service_port);
-      s->process = ground_.sidecar(s->name, s->listen);
+      s->listen = environment_.at(sidecar_group + static_cast<int>(t), i + 1, service_port);
+      s->process = environment_.sidecar(s->name, s->listen);
       for (std::size_t of = t; of < (experiment_.pools ? experiment_.tiers.size() : t + 1); ++of) {
         SidecarPlace::Agent agent;
         agent.tier = of;
-        agent.at = ground_.at(discovery_group + static_cast<int>(of), i + 1, discovery_port);
-        agent.agent = std::make_unique<DiscoveryAgent>(ground_.beside(agent.at), books_[of], s->number,
-                                                       experiment_.tiers[of].list_delay, shared_);
+        agent.at = environment_.at(discovery_group + static_cast<int>(of), i + 1, discovery_port);
+        agent.agent = std::make_unique<DiscoveryAgent>(environment_.scheduler_at(agent.at), books_[of],
+                                                       s->number, experiment_.tiers[of].list_delay, shared_);
         agent.agent->open(agent.at);
         s->agents.push_back(std::move(agent));
       }
@@ -128,10 +129,10 @@
   w.link = link;
   w.far = far;
   const bool many = link == WayTo::endpoints;
-  w.at =
-      ground_.at(way_group + static_cast<int>(link) * ways_of_a_kind + static_cast<int>(s.tier),
-                 (many ? far : s.before) + 1, static_cast<std::uint16_t>(relay_port + (many ? s.before : 0)));
-  w.relay = std::make_unique<Relay>(ground_.own(), w.at, to, seed_ * 1009U + ways_.size());
+  w.at = environment_.at(way_group + static_cast<int>(link) * ways_of_a_kind + static_cast<int>(s.tier),
+                         (many ? far : s.before) + 1,
+                         static_cast<std::uint16_t>(relay_port + (many ? s.before : 0)));
+  w.relay = std::make_unique<Relay>(environment_.lab_scheduler(), w.at, to, seed_ * 1009U + ways_.size());
   w.relay->on_struck = [this](FaultKind kind) { shared_.struck(kind); };
   ways_.push_back(std::move(w));
   return ways_.back();
@@ -145,7 +146,7 @@
     if (!relayed(WayTo::endpoints)) continue;
     std::map<std::string, std::string> seen;
     for (std::size_t i = 0; i < static_cast<std::size_t>(experiment_.tiers[s->tier].endpoints); ++i) {
-      const sockaddr_in to = ground_.at(endpoint_group + static_cast<int>(s->tier), i + 1, service_port);
+      const sockaddr_in to = environment_.at(endpoint_group + static_cast<int>(s->tier), i + 1, service_port);
       seen[net::text_of(to)] = net::text_of(add_way(*s, WayTo::endpoints, i, to).at);
     }
     s->agents.front().agent->shows([seen](const std::string& address) {
@@ -282,12 +283,12 @@
   spec.place = e.place;
   spec.zone = zone_of(tier, e.place);
   spec.cell = e.place % static_cast<std::size_t>(tier.cells);
-  spec.address = ground_.at(endpoint_group + static_cast<int>(e.tier), e.place + 1, service_port);
+  spec.address = environment_.at(endpoint_group + static_cast<int>(e.tier), e.place + 1, service_port);
   spec.came_up = cold ? scheduler_.now() : TimePoint();
   e.listed = {spec.id,   net::text_of(spec.address), tier.zones[spec.zone],
               spec.cell, Availability::ready,        spec.came_up,
               spec.key};
-  e.now = std::make_unique<EndpointStandIn>(ground_.beside(spec.address), shared_, spec);
+  e.now = std::make_unique<EndpointStandIn>(environment_.scheduler_at(spec.address), shared_, spec);
   SidecarPlace* const s = sidecar_of(e);
   if (s != nullptr && has_own_sidecar(e) && s->doing == Doing::down) start_sidecar(*s);
   e.waits_for_sidecar = s != nullptr && s->doing != Doing::serving;
@@ -591,7 +592,7 @@
                          [&](const auto& s) { return !of_tier(s) || s->doing == Doing::serving; });
     };
     while (!up() && !stopped_) {
-      ground_.turn();
+      environment_.turn();
       for (const auto& s : sidecars_) {
         if (!s->crash.empty()) throw std::runtime_error("a sidecar does not start: " + s->crash);
       }
@@ -613,11 +614,11 @@
   bool measuring = false;
   TimePoint next_progress = starts;
   while (scheduler_.now() < ends && !stopped_) {
-    ground_.turn();
+    environment_.turn();
     const TimePoint now = scheduler_.now();
     if (!measuring && now >= begins_) {
       measuring = true;
-      if (ground_.real_time()) late_task_.start();
+      if (environment_.real_time()) late_task_.start();
       for (auto& s : sidecars_) s->at_begin = s->process->usage().value_or(Usage{});
     }
     if (progress && now >= next_progress) {
@@ -629,7 +630,7 @@
   Span longest;
   for (const TrackSpec& t : experiment_.tracks) longest = std::max(longest, t.client_timeout);
   const TimePoint latest = scheduler_.now() + longest + experiment_.rules.slack * 2.0;
-  while (callers_.open_wishes() > 0 && scheduler_.now() < latest && !stopped_) ground_.turn();
+  while (callers_.open_wishes() > 0 && scheduler_.now() < latest && !stopped_) environment_.turn();
 
   on_end();
 
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -13,8 +13,8 @@
 #include "lab/callers.hpp"
 #include "lab/discovery.hpp"
 #include "lab/endpoint.hpp"
+#include "lab/environment.hpp"
 #include "lab/front.hpp"
-#include "lab/ground.hpp"
 #include "lab/ledger.hpp"
 #include "lab/loopback.hpp"
 #include "lab/recovery.hpp"
@@ -64,14 +64,14 @@
   using Progress = std::function<void(Span done, Span whole, const Ledger& ledger)>;
   // Throws std::system_error or std::runtime_error where the machine does not allow it.
   Fleet(const Experiment& experiment, std::uint64_t seed, const Places& places);
-  Fleet(const Experiment& experiment, std::uint64_t seed, Ground& ground);  // which outlives it
+  Fleet(const Experiment& experiment, std::uint64_t seed, Environment& environment);  // which outlives it
   ~Fleet();
   Result run(const Progress& progress);
   // From a signal handler's place in the loop: ends the run early.
   void stop() { stopped_ = true; }
   pid_t sidecar_pid(std::size_t sidecar) const { return sidecars_[sidecar]->process->pid(); }
 
-  // --- For a ground that adds troubles of its own
+  // --- For an environment that injects faults of its own
   std::function<void(TimePoint begins)> on_begin = [](TimePoint) {};  // of the measured time
   Shared& shared() { return shared_; }
   Auditor& auditor() { return auditor_; }
@@ -145,7 +145,8 @@
   void stop_for(SidecarPlace& s, Span lasts);
   void loop(std::size_t fault, SidecarPlace& s);
   void doubt(const SidecarPlace& s, Span lasts);
-  Fleet(const Experiment& experiment, std::uint64_t seed, std::unique_ptr<Ground> own, Ground* ground);
+  Fleet(const Experiment& experiment, std::uint64_t seed, std::unique_ptr<Environment> own,
+        Environment* environment);
   std::string config_of(SidecarPlace& s);
   void start_sidecar(SidecarPlace& s);
   void kill_sidecar(SidecarPlace& s);
@@ -172,8 +173,8 @@
 
   Experiment experiment_;
   std::uint64_t seed_;
-  std::unique_ptr<Ground> own_ground_;  // none where it was given one
-  Ground& ground_;
+  std::unique_ptr<Environment> own_environment_;  // none where it was given one
+  Environment& environment_;
   net::Scheduler& scheduler_;  // the lab's own
   Timeline timeline_;
   Auditor auditor_;
--- a/src/lab/loopback.hpp
+++ b/src/lab/loopback.hpp
@@ -1,7 +1,8 @@
-// This machine as a ground: loopback addresses, the lab's one thread for all stand-ins, real sidecars.
+/// \file
+/// This machine as an environment: loopback addresses, the lab's one thread for all stand-ins, real sidecars.
 #pragma once
 
-#include "lab/ground.hpp"
+#include "lab/environment.hpp"
 
 namespace chutevane::lab {
 
@@ -23,11 +24,11 @@
   int fd_ = -1, block_ = 0;
 };
 
-class Loopback final : public Ground {
+class Loopback final : public Environment {
  public:
   explicit Loopback(const Places& places);  // throws as AddressBlock and Scheduler do
-  net::Scheduler& own() override { return scheduler_; }
-  net::Scheduler& beside(const sockaddr_in&) override { return scheduler_; }
+  net::Scheduler& lab_scheduler() override { return scheduler_; }
+  net::Scheduler& scheduler_at(const sockaddr_in&) override { return scheduler_; }
   sockaddr_in at(int group, std::size_t number, std::uint16_t port) const override {
     return addresses_.at(group, number, port);
   }
--- a/src/sidecar_simulation/environment.cpp
+++ b/src/sidecar_simulation/environment.cpp
@@ -145,7 +145,7 @@
   lab_->run(
       *schedulers_.front(),
       [this] {
-        own().turn();
+        lab_scheduler().turn();
         // What the lab did to other processes takes effect in the next event.
         simulator_.run_after(Span(), [] {});
         return true;
@@ -155,7 +155,7 @@
 
 SimulatedEnvironment::~SimulatedEnvironment() = default;
 
-net::Scheduler& SimulatedEnvironment::beside(const sockaddr_in& at) {
+net::Scheduler& SimulatedEnvironment::scheduler_at(const sockaddr_in& at) {
   const std::uint32_t ip = ntohl(at.sin_addr.s_addr);
   if (const auto known = schedulers_by_ip_.find(ip); known != schedulers_by_ip_.end()) return *known->second;
   const int group = static_cast<int>(ip >> 8U & 255U);
--- a/src/sidecar_simulation/environment.hpp
+++ b/src/sidecar_simulation/environment.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/ground.hpp"
+#include "lab/environment.hpp"
 #include "network_simulation/simulator.hpp"
 #include "sidecar/sidecar.hpp"
 
@@ -72,16 +72,16 @@
 };
 
 /// Creates the processes of a fleet on first use, and drives the simulator.
-class SimulatedEnvironment final : public lab::Ground {
+class SimulatedEnvironment final : public lab::Environment {
  public:
   /// `max_descriptors` is the limit of a sidecar; `trace` must outlive the environment.
   SimulatedEnvironment(std::uint64_t seed, const network_simulation::NetworkConditions& conditions,
                        std::size_t max_descriptors, network_simulation::Trace& trace);
   ~SimulatedEnvironment() override;
 
-  // lab::Ground
-  net::Scheduler& own() override { return *schedulers_.front(); }
-  net::Scheduler& beside(const sockaddr_in& at) override;
+  // lab::Environment
+  net::Scheduler& lab_scheduler() override { return *schedulers_.front(); }
+  net::Scheduler& scheduler_at(const sockaddr_in& at) override;
   sockaddr_in at(int group, std::size_t number, std::uint16_t port) const override;
   std::unique_ptr<lab::SidecarProcess> sidecar(const std::string& name, const sockaddr_in& listen) override;
   /// Throws std::runtime_error if no event is left, or after too many for a run that ends.
