--- a/src/control/absence_tracker.hpp
+++ b/src/control/absence_tracker.hpp
@@ -8,6 +8,7 @@
 
 namespace chutevane::control {
 
+/// By keys of the caller, such as a name and a disk. Keys stay known until clear().
 class AbsenceTracker {
  public:
   /// Records whether `key` is present now. Returns whether it has been absent for longer than `timeout`; a
--- a/src/control/acceptor.hpp
+++ b/src/control/acceptor.hpp
@@ -71,6 +71,7 @@
   std::int64_t accepted_number() const { return state_.value.number; }
 
  private:
+  /// A checkpoint is written in full; a log record is appended, unless the log is full or a write has failed.
   enum class WriteForm : std::uint8_t { checkpoint, log_record };
   bool is_member_of(const RegisterValue& epoch_value) const;
   bool enter_epoch(std::int64_t epoch, const RegisterValue& epoch_value);
--- a/src/control/acceptor_set_planner.hpp
+++ b/src/control/acceptor_set_planner.hpp
@@ -28,6 +28,7 @@
 /// by that time, even if a leader had to be elected first (within 1.3 s).
 constexpr Span acceptor_absence_timeout = Span::ms(1500);
 
+/// Plans from what it is given; it remembers only who was present when.
 class AcceptorSetPlanner {
  public:
   /// `losses`: machines that may be lost at once. The set has replicas_for(losses) acceptors where there are
--- a/src/control/configuration_submission.hpp
+++ b/src/control/configuration_submission.hpp
@@ -19,6 +19,7 @@
 /// covers hours of a day with 16,000 changes, and more than a day with hundreds.
 constexpr std::size_t configuration_history_limit = 4096;
 
+/// What an operator submits; all of it makes its identity.
 struct ConfigurationSubmission {
   std::int64_t base = 0;     // the version that it was built on
   std::int64_t version = 0;  // its own
@@ -26,6 +27,7 @@
   std::string body;          // the configuration as the operator sent it
 };
 
+/// Of a submission, by a value of the register.
 enum class SubmissionStatus : std::uint8_t {
   applicable,      // its base is current: applying it is the next change
   accepted,        // it was applied, now or at some earlier time
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -39,6 +39,7 @@
 
 namespace chutevane::control {
 
+/// The process, as common::run_process() drives it.
 class ControlPlane final : public common::Plane, AcceptorTransport, OperatorApi::Host {
  public:
   ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
--- /dev/null
+++ b/src/control/control_plane_startup.cpp
@@ -0,0 +1,172 @@
+// Start of a controller: what it reads from disk, and which messages it serves.
+#include <xxhash.h>
+
+#include <utility>
+
+#include "common/control_sessions.hpp"
+#include "common/log.hpp"
+#include "control/control_plane.hpp"
+#include "control/control_timing.hpp"
+#include "control/value_notification.hpp"
+
+namespace chutevane::control {
+namespace {
+
+constexpr std::size_t max_configuration_bytes = 8U << 20U;
+
+std::string address_of_seed(const common::ProcessSettings& settings, const sockaddr_in& seed) {
+  const auto port = static_cast<std::uint16_t>(settings.first_port + common::control_plane_port);
+  return common::internal_control_address(seed, port);
+}
+
+}  // namespace
+
+std::uint64_t seed_of(const std::string& name, TimePoint now) {
+  const auto time_us = static_cast<std::uint64_t>(now.as_ms() * 1000);
+  return XXH3_64bits_withSeed(name.data(), name.size(), time_us);
+}
+
+ControlPlane::ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
+                           std::unique_ptr<common::Disk> disk)
+    : scheduler_(scheduler),
+      settings_(settings),
+      timers_(scheduler),
+      address_(net::text_of(settings.internal_address(common::control_plane_port))),
+      incarnation_(seed_of(settings.node + "holder", scheduler.now())),
+      disk_(std::move(disk)),
+      record_storage_(*disk_, "control"),
+      register_(timers_, *this, seed_of(settings.node, scheduler.now()) >> 1U),
+      rpc_server_(scheduler),
+      operator_api_(register_, *this, settings.machine_losses),
+      operator_server_(scheduler, max_configuration_bytes,
+                       [this](const http::Parser& request, common::HttpServer::Reply reply) {
+                         operator_api_.serve(request, std::move(reply));
+                       }),
+      peers_(scheduler, timers_, address_),
+      knowledge_(timers_, register_, acceptor_, peers_, *this, static_cast<std::int64_t>(incarnation_)),
+      endpoint_list_election_("list", seed_of(settings.node + "list", scheduler.now()), timers_, register_,
+                              peers_, {settings.node, address_, incarnation_},
+                              [this] {
+                                send_gossip();
+                                endpoint_list_.fetch();
+                              }),
+      membership_election_("roster", seed_of(settings.node + "roster", scheduler.now()), timers_, register_,
+                           peers_, {settings.node, address_, incarnation_}, [this] { send_gossip(); }),
+      platform_(scheduler, timers_, settings.platform, settings.platform_rate),
+      endpoint_list_(timers_, platform_, endpoint_list_election_, peers_,
+                     [this] { sessions_.on_endpoint_list_changed(); }),
+      membership_(register_, settings.machine_losses,
+                  [this](const common::RegisterValue& chosen, bool acceptors_changed) {
+                    announce(chosen);
+                    common::log_info(acceptors_changed ? "roster.acceptors" : "roster.storage_nodes",
+                                     "number " + std::to_string(chosen.number) + ", epoch " +
+                                         std::to_string(chosen.epoch) + ", map " +
+                                         std::to_string(chosen.map_version) + " of " +
+                                         std::to_string(chosen.storage_nodes.size()));
+                    if (acceptors_changed) send_gossip();
+                  }),
+      sessions_(timers_, rpc_server_, endpoint_list_.table()) {}
+
+absl::Status ControlPlane::open() {
+  if (absl::Status loaded = load_record(); !loaded.ok()) return loaded;
+  if (absl::Status opened = open_acceptor(); !opened.ok()) return opened;
+  acceptor_->on_epoch_entered(
+      [this](const common::RegisterValue& epoch_value) { register_.observe_epoch(epoch_value); });
+  register_.observe_epoch(record_.initial);
+  register_.observe_epoch(acceptor_->epoch_value());
+  register_.on_chosen([this](const common::RegisterValue& value) { on_value_chosen(value); });
+  peers_.on_connected([this](Peer& peer) { greet_peer(peer); });
+  add_known_peers();
+  in_contact_since_ = timers_.now();
+  register_rpc_handlers();
+  rpc_server_.listen(settings_.internal_listen_address(common::control_plane_port));
+  if (settings_.control) operator_server_.listen(*settings_.control);
+  tick();
+  endpoint_list_.start_polling();
+  common::log_info("control.open", "disk " + record_.disk + (record_.first ? ", first start" : "") +
+                                       ", epoch " + std::to_string(register_.epoch_value().epoch));
+  return absl::OkStatus();
+}
+
+/// Reads who this disk is and which controllers it knew, or writes it for a new disk.
+absl::Status ControlPlane::load_record() {
+  const auto recovered = record_storage_.recover();
+  if (recovered.ok()) {
+    const bool decoded = common::decode(recovered->checkpoint, record_);
+    return decoded ? absl::OkStatus() : absl::DataLossError("control: record not read");
+  }
+  // A first write that was torn was reported to nobody: the disk is as good as new.
+  const bool is_new_disk = absl::IsNotFound(recovered.status()) || absl::IsDataLoss(recovered.status());
+  if (!is_new_disk) return recovered.status();
+  record_.disk = disk_->generate_id();
+  record_.first = settings_.initial_start;
+  if (record_.first) {
+    std::vector<common::Acceptor> seeds;
+    for (const sockaddr_in& seed : settings_.seeds) seeds.push_back({address_of_seed(settings_, seed), ""});
+    record_.initial = first_epoch_value(std::move(seeds));
+  }
+  return record_storage_.write_checkpoint(common::encoded(record_));
+}
+
+absl::Status ControlPlane::open_acceptor() {
+  acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
+  absl::Status opened = acceptor_->open();
+  if (!absl::IsDataLoss(opened)) return opened;
+  // What it promised cannot be read: it is another disk from here on, and votes in no epoch that named it.
+  common::log_warning("acceptor.lost", opened.ToString());
+  record_.disk = disk_->generate_id();
+  record_.first = false;
+  if (absl::Status stored = record_storage_.write_checkpoint(common::encoded(record_)); !stored.ok())
+    return stored;
+  acceptor_.emplace(*disk_, address_, record_.disk, record_.first);
+  return absl::OkStatus();
+}
+
+void ControlPlane::add_known_peers() {
+  add_seeds(settings_);
+  for (const std::string& address : record_.controllers) peers_.add(address);
+}
+
+void ControlPlane::add_seeds(const common::ProcessSettings& settings) {
+  for (const sockaddr_in& seed : settings.seeds) peers_.add(address_of_seed(settings_, seed));
+}
+
+void ControlPlane::reload(const common::ProcessSettings& settings) { add_seeds(settings); }
+
+void ControlPlane::register_rpc_handlers() {
+  using Connection = common::RpcServer::Connection;
+  rpc_server_.on<common::Prepare>(
+      [this](Connection& connection, std::uint64_t request_id, common::Prepare& request) {
+        const auto reply = prepare_locally(request);
+        if (reply.ok() && request_id != 0) connection.reply(request_id, *reply);
+      });
+  rpc_server_.on<common::Accept>(
+      [this](Connection& connection, std::uint64_t request_id, common::Accept& request) {
+        const auto reply = accept_locally(request);
+        if (reply.ok() && request_id != 0) connection.reply(request_id, *reply);
+      });
+  rpc_server_.on<common::Chosen>([this](Connection&, std::uint64_t, common::Chosen& notification) {
+    apply_chosen_notification(register_, recent_values_, notification);
+  });
+  rpc_server_.on<common::Gossip>(
+      [this](Connection&, std::uint64_t, common::Gossip& gossip) { on_gossip(gossip); });
+  rpc_server_.on<common::VoteRequest>(
+      [this](Connection& connection, std::uint64_t request_id, common::VoteRequest& request) {
+        const bool is_for_list = request.role == endpoint_list_election_.role();
+        RoleElection& election = is_for_list ? endpoint_list_election_ : membership_election_;
+        connection.reply(request_id, election.on_vote_request(request));
+      });
+  rpc_server_.on<common::EndpointList>([this](Connection&, std::uint64_t, common::EndpointList& change) {
+    endpoint_list_.on_endpoint_list(change);
+  });
+  rpc_server_.on<common::MemberHeartbeat>(
+      [this](Connection& connection, std::uint64_t, common::MemberHeartbeat& heartbeat) {
+        on_member_heartbeat(connection, heartbeat);
+      });
+  rpc_server_.on_close([this](Connection& connection) {
+    sessions_.close(connection.id());
+    complete_acknowledged();
+  });
+}
+
+}  // namespace chutevane::control
--- a/src/control/endpoint_list_publisher.hpp
+++ b/src/control/endpoint_list_publisher.hpp
@@ -24,6 +24,8 @@
   auto operator<=>(const EndpointListPosition&) const = default;
 };
 
+/// Owns this controller's copy of the list. A copy that is at a lower position than what arrives takes it
+/// over; whatever is at a lower position than the copy is ignored (common/endpoint_table.hpp).
 class EndpointListPublisher {
  public:
   /// `on_changed`: called whenever the list has changed here. The references must outlive this object.
--- a/src/control/knowledge_tracker.cpp
+++ b/src/control/knowledge_tracker.cpp
@@ -96,7 +96,7 @@
 void KnowledgeTracker::read_register() {
   is_catching_up_ = true;
   const TimePoint begin = timers_.now();
-  register_.read(read_timeout, [this, begin](absl::StatusOr<RegisterValue> value) {
+  register_.read(read_timeout, [this, begin](const absl::StatusOr<RegisterValue>& value) {
     is_catching_up_ = false;
     // What it has found was chosen at some time after its begin.
     if (value.ok()) confirmed_at_ = std::max(confirmed_at_, begin);
--- a/src/control/leader_election.hpp
+++ b/src/control/leader_election.hpp
@@ -29,6 +29,7 @@
 /// A leader without proof of contact with a quorum for as long steps down.
 constexpr Span leader_lease_duration = Span::ms(900);
 
+/// State of one role's election at one controller.
 class LeaderElection {
  public:
   /// `role`: its name in messages, logs and metrics. `seed`: of the random delays, different at each
--- a/src/control/member_sessions.hpp
+++ b/src/control/member_sessions.hpp
@@ -42,6 +42,7 @@
   std::size_t size() const { return sessions_.size(); }
 
  private:
+  /// One connection of a member.
   struct Session {
     common::Member member;
     TimePoint opened_at;
--- a/src/control/membership_controller.cpp
+++ b/src/control/membership_controller.cpp
@@ -67,10 +67,10 @@
     };
     return submit(value.number, seal, true);
   }
-  const std::optional<RegisterValue> next = storage_planner_.plan(value, members, now);
-  if (next)
-    submit(
-        value.number, [next](const RegisterValue&) { return next; }, false);
+  std::optional<RegisterValue> next = storage_planner_.plan(value, members, now);
+  if (!next) return;
+  const auto replace = [planned = *std::move(next)](const RegisterValue&) { return std::optional(planned); };
+  submit(value.number, replace, false);
 }
 
 /// `planned_on`: number of the value that the plan was made for. Where another value is current by then, the
--- a/src/control/membership_controller.hpp
+++ b/src/control/membership_controller.hpp
@@ -14,6 +14,8 @@
 
 namespace chutevane::control {
 
+/// Plans with AcceptorSetPlanner and StorageMapPlanner and submits what they plan to the register, one change
+/// at a time: the acceptors first.
 class MembershipController {
  public:
   /// Called when a change has been chosen. `acceptors_changed`: of the set of acceptors, not of the map.
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -23,6 +23,7 @@
 
 namespace chutevane::control {
 
+/// Reads and changes the register, and asks its host for the rest. Everything runs on the event loop.
 class OperatorApi {
  public:
   /// What this API needs of the controller around it.
--- a/src/control/peer_table.hpp
+++ b/src/control/peer_table.hpp
@@ -15,6 +15,7 @@
 
 namespace chutevane::control {
 
+/// Another controller.
 struct Peer {
   std::unique_ptr<common::RpcClient> connection;  // never null
   /// The last gossip message. One that left out the long parts is completed by those of the one before.
--- a/src/control/pending_acknowledgements.hpp
+++ b/src/control/pending_acknowledgements.hpp
@@ -9,6 +9,7 @@
 
 namespace chutevane::control {
 
+/// A queue in the order of the values' numbers: a change is reported only after those before it.
 class PendingAcknowledgements {
  public:
   using Callback = std::function<void()>;
@@ -23,6 +24,7 @@
   void complete(TimePoint now, const std::function<bool(std::int64_t number)>& is_acknowledged);
 
  private:
+  /// A change that waits.
   struct Pending {
     std::int64_t number = 0;
     TimePoint deadline;
--- a/src/control/quorum_contact.hpp
+++ b/src/control/quorum_contact.hpp
@@ -61,6 +61,7 @@
                                            TimePoint now) const;
 
  private:
+  /// The newest report of a peer, and the newest stamp that it has echoed.
   struct Peer {
     AcceptorReport report;
     TimePoint echo;
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -297,11 +297,11 @@
     request.difference = operation->difference;
   }
   const std::int64_t attempt = operation->attempt;
-  transport_.accept(operation->epoch_value.acceptors[acceptor_index].address, request,
-                    [this, operation, acceptor_index, attempt, full_value](absl::StatusOr<Accepted> reply) {
-                      if (operation->is_current(attempt))
-                        on_accepted(operation, acceptor_index, full_value, reply);
-                    });
+  transport_.accept(
+      operation->epoch_value.acceptors[acceptor_index].address, request,
+      [this, operation, acceptor_index, attempt, full_value](const absl::StatusOr<Accepted>& reply) {
+        if (operation->is_current(attempt)) on_accepted(operation, acceptor_index, full_value, reply);
+      });
 }
 
 void Register::on_accepted(const OperationPtr& operation, std::size_t acceptor_index, bool full_value,
--- a/src/control/retirement.hpp
+++ b/src/control/retirement.hpp
@@ -9,6 +9,7 @@
 
 namespace chutevane::control {
 
+/// What becomes of a request to retire a node.
 enum class RetirementOutcome : std::uint8_t {
   accepted,           // the value was changed: the node is draining
   already_requested,  // by an earlier request, completed or not
--- a/src/control/storage_map_planner.hpp
+++ b/src/control/storage_map_planner.hpp
@@ -31,6 +31,7 @@
 /// it holds has expired by then. Accounts live as long.
 constexpr Span min_replica_expiry = Span::ms(180000);
 
+/// Plans from what it is given; it remembers only who was present when, and when a node last joined.
 class StorageMapPlanner {
  public:
   /// `losses`: storage nodes that may be lost at once.
