--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -25,11 +25,11 @@
 
 namespace {
 
-constexpr Span change_every = Span::ms(50);
-constexpr Span gossip_every = Span::ms(250);  // as control_plane.cpp's tick
-constexpr Span behind_most = Span::ms(150);   // as there: then it reads
-constexpr Span change_most = Span::ms(3000);  // an operator's order, as there
-constexpr Span caught_up_most =
+constexpr Span change_interval = Span::ms(50);
+constexpr Span gossip_interval = Span::ms(250);  // as control_plane.cpp's tick
+constexpr Span catch_up_delay = Span::ms(150);   // as there: then it reads
+constexpr Span change_timeout = Span::ms(3000);  // an operator's order, as there
+constexpr Span max_catch_up_duration =
     Span::ms(1500);  // after the last trouble of any kind, two lost rounds and a read
 
 std::size_t disk_bytes(common::MemoryDisk& disk) {
@@ -42,49 +42,52 @@
 struct Member {
   Machine* machine = nullptr;
   std::unique_ptr<Proposer> proposer;
-  std::int64_t told = -1;                          // the newest number that this process told
+  std::int64_t newest_reported = -1;               // the newest number that this process reported
   bool up = false, away = false, reading = false;  // away: it comes back by itself
   TimePoint behind_since;
   common::RecentValues recent;
-  std::map<const Member*, control::PeerPosition> heard_of;
+  std::map<const Member*, control::PeerPosition> reported_by;
 };
 
-struct Storm {
-  Storm(std::uint64_t seed, std::size_t config_bytes) : field(5, seed), changes(seed, config_bytes) {
-    field.on_death = [this](Machine& m) { stop(member_of(m), Span::ms(200 + 800 * field.luck.unit())); };
-    field.on_accepted = [this](Machine& m) {  // as control_plane.cpp's accept_here
+struct ChangeSimulation {
+  ChangeSimulation(std::uint64_t seed, std::size_t config_bytes)
+      : cluster(5, seed), changes(seed, config_bytes) {
+    cluster.on_machine_failed = [this](Machine& m) {
+      stop(member_of(m), Span::ms(200 + 800 * cluster.random.unit()));
+    };
+    cluster.on_accepted = [this](Machine& m) {  // as control_plane.cpp's accept_locally
       Member& member = member_of(m);
       if (member.up)
         member.proposer->reg.observe_accepted(m.acceptor->epoch(), m.acceptor->accepted_ballot(),
                                               m.acceptor->accepted_value());
     };
-    for (Machine& m : field.all) {
+    for (Machine& m : cluster.all) {
       members.emplace_back();
       members.back().machine = &m;
     }
     for (std::size_t i = 0; i < 3; ++i) start(members[i], true);
-    for (std::size_t i = 3; i < 5; ++i) field.all[i].up = false;  // they are new, later
+    for (std::size_t i = 3; i < 5; ++i) cluster.all[i].up = false;  // they are new, later
   }
 
-  TimePoint now() const { return field.clock.system.now(); }
-  Member& member_of(const Machine& m) { return members[static_cast<std::size_t>(&m - field.all.data())]; }
+  TimePoint now() const { return cluster.clock.system.now(); }
+  Member& member_of(const Machine& m) { return members[static_cast<std::size_t>(&m - cluster.all.data())]; }
 
   void start(Member& member, bool first) {
-    member.proposer = std::make_unique<Proposer>(field, ++proposers);
+    member.proposer = std::make_unique<Proposer>(cluster, ++proposers);
     Proposer& p = *member.proposer;
     p.transport.own = member.machine->address;
-    member.told = -1;
+    member.newest_reported = -1;
     member.up = true;
     member.recent = {};
-    member.heard_of.clear();
-    for (Member& other : members) other.heard_of[&member].number = 0;  // the connections are new
+    member.reported_by.clear();
+    for (Member& other : members) other.reported_by[&member].number = 0;  // the connections are new
     member.reading = false;
-    if (first) p.reg.observe_epoch(field.first_set(3));
+    if (first) p.reg.observe_epoch(cluster.first_epoch_of(3));
     p.reg.observe_epoch(member.machine->acceptor->epoch_value());
     p.reg.on_chosen([this, &member, &p](const RegisterValue& v) {
       if (member.proposer.get() != &p) return;  // it has ended
-      check(v.number > member.told, "told an older value after a newer one");
-      member.told = v.number;
+      check(v.number > member.newest_reported, "told an older value after a newer one");
+      member.newest_reported = v.number;
       member.recent.add(v);
       saw(v);
     });
@@ -97,10 +100,10 @@
     member.proposer->transport.cut_off = true;
     ended.push_back(std::move(member.proposer));
     calm_from(now() + away);
-    field.clock.later.after(away, [this, &member, power] {
+    cluster.clock.later.after(away, [this, &member, power] {
       Machine& m = *member.machine;
       m.acceptor.reset();
-      if (power) m.disk->power_cycle(field.luck.next());
+      if (power) m.disk->power_cycle(cluster.random.next());
       m.disk->fail_from(static_cast<std::size_t>(-1));
       m.start();
       member.away = false;
@@ -118,7 +121,7 @@
 
   // An operator's order at some member that is up.
   void order() {
-    Member& member = members[field.luck.below(members.size())];
+    Member& member = members[cluster.random.below(members.size())];
     if (!member.up || frozen(member)) return;
     const std::string config = changes.next({}).config.data;
     const std::int64_t hash = ++orders;
@@ -137,31 +140,31 @@
             out.applied_configurations.erase(out.applied_configurations.begin());
           return out;
         },
-        change_most,
+        change_timeout,
         [this, &member, p = member.proposer.get(), had](absl::StatusOr<RegisterValue> got) {
           if (!got.ok() || member.proposer.get() != p) return;
           check(had(*got), "taken, and not in the value that it was answered with");
           saw(*got);
           ++acknowledged;
           newest = std::max(newest, got->number);
-          tell(member);
+          notify_peers(member);
         });
   }
   // The others hear of it by word, as from control_plane.cpp; it is lost where one of the two is not there.
-  void tell(Member& from) {
+  void notify_peers(Member& from) {
     const Register& reg = from.proposer->reg;
     if (!reg.known_value() || cut(from)) return;
     for (Member& to : members) {
       if (&to == &from || cut(to)) continue;
-      control::PeerPosition state = from.heard_of[&to];
+      control::PeerPosition state = from.reported_by[&to];
       if (state.number >= reg.known_value()->number) continue;
-      const common::Chosen word = control::make_chosen_notification(from.recent, reg, state);
-      from.heard_of[&to].number = reg.known_value()->number;
-      if (field.counting) bytes_chosen += common::encoded(word).size();
-      field.clock.later.after(field.way(), [this, &to, p = to.proposer.get(), word] {
+      const common::Chosen notification = control::make_chosen_notification(from.recent, reg, state);
+      from.reported_by[&to].number = reg.known_value()->number;
+      if (cluster.counting) bytes_chosen += common::encoded(notification).size();
+      cluster.clock.later.after(cluster.delay(), [this, &to, p = to.proposer.get(), notification] {
         if (to.proposer.get() != p || !to.up) return;
-        ++words;
-        unused += control::apply_chosen_notification(p->reg, to.recent, word) ? 0 : 1;
+        ++notifications;
+        unused += control::apply_chosen_notification(p->reg, to.recent, notification) ? 0 : 1;
       });
     }
   }
@@ -178,22 +181,22 @@
       for (Member& from : members) {
         if (&from == &to || cut(from)) continue;
         const Register& other = from.proposer->reg;
-        to.heard_of[&from].epoch = other.epoch_value().epoch;
-        to.heard_of[&from].number = std::max(to.heard_of[&from].number, from.told);
+        to.reported_by[&from].epoch = other.epoch_value().epoch;
+        to.reported_by[&from].number = std::max(to.reported_by[&from].number, from.newest_reported);
         if (other.epoch_value().epoch > reg.epoch_value().epoch) {
           const RegisterValue initial = other.epoch_value();
           reg.observe_epoch(initial);
           behind = true;
         }
-        behind = behind || (other.known_value() && other.known_value()->number > to.told);
+        behind = behind || (other.known_value() && other.known_value()->number > to.newest_reported);
       }
-      behind = behind || to.machine->acceptor->accepted_number() > to.told;
+      behind = behind || to.machine->acceptor->accepted_number() > to.newest_reported;
       if (!behind) {
         to.behind_since = TimePoint::never();
         continue;
       }
       if (to.behind_since == TimePoint::never()) to.behind_since = now();
-      if (to.reading || (to.told >= 0 && now() - to.behind_since < behind_most)) continue;
+      if (to.reading || (to.newest_reported >= 0 && now() - to.behind_since < catch_up_delay)) continue;
       to.reading = true;
       reg.read(Span::ms(1500), [&to, p = to.proposer.get()](const absl::StatusOr<RegisterValue>&) {
         if (to.proposer.get() == p) to.reading = false;
@@ -203,19 +206,20 @@
   // With no trouble for so long, all have what was acknowledged before it.
   void look() {
     const std::int64_t wanted = newest;
-    field.clock.later.after(caught_up_most, [this, wanted] {
-      if (calm_since > now() - caught_up_most) return;
+    cluster.clock.later.after(max_catch_up_duration, [this, wanted] {
+      if (calm_since > now() - max_catch_up_duration) return;
       ++calm_looks;
       for (const Member& m : members) {
         if (m.up)
-          check(m.told >= wanted,
-                m.machine->address + numbered(" not caught up: ", m.told) + numbered(" of ", wanted));
+          check(m.newest_reported >= wanted, m.machine->address +
+                                                 numbered(" not caught up: ", m.newest_reported) +
+                                                 numbered(" of ", wanted));
       }
     });
   }
 
   // Of the newest set each disk is there: one may be lost.
-  bool set_is_whole() const {
+  bool are_all_disks_present() const {
     const RegisterValue* newest_set = nullptr;
     for (const Member& m : members) {
       if (!m.up) continue;
@@ -249,25 +253,25 @@
           },
           Span::ms(1500),
           [this, &by, p = by.proposer.get()](const absl::StatusOr<RegisterValue>& got) {
-            if (got.ok() && by.proposer.get() == p) ++sets, tell(by);
+            if (got.ok() && by.proposer.get() == p) ++sets, notify_peers(by);
           });
       return;
     }
   }
 
-  void trouble() {
+  void inject_fault() {
     if (std::fmod((now() - begun).as_ms(), 12000) > 5000) return;  // then all have time to catch up
     // One at a time, as is borne: the next begins when the one before is made up for.
     if (calm_since + Span::ms(400) > now()) return;
-    Member& member = members[field.luck.below(members.size())];
+    Member& member = members[cluster.random.below(members.size())];
     Machine& m = *member.machine;
-    const Span most = Span::ms(200 + 1200 * field.luck.unit());
-    ++troubles;
-    switch (field.luck.below(6)) {
+    const Span most = Span::ms(200 + 1200 * cluster.random.unit());
+    ++fault_count;
+    switch (cluster.random.below(6)) {
       case 0:  // power is lost at a numbered step of what it writes next
-        m.disk->fail_from(m.disk->steps() + field.luck.below(12));
+        m.disk->fail_from(m.disk->steps() + cluster.random.below(12));
         calm_from(now() + Span::ms(1000));
-        field.clock.later.after(Span::ms(1000), [&m] { m.disk->fail_from(static_cast<std::size_t>(-1)); });
+        cluster.clock.later.after(Span::ms(1000), [&m] { m.disk->fail_from(static_cast<std::size_t>(-1)); });
         break;
       case 1: stop(member, most, false); break;
       case 2: stop(member, most, true); break;
@@ -281,7 +285,7 @@
         member.proposer->transport.cut_off = true;
         m.frozen_until = now() + most;
         calm_from(m.frozen_until);
-        field.clock.later.after(most, [&member, p = member.proposer.get()] {
+        cluster.clock.later.after(most, [&member, p = member.proposer.get()] {
           if (member.proposer.get() == p) p->transport.cut_off = false;
         });
         break;
@@ -291,34 +295,35 @@
           m.start();
           start(member, false);
         } else {
-          if (!set_is_whole()) break;
+          if (!are_all_disks_present()) break;
           stop(member, most, false);
           m.wipe();
         }
         calm_from(now() + most + Span::ms(1200));
         for (const double ms : {300.0, 600.0, 900.0})
-          field.clock.later.after(most + Span::ms(ms), [this] { change_set(); });
+          cluster.clock.later.after(most + Span::ms(ms), [this] { change_set(); });
     }
   }
 
   void run(std::size_t count, bool faults) {
     for (std::size_t i = 0; i < count; ++i) {
-      const Span at = change_every * static_cast<double>(i);
-      field.clock.later.after(at, [this] { order(); });
-      if (i % 10 == 0) field.clock.later.after(at, [this] { look(); });
-      if (faults && i + 60 < count) field.clock.later.after(at, [this] { trouble(); });
+      const Span at = change_interval * static_cast<double>(i);
+      cluster.clock.later.after(at, [this] { order(); });
+      if (i % 10 == 0) cluster.clock.later.after(at, [this] { look(); });
+      if (faults && i + 60 < count) cluster.clock.later.after(at, [this] { inject_fault(); });
     }
-    const Span all = change_every * static_cast<double>(count) + Span::ms(6000);
-    for (Span at; at < all; at = at + gossip_every) field.clock.later.after(at, [this] { gossip(); });
-    field.clock.play(all);
-    check(field.broken.empty(), field.broken);
+    const Span all = change_interval * static_cast<double>(count) + Span::ms(6000);
+    for (Span at; at < all; at = at + gossip_interval) cluster.clock.later.after(at, [this] { gossip(); });
+    cluster.clock.play(all);
+    check(cluster.broken.empty(), cluster.broken);
     for (const Member& m : members) {
       if (!m.up) continue;
-      check(m.told >= newest, m.machine->address + numbered(" not caught up at the end: ", m.told));
+      check(m.newest_reported >= newest,
+            m.machine->address + numbered(" not caught up at the end: ", m.newest_reported));
     }
     // A record holds two values: the accepted one and the epoch's first.
     const std::size_t record = 2 * (largest + 200);
-    for (const Machine& m : field.all)
+    for (const Machine& m : cluster.all)
       check(disk_bytes(*m.disk) <= common::DurableState::max_disk_bytes(record, record),
             m.address + ": its disk is not bounded");
   }
@@ -327,16 +332,16 @@
     if (!good && broken.empty()) broken = what;
   }
 
-  Field field;
+  AcceptorCluster cluster;
   ChangingValue changes;
   std::vector<Member> members;
   std::vector<std::unique_ptr<Proposer>> ended;  // what was on its way to them may still come
   std::map<std::int64_t, std::uint64_t> hashes;  // of the value of each number
   std::uint64_t proposers = 0;
   std::int64_t orders = 0, newest = 0;
-  std::size_t acknowledged = 0, sets = 0, troubles = 0, calm_looks = 0, largest = 0, bytes_chosen = 0,
-              words = 0, unused = 0;
-  const TimePoint begun = field.clock.system.now();
+  std::size_t acknowledged = 0, sets = 0, fault_count = 0, calm_looks = 0, largest = 0, bytes_chosen = 0,
+              notifications = 0, unused = 0;
+  const TimePoint begun = cluster.clock.system.now();
   TimePoint calm_since;
   std::string broken;
 };
@@ -347,65 +352,67 @@
 
 TEST(Changes, BytesBetweenControlMachines) {
   for (const std::size_t bytes : {1024U, 16U << 10U, 64U << 10U}) {
-    Storm storm(3, bytes);
-    storm.field.counting = true;
-    storm.run(bytes > (16U << 10U) ? 300 : 1000, false);
-    CHECK_TEXT(storm.broken.empty(), storm.broken.c_str());
-    CHECK_TRUE(storm.acknowledged > 100);
-    const auto each = [&](std::size_t all) { return static_cast<long long>(all / storm.acknowledged); };
+    ChangeSimulation simulation(3, bytes);
+    simulation.cluster.counting = true;
+    simulation.run(bytes > (16U << 10U) ? 300 : 1000, false);
+    CHECK_TEXT(simulation.broken.empty(), simulation.broken.c_str());
+    CHECK_TRUE(simulation.acknowledged > 100);
+    const auto each = [&](std::size_t all) { return static_cast<long long>(all / simulation.acknowledged); };
     const std::string where = numbered("bytes ", static_cast<long long>(bytes)) +
-                              numbered(": changes ", static_cast<long long>(storm.acknowledged)) +
-                              numbered(", asked a change ", each(storm.field.bytes_asked)) +
-                              numbered(", answered ", each(storm.field.bytes_answered)) +
-                              numbered(", Chosen ", each(storm.bytes_chosen)) +
-                              numbered(", words ", static_cast<long long>(storm.words)) +
-                              numbered(", of no use ", static_cast<long long>(storm.unused));
+                              numbered(": changes ", static_cast<long long>(simulation.acknowledged)) +
+                              numbered(", asked a change ", each(simulation.cluster.bytes_asked)) +
+                              numbered(", answered ", each(simulation.cluster.bytes_answered)) +
+                              numbered(", Chosen ", each(simulation.bytes_chosen)) +
+                              numbered(", words ", static_cast<long long>(simulation.notifications)) +
+                              numbered(", of no use ", static_cast<long long>(simulation.unused));
     if (std::getenv("CHUTEVANE_TELL_BYTES") != nullptr) UT_PRINT(where.c_str());
   }
 }
 
 TEST(Changes, EveryTroubleOnSmallValues) {
-  std::size_t sets = 0, troubles = 0, acknowledged = 0, looks = 0;
+  std::size_t sets = 0, fault_count = 0, acknowledged = 0, looks = 0;
   for (std::uint64_t seed = 0; seed < 5; ++seed) {
-    Storm storm(seed, 1024);
-    storm.run(1000, true);
-    CHECK_WHERE(storm.broken.empty(), numbered("seed ", static_cast<long long>(seed)) + ": " + storm.broken);
-    sets += storm.sets;
-    troubles += storm.troubles;
-    acknowledged += storm.acknowledged;
-    looks += storm.calm_looks;
+    ChangeSimulation simulation(seed, 1024);
+    simulation.run(1000, true);
+    CHECK_WHERE(simulation.broken.empty(),
+                numbered("seed ", static_cast<long long>(seed)) + ": " + simulation.broken);
+    sets += simulation.sets;
+    fault_count += simulation.fault_count;
+    acknowledged += simulation.acknowledged;
+    looks += simulation.calm_looks;
   }
   const std::string came = numbered("sets ", static_cast<long long>(sets)) +
-                           numbered(", troubles ", static_cast<long long>(troubles)) +
+                           numbered(", troubles ", static_cast<long long>(fault_count)) +
                            numbered(", taken ", static_cast<long long>(acknowledged)) +
                            numbered(", looks ", static_cast<long long>(looks));
   if (std::getenv("CHUTEVANE_TELL_BYTES") != nullptr) UT_PRINT(came.c_str());
-  CHECK_WHERE(sets > 5 && troubles > 60 && acknowledged > 1500 && looks > 50, came);
+  CHECK_WHERE(sets > 5 && fault_count > 60 && acknowledged > 1500 && looks > 50, came);
 }
 
 // Each change of these switches the slot of each acceptor, or nearly so.
 TEST(Changes, EveryTroubleOnLargeValues) {
   for (std::uint64_t seed = 100; seed < 103; ++seed) {
-    Storm storm(seed, 96U << 10U);
-    storm.run(280, true);
-    CHECK_WHERE(storm.broken.empty(), numbered("seed ", static_cast<long long>(seed)) + ": " + storm.broken);
+    ChangeSimulation simulation(seed, 96U << 10U);
+    simulation.run(280, true);
+    CHECK_WHERE(simulation.broken.empty(),
+                numbered("seed ", static_cast<long long>(seed)) + ": " + simulation.broken);
   }
 }
 
 TEST(Changes, EightMegabytes) {
-  Storm storm(200, 8U << 20U);
-  storm.run(8, false);
-  CHECK_TEXT(storm.broken.empty(), storm.broken.c_str());
-  CHECK_TRUE(storm.acknowledged > 2);
+  ChangeSimulation simulation(200, 8U << 20U);
+  simulation.run(8, false);
+  CHECK_TEXT(simulation.broken.empty(), simulation.broken.c_str());
+  CHECK_TRUE(simulation.acknowledged > 2);
 }
 
 TEST_GROUP(ChosenWord){};
 
 // Without its epoch's first value a word is for those who are in that epoch.
 TEST(ChosenWord, OfAnotherEpochIsDropped) {
-  Field field(3, 1);
-  Proposer from(field, 1), to(field, 2);
-  const RegisterValue first = field.first_set(3);
+  AcceptorCluster cluster(3, 1);
+  Proposer from(cluster, 1), to(cluster, 2);
+  const RegisterValue first = cluster.first_epoch_of(3);
   RegisterValue later = first;
   later.epoch = 2;
   later.number = 4;
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -18,9 +18,9 @@
 using chutevane::control::ConfigurationSubmission;
 using chutevane::control::evaluate;
 using chutevane::control::SubmissionStatus;
+using chutevane::simulated::AcceptorCluster;
 using chutevane::simulated::configuration;
 using chutevane::simulated::ControlProcess;
-using chutevane::simulated::Field;
 using common::RegisterValue;
 
 namespace {
@@ -28,14 +28,14 @@
 // Three acceptors and two control machines that reach them.
 struct Pair {
   explicit Pair(std::size_t history_limit = configuration_history_limit)
-      : field(3, 5), a(field, 1, history_limit), b(field, 2, history_limit) {
-    a.reg.observe_epoch(field.first_set(3));
-    b.reg.observe_epoch(field.first_set(3));
+      : cluster(3, 5), a(cluster, 1, history_limit), b(cluster, 2, history_limit) {
+    a.reg.observe_epoch(cluster.first_epoch_of(3));
+    b.reg.observe_epoch(cluster.first_epoch_of(3));
   }
   int replace(ControlProcess& at, std::int64_t base, const std::string& sent) {
     int status = 0;
     at.replace(base, sent, [&](const common::HttpResponse& answer) { status = answer.status; });
-    field.clock.play(Span::ms(4000), [&] { return status != 0; });
+    cluster.clock.play(Span::ms(4000), [&] { return status != 0; });
     return status;
   }
   int call(ControlProcess& at, const std::string& method, const std::string& target) {
@@ -44,7 +44,7 @@
       status = answer.status;
       body = answer.body;
     });
-    field.clock.play(Span::ms(4000), [&] { return status != 0; });
+    cluster.clock.play(Span::ms(4000), [&] { return status != 0; });
     return status;
   }
   // Puts storage machines into the map.
@@ -61,7 +61,7 @@
           return out;
         },
         Span::ms(1000), [&](const absl::StatusOr<RegisterValue>& got) { done = got.ok(); });
-    field.clock.play(Span::ms(1000), [&] { return done; });
+    cluster.clock.play(Span::ms(1000), [&] { return done; });
     CHECK_TRUE(done);
   }
   // As the roster does it when all that stay are whole.
@@ -75,10 +75,10 @@
           return out;
         },
         Span::ms(1000), [&](const absl::StatusOr<RegisterValue>& got) { done = got.ok(); });
-    field.clock.play(Span::ms(1000), [&] { return done; });
+    cluster.clock.play(Span::ms(1000), [&] { return done; });
   }
 
-  Field field;
+  AcceptorCluster cluster;
   ControlProcess a, b;
   std::string body;
 };
@@ -225,7 +225,7 @@
     at.replace(0, configuration(5, numbered("r", static_cast<long long>(i))),
                [&status, i](const common::HttpResponse& answer) { status[i] = answer.status; });
   }
-  pair.field.clock.play(Span::ms(4000));
+  pair.cluster.clock.play(Span::ms(4000));
   CHECK_EQUAL(1, std::count(status.begin(), status.end(), 200));
   CHECK_EQUAL(7, std::count(status.begin(), status.end(), 412));
   const auto winner = std::find(status.begin(), status.end(), 200) - status.begin();
@@ -240,14 +240,14 @@
     pair.a.transport.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
     bool answered = false;
     pair.a.replace(base, body, [&](const common::HttpResponse&) { answered = true; });
-    pair.field.clock.play(Span::ms(1000));
+    pair.cluster.clock.play(Span::ms(1000));
     CHECK_TRUE(pair.a.transport.ended && !answered);
   }
-  void down(std::size_t i) { pair.field.all[i].up = false; }
+  void down(std::size_t i) { pair.cluster.all[i].up = false; }
   std::size_t holding(std::int64_t version) {
-    return static_cast<std::size_t>(
-        std::count_if(pair.field.all.begin(), pair.field.all.end(), [&](chutevane::simulated::Machine& m) {
-          const common::Prepare look{1, {}, pair.field.first_set(3), true};
+    return static_cast<std::size_t>(std::count_if(
+        pair.cluster.all.begin(), pair.cluster.all.end(), [&](chutevane::simulated::Machine& m) {
+          const common::Prepare look{1, {}, pair.cluster.first_epoch_of(3), true};
           return m.acceptor->prepare(look)->value.config_version == version;
         }));
   }
@@ -272,9 +272,9 @@
   down(0);
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(6, "other")));
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "r")));
-  pair.field.all[0].up = true;
+  pair.cluster.all[0].up = true;
   for (const std::size_t away : {1U, 2U}) {
-    for (chutevane::simulated::Machine& m : pair.field.all) m.up = true;
+    for (chutevane::simulated::Machine& m : pair.cluster.all) m.up = true;
     down(away);
     LONGS_EQUAL(200, pair.call(pair.b, "GET", "/v1/Configuration.Retrieve"));
     STRCMP_EQUAL(configuration(6, "other").c_str(), pair.body.c_str());
@@ -287,7 +287,7 @@
   half_done(0, configuration(5, "r"), 1);
   down(0);
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
-  pair.field.all[0].up = true;
+  pair.cluster.all[0].up = true;
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
   LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(6, "next")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
@@ -309,7 +309,7 @@
   LONGS_EQUAL(503, pair.replace(pair.b, 0, configuration(5, "other")));
   LONGS_EQUAL(503, pair.replace(pair.b, 5, configuration(6, "r")));
   LONGS_EQUAL(503, pair.replace(pair.b, 0, configuration(5, "r")));
-  pair.field.all[0].up = true;
+  pair.cluster.all[0].up = true;
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "other")));
   LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(6, "r")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
@@ -345,7 +345,7 @@
               [&](const common::HttpResponse& answer) { first = answer.status; });
   pair.b.call("POST", "/v1/Retire.Initiate/s2", "", "",
               [&](const common::HttpResponse& answer) { second = answer.status; });
-  pair.field.clock.play(Span::ms(4000));
+  pair.cluster.clock.play(Span::ms(4000));
   CHECK_TRUE((first == 200 && second == 409) || (first == 409 && second == 200));
 }
 
@@ -372,12 +372,12 @@
   pair.storage_nodes(4);
   pair.a.transport.sends_left = 3 + 3 + 1;
   pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const common::HttpResponse&) {});
-  pair.field.clock.play(Span::ms(1000));
+  pair.cluster.clock.play(Span::ms(1000));
   CHECK_TRUE(pair.a.transport.ended);
-  pair.field.all[0].up = false;
+  pair.cluster.all[0].up = false;
   LONGS_EQUAL(200, initiate(pair.b, "s2"));
   LONGS_EQUAL(409, initiate(pair.b, "s1"));
-  pair.field.all[0].up = true;
+  pair.cluster.all[0].up = true;
   LONGS_EQUAL(409, initiate(pair.b, "s1"));
   LONGS_EQUAL(200, initiate(pair.b, "s2"));
 }
--- a/tests/control/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -17,22 +17,22 @@
 using chutevane::Span;
 using chutevane::TimePoint;
 using chutevane::control::configuration_history_limit;
+using chutevane::simulated::AcceptorCluster;
 using chutevane::simulated::configuration;
 using chutevane::simulated::ControlProcess;
-using chutevane::simulated::Field;
 using chutevane::simulated::Machine;
+using chutevane::simulated::NetworkConditions;
 using chutevane::simulated::OrderHistory;
 using chutevane::simulated::OrderKey;
-using chutevane::simulated::Weather;
 using common::RegisterValue;
 
 namespace {
 
 constexpr Span day = Span::ms(5000);
-constexpr Span silence_most = Span::ms(1000);  // an operator goes on to another machine then
+constexpr Span response_timeout = Span::ms(1000);  // an operator goes on to another machine then
 
 struct Plan {
-  Weather weather = {.lost = 0.05, .repeated = 0.1, .slow = 0.05};
+  NetworkConditions network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05};
   std::size_t orders = 14;
   std::size_t history_limit = configuration_history_limit;
   bool ends = true, losses_of_power = true, wipe = false;
@@ -43,22 +43,23 @@
   std::size_t acknowledged = 0, refused = 0, unclear = 0, repeats = 0, ends = 0, wipes = 0;
 };
 
-class Day {
+class OperatorSimulation {
  public:
-  Day(std::uint64_t seed, const Plan& plan) : plan_(plan), field_(5, seed), first_(field_.first_set(3)) {
-    field_.weather = plan.weather;
-    field_.on_death = [this](Machine& m) { back_later(m); };
+  OperatorSimulation(std::uint64_t seed, const Plan& plan)
+      : plan_(plan), cluster_(5, seed), first_(cluster_.first_epoch_of(3)) {
+    cluster_.network = plan.network;
+    cluster_.on_machine_failed = [this](Machine& m) { back_later(m); };
     for (std::size_t i = 0; i < 3; ++i) start_process(i);
-    operators_.resize(2 + field_.luck.below(3));
+    operators_.resize(2 + cluster_.random.below(3));
   }
 
   // What was wrong; empty: nothing.
   std::string run() {
-    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { give_order(); });
-    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { read_back(luck_process()); });
-    for (int i = 0; i < 20; ++i) some_time([this] { trouble(); });
+    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { submit_new(); });
+    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { read_back(random_process()); });
+    for (int i = 0; i < 20; ++i) some_time([this] { inject_fault(); });
     if (plan_.wipe) some_time([this] { wipe_one(); });
-    field_.clock.play(day + Span::ms(4000));
+    cluster_.clock.play(day + Span::ms(4000));
     calm();
     std::string fault = history_.fault();
     return fault.empty() ? unfinished_ : fault;
@@ -84,10 +85,10 @@
   using SendingPtr = std::shared_ptr<Sending>;
 
   void some_time(std::function<void()> what) {
-    field_.clock.later.after(day * field_.luck.unit(), std::move(what));
+    cluster_.clock.later.after(day * cluster_.random.unit(), std::move(what));
   }
-  TimePoint now() { return field_.clock.system.now(); }
-  bool lost() { return field_.luck.chance(field_.weather.lost * 2); }
+  TimePoint now() { return cluster_.clock.system.now(); }
+  bool lost() { return cluster_.random.chance(cluster_.network.loss_rate * 2); }
 
   // ---- control machines
 
@@ -97,7 +98,7 @@
       processes_[i]->transport.ended = true;
       ended_.push_back(std::move(processes_[i]));
     }
-    processes_[i] = std::make_unique<ControlProcess>(field_, ++proposers_, plan_.history_limit);
+    processes_[i] = std::make_unique<ControlProcess>(cluster_, ++proposers_, plan_.history_limit);
     processes_[i]->reg.observe_epoch(newest_set());
   }
   const RegisterValue& newest_set() const {
@@ -107,63 +108,64 @@
     }
     return *newest;
   }
-  ControlProcess& luck_process() { return *processes_[field_.luck.below(processes_.size())]; }
+  ControlProcess& random_process() { return *processes_[cluster_.random.below(processes_.size())]; }
   // It ends at one of the messages that it sends next, or at once.
   void end_process() {
-    const std::size_t i = field_.luck.below(processes_.size());
+    const std::size_t i = cluster_.random.below(processes_.size());
     ControlProcess& p = *processes_[i];
     if (p.transport.ended || p.transport.sends_left) return;
     ++came_.ends;
     p.transport.on_end = [this, i, ended = &p] {
-      field_.clock.later.after(Span::ms(50 + 400 * field_.luck.unit()), [this, i, ended] {
+      cluster_.clock.later.after(Span::ms(50 + 400 * cluster_.random.unit()), [this, i, ended] {
         if (processes_[i].get() == ended) start_process(i);
       });
     };
-    p.transport.sends_left = field_.luck.below(14);
+    p.transport.sends_left = cluster_.random.below(14);
   }
 
   // ---- acceptors
 
   void back_later(Machine& m) {
-    field_.clock.later.after(Span::ms(100 + 700 * field_.luck.unit()), [this, &m] {
+    cluster_.clock.later.after(Span::ms(100 + 700 * cluster_.random.unit()), [this, &m] {
       if (m.up) return;
-      m.lose_power(field_.luck.next());
+      m.lose_power(cluster_.random.next());
       m.start();
     });
   }
-  void trouble() {
-    const double kind = field_.luck.unit();
-    Machine& m = field_.all[field_.luck.below(field_.all.size())];
+  void inject_fault() {
+    const double kind = cluster_.random.unit();
+    Machine& m = cluster_.all[cluster_.random.below(cluster_.all.size())];
     if (plan_.ends && kind < 0.4) return end_process();
     if (plan_.losses_of_power && kind < 0.6 && m.up)
-      return m.disk->fail_from(m.disk->steps() + field_.luck.below(9));
+      return m.disk->fail_from(m.disk->steps() + cluster_.random.below(9));
     if (plan_.losses_of_power && kind < 0.65) {  // all at once
-      for (Machine& one : field_.all) {
-        if (one.up) field_.died(one);
+      for (Machine& one : cluster_.all) {
+        if (one.up) cluster_.fail(one);
       }
     } else if (kind < 0.8) {
-      ControlProcess& p = luck_process();
+      ControlProcess& p = random_process();
       p.transport.cut_off = true;
-      field_.clock.later.after(Span::ms(700 * field_.luck.unit()), [&p] { p.transport.cut_off = false; });
+      cluster_.clock.later.after(Span::ms(700 * cluster_.random.unit()),
+                                 [&p] { p.transport.cut_off = false; });
     }
   }
   // One disk of the set, while all others are there: as much as is borne until another set is in force.
   void wipe_one() {
-    for (const Machine& m : field_.all) {
+    for (const Machine& m : cluster_.all) {
       if (!m.up) return;
     }
     ++came_.wipes;
-    Machine& m = field_.all[field_.luck.below(3)];
+    Machine& m = cluster_.all[cluster_.random.below(3)];
     m.up = false;
     m.acceptor.reset();
     m.wipe();
-    field_.clock.later.after(Span::ms(50), [&m] { m.start(); });
+    cluster_.clock.later.after(Span::ms(50), [&m] { m.start(); });
     for (const double ms : {200.0, 500.0, 900.0, 1500.0})
-      field_.clock.later.after(Span::ms(ms), [this] { change_set(luck_process()); });
+      cluster_.clock.later.after(Span::ms(ms), [this] { change_set(random_process()); });
   }
   void change_set(ControlProcess& p) {
     std::vector<common::Acceptor> next;
-    for (const Machine& m : field_.all) {
+    for (const Machine& m : cluster_.all) {
       if (m.up && next.size() < 3) next.push_back({m.address, m.disk_id});
     }
     p.reg.change(
@@ -178,17 +180,17 @@
 
   // ---- operators
 
-  void give_order() {
-    Operator& by = operators_[field_.luck.below(operators_.size())];
+  void submit_new() {
+    Operator& by = operators_[cluster_.random.below(operators_.size())];
     auto sending = std::make_shared<Sending>();
     sending->by = &by;
-    const double kind = field_.luck.unit();
+    const double kind = cluster_.random.unit();
     std::int64_t base = by.known;
     if (kind < 0.15 && !by.under_way.empty()) base = by.under_way.back();  // ahead of what it builds on
     if (kind > 0.95) base = std::max<std::int64_t>(0, base - 1);           // behind
     // Few numbers: two pick the same one at times, and at times with the same bytes.
-    const std::int64_t version = base + 1 + static_cast<std::int64_t>(field_.luck.below(2));
-    const std::string name = field_.luck.chance(0.15) ? "same" : numbered("o", ++names_);
+    const std::int64_t version = base + 1 + static_cast<std::int64_t>(cluster_.random.below(2));
+    const std::string name = cluster_.random.chance(0.15) ? "same" : numbered("o", ++names_);
     sending->key = {base, version, configuration(version, name)};
     by.under_way.push_back(version);
     all_.push_back(sending);
@@ -201,18 +203,18 @@
     const TimePoint sent = now();
     history_.sent(sending->key, sent);
     auto heard = std::make_shared<bool>(false);
-    if (!lost()) field_.clock.later.after(field_.way(), [=, this] { arrive(sending, sent, heard); });
-    field_.clock.later.after(silence_most, [=, this] {
+    if (!lost()) cluster_.clock.later.after(cluster_.delay(), [=, this] { arrive(sending, sent, heard); });
+    cluster_.clock.later.after(response_timeout, [=, this] {
       if (!std::exchange(*heard, true)) again(sending);
     });
   }
   void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
-    ControlProcess& at = luck_process();
+    ControlProcess& at = random_process();
     if (at.transport.ended) return;
     at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpResponse& answer) {
       history_.answered(sending->key, sent, now(), answer.status);
       if (lost()) return;
-      field_.clock.later.after(field_.way(), [=, this, status = answer.status] {
+      cluster_.clock.later.after(cluster_.delay(), [=, this, status = answer.status] {
         if (!std::exchange(*heard, true)) hear(sending, status);
       });
     });
@@ -227,14 +229,14 @@
     std::erase(sending->by->under_way, sending->key.version);
     if (status == 200) sending->by->known = std::max(sending->by->known, sending->key.version);
     if (sending->tries > 1 && status == 200) ++came_.repeats;
-    if (status == 412) read_back(luck_process(), sending->by);
+    if (status == 412) read_back(random_process(), sending->by);
     // And once more, long after it was answered.
-    if (field_.luck.chance(0.3)) some_time([=, this] { once_more(sending); });
+    if (cluster_.random.chance(0.3)) some_time([=, this] { once_more(sending); });
   }
   void again(const SendingPtr& sending) {
     if (sending->tries > 12) return;
-    field_.clock.later.after(Span::ms(40.0 * sending->tries * field_.luck.unit()),
-                             [=, this] { send(sending); });
+    cluster_.clock.later.after(Span::ms(40.0 * sending->tries * cluster_.random.unit()),
+                               [=, this] { send(sending); });
   }
   void once_more(const SendingPtr& sending) {
     sending->over = false;
@@ -260,11 +262,11 @@
   // ---- the end: all is well again, and every order is sent once more
 
   void calm() {
-    field_.weather = {};
-    for (Machine& m : field_.all) {
+    cluster_.network = {};
+    for (Machine& m : cluster_.all) {
       m.disk->fail_from(static_cast<std::size_t>(-1));
       if (m.up) continue;
-      m.lose_power(field_.luck.next());
+      m.lose_power(cluster_.random.next());
       m.start();
     }
     for (std::size_t i = 0; i < processes_.size(); ++i) start_process(i);
@@ -275,7 +277,7 @@
         history_.answered(sending->key, now(), now(), answer.status);
         status = answer.status;
       });
-      field_.clock.play(Span::ms(4000), [&] { return status != 0; });
+      cluster_.clock.play(Span::ms(4000), [&] { return status != 0; });
       const bool record_is_whole = plan_.history_limit == configuration_history_limit;
       const bool ahead = sending->key.base > newest_read_ && status == 503;
       if (status == 0) unfinished_ = "an order was not answered once it was calm";
@@ -287,13 +289,13 @@
     const std::int64_t before = newest_read_;
     newest_read_ = -1;
     read_back(at);
-    field_.clock.play(Span::ms(4000), [&] { return newest_read_ >= 0; });
+    cluster_.clock.play(Span::ms(4000), [&] { return newest_read_ >= 0; });
     if (newest_read_ < 0) unfinished_ = "a read was not answered once it was calm";
     newest_read_ = std::max(newest_read_, before);
   }
 
   const Plan plan_;
-  Field field_;
+  AcceptorCluster cluster_;
   const RegisterValue first_;
   std::vector<std::unique_ptr<ControlProcess>> processes_, ended_;
   std::uint64_t proposers_ = 100;
@@ -316,7 +318,7 @@
   Came all;
   seeds *= times();
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-    Day one(seed, plan);
+    OperatorSimulation one(seed, plan);
     const std::string fault = one.run();
     CHECK_WHERE(fault.empty(), numbered("seed ", static_cast<long long>(seed)) + ": " + fault);
     const Came came = one.came();
@@ -346,11 +348,12 @@
 TEST(OrdersOfOperators, LossesOfPower) { search(1000000, 400, {}); }
 
 TEST(OrdersOfOperators, ALostDisk) {
-  search(2000000, 400, {.weather = {.lost = 0.02, .repeated = 0.1}, .losses_of_power = false, .wipe = true});
+  search(2000000, 400,
+         {.network = {.loss_rate = 0.02, .duplicate_rate = 0.1}, .losses_of_power = false, .wipe = true});
 }
 
 TEST(OrdersOfOperators, HarshWays) {
-  search(3000000, 200, {.weather = {.lost = 0.2, .repeated = 0.2, .slow = 0.2}});
+  search(3000000, 200, {.network = {.loss_rate = 0.2, .duplicate_rate = 0.2, .slow_rate = 0.2}});
 }
 
 // The record reaches back four configurations: what it does not reach is unclear, and never refused.
--- a/tests/control/quorum_contact_test.cpp
+++ b/tests/control/quorum_contact_test.cpp
@@ -122,7 +122,7 @@
     RandomSource luck(static_cast<std::uint64_t>(run) + 1);
     const int count = luck.chance(0.5) ? 3 : 5;
     const std::vector<Acceptor> set = set_of(count);
-    QuorumContact watcher(incarnation);
+    QuorumContact checker(incarnation);
     struct Message {
       TimePoint arrives;
       TimePoint stamp;
@@ -175,10 +175,10 @@
           const Message got = each.in.front();
           each.in.pop_front();
           if (got.stamp > TimePoint())
-            watcher.on_report(report(static_cast<int>(p), got.accepted), incarnation, got.stamp);
+            checker.on_report(report(static_cast<int>(p), got.accepted), incarnation, got.stamp);
         }
       }
-      const auto since = watcher.confirmed_until(set, report(0, accepted[0]), known, now);
+      const auto since = checker.confirmed_until(set, report(0, accepted[0]), known, now);
       if (!since) continue;
       ++claims;
       for (const auto& [when, number] : chosen)
--- a/tests/control/register_test.cpp
+++ b/tests/control/register_test.cpp
@@ -31,18 +31,18 @@
 using control::DurableAcceptor;
 using control::first_epoch_value;
 using control::Register;
-using simulated::Field;
+using simulated::AcceptorCluster;
 using simulated::Machine;
+using simulated::NetworkConditions;
 using simulated::Proposer;
 using simulated::status_of;
-using simulated::Weather;
 
 namespace {
 
 // What must hold whatever happens, told of every chosen value and of every order's start and end.
-class Watcher {
+class InvariantChecker {
  public:
-  explicit Watcher(std::string where) : where_(std::move(where)) {}
+  explicit InvariantChecker(std::string where) : where_(std::move(where)) {}
   std::int64_t floor() const { return floor_; }
   void saw(const RegisterValue& v) {
     const auto [at, fresh] = values_.emplace(v.number, v);
@@ -123,55 +123,59 @@
 enum class Came : std::uint8_t { nothing, taken, refused, unclear };
 
 // Days of a register: what may go wrong goes wrong, by a seed.
-struct Day {
+struct RegisterSimulation {
   struct Plan {
-    Weather weather;
+    NetworkConditions network;
     bool losses_of_power = false, wipes = false, other_sets = false, words = false;
   };
-  Day(std::uint64_t seed, const Plan& wanted)
-      : plan(wanted), field(5, seed), watcher(numbered("seed ", seed)), value_of_first(field.first_set(3)) {
-    field.weather = plan.weather;
-    field.on_death = [this](Machine& m) { back_later(m); };
+  RegisterSimulation(std::uint64_t seed, const Plan& wanted)
+      : plan(wanted),
+        cluster(5, seed),
+        checker(numbered("seed ", seed)),
+        value_of_first(cluster.first_epoch_of(3)) {
+    cluster.network = plan.network;
+    cluster.on_machine_failed = [this](Machine& m) { back_later(m); };
     for (std::uint64_t i = 0; i < 3; ++i) {
-      proposers.push_back(std::make_unique<Proposer>(field, 100 + i));
+      proposers.push_back(std::make_unique<Proposer>(cluster, 100 + i));
       Proposer& p = *proposers.back();
       p.reg.observe_epoch(value_of_first);
       p.reg.on_chosen([this, last = std::int64_t{-1}](const RegisterValue& v) mutable {
-        watcher.check(v.number > last, "numbers told do not rise");
+        checker.check(v.number > last, "numbers told do not rise");
         last = v.number;
-        watcher.saw(v);
+        checker.saw(v);
       });
     }
   }
 
   void back_later(Machine& m) {
-    field.clock.later.after(Span::ms(100 + 900 * field.luck.unit()), [this, &m] {
+    cluster.clock.later.after(Span::ms(100 + 900 * cluster.random.unit()), [this, &m] {
       if (m.up) return;
-      m.lose_power(field.luck.next());
+      m.lose_power(cluster.random.next());
       m.start();
     });
   }
 
   void order(Proposer& p) {
     ++asked;
-    const std::int64_t floor = watcher.floor();
-    const double kind = field.luck.unit();
+    const std::int64_t floor = checker.floor();
+    const double kind = cluster.random.unit();
     const auto done = [this, floor](absl::StatusOr<RegisterValue> got) {
       ++answered;
-      if (got.ok()) watcher.ended(*got, floor);
+      if (got.ok()) checker.ended(*got, floor);
     };
     if (kind < 0.35) return p.reg.read(Span::ms(1500), done);
     if (plan.other_sets && kind < 0.45) return change_set(p, done);
     const std::int64_t base = p.reg.known_value() ? p.reg.known_value()->config_version : 0;
-    const std::int64_t hash = ++hashes, version = base + 1 + static_cast<std::int64_t>(field.luck.below(3));
+    const std::int64_t hash = ++hashes,
+                       version = base + 1 + static_cast<std::int64_t>(cluster.random.below(3));
     p.reg.change(replacing(base, version, hash), Span::ms(1500),
                  [this, floor, base, hash, done](absl::StatusOr<RegisterValue> got) {
                    done(got);
                    if (!got.ok()) return;
                    if (had(*got, hash)) {
-                     watcher.taken(base, hash);
+                     checker.taken(base, hash);
                    } else {
-                     watcher.refused(hash);
+                     checker.refused(hash);
                    }
                  });
   }
@@ -193,9 +197,10 @@
   std::vector<Acceptor> some_set() {
     std::vector<Acceptor> out;
     std::vector<std::size_t> order = {0, 1, 2, 3, 4};
-    for (std::size_t i = order.size(); i-- > 1;) std::swap(order[i], order[field.luck.below(i + 1)]);
+    for (std::size_t i = order.size(); i-- > 1;) std::swap(order[i], order[cluster.random.below(i + 1)]);
     for (const std::size_t i : order) {
-      if (field.all[i].up && out.size() < 3) out.push_back({field.all[i].address, field.all[i].disk_id});
+      if (cluster.all[i].up && out.size() < 3)
+        out.push_back({cluster.all[i].address, cluster.all[i].disk_id});
     }
     return out;
   }
@@ -207,32 +212,33 @@
       if (newest == nullptr || newest->epoch < p->reg.epoch_value().epoch) newest = &p->reg.epoch_value();
     }
     if (newest->epoch == wiped_in) return;
-    for (const Machine& m : field.all) {
+    for (const Machine& m : cluster.all) {
       if (!m.up) return;
     }
     wiped_in = newest->epoch;
-    Machine& m = field.all[field.luck.below(field.all.size())];
+    Machine& m = cluster.all[cluster.random.below(cluster.all.size())];
     m.up = false;
     m.acceptor.reset();
     m.wipe();
-    field.clock.later.after(Span::ms(50), [&m] { m.start(); });
+    cluster.clock.later.after(Span::ms(50), [&m] { m.start(); });
     for (const double ms : {200.0, 500.0, 900.0})  // somebody names another set soon
-      field.clock.later.after(Span::ms(ms), [this] {
-        change_set(*proposers[field.luck.below(proposers.size())],
+      cluster.clock.later.after(Span::ms(ms), [this] {
+        change_set(*proposers[cluster.random.below(proposers.size())],
                    [](const absl::StatusOr<RegisterValue>&) {});
       });
   }
 
-  void trouble() {
-    const double kind = field.luck.unit();
-    Machine& m = field.all[field.luck.below(field.all.size())];
+  void inject_fault() {
+    const double kind = cluster.random.unit();
+    Machine& m = cluster.all[cluster.random.below(cluster.all.size())];
     if (plan.losses_of_power && kind < 0.3 && m.up) {
-      m.disk->fail_from(m.disk->steps() + field.luck.below(9));  // at a numbered point of what it does next
+      m.disk->fail_from(m.disk->steps() +
+                        cluster.random.below(9));  // at a numbered point of what it does next
     } else if (plan.losses_of_power && kind < 0.4 && m.up) {
       m.up = false;
       back_later(m);
     } else if (plan.losses_of_power && kind < 0.43) {  // all at once
-      for (Machine& one : field.all) {
+      for (Machine& one : cluster.all) {
         if (!one.up) continue;
         one.up = false;
         back_later(one);
@@ -240,48 +246,48 @@
     } else if (plan.wipes && kind < 0.5) {
       wipe_one();
     } else if (kind < 0.6) {
-      Proposer& p = *proposers[field.luck.below(proposers.size())];
+      Proposer& p = *proposers[cluster.random.below(proposers.size())];
       p.transport.cut_off = true;
-      field.clock.later.after(Span::ms(400 * field.luck.unit()), [&p] { p.transport.cut_off = false; });
+      cluster.clock.later.after(Span::ms(400 * cluster.random.unit()), [&p] { p.transport.cut_off = false; });
     }
     if (plan.words) {  // what is chosen goes round by word too, late or never
-      Proposer& from = *proposers[field.luck.below(proposers.size())];
-      Proposer& to = *proposers[field.luck.below(proposers.size())];
+      Proposer& from = *proposers[cluster.random.below(proposers.size())];
+      Proposer& to = *proposers[cluster.random.below(proposers.size())];
       if (from.reg.known_value()) {
         const RegisterValue value = *from.reg.known_value(), initial = from.reg.epoch_value();
-        field.clock.later.after(field.way(),
-                                [&to, value, initial] { to.reg.observe_chosen(value, initial); });
+        cluster.clock.later.after(cluster.delay(),
+                                  [&to, value, initial] { to.reg.observe_chosen(value, initial); });
       }
     }
   }
 
   // An epoch begins with one value, whoever opened it, and wherever.
   void look_at_epochs() {
-    for (const Machine& m : field.all) {
+    for (const Machine& m : cluster.all) {
       if (!m.up || !m.acceptor->is_voting()) continue;
       const auto [at, fresh] = opened_with.emplace(m.acceptor->epoch(), m.acceptor->epoch_value());
-      watcher.check(fresh || at->second == m.acceptor->epoch_value(),
+      checker.check(fresh || at->second == m.acceptor->epoch_value(),
                     numbered("epoch ", m.acceptor->epoch()) + " was opened with two values");
     }
   }
 
   void run(std::size_t orders) {
-    for (int i = 0; i < 700; ++i) field.clock.later.after(Span::ms(i * 10.0), [this] { look_at_epochs(); });
+    for (int i = 0; i < 700; ++i) cluster.clock.later.after(Span::ms(i * 10.0), [this] { look_at_epochs(); });
     for (std::size_t i = 0; i < orders; ++i) {
-      field.clock.later.after(Span::ms(4000 * field.luck.unit()),
-                              [this] { order(*proposers[field.luck.below(proposers.size())]); });
+      cluster.clock.later.after(Span::ms(4000 * cluster.random.unit()),
+                                [this] { order(*proposers[cluster.random.below(proposers.size())]); });
     }
     for (int i = 0; i < 60; ++i)
-      field.clock.later.after(Span::ms(4000 * field.luck.unit()), [this] { trouble(); });
-    field.clock.play(Span::ms(7000));
-    watcher.check(answered == asked, "an order was not answered, or twice");
-    watcher.check(field.broken.empty(), field.broken);
+      cluster.clock.later.after(Span::ms(4000 * cluster.random.unit()), [this] { inject_fault(); });
+    cluster.clock.play(Span::ms(7000));
+    checker.check(answered == asked, "an order was not answered, or twice");
+    checker.check(cluster.broken.empty(), cluster.broken);
     // Calm again: a read comes to its end within the time that an order has.
-    field.weather = {};
-    for (Machine& m : field.all) {
+    cluster.network = {};
+    for (Machine& m : cluster.all) {
       m.disk->fail_from(static_cast<std::size_t>(-1));
       if (!m.up) {
-        m.lose_power(field.luck.next());
+        m.lose_power(cluster.random.next());
         m.start();
       }
     }
@@ -295,34 +301,34 @@
     for (const auto& p : proposers) {
       p->transport.cut_off = false;
       p->reg.observe_epoch(initial);
-      const std::int64_t floor = watcher.floor();
+      const std::int64_t floor = checker.floor();
       p->reg.read(Span::ms(3000), [&, floor](absl::StatusOr<RegisterValue> got) {
         ++ends;
-        watcher.check(got.ok(), "no read once it is calm");
+        checker.check(got.ok(), "no read once it is calm");
         if (!got.ok()) return;
-        watcher.ended(*got, floor);
+        checker.ended(*got, floor);
         last = *got;
       });
     }
-    field.clock.play(Span::ms(4000), [&] { return ends == proposers.size(); });
-    watcher.check(ends == proposers.size(), "a last read was not answered");
+    cluster.clock.play(Span::ms(4000), [&] { return ends == proposers.size(); });
+    checker.check(ends == proposers.size(), "a last read was not answered");
     // And a change is taken at once.
-    const std::int64_t hash = ++hashes, base = last.config_version, floor = watcher.floor();
+    const std::int64_t hash = ++hashes, base = last.config_version, floor = checker.floor();
     proposers[1]->reg.change(replacing(base, base + 1, hash), Span::ms(3000),
                              [&](absl::StatusOr<RegisterValue> got) {
-                               watcher.check(got.ok() && had(*got, hash), "no change once it is calm");
+                               checker.check(got.ok() && had(*got, hash), "no change once it is calm");
                                if (!got.ok()) return;
-                               watcher.ended(*got, floor);
-                               watcher.taken(base, hash);
+                               checker.ended(*got, floor);
+                               checker.taken(base, hash);
                                last = *got;
                              });
-    field.clock.play(Span::ms(4000), [&] { return last.config_version != base; });
-    watcher.close(last);
+    cluster.clock.play(Span::ms(4000), [&] { return last.config_version != base; });
+    checker.close(last);
   }
 
   const Plan plan;
-  Field field;
-  Watcher watcher;
+  AcceptorCluster cluster;
+  InvariantChecker checker;
   const RegisterValue value_of_first;
   std::vector<std::unique_ptr<Proposer>> proposers;
   std::size_t asked = 0, answered = 0;
@@ -333,15 +339,15 @@
 
 // Days of one plan; what they came to is looked at too: a search that never refuses proves nothing of
 // refusals.
-void search(std::uint64_t first, std::uint64_t seeds, const Day::Plan& plan) {
+void search(std::uint64_t first, std::uint64_t seeds, const RegisterSimulation::Plan& plan) {
   std::size_t taken = 0, refused = 0;
   std::int64_t epochs = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-    Day day(seed, plan);
+    RegisterSimulation day(seed, plan);
     day.run(36);
-    CHECK_WHERE(day.watcher.broken.empty(), day.watcher.broken);
-    taken += day.watcher.taken_count();
-    refused += day.watcher.refused_count();
+    CHECK_WHERE(day.checker.broken.empty(), day.checker.broken);
+    taken += day.checker.taken_count();
+    refused += day.checker.refused_count();
     epochs += day.last.epoch - 1;
   }
   const std::string came =
@@ -358,23 +364,27 @@
 TEST(RegisterDays, CalmWays) { search(1, 60, {}); }
 
 TEST(RegisterDays, LossDelayRepeatsReordering) {
-  search(1000, 120, {.weather = {.lost = 0.15, .repeated = 0.2, .slow = 0.1}, .words = true});
+  search(1000, 120, {.network = {.loss_rate = 0.15, .duplicate_rate = 0.2, .slow_rate = 0.1}, .words = true});
 }
 
 // Acceptors lose power at numbered points of what they write, one, several or all at once.
 TEST(RegisterDays, LossesOfPower) {
   search(2000, 120,
-         {.weather = {.lost = 0.05, .repeated = 0.1, .slow = 0.05}, .losses_of_power = true, .words = true});
+         {.network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05},
+          .losses_of_power = true,
+          .words = true});
 }
 
 TEST(RegisterDays, OtherSetsOfAcceptors) {
   search(3000, 120,
-         {.weather = {.lost = 0.05, .repeated = 0.1, .slow = 0.05}, .other_sets = true, .words = true});
+         {.network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05},
+          .other_sets = true,
+          .words = true});
 }
 
 TEST(RegisterDays, AllAtOnce) {
   search(4000, 160,
-         {.weather = {.lost = 0.08, .repeated = 0.15, .slow = 0.08},
+         {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
           .losses_of_power = true,
           .wipes = true,
           .other_sets = true,
@@ -383,11 +393,11 @@
 
 TEST_GROUP(RegisterRaces){
     // Two orders on the same version; what each came to.
-    static std::pair<Came, Came> race(std::uint64_t seed, const Weather& weather, Span apart,
-                                      RegisterValue* last){Field field(3, seed);
-field.weather = weather;
-Proposer a(field, 1), b(field, 2);
-const RegisterValue first = field.first_set(3);
+    static std::pair<Came, Came> race(std::uint64_t seed, const NetworkConditions& network, Span apart,
+                                      RegisterValue* last){AcceptorCluster cluster(3, seed);
+cluster.network = network;
+Proposer a(cluster, 1), b(cluster, 2);
+const RegisterValue first = cluster.first_epoch_of(3);
 a.reg.observe_epoch(first);
 b.reg.observe_epoch(first);
 Came came[2] = {Came::nothing, Came::nothing};
@@ -398,15 +408,15 @@
       });
 };
 order(a, 0);
-field.clock.later.after(apart, [&] { order(b, 1); });
-field.clock.play(Span::ms(8000), [&] { return came[0] != Came::nothing && came[1] != Came::nothing; });
-field.weather = {};
+cluster.clock.later.after(apart, [&] { order(b, 1); });
+cluster.clock.play(Span::ms(8000), [&] { return came[0] != Came::nothing && came[1] != Came::nothing; });
+cluster.network = {};
 bool read = false;
 a.reg.read(Span::ms(3000), [&](absl::StatusOr<RegisterValue> got) {
   read = true;
   if (got.ok()) *last = *got;
 });
-field.clock.play(Span::ms(4000), [&] { return read; });
+cluster.clock.play(Span::ms(4000), [&] { return read; });
 return {came[0], came[1]};
 }
 }
@@ -432,7 +442,7 @@
 TEST(RegisterRaces, NeverBoth) {
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
     RegisterValue last;
-    const auto [a, b] = race(seed, {.lost = 0.3, .repeated = 0.2, .slow = 0.2},
+    const auto [a, b] = race(seed, {.loss_rate = 0.3, .duplicate_rate = 0.2, .slow_rate = 0.2},
                              Span::ms(static_cast<double>(seed % 31)), &last);
     const std::string where = numbered("seed ", seed);
     CHECK_WHERE(a != Came::nothing && b != Came::nothing, where);
@@ -446,8 +456,8 @@
 }
 
 TEST_GROUP(RegisterOrders) {
-  Field field{3, 7};
-  Proposer p{field, 1};
+  AcceptorCluster cluster{3, 7};
+  Proposer p{cluster, 1};
 };
 
 TEST(RegisterOrders, NothingKnownIsToldAtOnce) {
@@ -459,64 +469,64 @@
 
 // A repeat of an order that is in force changes nothing.
 TEST(RegisterOrders, RepeatIsKnown) {
-  p.reg.observe_epoch(field.first_set(3));
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   std::vector<std::int64_t> numbers;
   for (int n = 0; n < 3; ++n) {
     p.reg.change(replacing(0, 4, 9), Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
       CHECK_TRUE(got.ok() && had(*got, 9));
       numbers.push_back(got->number);
     });
-    field.clock.play(Span::ms(1000));
+    cluster.clock.play(Span::ms(1000));
   }
   CHECK_EQUAL(static_cast<std::size_t>(3), numbers.size());
   CHECK_TRUE(numbers[0] == 1 && numbers[1] == 1 && numbers[2] == 1);
 }
 
 TEST(RegisterOrders, OneOfThreeIsGone) {
-  field.all[1].up = false;
-  p.reg.observe_epoch(field.first_set(3));
+  cluster.all[1].up = false;
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   bool taken = false;
   p.reg.change(replacing(0, 4, 9), Span::ms(2000),
                [&](absl::StatusOr<RegisterValue> got) { taken = got.ok() && had(*got, 9); });
-  field.clock.play(Span::ms(2100));
+  cluster.clock.play(Span::ms(2100));
   CHECK_TRUE(taken);
 }
 
 // Without a majority an order ends by its time, once.
 TEST(RegisterOrders, NoMajorityEndsInTime) {
-  field.all[0].up = field.all[1].up = false;
-  p.reg.observe_epoch(field.first_set(3));
+  cluster.all[0].up = cluster.all[1].up = false;
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   int told = 0;
-  const TimePoint start = field.clock.system.now();
+  const TimePoint start = cluster.clock.system.now();
   TimePoint end;
   p.reg.change(replacing(0, 4, 9), Span::ms(1500), [&](absl::StatusOr<RegisterValue> got) {
     ++told;
-    end = field.clock.system.now();
+    end = cluster.clock.system.now();
     CHECK_FALSE(got.ok());
   });
-  field.clock.play(Span::ms(5000));
+  cluster.clock.play(Span::ms(5000));
   CHECK_EQUAL(1, told);
   CHECK_TRUE(end - start <= Span::ms(1550));
 }
 
 // A read alone writes nothing: it is asked for several times a second.
 TEST(RegisterOrders, ReadOfAChosenValueWritesNothing) {
-  p.reg.observe_epoch(field.first_set(3));
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   p.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
-  field.clock.play(Span::ms(1000));
+  cluster.clock.play(Span::ms(1000));
   std::vector<std::size_t> before;
-  for (const Machine& m : field.all) before.push_back(m.disk->steps());
+  for (const Machine& m : cluster.all) before.push_back(m.disk->steps());
   bool read = false;
   p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) { read = got.ok() && had(*got, 9); });
-  field.clock.play(Span::ms(1000));
+  cluster.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
-  for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], field.all[i].disk->steps());
+  for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], cluster.all[i].disk->steps());
 }
 
 // Values go over the ways only to who does not have them.
 TEST(RegisterOrders, SecondReadBringsNoValues) {
-  field.counting = true;
-  p.reg.observe_epoch(field.first_set(3));
+  cluster.counting = true;
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   p.reg.change(
       [](const RegisterValue& current) -> std::optional<RegisterValue> {
         RegisterValue out = current;
@@ -524,20 +534,20 @@
         return out;
       },
       Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
-  field.clock.play(Span::ms(1000));
-  field.bytes_asked = field.bytes_answered = 0;
+  cluster.clock.play(Span::ms(1000));
+  cluster.bytes_asked = cluster.bytes_answered = 0;
   bool read = false;
   p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
     read = got.ok() && got->config.data.size() == 100000;
   });
-  field.clock.play(Span::ms(1000));
+  cluster.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
-  CHECK_TRUE(field.bytes_asked + field.bytes_answered < 500);
+  CHECK_TRUE(cluster.bytes_asked + cluster.bytes_answered < 500);
 }
 
 // Orders of one process do not outbid one another: all that come at once are taken, each in its turn.
 TEST(RegisterOrders, ManyAtOnceAreTakenOneAfterAnother) {
-  p.reg.observe_epoch(field.first_set(3));
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   std::size_t taken = 0;
   for (std::int64_t order = 1; order <= 20; ++order) {
     p.reg.change(
@@ -550,23 +560,23 @@
         Span::ms(3000),
         [&taken, order](absl::StatusOr<RegisterValue> got) { taken += got.ok() && had(*got, order); });
   }
-  field.clock.play(Span::ms(3100));
+  cluster.clock.play(Span::ms(3100));
   CHECK_EQUAL(static_cast<std::size_t>(20), taken);
 }
 
 // One that waits for others of its process ends by its own time.
 TEST(RegisterOrders, OneThatWaitsEndsInTime) {
-  field.all[0].up = field.all[1].up = false;
-  p.reg.observe_epoch(field.first_set(3));
-  const TimePoint start = field.clock.system.now();
+  cluster.all[0].up = cluster.all[1].up = false;
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
+  const TimePoint start = cluster.clock.system.now();
   std::vector<Span> ends;
   for (const double most : {2000.0, 500.0, 1000.0}) {
     p.reg.change(replacing(0, 4, 9), Span::ms(most), [&](absl::StatusOr<RegisterValue> got) {
       CHECK_FALSE(got.ok());
-      ends.push_back(field.clock.system.now() - start);
+      ends.push_back(cluster.clock.system.now() - start);
     });
   }
-  field.clock.play(Span::ms(5000));
+  cluster.clock.play(Span::ms(5000));
   CHECK_EQUAL(static_cast<std::size_t>(3), ends.size());
   CHECK_TRUE(ends[0] <= Span::ms(501) && ends[1] <= Span::ms(1001) && ends[2] <= Span::ms(2001));
 }
@@ -581,29 +591,29 @@
       return out;
     };
   };
-  p.reg.observe_epoch(field.first_set(3));
+  p.reg.observe_epoch(cluster.first_epoch_of(3));
   p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
-  field.clock.play(Span::ms(1000));
-  field.all[2].up = false;  // it misses one
+  cluster.clock.play(Span::ms(1000));
+  cluster.all[2].up = false;  // it misses one
   p.reg.change(store(50000, 'b'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
-  field.clock.play(Span::ms(1000));
-  field.all[2].up = true;
-  field.all[0].up = false;  // now it is needed
+  cluster.clock.play(Span::ms(1000));
+  cluster.all[2].up = true;
+  cluster.all[0].up = false;  // now it is needed
   bool taken = false;
   p.reg.change(store(50000, 'c'), Span::ms(1000),
                [&](absl::StatusOr<RegisterValue> got) { taken = got.ok(); });
-  field.clock.play(Span::ms(1100));
+  cluster.clock.play(Span::ms(1100));
   CHECK_TRUE(taken);
-  CHECK_TRUE(field.all[2].acceptor->accepted_value().config.data.back() == 'c');
-  CHECK_TRUE(field.all[2].acceptor->accepted_value() == field.all[1].acceptor->accepted_value());
+  CHECK_TRUE(cluster.all[2].acceptor->accepted_value().config.data.back() == 'c');
+  CHECK_TRUE(cluster.all[2].acceptor->accepted_value() == cluster.all[1].acceptor->accepted_value());
 }
 
 // The set is changed by a sealed value, which nobody is told of: the next epoch begins with what it held.
 TEST(RegisterOrders, SealedAndOpened) {
-  Field five(5, 3);
+  AcceptorCluster five(5, 3);
   Proposer q(five, 1), late(five, 2);
-  q.reg.observe_epoch(five.first_set(3));
-  late.reg.observe_epoch(five.first_set(3));
+  q.reg.observe_epoch(five.first_epoch_of(3));
+  late.reg.observe_epoch(five.first_epoch_of(3));
   std::vector<RegisterValue> told;
   q.reg.on_chosen([&](const RegisterValue& v) { told.push_back(v); });
   q.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
@@ -676,8 +686,8 @@
   const std::size_t points = whole.steps();
   CHECK_TRUE(points > 20);
   for (std::size_t point = 0; point <= points; ++point) {
-    for (std::uint64_t luck = 0; luck < 30; ++luck) {
-      const std::string where = numbered("point ", point) + numbered(", luck ", luck);
+    for (std::uint64_t random = 0; random < 30; ++random) {
+      const std::string where = numbered("point ", point) + numbered(", luck ", random);
       common::MemoryDisk disk;
       DurableAcceptor a(disk, "m0", "d0", true);
       CHECK_TRUE(a.open().ok());
@@ -685,7 +695,7 @@
       promised = accepted = {};
       value.clear();
       speak(a, promised, accepted, value);
-      disk.power_cycle(luck);
+      disk.power_cycle(random);
       DurableAcceptor again(disk, "m0", "d0", true);
       const absl::Status opened = again.open();
       if (promised == Ballot{} && !opened.ok()) continue;  // it had said nothing yet
@@ -717,9 +727,9 @@
         std::size_t refused = 0;
         // After a loss of power it has promised and accepted no less than was told.
         const auto check = [&] {
-          for (std::uint64_t luck = 0; luck < 6; ++luck) {
+          for (std::uint64_t random = 0; random < 6; ++random) {
             common::MemoryDisk dark = disk;
-            dark.power_cycle(luck);
+            dark.power_cycle(random);
             DurableAcceptor again(dark, "m0", "d0", true);
             if (promised == Ballot{} && !again.open().ok()) continue;
             if (promised != Ballot{}) CHECK_WHERE(again.open().ok(), where);
@@ -776,10 +786,10 @@
     CHECK_TRUE(before.open().ok());
     fill(before);
     for (std::size_t point = 0; point < 14; ++point) {
-      for (std::uint64_t luck = 0; luck < lucks; ++luck) {
+      for (std::uint64_t random = 0; random < lucks; ++random) {
         const std::string where = numbered("size ", static_cast<long long>(size)) +
                                   numbered(", step ", static_cast<long long>(point)) +
-                                  numbered(", luck ", static_cast<long long>(luck));
+                                  numbered(", luck ", static_cast<long long>(random));
         common::MemoryDisk disk = filled;
         DurableAcceptor a(disk, "m0", "d0", true);
         CHECK_TRUE(a.open().ok());
@@ -792,7 +802,7 @@
           if (!a.accept(accept(initial, round, text + std::to_string(round))).ok()) break;
           accepted = round;
         }
-        if (luck % 2 == 0) disk.power_cycle(luck);
+        if (random % 2 == 0) disk.power_cycle(random);
         disk.fail_from(static_cast<std::size_t>(-1));
         DurableAcceptor again(disk, "m0", "d0", true);
         CHECK_WHERE(again.open().ok(), where);
--- a/tests/control/simulated_control.hpp
+++ b/tests/control/simulated_control.hpp
@@ -16,8 +16,10 @@
  public:
   using Answered = std::function<void(common::HttpResponse)>;
 
-  ControlProcess(Field& field, std::uint64_t proposer, std::size_t history_limit)
-      : transport(field), reg(field.clock.later, transport, proposer), api_(reg, *this, 1, history_limit) {}
+  ControlProcess(AcceptorCluster& cluster, std::uint64_t proposer, std::size_t history_limit)
+      : transport(cluster),
+        reg(cluster.clock.later, transport, proposer),
+        api_(reg, *this, 1, history_limit) {}
 
   // Nothing is answered by a process that has ended.
   void call(const std::string& method, const std::string& target, const std::string& fields,
--- a/tests/control/simulated_register.hpp
+++ b/tests/control/simulated_register.hpp
@@ -33,10 +33,10 @@
 inline AcceptorStatus status_of(std::int64_t v) { return static_cast<AcceptorStatus>(v); }
 
 // What the acceptor of one disk has answered: it stands, whatever becomes of the machine.
-class Answered {
+class ReplyHistory {
  public:
   // Empty, or what this answer takes back.
-  std::string hear(const Prepare& ask, const Promise& got) {
+  std::string check(const Prepare& ask, const Promise& got) {
     const AcceptorStatus v = status_of(got.verdict);
     if (v == AcceptorStatus::not_a_member)
       return ask.epoch > epoch_ ? "" : "is a stranger where it has voted";
@@ -47,7 +47,7 @@
     keep(got.epoch, got.promised, got.accepted);
     return "";
   }
-  std::string hear(const Accept& ask, const Accepted& got) {
+  std::string check(const Accept& ask, const Accepted& got) {
     if (status_of(got.verdict) != AcceptorStatus::ok) return "";
     if (ask.epoch < epoch_) return "accepted in an epoch that it had left";
     if (ask.epoch == epoch_ && ask.ballot < promised_)
@@ -89,21 +89,21 @@
     disk_id += "'";
     first = false;
   }
-  void lose_power(std::uint64_t luck) {
+  void lose_power(std::uint64_t random) {
     up = false;
     acceptor.reset();
-    disk->power_cycle(luck);
+    disk->power_cycle(random);
   }
 };
 
-struct Weather {
-  double lost = 0, repeated = 0, slow = 0;  // parts of the messages
-  Span most = Span::ms(20);                 // of a way
+struct NetworkConditions {
+  double loss_rate = 0, duplicate_rate = 0, slow_rate = 0;  // parts of the messages
+  Span max_delay = Span::ms(20);                            // of a message that is not slow
 };
 
 // The machines and the ways to them.
-struct Field {
-  explicit Field(std::size_t machines, std::uint64_t seed) : luck(seed), all(machines) {
+struct AcceptorCluster {
+  explicit AcceptorCluster(std::size_t machines, std::uint64_t seed) : random(seed), all(machines) {
     for (std::size_t i = 0; i < machines; ++i) {
       all[i].address = numbered("m", i);
       all[i].disk_id = numbered("d", i);
@@ -116,12 +116,15 @@
     }
     return nullptr;
   }
-  RegisterValue first_set(std::size_t n) const {
+  RegisterValue first_epoch_of(std::size_t n) const {
     std::vector<Acceptor> set;
     for (std::size_t i = 0; i < n; ++i) set.push_back({all[i].address, ""});
     return first_epoch_value(set);
   }
-  Span way() { return luck.chance(weather.slow) ? Span::ms(900 * luck.unit()) : weather.most * luck.unit(); }
+  Span delay() {
+    return random.chance(network.slow_rate) ? Span::ms(900 * random.unit())
+                                            : network.max_delay * random.unit();
+  }
   // A disk that fails ends its machine: nothing is answered.
   template <class Ask>
   auto ask(Machine& m, const Ask& what) {
@@ -133,37 +136,37 @@
       }
     }();
     if (!got.ok()) {
-      died(m);
+      fail(m);
       return got;
     }
-    const std::string wrong = answered[m.disk_id].hear(what, *got);
+    const std::string wrong = replies[m.disk_id].check(what, *got);
     if (!wrong.empty() && broken.empty()) broken = m.disk_id + " " + wrong;
     if constexpr (std::is_same_v<Ask, Accept>) {
       if (status_of(got->verdict) == AcceptorStatus::ok && on_accepted) on_accepted(m);
     }
     return got;
   }
-  void died(Machine& m) {
+  void fail(Machine& m) {
     m.up = false;
-    if (on_death) on_death(m);
+    if (on_machine_failed) on_machine_failed(m);
   }
 
   Clockwork clock;
-  RandomSource luck;
-  Weather weather;
+  RandomSource random;
+  NetworkConditions network;
   std::vector<Machine> all;
-  std::function<void(Machine&)> on_death;
+  std::function<void(Machine&)> on_machine_failed;
   std::function<void(Machine&)> on_accepted;
-  std::map<std::string, Answered> answered;  // by disk
-  std::string broken;                        // the first answer that took one back
-  bool counting = false;                     // bytes are counted: each message is encoded for it
+  std::map<std::string, ReplyHistory> replies;  // by disk
+  std::string broken;                           // the first answer that took one back
+  bool counting = false;                        // bytes are counted: each message is encoded for it
   std::size_t bytes_asked = 0, bytes_answered = 0;
 };
 
 // One proposer's ways: exactly one answer to each message, as a held connection gives it.
 class SimulatedTransport final : public control::AcceptorTransport {
  public:
-  explicit SimulatedTransport(Field& field) : field_(field) {}
+  explicit SimulatedTransport(AcceptorCluster& cluster) : cluster_(cluster) {}
   void prepare(const std::string& address, const Prepare& ask,
                std::function<void(absl::StatusOr<Promise>)> answered) override {
     send(address, ask, std::move(answered));
@@ -197,33 +200,35 @@
       if (ended || std::exchange(state->told, true)) return;
       answered(std::move(got));
     };
-    field_.clock.later.after(Span::ms(350), [once] { once(absl::DeadlineExceededError("no answer")); });
-    if (field_.counting && address != own) field_.bytes_asked += common::encoded(ask).size();
-    const int copies = field_.luck.chance(field_.weather.repeated) ? 2 : 1;
+    cluster_.clock.later.after(Span::ms(350), [once] { once(absl::DeadlineExceededError("no answer")); });
+    if (cluster_.counting && address != own) cluster_.bytes_asked += common::encoded(ask).size();
+    const int copies = cluster_.random.chance(cluster_.network.duplicate_rate) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      if (field_.luck.chance(field_.weather.lost)) continue;
-      field_.clock.later.after(field_.way(), [this, address, ask, once] { arrive(address, ask, once); });
+      if (cluster_.random.chance(cluster_.network.loss_rate)) continue;
+      cluster_.clock.later.after(cluster_.delay(),
+                                 [this, address, ask, once] { arrive(address, ask, once); });
     }
   }
   template <class Ask, class Once>
   void arrive(const std::string& address, const Ask& ask, const Once& once) {
-    Machine* const m = field_.find(address);
+    Machine* const m = cluster_.find(address);
     if (m == nullptr || !m->up || cut_off) return;
-    if (m->frozen_until > field_.clock.system.now()) {
-      field_.clock.later.at(m->frozen_until, [this, address, ask, once] { arrive(address, ask, once); });
+    if (m->frozen_until > cluster_.clock.system.now()) {
+      cluster_.clock.later.at(m->frozen_until, [this, address, ask, once] { arrive(address, ask, once); });
       return;
     }
-    auto got = field_.ask(*m, ask);
-    if (got.ok() && field_.counting && address != own) field_.bytes_answered += common::encoded(*got).size();
-    if (!got.ok() || field_.luck.chance(field_.weather.lost)) return;
-    field_.clock.later.after(field_.way(), [once, got] { once(got); });
+    auto got = cluster_.ask(*m, ask);
+    if (got.ok() && cluster_.counting && address != own)
+      cluster_.bytes_answered += common::encoded(*got).size();
+    if (!got.ok() || cluster_.random.chance(cluster_.network.loss_rate)) return;
+    cluster_.clock.later.after(cluster_.delay(), [once, got] { once(got); });
   }
-  Field& field_;
+  AcceptorCluster& cluster_;
 };
 
 struct Proposer {
-  Proposer(Field& field, std::uint64_t number)
-      : transport(field), reg(field.clock.later, transport, number) {}
+  Proposer(AcceptorCluster& cluster, std::uint64_t number)
+      : transport(cluster), reg(cluster.clock.later, transport, number) {}
   SimulatedTransport transport;
   Register reg;
 };
