--- a/model/absent.pml
+++ b/model/absent.pml
@@ -137,7 +137,7 @@
   newest++
 }
 
-/* A map that comes for another reason takes the marks of those who are whole along: Roster's settle() */
+/* A map that comes for another reason takes the marks of those who are whole along: clear_repaired() of the planner */
 inline settle_joining() {
   if :: up_to_date(0) -> joining[newest] = joining[newest] & ~1 :: else fi;
   if :: up_to_date(1) -> joining[newest] = joining[newest] & ~2 :: else fi;
@@ -165,7 +165,7 @@
        :: else
        fi;
        s = 0 }
-  /* drop_silent */
+  /* remove_absent_nodes */
   :: atomic { newest < MAPS && count(in_map[newest]) == 4 ->
        if :: s = 0 :: s = 1 :: s = 2 :: s = 3 fi;
        if
--- a/model/budget.pml
+++ b/model/budget.pml
@@ -156,7 +156,7 @@
   od
 }
 
-/* --- Maps: Roster::storage nodes, value_came, take_over, look_ready ------------------------------------- */
+/* --- Maps: StorageMapPlanner::plan, value_came, take_over, look_ready ------------------------------------- */
 
 /* One that is in the map with this disk */
 #define named(s, m) (has_bit(in_map[m], s) && has_bit(second[m], s) == disk[s])
--- a/model/duty.pml
+++ b/model/duty.pml
@@ -20,7 +20,7 @@
 #endif
 #define N 3
 
-/* told_term() */
+/* make_fencing_token() */
 #ifdef PLANT_TERM_ALONE
 #define told_term(t, id) (t)
 #define term_of(told) (told)
@@ -56,7 +56,7 @@
 
 inline stand_down(k) { mine[k] = false }
 
-/* Duty::learn_told(): somebody follows a list that was told under this */
+/* LeaderElection::observe_fencing_token(): somebody follows a list that was told under this */
 inline learn(k, t) {  /* t: a variable */
   if
 #ifdef PLANT_LEARN_TERM_ALONE
@@ -77,7 +77,7 @@
 #define tells_of(k) (followed[k] > told[k] -> followed[k] : told[k])
 #endif
 
-/* Duty::heard(), and of which list: j hears k */
+/* LeaderElection::on_heartbeat(), and of which list: j hears k */
 inline hears(j, k) {
   if :: mine[j] -> h = tells_of(k); learn(j, h); h = 0 :: else fi;
   if
@@ -207,13 +207,13 @@
   byte i, j, k, h;
 end:
   do
-  :: atomic { any(k); /* Duty::stand() */
+  :: atomic { any(k); /* LeaderElection::start_campaign() */
        if
        :: vacant(k) && !standing[k] && next_term(k) <= TERMS ->
           standing[k] = 1; standing_for[k] = next_term(k); votes[k] = 0
        :: else
        fi; k = 0 }
-  :: atomic { any(k); any(j); /* Duty::vote(), Duty::won() */
+  :: atomic { any(k); any(j); /* grant_vote(), on_elected() */
        if
        :: standing[k] && !(votes[k] & (1 << j)) && standing_for[k] > voted[j] && standing_for[k] > term[j] && vacant(j) ->
           voted[j] = standing_for[k]; votes[k] = votes[k] | (1 << j);
@@ -226,7 +226,7 @@
           fi
        :: else
        fi; k = 0; j = 0 }
-  :: atomic { any(k); /* Duty::lost(), Duty::give_up() */
+  :: atomic { any(k); /* on_campaign_lost(), step_down() */
        if
        :: standing[k] -> standing[k] = 0; standing_for[k] = 0; votes[k] = 0
        :: mine[k] -> stand_down(k)
--- a/model/orders.pml
+++ b/model/orders.pml
@@ -114,7 +114,7 @@
   sent[ballot[t]] = v; phase[t] = accepting; forget(t)
 }
 
-/* Register::decide(): of the value that its own round has found */
+/* Register::propose_next_value(): of the value that its own round has found */
 inline decide(t) {
   if
   :: applicable(order[t], found[t]) -> propose(t, found[t] | order[t])
--- a/model/register.pml
+++ b/model/register.pml
@@ -93,7 +93,7 @@
 
 inline forget(p) { got[p] = 0; yes[p] = 0; newest[p] = 0; alike[p] = 0; found[p] = 0 }
 
-/* learn_epoch(), and begin() in it */
+/* observe_epoch(), and start_attempt() in it */
 inline go_on_in(p, e, v) { p_epoch[p] = e; p_initial[p] = v; phase[p] = idle; forget(p) }
 
 inline finish(p, v) {
@@ -204,7 +204,7 @@
 #define is_sealed(v) (next_of(v) != 0)
 #endif
 
-/* Roster::acceptors: a free one takes the place of another whose disk is lost, or that only is silent. No
+/* AcceptorSetPlanner::plan(): a free one takes the place of another whose disk is lost, or that only is silent. No
  * address gets two places. */
 #define may_replace(v, a, d, by) ((set_of(v) & member(a, d)) && (SUSPECT || disk[a] != (d)) && \
   ((by) == (a) -> disk[a] != (d) : (set_of(v) & at(by)) == 0))
--- a/model/retire.pml
+++ b/model/retire.pml
@@ -150,7 +150,7 @@
   newest++
 }
 
-/* Roster::storage_nodes, and what is lost */
+/* StorageMapPlanner::plan(), and what is lost */
 proctype roster() {
   byte s;
 end_roster:
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,4 +1,4 @@
-// chutevane-control: a control sidecar.
+/// chutevane-control: the program of a controller.
 #include "common/process.hpp"
 #include "control/control_plane.hpp"
 
--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -150,7 +150,8 @@
           notify_peers(member);
         });
   }
-  // The others hear of it by word, as from control_plane.cpp; it is lost where one of the two is not there.
+  // The others are notified of it, as by ControlPlane::announce(); it is lost where one of the two is not
+  // there.
   void notify_peers(Member& from) {
     const Register& reg = from.proposer->reg;
     if (!reg.known_value() || cut(from)) return;
