--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -18,7 +18,9 @@
 #include <string>
 #include <vector>
 
+#include "common/disk.hpp"
 #include "common/disk_health.hpp"
+#include "common/durable_state.hpp"
 #include "common/http_server.hpp"
 #include "common/process.hpp"
 #include "common/rpc.hpp"
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -26,6 +26,7 @@
 #include <string>
 
 #include "absl/status/statusor.h"
+#include "common/durable_state.hpp"
 #include "common/messages.hpp"
 #include "control/acceptor_transport.hpp"
 #include "control/register_value.hpp"
