--- a/model/budget.pml
+++ b/model/budget.pml
@@ -156,7 +156,7 @@
   od
 }
 
-/* --- Maps: Roster::storage nodes, StoragePlane::on_value, StateTransfer ------------------------------------- */
+/* --- Maps: StorageMapPlanner::plan, StoragePlane::on_value, StateTransfer ------------------------------------- */
 
 /* One that is in the map with this disk */
 #define named(s, m) (has_bit(in_map[m], s) && has_bit(second[m], s) == disk[s])
--- a/tests/control/fencing_token_test.cpp
+++ b/tests/control/fencing_token_test.cpp
@@ -146,7 +146,8 @@
       const FencingToken token = follower.table.term();
       controllers[i].election->observe_fencing_token(token, controllers[i].incarnation);
       lists_[i].newest_member_token = std::max(lists_[i].newest_member_token, token);
-      for (const common::EndpointList& change : lists_[i].table.changes_since(token, follower.table.number())) {
+      for (const common::EndpointList& change :
+           lists_[i].table.changes_since(token, follower.table.number())) {
         const std::pair before{follower.table.term(), follower.table.number()};
         if (!follower.table.apply(change)) continue;
         if (std::pair{follower.table.term(), follower.table.number()} <= before)
--- a/tests/control/losses_test.cpp
+++ b/tests/control/losses_test.cpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "control/acceptor.hpp"
 #include "common/memory_disk.hpp"
+#include "control/acceptor.hpp"
 #include "control/register.hpp"
 #include "simulated_system.hpp"
 #include "unit.hpp"
