--- a/src/edge/proxied_request_responses.cpp
+++ b/src/edge/proxied_request_responses.cpp
@@ -17,8 +17,9 @@
 // ---- an endpoint's response
 
 void ProxiedRequest::check_response_belongs() const {
-  for (const auto& [name, value] : attempt_.headers) {
-    if (!http::same_name(name, "X-Chutevane-Attempt-Id")) continue;
+  for (const auto& header : attempt_.headers) {
+    if (!http::same_name(header.first, "X-Chutevane-Attempt-Id")) continue;
+    const std::string& value = header.second;
     common::check_invariant(common::Invariant::answer_belongs_to_exchange,
                             is_counted_ && value == request_.attempt_id,
                             [&] { return "answer to " + value + " for " + request_.attempt_id; });
--- a/src/edge/upstream_pool.cpp
+++ b/src/edge/upstream_pool.cpp
@@ -76,14 +76,15 @@
   for (std::size_t i = 0; i < connections_.size(); ++i) {
     if (!connections_[i].is_closed()) ++open[&connections_[i].endpoint()];
   }
-  for (const auto& [id, endpoint] : endpoints_) {
-    const auto found = open.find(endpoint.get());
+  for (const auto& entry : endpoints_) {
+    const Endpoint& endpoint = *entry.second;
+    const auto found = open.find(&endpoint);
     const std::size_t open_count = found == open.end() ? 0 : found->second;
-    common::check_invariant(common::Invariant::connections_equal_descriptors,
-                            endpoint->connection_count == open_count, [&] {
-                              return id + ": charged with " + std::to_string(endpoint->connection_count) +
-                                     ", open " + std::to_string(open_count);
-                            });
+    common::check_invariant(
+        common::Invariant::connections_equal_descriptors, endpoint.connection_count == open_count, [&] {
+          return entry.first + ": charged with " + std::to_string(endpoint.connection_count) + ", open " +
+                 std::to_string(open_count);
+        });
   }
 }
 
--- a/tests/edge/client_disconnect_test.cpp
+++ b/tests/edge/client_disconnect_test.cpp
@@ -111,6 +111,7 @@
     std::size_t number = 0;
     // Connections that stand before the other's, or after: their order in a turn differs.
     std::vector<std::unique_ptr<ClientConnection>> others;
+    others.reserve(4);
     for (int i = 0; i < round % 4; ++i) others.push_back(scene.client());
     const auto client = scene.client();
     scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest&) {
--- a/tests/edge/client_request_test.cpp
+++ b/tests/edge/client_request_test.cpp
@@ -26,7 +26,7 @@
 ParsedClientRequest read(const std::string& fields, const std::string& body = "",
                          const std::string& line = "POST /lohu930/2f?a=1&b=%20 HTTP/1.1") {
   std::string bytes = line + "\r\n" + fields;
-  if (!body.empty()) bytes += numbered("Content-Length: ", body.size()) + "\r\n";
+  if (!body.empty()) bytes += numbered("Content-Length: ", static_cast<long long>(body.size())) + "\r\n";
   bytes += "\r\n" + body;
   http::Parser parser(http::Side::request, {.head = 16384, .body = 1U << 20U, .fields = 100});
   CHECK_WHERE(parser.feed(std::span<char>(bytes.data(), bytes.size())) == http::Progress::complete, bytes);
--- a/tests/edge/downstream_connection_test.cpp
+++ b/tests/edge/downstream_connection_test.cpp
@@ -274,7 +274,7 @@
   client->send(request_text("a", once()));
   ASSERT_TRUE(scene.answered(*client));
   const TimePoint rested_since = scene.loop.later.now();
-  scene.loop.run_for(Span::ms(idle_ms / 2));
+  scene.loop.run_for(Span::ms(idle_ms / 2.0));
   scene.configure({}, longer);
   ASSERT_TRUE(scene.in_force());
   scene.loop.run_for(rested_since + Span::ms(longer.idle_ms * 0.8) - scene.loop.later.now());
--- a/tests/edge/service_balancer_test.cpp
+++ b/tests/edge/service_balancer_test.cpp
@@ -23,6 +23,7 @@
 
 std::vector<ServiceBalancer::EndpointInfo> endpoints(int n, const std::string& zone = "z") {
   std::vector<ServiceBalancer::EndpointInfo> out;
+  out.reserve(static_cast<std::size_t>(n));
   for (int i = 0; i < n; ++i) out.push_back({numbered("e", i), zone, 10});
   return out;
 }
@@ -376,7 +377,7 @@
       const int ejected = failed + 1;
       const auto open = static_cast<std::size_t>(2 * ejected > n ? n : n - ejected);
       // All of its part that are open, and where none of these is, all others that are.
-      CHECK_TRUE(taken.size() >= 1 && taken.size() <= open);
+      CHECK_TRUE(!taken.empty() && taken.size() <= open);
       CHECK_TRUE(taken.size() == open || (n > 3 && taken.size() <= 3));
       if (2 * ejected <= n) {
         for (int f = 0; f < ejected; ++f) CHECK_FALSE(taken.contains(numbered("e", f)));
--- a/tests/edge/storage_client_test.cpp
+++ b/tests/edge/storage_client_test.cpp
@@ -93,7 +93,7 @@
 // A turn that goes on from none has its chain at once.
 TEST(StorageClientAlone, EmptyChainIsComplete) {
   bool whole = false;
-  client.find_chain("", "p", "", in(100), [&](TurnChain chain) {
+  client.find_chain("", "p", "", in(100), [&](const TurnChain& chain) {
     whole = chain.result == LookupResult::complete && chain.turns.empty();
   });
   CHECK_TRUE(whole);
