--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -207,7 +207,7 @@
   return state_->answers;
 }
 
-void Balancer::share(double part) { state_->slow_start_budget_share = part; }
+void Balancer::set_slow_start_share(double share) { state_->slow_start_budget_share = share; }
 
 std::size_t Balancer::avoided(TimePoint now) const {
   std::size_t count = 0;
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -6,8 +6,8 @@
 
 namespace chutevane {
 
-std::vector<Learnt> Balancer::learnt() const {
-  std::vector<Learnt> learned;
+std::vector<LearnedLatency> Balancer::learned_latencies() const {
+  std::vector<LearnedLatency> learned;
   for (const Endpoint& endpoint : state_->endpoints) {
     if (endpoint.is_ready() && endpoint.latency_ms > 0.0)
       learned.push_back({endpoint.id, endpoint.started_at, endpoint.latency_ms});
@@ -15,26 +15,26 @@
   return learned;
 }
 
-void Balancer::recall(std::span<const Learnt> known, TimePoint now) {
-  for (const Learnt& learned : known) {
+void Balancer::restore_latencies(std::span<const LearnedLatency> known, TimePoint now) {
+  for (const LearnedLatency& learned : known) {
     Endpoint* endpoint = state_->find_endpoint(learned.endpoint);
     if (endpoint == nullptr || !endpoint->is_ready()) continue;
-    const bool is_same_process = endpoint->started_at == learned.came_up;
+    const bool is_same_process = endpoint->started_at == learned.started_at;
     if (is_same_process && endpoint->latency_ms <= 0.0) endpoint->latency_ms = learned.latency_ms;
   }
   state_->update_weights(now);
 }
 
-Carried Balancer::carried(TimePoint now) const {
+LearnedLoad Balancer::learned_load(TimePoint now) const {
   State& s = *state_;
-  Carried load{s.limit, s.arrival_rate, s.late_fraction, s.retry_tokens};
+  LearnedLoad load{s.limit, s.arrival_rate, s.late_fraction, s.retry_tokens};
   const auto count = static_cast<double>(load.times_ms.size());
   for (std::size_t i = 0; i < load.times_ms.size() && s.estimate.is_measured(now); ++i)
     load.times_ms[i] = s.estimate.quantile((static_cast<double>(i) + 0.5) / count, now).as_ms();
   return load;
 }
 
-void Balancer::carry(const Carried& load, TimePoint now) {
+void Balancer::restore_load(const LearnedLoad& load, TimePoint now) {
   State& s = *state_;
   s.limit = load.limit;
   s.arrival_rate = load.rate;
--- a/src/sidecar/driver.cpp
+++ b/src/sidecar/driver.cpp
@@ -197,13 +197,13 @@
 
 snapshot::Snapshot Driver::learnt() const {
   snapshot::Snapshot out;
-  for (const Learnt& l : balancer_.learnt()) {
+  for (const LearnedLatency& l : balancer_.learned_latencies()) {
     const std::string name = endpoints_.name_of(l.endpoint);
     const auto listed = listed_.find(name);
     if (listed == listed_.end()) continue;
-    out.endpoints.push_back({name, listed->second.address, l.came_up, l.latency_ms});
+    out.endpoints.push_back({name, listed->second.address, l.started_at, l.latency_ms});
   }
-  out.load = balancer_.carried(scheduler_.now());
+  out.load = balancer_.learned_load(scheduler_.now());
   out.endpoint_list.version = version_;
   out.endpoint_list.full = true;
   for (const auto& [id, entry] : listed_) out.endpoint_list.entries.push_back(entry);
@@ -211,12 +211,12 @@
 }
 
 void Driver::recall(const snapshot::WarmStart& known) {
-  std::vector<Learnt> out;
+  std::vector<LearnedLatency> out;
   for (const snapshot::EndpointRecord& r : known.endpoints) {
     if (const EndpointId id = endpoints_.id_of(r.name)) out.push_back({id, r.started_at, r.latency_ms});
   }
-  balancer_.recall(out, scheduler_.now());
-  balancer_.carry(known.load, scheduler_.now());
+  balancer_.restore_latencies(out, scheduler_.now());
+  balancer_.restore_load(known.load, scheduler_.now());
 }
 
 void Driver::note_closed(const discovery::Entry& e) {
--- a/src/sidecar/driver.hpp
+++ b/src/sidecar/driver.hpp
@@ -53,7 +53,7 @@
   snapshot::Snapshot learnt() const;
   void recall(const snapshot::WarmStart& known);
   // Of the sidecar's budgets: two processes may serve as one.
-  void share(double part) { balancer_.share(part), endpoints_.share(part); }
+  void share(double part) { balancer_.set_slow_start_share(part), endpoints_.share(part); }
   // The process is about to end: every call still in hand gets its final answer now.
   void break_off_all();
 
--- a/src/snapshot/describe.cpp
+++ b/src/snapshot/describe.cpp
@@ -26,7 +26,7 @@
          (age.confidence == AgeConfidence::estimated ? ", by Unix time over a start of the machine" : "");
 }
 
-std::string describe_p95(const Carried& load) {
+std::string describe_p95(const LearnedLoad& load) {
   if (load.times_ms.back() <= 0.0) return "not measured";
   return formatted("%.1f ms", load.times_ms[load.times_ms.size() * 95 / 100]);
 }
@@ -34,7 +34,7 @@
 }  // namespace
 
 std::string describe(const Snapshot& snapshot, const ClockReading& now) {
-  const Carried& load = snapshot.load;
+  const LearnedLoad& load = snapshot.load;
   const discovery::List& list = snapshot.endpoint_list;
   std::string out = line("sidecar", snapshot.sidecar_name);
   out += line("deployment", snapshot.deployment + ", one of " + std::to_string(snapshot.sidecar_count));
--- a/src/snapshot/snapshot_format.cpp
+++ b/src/snapshot/snapshot_format.cpp
@@ -45,7 +45,7 @@
   return {line, static_cast<std::size_t>(size)};
 }
 
-void write_load(json::Writer& out, const Carried& load) {
+void write_load(json::Writer& out, const LearnedLoad& load) {
   out.key("carried").open('{').key("limit").real(load.limit).key("rate").real(load.rate);
   out.key("late_part").real(load.late_part).key("retry_tokens").real(load.retry_tokens);
   out.key("times_ms").open('[');
@@ -97,8 +97,8 @@
   }
 }
 
-Carried read_load(const json::Value& object) {
-  Carried load;
+LearnedLoad read_load(const json::Value& object) {
+  LearnedLoad load;
   load.limit = number_member(object, "limit", max_calls);
   load.rate = number_member(object, "rate", max_calls);
   load.late_part = number_member(object, "late_part", 1.0);
--- a/src/snapshot/snapshot_format.hpp
+++ b/src/snapshot/snapshot_format.hpp
@@ -39,7 +39,7 @@
   bool is_clean_shutdown = false;  ///< the last one of a process that shut down: it spent nothing afterwards
   ClockReading written_at;
   std::vector<EndpointRecord> endpoints;
-  Carried load;
+  LearnedLoad load;
   discovery::List endpoint_list;  ///< as last received, complete
 };
 
--- a/src/snapshot/warm_start.hpp
+++ b/src/snapshot/warm_start.hpp
@@ -22,7 +22,7 @@
 /// What the process starts with. Figures that do not count are zero or absent.
 struct WarmStart {
   std::vector<EndpointRecord> endpoints;  ///< initial guesses, where the list has the same process there
-  Carried load;
+  LearnedLoad load;
   bool is_list_usable = false;  ///< the snapshot's endpoint list may be used until discovery answers
   Age age;
   std::string reason;  ///< for the log: what was taken and what was not, and why
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -768,9 +768,9 @@
 TEST(CarriedOver, TimesAreMeasuredFromTheFirstCall) {
   Bench before(3), after(3);
   before.history(40, 100, 500);
-  const Carried c = before.balancer.carried(at(510));
+  const LearnedLoad c = before.balancer.learned_load(at(510));
   EXPECT_GT(c.times_ms.back(), 0.0);
-  after.balancer.carry(c, at(10));
+  after.balancer.restore_load(c, at(10));
   const double cap = after.call(1, 20).span.as_ms();
   EXPECT_GT(cap, 240);
   EXPECT_LT(cap, 400);
@@ -779,14 +779,14 @@
 TEST(CarriedOver, ALimitOnTrialFallsToTheFloorWithLateAnswers) {
   const auto let_in = [](double took, bool on_trial) {
     Bench b(3);
-    Carried c;
+    LearnedLoad c;
     c.limit = 200.0;
     c.on_trial = on_trial;
-    b.balancer.carry(c, at(10));
+    b.balancer.restore_load(c, at(10));
     std::vector<Answer> out;
     for (CallId id = 1; id <= 8; ++id) out.push_back(b.call(id, 10));
     for (const Answer& a : out) b.end(a, Outcome::done, 10 + took, took);
-    return b.balancer.carried(at(10 + took)).limit;
+    return b.balancer.learned_load(at(10 + took)).limit;
   };
   EXPECT_EQ(let_in(50, true), 200.0);
   EXPECT_EQ(let_in(1900, true), 0.0);     // more than a fifth of the answers of the trial are late
@@ -805,9 +805,9 @@
       std::vector<ListedEndpoint> cold = endpoints(3);
       for (ListedEndpoint& l : cold) l.came_up = at(9);
       b.listed(ListKind::full, cold, at(10));
-      Carried c;
+      LearnedLoad c;
       c.budgets_spent = spent;
-      b.carry(c, at(10));
+      b.restore_load(c, at(10));
       for (CallId id = 1; id <= 40; ++id)
         out += b.arrived({id, 0, Span::ms(4000), false}, at(10 + 37 * static_cast<double>(id))).verdict ==
                Verdict::dispatch;
@@ -818,17 +818,18 @@
   EXPECT_GT(sent(false), 3);
 }
 
-TEST(Learnt, AFollowerDrawsByWhatWasLearntOfTheSameProcess) {
+TEST(LearnedLatencies, AFollowerDrawsByWhatWasLearntOfTheSameProcess) {
   Bench before(4), after(4);
   for (CallId id = 1; id <= 200; ++id) {
     const Answer a = before.call(id, 10);
     before.end(a, Outcome::done, 20, a.endpoint == 1 ? 400 : 50);
   }
-  auto known = before.balancer.learnt();
+  auto known = before.balancer.learned_latencies();
   ASSERT_EQ(known.size(), 4U);
-  for (Learnt& l : known) l.came_up = l.endpoint == 2 ? at(-5) : l.came_up;  // of a process before it
-  after.balancer.recall(known, at(30));
-  EXPECT_EQ(after.balancer.learnt().size(), 3U);
+  for (LearnedLatency& l : known)
+    l.started_at = l.endpoint == 2 ? at(-5) : l.started_at;  // of a process before it
+  after.balancer.restore_latencies(known, at(30));
+  EXPECT_EQ(after.balancer.learned_latencies().size(), 3U);
   int slow = 0;
   for (CallId id = 1; id <= 200; ++id) {
     const Answer a = after.call(id, 40);
