--- a/src/snapshot/warm_start.cpp
+++ b/src/snapshot/warm_start.cpp
@@ -88,7 +88,7 @@
 }
 
 const discovery::EndpointList& newer_list(const discovery::EndpointList& configured, const Snapshot& snapshot,
-                                  const WarmStart& warm_start) {
+                                          const WarmStart& warm_start) {
   return warm_start.is_list_usable && snapshot.endpoint_list.version > configured.version
              ? snapshot.endpoint_list
              : configured;
--- a/src/snapshot/warm_start.hpp
+++ b/src/snapshot/warm_start.hpp
@@ -37,7 +37,8 @@
 /// it was learned with the endpoints of that time.
 [[nodiscard]] WarmStart restrict_to_list(WarmStart warm_start, const discovery::EndpointList& list);
 /// The list to start from: the snapshot's, if it may be used and has a higher version than `configured`.
-[[nodiscard]] const discovery::EndpointList& newer_list(const discovery::EndpointList& configured, const Snapshot& snapshot,
-                                                const WarmStart& warm_start);
+[[nodiscard]] const discovery::EndpointList& newer_list(const discovery::EndpointList& configured,
+                                                        const Snapshot& snapshot,
+                                                        const WarmStart& warm_start);
 
 }  // namespace chutevane::snapshot
--- a/tests/ctl/data_folder_test.cpp
+++ b/tests/ctl/data_folder_test.cpp
@@ -6,10 +6,10 @@
 
 #include <fstream>
 
-#include "control/acceptor.hpp"
 #include "common/disk.hpp"
 #include "common/durable_state.hpp"
 #include "common/memory_disk.hpp"
+#include "control/acceptor.hpp"
 #include "scripted_control.hpp"
 #include "storage/replica_store.hpp"
 
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -1,9 +1,9 @@
 /// A real edge between scripted peers, all on one loop and real loopback sockets.
 ///
 /// The edge under test is the production DataPlane on the machine's epoll. Around it stand a control session
-/// that pushes what a test wants in force, a storage sidecar, endpoints that play a misbehaviour byte by byte,
-/// and client connections that keep whatever came back. Everything runs on the test's own thread: nothing
-/// happens between two turns of the loop, nothing sleeps, and every wait has a bound.
+/// that pushes what a test wants in force, a storage sidecar, endpoints that play a misbehaviour byte by
+/// byte, and client connections that keep whatever came back. Everything runs on the test's own thread:
+/// nothing happens between two turns of the loop, nothing sleeps, and every wait has a bound.
 #pragma once
 
 #include <deque>
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -25,9 +25,9 @@
 #include "harness.hpp"
 #include "hot_restart/hot_restart_channel.hpp"
 #include "net/scheduler.hpp"
-#include "storage/replica_store.hpp"
 #include "snapshot/file_snapshot_store.hpp"
 #include "snapshot/snapshot_format.hpp"
+#include "storage/replica_store.hpp"
 #include "storage/storage_plane.hpp"
 
 namespace chutevane {
