--- a/src/common/disk.cpp
+++ b/src/common/disk.cpp
@@ -1,4 +1,4 @@
-/// Identities of disks.
+/// Generation of disk ids.
 #include "common/disk.hpp"
 
 #include <array>
--- a/src/common/disk_health.hpp
+++ b/src/common/disk_health.hpp
@@ -1,4 +1,4 @@
-/// Whether a process's disk accepts writes, judged by the outcome of the latest one.
+/// Tracks whether a process's disk accepts writes, by the outcome of the latest write.
 #pragma once
 
 #include "absl/status/status.h"
@@ -6,21 +6,22 @@
 
 namespace chutevane::common {
 
-/// Logs each change: `disk.failed` with the error, `disk.works` once a write succeeds again. Not thread-safe.
+/// Logs each change of state: `disk.failed` with the error, `disk.works` once a write succeeds again. Not
+/// thread-safe.
 class DiskHealth {
  public:
-  /// The outcome of a write that had to be durable. Returns is_healthy().
+  /// Records the outcome of a durable write. Returns is_healthy().
   bool record_outcome(const absl::Status& outcome) {
     if (outcome.ok() == healthy_) return healthy_;
     healthy_ = outcome.ok();
     if (healthy_) {
-      log_info("disk.works", "it takes writes again");
+      log_info("disk.works", "writes succeed again");
     } else {
       log_event(Level::error, "disk.failed", outcome.ToString());
     }
     return healthy_;
   }
-  /// True before the first outcome.
+  /// Returns true if the latest write succeeded, or if there was none yet.
   bool is_healthy() const { return healthy_; }
 
  private:
--- a/src/common/durable_state.cpp
+++ b/src/common/durable_state.cpp
@@ -1,4 +1,4 @@
-/// Recovery, checkpoints and changes of a durable state. The header has the protocol.
+/// Recovery, checkpoints and changes of a durable state. The header describes the protocol.
 #include "common/durable_state.hpp"
 
 #include <cstring>
@@ -16,8 +16,8 @@
   if (!slots.ok()) return slots.status();
   if (!slots->newest) {
     recovery_failed_ = false;
-    // A slot that is damaged while there is no other never was in force, or its loss is beyond what is
-    // tolerated.
+    // A damaged slot without a complete one was either never in effect, or its loss exceeds the faults that
+    // are tolerated.
     return slots->damaged ? absl::DataLossError(name_) : absl::NotFoundError(name_);
   }
   current_slot_ = slots->newest->slot;
@@ -51,7 +51,7 @@
 absl::Status DurableState::sync_current_files() {
   for (const std::string& file : {slot_file(current_slot_), log_file(current_slot_)}) {
     absl::Status synced = disk_.sync(file);
-    if (!synced.ok() && !absl::IsNotFound(synced)) return synced;  // there may be no log yet
+    if (!synced.ok() && !absl::IsNotFound(synced)) return synced;  // the log may not exist yet
   }
   return absl::OkStatus();
 }
@@ -71,8 +71,7 @@
 }
 
 absl::Status DurableState::write_checkpoint(std::string_view state) {
-  if (recovery_failed_)
-    return absl::FailedPreconditionError(name_ + ": what the disk holds could not be read");
+  if (recovery_failed_) return absl::FailedPreconditionError(name_ + ": the stored state could not be read");
   const int slot = 1 - current_slot_;
   const std::uint64_t number = number_ + 1;
   needs_checkpoint_ = true;
@@ -86,7 +85,7 @@
 
 absl::Status DurableState::write_slot(int slot, std::uint64_t number, std::string_view state) {
   const std::string log = log_file(slot);
-  // The log first: once the slot is complete a recovery reads the log beside it.
+  // The log is emptied first: once the slot is complete, a recovery reads its log.
   if (absl::Status s = disk_.truncate(log, 0); !s.ok()) return s;
   if (absl::Status s = disk_.sync(log); !s.ok()) return s;
   const std::string file = slot_file(slot);
@@ -99,17 +98,17 @@
 }
 
 absl::Status DurableState::append_change(std::string_view change) {
-  if (recovery_failed_)
-    return absl::FailedPreconditionError(name_ + ": what the disk holds could not be read");
+  if (recovery_failed_) return absl::FailedPreconditionError(name_ + ": the stored state could not be read");
   if (needs_checkpoint_)
-    return absl::FailedPreconditionError(name_ + ": a whole state has to be written first");
+    return absl::FailedPreconditionError(
+        name_ + ": a checkpoint must be written first, because the last operation failed");
   const std::string log = log_file(current_slot_);
   const std::string frame = frame_record(change, number_);
   needs_checkpoint_ = true;
   if (absl::Status s = disk_.append(log, frame); !s.ok()) return s;
   if (absl::Status s = disk_.sync(log); !s.ok()) return s;
   needs_checkpoint_ = false;
-  // Callers write a checkpoint once the log is full: one change may come on top.
+  // Callers write a checkpoint once the log is full, so only one change may exceed the limit.
   check_invariant(Invariant::log_is_bounded, log_size_ <= max_log_bytes_,
                   [&] { return log + " has " + std::to_string(log_size_) + " bytes before a change"; });
   log_size_ += frame.size();
--- a/src/common/memory_disk.cpp
+++ b/src/common/memory_disk.cpp
@@ -1,4 +1,4 @@
-/// The model of a disk: steps, faults, and what a loss of power leaves.
+/// The model of a disk: steps, faults and power failures.
 #include "common/memory_disk.hpp"
 
 #include <algorithm>
@@ -60,7 +60,7 @@
   file.durable = replay(std::move(file.durable), file.unsynced, [](const Write& write) {
     return write.dropped ? WriteOutcome::missing : WriteOutcome::complete;
   });
-  if (!file.name_durable) removed_.clear();  // the directory is synced for the new name
+  if (!file.name_durable) removed_.clear();  // syncing a new file also syncs the directory
   file.name_durable = true;
   file.unsynced.clear();
   return absl::OkStatus();
@@ -77,7 +77,7 @@
 
 std::string MemoryDisk::replay(std::string content, const std::vector<Write>& writes,
                                const std::function<WriteOutcome(const Write&)>& outcome_of) {
-  std::size_t end = content.size();  // of the file, had every write so far been complete
+  std::size_t end = content.size();  // size of the file if every write so far had been complete
   for (const Write& write : writes) {
     const WriteOutcome outcome = outcome_of(write);
     if (write.is_truncation) {
--- a/src/common/memory_disk.hpp
+++ b/src/common/memory_disk.hpp
@@ -1,9 +1,10 @@
-/// A Disk in memory with injected faults, for tests and the simulation. Deterministic.
+/// A deterministic in-memory Disk with fault injection, for tests and the simulation.
 ///
-/// It models the worst that the deployment allows of a real disk: at a loss of power each write since the
-/// last sync is there, missing or torn by itself, a new file whose name was not synced may be gone, and a
-/// removed file may come back. append(), truncate(), sync() and remove() count as one step each; a fault is
-/// active for a range of steps, so that a test can run the same work once for every step and break it there.
+/// It models the worst behaviour that is tolerated of a real disk: at a power failure each write since the
+/// last sync is independently complete, missing or torn, a new file whose directory entry was not synced may
+/// disappear, and a removed file may come back. append(), truncate(), sync() and remove() each count as one
+/// step; a fault is active for a range of steps, so that a test can repeat the same work with a fault at
+/// every step.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +19,25 @@
 
 namespace chutevane::common {
 
-/// What an injected fault does to the steps that it covers. Reading always works.
+/// The effect of an injected fault on the steps that it covers. Reads always succeed.
 enum class DiskFault : std::uint8_t {
-  /// Every step fails (Unavailable) and does nothing.
+  /// Every step fails (Unavailable) and has no effect.
   no_power,
-  /// An append writes half of its bytes and fails (ResourceExhausted), and no file can be created. Truncating
-  /// and syncing an existing file work.
+  /// An append writes half of its bytes and fails (ResourceExhausted), and no file can be created. Existing
+  /// files can be truncated and synced.
   full,
-  /// A sync fails (DataLoss), and what it should have covered never reaches the disk, whatever is synced
-  /// later.
+  /// A sync fails (DataLoss), and the writes that it should have covered are lost, even if a later sync
+  /// succeeds.
   sync_drops_writes,
-  /// A sync fails (DataLoss). What it should have covered may be durable or not, and a later sync covers it.
+  /// A sync fails (DataLoss). The writes that it should have covered may or may not be durable, and a later
+  /// sync covers them.
   sync_outcome_unknown,
 };
 
-/// Not thread-safe. Copies are independent, so that a test can try several losses of power from one state.
+/// Not thread-safe. Copies are independent, so that a test can try several power failures from one state.
 class MemoryDisk : public Disk {
  public:
-  /// Above every number of a step.
+  /// Larger than the number of any step.
   static constexpr auto no_step = static_cast<std::size_t>(-1);
 
   std::vector<std::string> list_files() override;
@@ -45,41 +47,43 @@
   absl::Status sync(const std::string& name) override;
   absl::Status remove(const std::string& name) override;
 
-  /// Every step from number `step` on (0: the first one ever) fails as on a machine without power. `no_step`
-  /// ends the fault without a loss of power: what a killed process leaves to the next.
+  /// Makes every step from number `step` on fail with DiskFault::no_power; 0 is the first step of this disk.
+  /// `no_step` ends the fault without losing unsynced writes, as after a process was killed.
   void lose_power_at(std::size_t step) { inject_fault(DiskFault::no_power, step, no_step); }
-  /// Steps from `first` up to, and without, `end` meet `fault`. Replaces an earlier fault.
+  /// Applies `fault` to the steps from `first` up to but not including `end`. Replaces an earlier fault.
   void inject_fault(DiskFault fault, std::size_t first, std::size_t end) {
     fault_ = fault;
     fault_begin_ = first;
     fault_end_ = end;
   }
-  /// Steps so far, failed ones included.
+  /// Returns the number of steps so far, including failed ones.
   std::size_t step_count() const { return step_count_; }
-  /// Power goes and comes back; faults end. `seed` decides which of the writes that were not synced survive.
+  /// Simulates a power failure and a restart, and ends all faults. `seed` determines which unsynced writes
+  /// survive.
   void power_cycle(std::uint64_t seed);
 
  private:
   /// An append or a truncation that was not synced.
   struct Write {
     bool is_truncation = false;
-    std::size_t size = 0;  // of the file, after a truncation
-    std::string bytes;     // of an append
-    bool dropped = false;  // by DiskFault::sync_drops_writes
+    std::size_t size = 0;  // size of the file after a truncation
+    std::string bytes;     // bytes of an append
+    bool dropped = false;  // dropped by DiskFault::sync_drops_writes
   };
-  /// What a loss of power has made of one write. The order of the enumerators is that of the random draw.
+  /// The effect of a power failure on one write. The random draw depends on the order of the enumerators.
   enum class WriteOutcome : std::uint8_t { missing, torn, complete };
-  /// A file, as it is read now and as far as it is durable.
+  /// The current and the durable content of a file.
   struct File {
-    std::string durable;        // what survives for sure
-    std::string current;        // what read() returns
-    bool name_durable = false;  // the directory was synced since the file was created
+    std::string durable;        // content that survives a power failure
+    std::string current;        // content returned by read()
+    bool name_durable = false;  // the directory has been synced since the file was created
     std::vector<Write> unsynced;
   };
 
-  /// Counts a step; the fault that it meets, if any.
+  /// Counts a step and returns the fault that applies to it, if any.
   std::optional<DiskFault> begin_step();
-  /// Applies `writes` to `content`, each with its outcome. A missing append in the middle leaves zeros.
+  /// Applies `writes` to `content`, each with its outcome. A missing append before a surviving one leaves
+  /// zeros.
   static std::string replay(std::string content, const std::vector<Write>& writes,
                             const std::function<WriteOutcome(const Write&)>& outcome_of);
 
--- a/src/common/posix_disk.cpp
+++ b/src/common/posix_disk.cpp
@@ -1,4 +1,4 @@
-/// Files of a directory by POSIX calls. The header has the contract.
+/// POSIX implementation of Disk. The header describes the contract.
 #include "common/posix_disk.hpp"
 
 #include <dirent.h>
--- a/src/common/posix_disk.hpp
+++ b/src/common/posix_disk.hpp
@@ -1,4 +1,4 @@
-/// A Disk that is a directory of the machine.
+/// A Disk backed by a directory of the file system.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 namespace chutevane::common {
 
 /// Opens each file once and keeps the descriptor until the file is removed or the disk destroyed. Errors
-/// carry the path and the code of errno (absl::ErrnoToStatus).
+/// contain the path and the status code for errno (absl::ErrnoToStatus).
 ///
-/// The name of a new file is durable only once its directory was synced. sync() does that for every file
-/// whose directory entry this process has not synced yet, also for files that an earlier process has created:
-/// it may have been killed in between.
+/// The name of a new file is durable only once its directory has been synced. sync() therefore also syncs the
+/// directory unless this process has done so since it opened the file. This includes files that an earlier
+/// process created: it may have been killed before it synced the directory.
 class PosixDisk final : public Disk {
  public:
-  /// `directory` exists; it is not created here.
+  /// `directory` must exist; it is not created.
   explicit PosixDisk(std::string directory) : directory_(std::move(directory)) {}
   ~PosixDisk() override;
   PosixDisk(const PosixDisk&) = delete;
   PosixDisk& operator=(const PosixDisk&) = delete;
 
-  /// Files whose names begin with a dot are left out.
+  /// Omits files whose names begin with a dot.
   std::vector<std::string> list_files() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
   absl::Status append(const std::string& name, std::string_view bytes) override;
@@ -39,11 +39,11 @@
   /// An open file.
   struct File {
     int descriptor = -1;        // owned
-    bool name_durable = false;  // the directory was synced since this process opened or created the file
+    bool name_durable = false;  // the directory has been synced since this process opened the file
   };
-  /// The descriptor, which stays owned by `files_`.
+  /// Returns the file's descriptor, which remains owned by `files_`.
   absl::StatusOr<int> open(const std::string& name, OpenMode mode);
-  /// Makes the names of all files that exist by now durable.
+  /// Makes the names of all existing files durable.
   absl::Status sync_directory();
 
   const std::string directory_;
--- a/src/common/record_framing.cpp
+++ b/src/common/record_framing.cpp
@@ -1,4 +1,4 @@
-/// Writing and parsing of frames. The header has the layout.
+/// Writing and parsing of frames. The header file describes the layout.
 #include "common/record_framing.hpp"
 
 #include <xxhash.h>
--- a/tests/common/durable_state_test.cpp
+++ b/tests/common/durable_state_test.cpp
@@ -1,5 +1,5 @@
-/// DurableState on a disk that loses power, or whose process is killed, at every step in turn: what was
-/// acknowledged is there, or the state that was being written; never a mix.
+/// DurableState with a power failure, or a killed process, at every step: recovery finds what was
+/// acknowledged or the state that was being written, never a mix.
 #include "common/durable_state.hpp"
 
 #include <algorithm>
@@ -17,16 +17,16 @@
 
 namespace {
 
-constexpr std::uint64_t power_cycle_seeds = 40;  // tried at each point
+constexpr std::uint64_t power_cycle_seeds = 40;  // tried at each step
 
-/// A recovered state: the checkpoint and the changes since.
+/// A recovered state: the checkpoint and the changes since. `exists` is false if nothing was stored.
 struct StoredState {
-  bool there = false;
+  bool exists = false;
   std::string state;
   std::vector<std::string> changes;
   bool operator==(const StoredState&) const = default;
   std::string text() const {
-    std::string out = there ? state.substr(0, 12) + numbered("/", state.size()) : "nothing";
+    std::string out = exists ? state.substr(0, 12) + numbered("/", state.size()) : "nothing";
     for (const std::string& c : changes) out += " + " + c.substr(0, 12);
     return out;
   }
@@ -36,10 +36,11 @@
   return {true, from.checkpoint, from.changes};
 }
 
-/// One write, and what it makes of a state.
+/// A checkpoint or a change.
 struct Operation {
   bool is_checkpoint = false;
   std::string text;
+  /// Returns the state that results if the operation is applied to `before`.
   StoredState after(StoredState before) const {
     if (is_checkpoint) return {true, text, {}};
     before.changes.push_back(text);
@@ -50,7 +51,7 @@
   }
 };
 
-/// Long states, shorter ones over them, and logs of several records beside each.
+/// Long states that are replaced by shorter ones, and logs with several records.
 const std::vector<Operation>& operations() {
   static const std::vector<Operation> all = {
       {true, "one " + std::string(300, 'a')},
@@ -69,7 +70,8 @@
   return all;
 }
 
-/// After the operations up to the first that fails: what was acknowledged, and what was attempted last.
+/// The result of running operations up to the first one that fails: the last acknowledged state, and the
+/// state that was attempted last.
 struct RunResult {
   StoredState acknowledged, attempted;
 };
@@ -84,19 +86,19 @@
   return out;
 }
 
-std::size_t steps_of_all() {
+std::size_t step_count_of_operations() {
   MemoryDisk disk;
   DurableState state(disk, "s");
   apply_all(state, {}, operations());
   return disk.step_count();
 }
 
-/// Recovers. A first checkpoint that was torn counts as nothing: nobody was told of it.
-StoredState open_again(DurableState& state, const RunResult& before, const std::string& where) {
+/// Recovers a state. A torn first checkpoint counts as no state, since it was not acknowledged.
+StoredState recover_or_empty(DurableState& state, const RunResult& before, const std::string& where) {
   const auto got = state.recover();
   if (got.ok()) return stored_state(*got);
-  CHECK_TEXT(!before.acknowledged.there,
-             (where + ": lost, though acknowledged: " + got.status().ToString()).c_str());
+  CHECK_TEXT(!before.acknowledged.exists,
+             (where + ": an acknowledged state was lost: " + got.status().ToString()).c_str());
   return {};
 }
 
@@ -115,7 +117,7 @@
 
 TEST_GROUP(DurableStateOnDisk){};
 
-TEST(DurableStateOnDisk, NothingIsThereAtFirst) {
+TEST(DurableStateOnDisk, NewDiskHasNoState) {
   MemoryDisk disk;
   DurableState state(disk, "s");
   CHECK_TRUE(absl::IsNotFound(state.recover().status()));
@@ -132,10 +134,10 @@
   CHECK_TRUE(stored_state(*got) == done.acknowledged);
 }
 
-// Guards what was acknowledged against a loss of power at each step of writing, whatever becomes of what was
-// not synced.
-TEST(DurableStateOnDisk, LossOfPowerAtEveryStep) {
-  const std::size_t points = steps_of_all();
+// Guards against losing an acknowledged state by a power failure at any step, whichever unsynced writes
+// survive.
+TEST(DurableStateOnDisk, PowerFailureAtEveryStep) {
+  const std::size_t points = step_count_of_operations();
   CHECK_TRUE(points > 30);
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t seed = 0; seed < power_cycle_seeds; ++seed) {
@@ -145,16 +147,16 @@
       const RunResult before = apply_all(state, {}, operations());
       disk.power_cycle(seed);
       DurableState again(disk, "s");
-      check_stored(open_again(again, before, at_point(point, seed)), before, at_point(point, seed));
+      check_stored(recover_or_empty(again, before, at_point(point, seed)), before, at_point(point, seed));
     }
   }
 }
 
-// The same disk goes on after a loss and loses power again: what the first loss left is no worse ground.
-TEST(DurableStateOnDisk, SecondLossAtEveryStepAfterAFirst) {
+// Guards against a second power failure after the first: the remains of the first must not corrupt the state.
+TEST(DurableStateOnDisk, SecondPowerFailureAtEveryStep) {
   const std::vector<Operation> more = {
       {false, "g1"}, {true, "five " + std::string(40, 'd')}, {false, "g2"}, {true, "six"}};
-  const std::size_t points = steps_of_all();
+  const std::size_t points = step_count_of_operations();
   for (std::size_t first = 0; first <= points; ++first) {
     for (std::size_t second = 0; second <= 14; ++second) {
       for (std::uint64_t seed = 0; seed < 6; ++seed) {
@@ -165,22 +167,22 @@
         const RunResult before = apply_all(state, {}, operations());
         disk.power_cycle(seed * 77 + first);
         DurableState again(disk, "s");
-        const StoredState there = open_again(again, before, where);
-        if (!there.there) continue;  // it would begin as a new disk does
+        const StoredState recovered = recover_or_empty(again, before, where);
+        if (!recovered.exists) continue;  // as with a new disk
         disk.lose_power_at(disk.step_count() + second);
-        const RunResult then = apply_all(again, there, more);
+        const RunResult then = apply_all(again, recovered, more);
         disk.power_cycle(seed * 131 + second);
         DurableState last(disk, "s");
-        check_stored(open_again(last, then, where), then, where);
+        check_stored(recover_or_empty(last, then, where), then, where);
       }
     }
   }
 }
 
-// A killed process leaves its files as they are: the next one reads what was acknowledged, or what was
+// A killed process leaves its files as they are: the next process reads what was acknowledged, or what was
 // attempted last.
 TEST(DurableStateOnDisk, KilledAtEveryStep) {
-  const std::size_t points = steps_of_all();
+  const std::size_t points = step_count_of_operations();
   for (std::size_t point = 0; point <= points; ++point) {
     MemoryDisk disk;
     DurableState state(disk, "s");
@@ -188,15 +190,15 @@
     const RunResult before = apply_all(state, {}, operations());
     disk.lose_power_at(MemoryDisk::no_step);
     DurableState again(disk, "s");
-    check_stored(open_again(again, before, at_point(point, 0)), before, at_point(point, 0));
+    check_stored(recover_or_empty(again, before, at_point(point, 0)), before, at_point(point, 0));
   }
 }
 
-// A disk that fails at one step and then works again, as one that was full: nothing is appended behind what
-// the failure has left. Opened again, it holds what was acknowledged; a whole state written instead is what
-// lasts.
+// A disk that fails at one step and then works again, like one that was full: no change is appended after the
+// remains of the failed operation. Recovery finds what was acknowledged, or the checkpoint that was written
+// afterwards.
 TEST(DurableStateOnDisk, FailureOfOneStepAtEachPoint) {
-  const std::size_t points = steps_of_all();
+  const std::size_t points = step_count_of_operations();
   for (std::size_t point = 0; point < points; ++point) {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
       MemoryDisk disk;
@@ -207,7 +209,7 @@
       CHECK_FALSE((Operation{false, "behind"}.apply(state).ok()));
       MemoryDisk other = disk;
       DurableState written(other, "s");
-      const StoredState found = open_again(written, before, at_point(point, seed));
+      const StoredState found = recover_or_empty(written, before, at_point(point, seed));
       check_stored(found, before, at_point(point, seed));
       CHECK_TRUE((Operation{true, "whole"}.apply(state).ok()));
       MemoryDisk dark = disk;
@@ -215,21 +217,22 @@
       DurableState lasting(dark, "s");
       const auto last = lasting.recover();
       CHECK_TRUE(last.ok() && last->checkpoint == "whole" && last->changes.empty());
-      std::swap(disk, other);  // as it was before that
-      const StoredState there = open_again(state, before, at_point(point, seed));
-      check_stored(there, before, at_point(point, seed));
+      std::swap(disk, other);  // the disk before the checkpoint "whole"
+      const StoredState recovered = recover_or_empty(state, before, at_point(point, seed));
+      check_stored(recovered, before, at_point(point, seed));
       const RunResult then =
-          apply_all(state, there, {{true, "next"}, {false, "n1"}, {true, "last"}, {false, "l1"}});
+          apply_all(state, recovered, {{true, "next"}, {false, "n1"}, {true, "last"}, {false, "l1"}});
       CHECK_TRUE(then.acknowledged.state == "last");
       disk.power_cycle(seed);
       DurableState again(disk, "s");
-      check_stored(open_again(again, then, at_point(point, seed)), then, at_point(point, seed));
+      check_stored(recover_or_empty(again, then, at_point(point, seed)), then, at_point(point, seed));
     }
   }
 }
 
-// A file that can't be read now: neither the older slot nor a log without its changes is the newest state.
-TEST(DurableStateOnDisk, UnreadableFileIsNoOlderState) {
+// Guards against recovering an outdated state while a file cannot be read: neither the older slot nor the
+// checkpoint without its changes is the newest state.
+TEST(DurableStateOnDisk, UnreadableFileIsAnError) {
   class Unreadable final : public MemoryDisk {
    public:
     absl::StatusOr<std::string> read(const std::string& name) override {
@@ -254,9 +257,9 @@
   CHECK_TRUE(got.ok() && got->checkpoint == "second" && got->changes == std::vector<std::string>{"change"});
 }
 
-// A fault while it is opened: cutting the spoilt end of a log takes steps too.
-TEST(DurableStateOnDisk, LossOfPowerWhileItOpens) {
-  const std::size_t points = steps_of_all();
+// Power failure during recovery, which may truncate the damaged end of a log.
+TEST(DurableStateOnDisk, PowerFailureDuringRecovery) {
+  const std::size_t points = step_count_of_operations();
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t seed = 0; seed < power_cycle_seeds; ++seed) {
       for (std::size_t step = 0; step < 3; ++step) {
@@ -270,13 +273,13 @@
         (void)torn.recover();
         disk.power_cycle(seed + 7);
         DurableState again(disk, "s");
-        check_stored(open_again(again, before, at_point(point, seed)), before, at_point(point, seed));
+        check_stored(recover_or_empty(again, before, at_point(point, seed)), before, at_point(point, seed));
       }
     }
   }
 }
 
-TEST(DurableStateOnDisk, SpoiltRecordEndsTheLog) {
+TEST(DurableStateOnDisk, DamagedRecordEndsTheLog) {
   for (std::size_t at = 0; at < 120; ++at) {
     MemoryDisk disk;
     DurableState state(disk, "s");
@@ -288,7 +291,8 @@
     CHECK_TRUE(disk.truncate("s.log0", 0).ok());
     CHECK_TRUE(disk.append("s.log0", log).ok());
     CHECK_TRUE(disk.sync("s.log0").ok());
-    const std::size_t good = at / 22;  // of records: 16 bytes and the text; "first" has 21
+    // Records before the damage: each takes 16 bytes and its text; "first" takes 21.
+    const std::size_t good = at / 22;
     DurableState again(disk, "s");
     const auto got = again.recover();
     CHECK_TRUE(got.ok());
@@ -296,7 +300,7 @@
     const std::vector<std::string> all = {"first", "second", "third"};
     for (std::size_t i = 0; i < got->changes.size(); ++i) CHECK_TRUE(got->changes[i] == all[i]);
     CHECK_TRUE(got->changes.size() < 3);
-    // What is appended then is not hidden behind the spoilt bytes.
+    // A change appended afterwards is not hidden by the damaged bytes.
     CHECK_TRUE(again.append_change("behind").ok());
     DurableState last(disk, "s");
     const auto then = last.recover();
@@ -315,15 +319,15 @@
   DurableState again(disk, "s");
   const auto got = again.recover();
   CHECK_TRUE(got.ok() && got->checkpoint == "second" && got->changes.empty());
-  // And the other way round, where the newer one lies in the first slot.
+  // The same with the newer checkpoint in the first slot.
   CHECK_TRUE(again.write_checkpoint("third").ok());
   DurableState last(disk, "s");
   const auto then = last.recover();
   CHECK_TRUE(then.ok() && then->checkpoint == "third" && then->changes.empty());
 }
 
-// The newer slot is spoilt on the disk: the older, good one is read with its own log.
-TEST(DurableStateOnDisk, SpoiltSlotGivesWayToTheOlder) {
+// If the newer slot is damaged, the older one is recovered with its own log.
+TEST(DurableStateOnDisk, DamagedSlotFallsBackToTheOlder) {
   for (std::size_t at = 0; at < 16 + 8 + 6; ++at) {
     MemoryDisk disk;
     DurableState state(disk, "s");
@@ -341,8 +345,8 @@
   }
 }
 
-// Both spoilt: that is told, and is not taken for a new disk.
-TEST(DurableStateOnDisk, BothSpoiltIsALoss) {
+// Guards against treating a disk with two damaged slots as a new one.
+TEST(DurableStateOnDisk, TwoDamagedSlotsAreDataLoss) {
   MemoryDisk disk;
   DurableState state(disk, "s");
   CHECK_TRUE(state.write_checkpoint("first").ok() && state.write_checkpoint("second").ok());
@@ -351,15 +355,16 @@
   CHECK_TRUE(absl::IsDataLoss(again.recover().status()));
 }
 
-// A log that a lost cut has left beside a newer slot: its records are of an older state.
-TEST(DurableStateOnDisk, RecordsOfAnOlderLogAreNotTaken) {
+// Guards against applying an old log to a newer checkpoint, which could happen if a power failure undoes the
+// truncation of the log.
+TEST(DurableStateOnDisk, RecordsOfAnOlderLogAreIgnored) {
   MemoryDisk disk;
   DurableState state(disk, "s");
   CHECK_TRUE(state.write_checkpoint("first").ok());
   CHECK_TRUE(state.append_change("of the first").ok());
   const std::string old_log = *disk.read("s.log0");
   CHECK_TRUE(state.write_checkpoint("second").ok());
-  CHECK_TRUE(state.write_checkpoint("third").ok());  // into the slot beside that log
+  CHECK_TRUE(state.write_checkpoint("third").ok());  // written to the slot of that log
   CHECK_TRUE(disk.truncate("s.log0", 0).ok() && disk.append("s.log0", old_log).ok());
   DurableState again(disk, "s");
   const auto got = again.recover();
@@ -383,17 +388,17 @@
 
 TEST_GROUP(DurableStateKilledThenPowerLoss){};
 
-// A process is killed between a write and its sync. The next one reads what lies there and tells of it; a
-// loss of power must not take it back then.
+// A process is killed between a write and its sync, and the next process recovers the written state. A later
+// power failure must not undo that state, since it may have been reported.
 TEST(DurableStateKilledThenPowerLoss, WhatWasReadLasts) {
-  const std::size_t points = steps_of_all();
+  const std::size_t points = step_count_of_operations();
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t seed = 0; seed < power_cycle_seeds; ++seed) {
       MemoryDisk disk;
       DurableState state(disk, "s");
       disk.lose_power_at(point);
       const RunResult before = apply_all(state, {}, operations());
-      disk.lose_power_at(MemoryDisk::no_step);  // killed: the files are as they were
+      disk.lose_power_at(MemoryDisk::no_step);  // killed: the files remain unchanged
       DurableState again(disk, "s");
       const auto first_read = again.recover();
       if (!first_read.ok()) continue;
@@ -409,8 +414,8 @@
 
 namespace {
 
-/// What a loss of power now would leave: what was acknowledged, or anything that was attempted since.
-void check_loss_of_power_now(const MemoryDisk& disk, const StoredState& acknowledged,
+/// Checks that a power failure now would leave what was acknowledged or one of the states attempted since.
+void check_power_failure_now(const MemoryDisk& disk, const StoredState& acknowledged,
                              const std::vector<StoredState>& attempted, const std::string& where) {
   for (std::uint64_t seed = 0; seed < 6; ++seed) {
     MemoryDisk cycled = disk;
@@ -418,7 +423,8 @@
     DurableState again(cycled, "s");
     const auto got = again.recover();
     if (!got.ok()) {
-      CHECK_WHERE(!acknowledged.there, where + ": lost, though acknowledged: " + got.status().ToString());
+      CHECK_WHERE(!acknowledged.exists,
+                  where + ": an acknowledged state was lost: " + got.status().ToString());
       continue;
     }
     const bool known = stored_state(*got) == acknowledged ||
@@ -431,10 +437,10 @@
 
 TEST_GROUP(DurableStateFaults){};
 
-// The disk is full, or syncs fail, at each step in turn and for some steps. The process goes on: each
-// operation that failed is given again, as a whole state, until the disk takes it.
-TEST(DurableStateFaults, GoesOnAfterAFaultAtEveryStep) {
-  const std::size_t points = steps_of_all();
+// The disk is full, or syncs fail, for some steps from each step on. The process continues: each failed
+// operation is repeated as a checkpoint until it succeeds.
+TEST(DurableStateFaults, ContinuesAfterAFaultAtEveryStep) {
+  const std::size_t points = step_count_of_operations();
   for (const DiskFault fault :
        {DiskFault::full, DiskFault::sync_drops_writes, DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from <= points; ++from) {
@@ -449,29 +455,30 @@
           std::vector<StoredState> attempted;
           Operation now = operation;
           for (int tries = 0;; ++tries) {
-            CHECK_WHERE(tries < 12, where + ": the disk works, and the operation fails");
-            if (state.needs_checkpoint() || !acknowledged.there)
+            CHECK_WHERE(tries < 12, where + ": the operation still fails after the fault has ended");
+            if (state.needs_checkpoint() || !acknowledged.exists)
               now = {true, "whole after " + operation.text};
             attempted.push_back(now.after(acknowledged));
             if (now.apply(state).ok()) break;
-            check_loss_of_power_now(disk, acknowledged, attempted,
+            check_power_failure_now(disk, acknowledged, attempted,
                                     where + ", failed " + operation.text.substr(0, 5));
           }
           acknowledged = attempted.back();
-          check_loss_of_power_now(disk, acknowledged, {}, where + ", after " + operation.text.substr(0, 5));
+          check_power_failure_now(disk, acknowledged, {}, where + ", after " + operation.text.substr(0, 5));
         }
       }
     }
   }
 }
 
-// What a failed operation has left may be newer than what is in use: nothing may be appended behind that.
-TEST(DurableStateFaults, NothingIsAppendedAfterAFailedOrder) {
+// Guards against appending a change after a failed checkpoint: recovery might choose that checkpoint, and
+// lose the change.
+TEST(DurableStateFaults, NothingIsAppendedAfterAFailedCheckpoint) {
   MemoryDisk disk;
   DurableState state(disk, "s");
   CHECK_TRUE(state.write_checkpoint("first").ok());
   disk.inject_fault(DiskFault::sync_outcome_unknown, disk.step_count() + 4,
-                    disk.step_count() + 5);  // the last step of a write
+                    disk.step_count() + 5);  // the last step of a checkpoint
   CHECK_FALSE(state.write_checkpoint("second").ok());
   CHECK_TRUE(absl::IsFailedPrecondition(state.append_change("change of the first")));
   CHECK_TRUE(state.write_checkpoint("third").ok());
@@ -482,8 +489,8 @@
   CHECK_TRUE(got->changes == std::vector<std::string>{"change of the third"});
 }
 
-// A start changes nothing that needs room: it succeeds on a full disk.
-TEST(DurableStateFaults, OpensOnAFullDisk) {
+// Recovery needs no disk space, so it succeeds on a full disk.
+TEST(DurableStateFaults, RecoversOnAFullDisk) {
   MemoryDisk disk;
   DurableState state(disk, "s");
   CHECK_TRUE(state.write_checkpoint("state").ok() && state.append_change("change").ok());
--- a/tests/common/memory_disk_test.cpp
+++ b/tests/common/memory_disk_test.cpp
@@ -1,4 +1,4 @@
-/// The disk in memory models what a real one may do to files that were removed.
+/// MemoryDisk models how a power failure affects removed files.
 #include "common/memory_disk.hpp"
 
 #include <cstdint>
@@ -15,19 +15,19 @@
 
 TEST_GROUP(MemoryDiskNames){};
 
-// A file that was removed comes back at some losses of power, unless a new file was synced since.
+// A removed file comes restored after some power failures, unless a new file was synced since its removal.
 TEST(MemoryDiskNames, RemovedFilesMayComeBackUntilASync) {
-  std::size_t back = 0;
+  std::size_t restored = 0;
   for (std::uint64_t seed = 0; seed < power_cycle_seeds; ++seed) {
     MemoryDisk disk;
     CHECK_TRUE(disk.append("a", "one").ok() && disk.sync("a").ok() && disk.remove("a").ok());
     CHECK_FALSE(disk.read("a").ok());
-    disk.power_cycle(seed * 0x9e3779b97f4a7c15ULL);  // small ones draw alike at first
+    disk.power_cycle(seed * 0x9e3779b97f4a7c15ULL);  // small seeds begin with similar draws
     if (!disk.read("a").ok()) continue;
-    ++back;
+    ++restored;
     CHECK_TRUE(*disk.read("a") == "one");
   }
-  CHECK_TRUE(back > 0 && back < power_cycle_seeds);
+  CHECK_TRUE(restored > 0 && restored < power_cycle_seeds);
   for (std::uint64_t seed = 0; seed < power_cycle_seeds; ++seed) {
     MemoryDisk disk;
     CHECK_TRUE(disk.append("a", "one").ok() && disk.sync("a").ok() && disk.remove("a").ok());
--- a/tests/common/posix_disk_test.cpp
+++ b/tests/common/posix_disk_test.cpp
@@ -1,5 +1,5 @@
-// The machine's folder: which system calls make a new file last. A loss of power may take the name of a file
-// that was made without a sync of its folder, whatever was synced of the file itself.
+// PosixDisk: which files and directories are synced. Guards against losing a new file by a power failure: its
+// name is durable only after a sync of its directory, even if the file itself was synced.
 #include "common/posix_disk.hpp"
 
 #include <stdlib.h>
@@ -16,10 +16,10 @@
 
 namespace {
 
-// What was synced, in order: the paths as the kernel has them.
+// Paths that were synced, in order.
 std::vector<std::string> synced;
 
-void note_sync(int fd) {
+void record_sync(int fd) {
   const std::string link = "/proc/self/fd/" + std::to_string(fd);
   char path[4096];
   const ssize_t size = ::readlink(link.c_str(), path, sizeof path);
@@ -28,68 +28,68 @@
 
 }  // namespace
 
-// In the place of the C library's own, for all of this program.
+// Replace the functions of the C library in this program.
 extern "C" int fsync(int fd) {
-  note_sync(fd);
+  record_sync(fd);
   return static_cast<int>(::syscall(SYS_fsync, fd));
 }
 extern "C" int fdatasync(int fd) {
-  note_sync(fd);
+  record_sync(fd);
   return static_cast<int>(::syscall(SYS_fdatasync, fd));
 }
 
 TEST_GROUP(PosixDiskNames) {
-  std::string folder;
+  std::string directory;
   void setup() override {
     char pattern[] = "/tmp/chutevane-folder-XXXXXX";
-    folder = std::filesystem::canonical(::mkdtemp(pattern));
+    directory = std::filesystem::canonical(::mkdtemp(pattern));
     synced.clear();
     synced.reserve(100);
   }
   void teardown() override {
-    std::filesystem::remove_all(folder);
+    std::filesystem::remove_all(directory);
     std::vector<std::string>().swap(synced);
   }
   long syncs_of(const std::string& path) const { return std::count(synced.begin(), synced.end(), path); }
 };
 
 TEST(PosixDiskNames, ANewFilesNameIsSyncedWithIt) {
-  chutevane::common::PosixDisk disk(folder);
+  chutevane::common::PosixDisk disk(directory);
   CHECK_TRUE(disk.append("a", "text").ok());
   CHECK_TRUE(disk.sync("a").ok());
-  CHECK_EQUAL(1, syncs_of(folder + "/a"));
-  CHECK_EQUAL(1, syncs_of(folder));
+  CHECK_EQUAL(1, syncs_of(directory + "/a"));
+  CHECK_EQUAL(1, syncs_of(directory));
 }
 
-TEST(PosixDiskNames, AFileThatIsMadeByACutToo) {
-  chutevane::common::PosixDisk disk(folder);
+TEST(PosixDiskNames, AFileCreatedByTruncationIsSyncedWithItsName) {
+  chutevane::common::PosixDisk disk(directory);
   CHECK_TRUE(disk.truncate("a", 0).ok());
   CHECK_TRUE(disk.sync("a").ok());
-  CHECK_EQUAL(1, syncs_of(folder));
+  CHECK_EQUAL(1, syncs_of(directory));
 }
 
-TEST(PosixDiskNames, TheFolderIsSyncedOncePerNewFile) {
-  chutevane::common::PosixDisk disk(folder);
+TEST(PosixDiskNames, TheDirectoryIsSyncedOncePerNewFile) {
+  chutevane::common::PosixDisk disk(directory);
   for (int n = 0; n < 5; ++n) {
     CHECK_TRUE(disk.append("a", "text").ok());
     CHECK_TRUE(disk.sync("a").ok());
   }
-  CHECK_EQUAL(5, syncs_of(folder + "/a"));
-  CHECK_EQUAL(1, syncs_of(folder));
+  CHECK_EQUAL(5, syncs_of(directory + "/a"));
+  CHECK_EQUAL(1, syncs_of(directory));
   CHECK_TRUE(disk.append("b", "text").ok());
   CHECK_TRUE(disk.sync("b").ok());
-  CHECK_EQUAL(2, syncs_of(folder));
+  CHECK_EQUAL(2, syncs_of(directory));
 }
 
-// A process before this one may have been killed between making a file and syncing its name.
-TEST(PosixDiskNames, AFileOfAProcessBeforeIsSyncedWithItsName) {
+// An earlier process may have been killed between creating a file and syncing its directory.
+TEST(PosixDiskNames, AFileOfAnEarlierProcessIsSyncedWithItsName) {
   {
-    chutevane::common::PosixDisk before(folder);
+    chutevane::common::PosixDisk before(directory);
     CHECK_TRUE(before.append("a", "text").ok());
   }
   synced.clear();
-  chutevane::common::PosixDisk disk(folder);
+  chutevane::common::PosixDisk disk(directory);
   CHECK_TRUE(disk.read("a").ok());
   CHECK_TRUE(disk.sync("a").ok());
-  CHECK_EQUAL(1, syncs_of(folder));
+  CHECK_EQUAL(1, syncs_of(directory));
 }
--- a/tests/common/record_framing_test.cpp
+++ b/tests/common/record_framing_test.cpp
@@ -1,4 +1,4 @@
-/// Framing of records: torn, damaged and foreign bytes are told from records.
+/// Framing of records: torn, damaged and foreign bytes are distinguished from records.
 #include "common/record_framing.hpp"
 
 #include <string>
@@ -13,7 +13,7 @@
 
 TEST_GROUP(RecordFraming){};
 
-// However a file of frames is cut, what is read is a beginning of what was written.
+// Parsing any prefix of a file yields exactly the records that the prefix has completely.
 TEST(RecordFraming, CutAtEveryByte) {
   const std::vector<std::string> all = {"", "a", std::string(40, 'b'), "cc"};
   std::string file;
@@ -23,12 +23,12 @@
     ends.push_back(file.size());
   }
   for (std::size_t cut = 0; cut <= file.size(); ++cut) {
-    std::size_t whole = 0;
-    while (whole < ends.size() && ends[whole] <= cut) ++whole;
+    std::size_t complete = 0;
+    while (complete < ends.size() && ends[complete] <= cut) ++complete;
     const auto [got, size] = parse_frames(std::string_view(file).substr(0, cut), 5);
-    CHECK_EQUAL(whole, got.size());
+    CHECK_EQUAL(complete, got.size());
     for (std::size_t i = 0; i < got.size(); ++i) CHECK_TRUE(got[i] == all[i]);
-    CHECK_EQUAL(whole > 0 ? ends[whole - 1] : 0, size);
+    CHECK_EQUAL(complete > 0 ? ends[complete - 1] : 0, size);
   }
 }
 
