--- a/src/common/avro.cpp
+++ b/src/common/avro.cpp
@@ -13,21 +13,23 @@
   std::abort();
 }
 
-/// The schemas, and one value a record type. The library counts references, so that each part is released by
-/// itself.
+/// The parsed schemas, and one value object for each record type. The library counts references, so each
+/// member is released independently.
 struct Schemas {
-  std::map<std::string, avro_value_t, std::less<>> values;  // by record name; branches of `unions`
+  std::map<std::string, avro_value_t, std::less<>>
+      values;  // by record name; each is a branch of one of `unions`
   std::vector<avro_value_t> unions;
   std::vector<avro_value_iface_t*> classes;
   std::vector<avro_schema_t> schemas;
   Schemas() {
     for (const char* text : {control_schema, storage_schema}) {
       avro_schema_t all;
-      if (avro_schema_from_json_length(text, std::strlen(text), &all) != 0) abort_on_bad_schema("not read");
-      // Records refer to one another, so a file is one schema: a union of all its records. Each value that is
-      // used here is a branch of a union value of its own.
+      if (avro_schema_from_json_length(text, std::strlen(text), &all) != 0)
+        abort_on_bad_schema("cannot be parsed");
+      // Records refer to one another, so each schema file is a single schema: the union of all its records.
+      // Each record type's value is a branch of its own union value.
       avro_value_iface_t* iface = avro_generic_class_from_schema(all);
-      if (iface == nullptr) abort_on_bad_schema("no class");
+      if (iface == nullptr) abort_on_bad_schema("cannot create the value class");
       schemas.push_back(all);
       classes.push_back(iface);
       for (std::size_t i = 0; i < avro_schema_union_size(all); ++i) {
@@ -35,7 +37,7 @@
         avro_value_t union_value, value;
         if (avro_generic_value_new(iface, &union_value) != 0 ||
             avro_value_set_branch(&union_value, static_cast<int>(i), &value) != 0)
-          abort_on_bad_schema("no value");
+          abort_on_bad_schema("cannot create a value");
         unions.push_back(union_value);
         values.emplace(avro_schema_name(branch), value);
       }
@@ -65,10 +67,10 @@
 
 std::string serialize(avro_value_t* value) {
   std::size_t size = 0;
-  if (avro_value_sizeof(value, &size) != 0) abort_on_bad_schema("size");
+  if (avro_value_sizeof(value, &size) != 0) abort_on_bad_schema("cannot determine the encoded size");
   std::string out(size, '\0');
   avro_writer_t writer = avro_writer_memory(out.data(), static_cast<std::int64_t>(size));
-  if (avro_value_write(writer, value) != 0) abort_on_bad_schema("write");
+  if (avro_value_write(writer, value) != 0) abort_on_bad_schema("cannot encode a value");
   avro_writer_free(writer);
   return out;
 }
--- a/src/common/avro.hpp
+++ b/src/common/avro.hpp
@@ -1,12 +1,13 @@
-/// Encoding of records as Avro, by the schema files in api/.
+/// Avro encoding and decoding of records, according to the schema files in api/.
 ///
-/// A record type is a struct with a constant `record` (its name in the schema) and a template
-/// `each(visitor)`, which calls `visitor(name, field)` for every field in the order of the schema. Everything
-/// here is a visitor: to write a record, to read one, and to validate bytes before they are read. Fields are
-/// std::int64_t, bool, std::string, Bytes, other records, and vectors of strings or records.
+/// A record type is a struct with a constant `record` (its name in the schema) and a member template
+/// `each(visitor)`, which calls `visitor(name, field)` for every field in the order of the schema. The
+/// classes below are such visitors: they write a record, read a record, or validate bytes before they are
+/// read. A field is a std::int64_t, bool, std::string, Bytes, another record, or a vector of strings or
+/// records.
 ///
-/// Values of the Avro library are made once for each record type and used again: encoded() and decode() must
-/// be called on one thread.
+/// The Avro library's value objects are created once for each record type and reused, so encoded() and
+/// decode() must all be called on the same thread.
 #pragma once
 
 #include <avro.h>
@@ -19,11 +20,11 @@
 
 namespace chutevane::common {
 
-// The text of api/control.avsc and api/storage.avsc; the build puts it in.
+// The text of api/control.avsc and api/storage.avsc, which CMake inserts into schemas.cpp.in.
 extern const char* const control_schema;
 extern const char* const storage_schema;
 
-/// A field of the schema's type `bytes`, where std::string is `string`.
+/// A field of the schema type `bytes`. (A std::string has the schema type `string`.)
 struct Bytes {
   std::string data;
   bool operator==(const Bytes&) const = default;
@@ -31,11 +32,11 @@
 
 namespace avro {
 
-/// The library's value for the record type of that name, to be filled or read. It is never freed. Aborts the
-/// process where the schema files have no such type: the program was built wrong.
+/// Returns the library's value object for the record type `record`, to be filled or read. The library owns it
+/// until the process exits. Aborts the process if the schema files have no such type, which is a build error.
 avro_value_t* shared_value(const char* record);
 
-/// Visitor: writes the fields of a struct into a value of the library.
+/// Visitor that writes the fields of a struct into a value of the Avro library.
 class RecordWriter {
  public:
   explicit RecordWriter(avro_value_t* record) : record_(record) {}
@@ -89,7 +90,7 @@
   avro_value_t* record_;
 };
 
-/// Visitor: reads the fields of a struct from a value of the library.
+/// Visitor that reads the fields of a struct from a value of the Avro library.
 class RecordReader {
  public:
   explicit RecordReader(avro_value_t* record) : record_(record) {}
@@ -155,12 +156,13 @@
   avro_value_t* record_;
 };
 
-/// Visitor: walks the encoding of a record without storing anything. The library needs this guard against
-/// bytes from outside: it allocates whatever a length says, and leaks it where the bytes end early.
+/// Visitor that checks the encoding of a record without storing anything. Untrusted bytes must pass this
+/// check before the library parses them: the library allocates as much memory as a length field claims, and
+/// leaks it if the bytes end early.
 class EncodingValidator {
  public:
   explicit EncodingValidator(std::string_view bytes) : rest_(bytes) {}
-  /// After the visit: the bytes are the encoding of the record, and nothing is left over.
+  /// Returns true if, after the visit, the bytes are a valid encoding of the record with no trailing bytes.
   bool is_complete() const { return valid_ && rest_.empty(); }
   void operator()(const char*, const std::int64_t&) { number(); }
   void operator()(const char*, const bool&) {
@@ -177,11 +179,11 @@
     while (valid_) {
       std::int64_t count = number();
       if (!valid_ || count == 0) return;
-      if (count < 0) {  // a block with its size in bytes before it
+      if (count < 0) {  // a negative count is followed by the size of the block in bytes
         number();
         count = count == INT64_MIN ? 0 : -count;
       }
-      // Every item takes a byte at least: there cannot be more items than bytes.
+      // Every item takes at least one byte, so there cannot be more items than bytes.
       if (count <= 0 || static_cast<std::uint64_t>(count) > rest_.size()) valid_ = false;
       for (; valid_ && count > 0; --count) {
         if constexpr (std::is_same_v<T, std::string>) {
@@ -201,7 +203,7 @@
   }
 
  private:
-  /// A zigzag variable-length integer, as Avro encodes all of them.
+  /// Consumes a zigzag-encoded variable-length integer, the encoding of all integers in Avro.
   std::int64_t number() {
     std::uint64_t out = 0;
     for (int shift = 0; valid_ && shift < 70; shift += 7) {
@@ -214,7 +216,7 @@
     valid_ = false;
     return 0;
   }
-  /// A length, then as many bytes.
+  /// Consumes a length and that many bytes.
   void text() {
     const std::int64_t size = number();
     if (!valid_ || size < 0 || static_cast<std::uint64_t>(size) > rest_.size()) {
@@ -227,13 +229,14 @@
   bool valid_ = true;
 };
 
+/// Returns the encoding of `value`.
 std::string serialize(avro_value_t* value);
-/// False: the bytes are no value of that type.
+/// Decodes `bytes` into `value`. Returns false if they are not a valid encoding of a value of its type.
 [[nodiscard]] bool parse(std::string_view bytes, avro_value_t* value);
 
 }  // namespace avro
 
-/// The Avro encoding of a record.
+/// Returns the Avro encoding of a record.
 template <class M>
 std::string encoded(const M& message) {
   avro_value_t* value = avro::shared_value(M::record);
@@ -245,8 +248,8 @@
   return out;
 }
 
-/// Reads a record from its encoding. False: the bytes are not exactly one such record; `into` is then
-/// unchanged.
+/// Decodes a record from its encoding. Returns false, and leaves `into` unchanged, unless the bytes are the
+/// encoding of exactly one such record.
 template <class M>
 [[nodiscard]] bool decode(std::string_view bytes, M& into) {
   avro::EncodingValidator validator(bytes);
--- a/src/common/messages.hpp
+++ b/src/common/messages.hpp
@@ -1,12 +1,13 @@
-/// All records of api/*.avsc as plain structs: messages between sidecars, and what they store on disk.
+/// All records of api/*.avsc as plain structs: the messages between sidecars and the records stored on disk.
 ///
-/// Each struct has the name of its Avro record (`record`), the number that stands for it on the wire (`kind`,
-/// see common/frame.hpp), and each(), which names every field to a visitor in the order of the schema. The
-/// names that are given to the visitor are those of the schema, and older than the names of the fields: they
-/// are part of the format and stay. `kind` numbers are never used again for another record.
+/// Each struct has the name of its Avro record (`record`), the number that identifies it on the wire (`kind`,
+/// see common/frame.hpp), and each(), which passes every field with its name to a visitor in the order of the
+/// schema. The names passed to the visitor are those of the schema. They are part of the format and must not
+/// change, also where they differ from the name of the member. A `kind` number is never reused for another
+/// record.
 ///
-/// Times are in milliseconds where the field's name ends in `_ms`. An empty RegisterValue (a
-/// default-constructed one) stands for "not sent".
+/// Fields whose names end in `_ms` are in milliseconds. A default-constructed RegisterValue means that the
+/// value was not sent.
 #pragma once
 
 #include "common/messages/controllers.hpp"
--- a/src/common/messages/controllers.hpp
+++ b/src/common/messages/controllers.hpp
@@ -10,16 +10,17 @@
 
 namespace chutevane::common {
 
-/// The durable state of a control sidecar beside its acceptor: what it starts from.
+/// The durable state of a control sidecar other than its acceptor's. It is read at each start.
 struct ControllerRecord {
   static constexpr const char* record = "Controller_record";
   static constexpr std::uint8_t kind = 13;
   std::string disk;  ///< id of the disk, generated when the disk was new
-  /// The disk was new when the whole system was: the first set means it, although that set names no disks.
+  /// The disk took part in the initial start of the system: it belongs to the first set of acceptors, which
+  /// has no disk ids.
   bool first = false;
-  RegisterValue known;                   ///< the newest chosen value that it knows
-  RegisterValue initial;                 ///< first value of the newest epoch that it knows
-  std::vector<std::string> controllers;  ///< `ADDRESS:PORT` of the control sidecars that it knew
+  RegisterValue known;                   ///< the newest known chosen value
+  RegisterValue initial;                 ///< first value of the newest known epoch
+  std::vector<std::string> controllers;  ///< `ADDRESS:PORT` of the known control sidecars
   template <class Visitor>
   void each(Visitor& v) {
     v("disk", disk);
@@ -34,8 +35,8 @@
 struct HeldRole {
   static constexpr const char* record = "Held_duty";
   static constexpr std::uint8_t kind = 15;
-  std::string name;       ///< of the role
-  std::int64_t term = 0;  ///< of the lease: its fencing token
+  std::string name;       ///< name of the role
+  std::int64_t term = 0;  ///< term of the lease, which is its fencing token
   template <class Visitor>
   void each(Visitor& v) {
     v("name", name);
@@ -43,36 +44,35 @@
   }
 };
 
-/// From each control sidecar to every other one, four times a second. `initial`, `controllers` and
-/// `members` are sent only where `full` is set; otherwise those of the latest full message still hold.
+/// Sent by each control sidecar to every other one four times per second. `initial`, `controllers` and
+/// `members` are sent only if `full` is set; otherwise those of the latest full message remain valid.
 struct Gossip {
   static constexpr const char* record = "Gossip";
   static constexpr std::uint8_t kind = 16;
   std::string node;               ///< name of the sender
   std::string address;            ///< `ADDRESS:PORT` of its internal control port
-  std::string control;            ///< `ADDRESS:PORT` where it serves operators; empty: it does not
+  std::string control;            ///< `ADDRESS:PORT` of its operator API; empty if it has none
   std::string disk;               ///< id of its disk
   std::string zone;               ///< failure domain
-  bool draining = false;          ///< it shuts down gracefully
+  bool draining = false;          ///< the sender is shutting down gracefully
   bool full = false;              ///< the message has all fields
-  std::int64_t epoch = 0;         ///< of the newest first value that it knows
-  std::int64_t known_number = 0;  ///< of the newest chosen value that it knows; 0: none
-  std::int64_t accepted = 0;      ///< number of the value that its acceptor has accepted in `epoch`; 0: none
-  bool voting = false;            ///< its acceptor has entered an epoch
-  bool first = false;             ///< as in ControllerRecord
-  bool disk_failing = false;      ///< its acceptor's disk refuses writes
-  RegisterValue initial;          ///< epoch and acceptors of the epoch's first value, nothing else of it
-  std::int64_t list_term = 0;     ///< term of the newest endpoint list that it or one of its sessions has
-  std::int64_t list_number = 0;   ///< number of that list; 0: it does not have that list itself
-  std::int64_t incarnation = 0;   ///< of the sender's process: drawn anew at each start
-  std::int64_t stamp = 0;         ///< the sender's steady clock at sending, in microseconds
-  /// Of the receiver's process, as the sender knows it from the receiver's latest message; 0: none has
-  /// come.
+  std::int64_t epoch = 0;         ///< epoch of the newest first value that it knows
+  std::int64_t known_number = 0;  ///< number of the newest chosen value that it knows; 0 if none
+  std::int64_t accepted = 0;     ///< number of the value that its acceptor has accepted in `epoch`; 0 if none
+  bool voting = false;           ///< its acceptor has entered an epoch
+  bool first = false;            ///< as in ControllerRecord
+  bool disk_failing = false;     ///< writes to its acceptor's disk fail
+  RegisterValue initial;         ///< only the epoch and the acceptors of the epoch's first value
+  std::int64_t list_term = 0;    ///< term of the newest endpoint list that it or one of its sessions has
+  std::int64_t list_number = 0;  ///< number of that list; 0 if it does not have that list itself
+  std::int64_t incarnation = 0;  ///< identifies the sender's process; drawn at random at each start
+  std::int64_t stamp = 0;        ///< the sender's steady clock at sending, in microseconds
+  /// Incarnation in the latest message that the sender received from the receiver; 0 if it received none.
   std::int64_t echo_incarnation = 0;
   std::int64_t echo_stamp = 0;  ///< `stamp` of that message, in microseconds
-  /// `ADDRESS:PORT` of the control sidecars that the sender believes to be there.
+  /// `ADDRESS:PORT` of the control sidecars that the sender considers present.
   std::vector<std::string> controllers;
-  std::vector<HeldRole> held_roles;  ///< whose leases the sender holds
+  std::vector<HeldRole> held_roles;  ///< roles whose leases the sender holds
   std::vector<Member> members;       ///< sidecars with a session at the sender
   template <class Visitor>
   void each(Visitor& v) {
@@ -102,13 +102,13 @@
   }
 };
 
-/// From a candidate to each acceptor's sidecar: a request for a vote in the election of a role's holder.
+/// Sent by a candidate to each acceptor's sidecar: requests a vote in the election of a role's holder.
 /// Answered by a VoteReply.
 struct VoteRequest {
   static constexpr const char* record = "Vote";
   static constexpr std::uint8_t kind = 17;
   std::string role;       ///< name of the role
-  std::int64_t term = 0;  ///< that the candidate stands for
+  std::int64_t term = 0;  ///< term of the requested lease
   std::string node;       ///< name of the candidate
   template <class Visitor>
   void each(Visitor& v) {
@@ -122,8 +122,8 @@
 struct VoteReply {
   static constexpr const char* record = "Voted";
   static constexpr std::uint8_t kind = 18;
-  bool granted = false;   ///< the vote is the candidate's
-  std::int64_t term = 0;  ///< of the newest lease of that role that the voter knows
+  bool granted = false;   ///< the voter votes for the candidate
+  std::int64_t term = 0;  ///< term of the newest lease of that role that the voter knows
   template <class Visitor>
   void each(Visitor& v) {
     v("granted", granted);
@@ -131,12 +131,12 @@
   }
 };
 
-/// From the leader of the role `list` to another control sidecar: whether that one can fetch the platform's
-/// list. Answered by a PlatformCheckReply, once it has tried.
+/// Sent by the holder of the role `list` to another control sidecar: requests an attempt to fetch the
+/// platform's list. Answered by a PlatformCheckReply once the attempt has ended.
 struct PlatformCheckRequest {
   static constexpr const char* record = "Platform_check";
   static constexpr std::uint8_t kind = 39;
-  std::string node;  ///< name of the leader
+  std::string node;  ///< name of the role's holder
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
--- a/src/common/messages/coordination.hpp
+++ b/src/common/messages/coordination.hpp
@@ -1,5 +1,5 @@
-/// Records of the coordination service: calls for locks, numbers and keys between controllers, and the
-/// messages of the register that holds its state (control/coordination/).
+/// Records of the coordination service (control/coordination/): calls for locks, numbers and keys between
+/// controllers, and the messages of the register that stores the service's state.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
   }
 };
 
-/// A value of the coordination register was chosen.
+/// Notification that a value of the coordination register was chosen.
 struct CoordinationChosen {
   static constexpr const char* record = "Coordination_chosen";
   static constexpr std::uint8_t kind = 43;
@@ -42,13 +42,13 @@
   }
 };
 
-/// How far the sender knows the coordination register; from each controller to every other one.
+/// The sender's knowledge of the coordination register. Sent by each controller to every other one.
 struct CoordinationReport {
   static constexpr const char* record = "Coordination_report";
   static constexpr std::uint8_t kind = 44;
   std::string address;      ///< `ADDRESS:PORT` of the sender's internal control port
-  std::int64_t epoch = 0;   ///< of the newest set of acceptors that it knows
-  std::int64_t number = 0;  ///< of the newest chosen value that it knows; 0: none
+  std::int64_t epoch = 0;   ///< epoch of the newest set of acceptors that it knows
+  std::int64_t number = 0;  ///< number of the newest chosen value that it knows; 0 if none
   template <class Visitor>
   void each(Visitor& v) {
     v("address", address);
@@ -57,25 +57,26 @@
   }
 };
 
-/// A client's call, passed on to the controller that proposes. Answered by a CoordinationAnswer.
+/// A client's call, forwarded to the controller that proposes values. Answered by a CoordinationAnswer.
 struct CoordinationCall {
   static constexpr const char* record = "Coordination_call";
   static constexpr std::uint8_t kind = 45;
   std::int64_t operation = 0;  ///< a control::coordination::Operation
   std::int64_t id = 0;         ///< drawn at random for each call
-  std::string name;            ///< of the lock, number, key or group
+  std::string name;            ///< name of the lock, number, key or group
   std::string holder;
   std::int64_t fence = 0;
   std::int64_t hold_ms = 0;
   std::string value;
   std::int64_t applies_to = 0;    ///< revision that the key must have
-  std::int64_t time_left_ms = 0;  ///< then nobody waits for the answer
-  /// Of an acquisition: the grant of the lock that has ended by the sender's clock; 0: none.
+  std::int64_t time_left_ms = 0;  ///< time until the call's deadline
+  /// In an acquisition: the grant of the lock that has expired by the sender's clock; 0 if none.
   std::int64_t expired_grant_id = 0;
   std::int64_t expired_grant_number = 0;
-  /// The receiver's newest stamp that the sender has received: the call was sent after it.
+  /// Incarnation and newest stamp that the sender has received from the receiver: the call was sent after
+  /// them.
   std::int64_t echo_incarnation = 0;
-  std::int64_t echo_stamp = 0;  ///< of the receiver's steady clock, in microseconds
+  std::int64_t echo_stamp = 0;  ///< time of the receiver's steady clock, in microseconds
   template <class Visitor>
   void each(Visitor& v) {
     v("operation", operation);
@@ -100,7 +101,7 @@
   static constexpr std::uint8_t kind = 46;
   std::int64_t outcome = 0;  ///< a control::coordination::Outcome
   std::int64_t number = 0;   ///< fencing token, number or revision
-  std::string value;         ///< of a key
+  std::string value;         ///< value of a key
   template <class Visitor>
   void each(Visitor& v) {
     v("outcome", outcome);
@@ -109,15 +110,15 @@
   }
 };
 
-/// What changed at an acceptor, as it stands in the log between two checkpoints: what it promised, and the
-/// value that it accepted, if it did.
+/// A change of an acceptor's state in the log between two checkpoints: a promise, and the accepted value if
+/// there was one.
 struct AcceptorChange {
   static constexpr const char* record = "Acceptor_change";
   static constexpr std::uint8_t kind = 47;
   Ballot promised;
-  Ballot accepted;             ///< round 0: nothing was accepted by this change
-  RegisterValue value;         ///< that was accepted, where there is no difference
-  ValueDifference difference;  ///< of the accepted value from the one accepted before
+  Ballot accepted;             ///< round 0 if this change accepted no value
+  RegisterValue value;         ///< accepted value; empty if `difference` is set
+  ValueDifference difference;  ///< accepted value as the difference from the previously accepted one
   template <class Visitor>
   void each(Visitor& v) {
     v("promised", promised);
--- a/src/common/messages/register.hpp
+++ b/src/common/messages/register.hpp
@@ -1,7 +1,7 @@
-/// Records of the register: its value, the messages of the consensus protocol, what an acceptor stores.
+/// Records of the register: its value, the messages of the consensus protocol, and the state of an acceptor.
 ///
-/// control/register.hpp has the protocol. Replies are sent by the acceptor that was asked, with RpcServer's
-/// reply.
+/// control/register.hpp describes the protocol. Acceptors send their replies with
+/// RpcServer::Connection::reply().
 #pragma once
 
 #include <compare>
@@ -13,12 +13,13 @@
 
 namespace chutevane::common {
 
-/// An acceptor of the register (the Paxos role): one control sidecar with its disk.
+/// An acceptor of the register (the Paxos role): a control sidecar with its disk.
 struct Acceptor {
   static constexpr const char* record = "Acceptor";
   static constexpr std::uint8_t kind = 1;
   std::string address;  ///< `ADDRESS:PORT` of its internal control port
-  /// Id of its disk; empty in the first set only, where it means the disk of the first start.
+  /// Id of its disk. It is empty only in the first set of acceptors, where it stands for the disk that the
+  /// sidecar had at the initial start.
   std::string disk;
   template <class Visitor>
   void each(Visitor& v) {
@@ -28,7 +29,7 @@
   bool operator==(const Acceptor&) const = default;
 };
 
-/// A storage sidecar of the storage map: one that replicas are placed on.
+/// A storage sidecar in the storage map: replicas are placed on it.
 struct StorageNode {
   static constexpr const char* record = "StorageNode";
   static constexpr std::uint8_t kind = 2;
@@ -36,10 +37,10 @@
   std::string disk;       ///< id of its disk
   std::string address;    ///< `ADDRESS:PORT` of its internal storage port
   std::string zone;       ///< failure domain
-  bool draining = false;  ///< on its way out of the map: its replicas are being copied to the others
-  /// Its disk took the place of a lost one, whose replicas have not been restored yet.
+  bool draining = false;  ///< it is leaving the map: its replicas are being copied to other nodes
+  /// Its disk replaced a lost one whose replicas have not been restored yet.
   bool disk_replaced = false;
-  bool bootstrapping = false;  ///< it has joined, and has not yet pulled all replicas that are placed on it
+  bool bootstrapping = false;  ///< it has joined, but has not yet pulled all replicas that are placed on it
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
@@ -53,12 +54,12 @@
   bool operator==(const StorageNode&) const = default;
 };
 
-/// An operator's order to drain a storage sidecar for good.
+/// An operator's request to drain a storage sidecar permanently.
 struct RetiredNode {
   static constexpr const char* record = "Retired";
   static constexpr std::uint8_t kind = 3;
   std::string node;        ///< name of the sidecar
-  bool completed = false;  ///< it is out of the map: its machine may be switched off
+  bool completed = false;  ///< it has left the map: its machine may be switched off
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
@@ -67,12 +68,12 @@
   bool operator==(const RetiredNode&) const = default;
 };
 
-/// A configuration that has been applied before, so that a repeated request for it is recognised
+/// A configuration that has been applied before. It is stored to detect a repeated request for it
 /// (idempotency).
 struct AppliedConfiguration {
   static constexpr const char* record = "Taken";
   static constexpr std::uint8_t kind = 4;
-  std::int64_t version = 0;  ///< as in the document
+  std::int64_t version = 0;  ///< version given in the document
   std::int64_t hash = 0;     ///< hash_of() its text (common/configuration.hpp)
   template <class Visitor>
   void each(Visitor& v) {
@@ -82,25 +83,27 @@
   bool operator==(const AppliedConfiguration&) const = default;
 };
 
-/// The value of the register: all state that the whole system agrees on. The record of a default-
-/// constructed value stands for "none".
+/// The value of the register: the state on which the whole system agrees. A default-constructed value stands
+/// for "no value".
 struct RegisterValue {
   static constexpr const char* record = "Value";
   static constexpr std::uint8_t kind = 5;
-  std::int64_t number = 0;          ///< rises by one with each chosen value; 0: no value
-  std::int64_t epoch = 0;           ///< of the acceptor set; 0: none
-  std::vector<Acceptor> acceptors;  ///< the set of this epoch
-  /// Not empty: the value is sealed, the last of its epoch; the next epoch has this set.
+  std::int64_t number = 0;          ///< increases by one with each chosen value; 0 if there is no value
+  std::int64_t epoch = 0;           ///< epoch of the acceptor set; 0 if there is none
+  std::vector<Acceptor> acceptors;  ///< acceptor set of this epoch
+  /// Acceptor set of the next epoch. If it is not empty, the value is sealed: it is the last one of its
+  /// epoch.
   std::vector<Acceptor> next_acceptors;
-  std::int64_t config_version = 0;  ///< of the configuration in force; 0: none yet
-  Bytes config;                     ///< the document in force, JSON as it was submitted
-  /// The latest ones, oldest first; left out of what members are sent.
+  std::int64_t config_version = 0;  ///< version of the active configuration; 0 if there is none yet
+  Bytes config;                     ///< the active configuration, JSON as it was submitted
+  /// The latest configurations, oldest first; not sent to members.
   std::vector<AppliedConfiguration> applied_configurations;
-  std::int64_t map_version = 0;            ///< of the storage map, rises with each change of it
+  std::int64_t map_version = 0;            ///< version of the storage map, which increases with each change
   std::vector<StorageNode> storage_nodes;  ///< the storage map
-  /// Taken out of the map while they did not respond; the others have not restored their replicas yet.
+  /// Nodes that were removed from the map because they did not respond, and whose replicas the other nodes
+  /// have not restored yet.
   std::vector<StorageNode> absent_nodes;
-  std::vector<RetiredNode> retired_nodes;  ///< drains that operators have ordered
+  std::vector<RetiredNode> retired_nodes;  ///< drains requested by operators
   template <class Visitor>
   void each(Visitor& v) {
     v("number", number);
@@ -118,15 +121,15 @@
   bool operator==(const RegisterValue&) const = default;
 };
 
-/// A register value as its difference from an earlier one (common/value_difference.hpp has the encoding).
-/// With empty `content` there is no difference: the message that contains it has the full value.
+/// A register value as the difference from an earlier one, in the encoding of common/value_difference.hpp. If
+/// `content` is empty there is no difference, and the message that contains this record has the full value.
 struct ValueDifference {
   static constexpr const char* record = "Value_difference";
   static constexpr std::uint8_t kind = 37;
-  std::int64_t base = 0;       ///< number of the value that it is based on
+  std::int64_t base = 0;       ///< number of the base value
   std::int64_t base_hash = 0;  ///< content_hash() of the base's record
   std::int64_t hash = 0;       ///< content_hash() of the resulting record
-  Bytes content;               ///< the encoded difference; empty: none
+  Bytes content;               ///< the encoded difference; empty if there is none
   template <class Visitor>
   void each(Visitor& v) {
     v("base", base);
@@ -137,11 +140,11 @@
   bool operator==(const ValueDifference&) const = default;
 };
 
-/// A proposal number. Ordered by round, then by proposer; no two proposers share one.
+/// A proposal number, ordered by round, then by proposer. Ballots of different proposers are never equal.
 struct Ballot {
   static constexpr const char* record = "Ballot";
   static constexpr std::uint8_t kind = 6;
-  std::int64_t round = 0;     ///< from 1; 0: no ballot
+  std::int64_t round = 0;     ///< starts at 1; 0 stands for no ballot
   std::int64_t proposer = 0;  ///< drawn at random by each process
   template <class Visitor>
   void each(Visitor& v) {
@@ -152,16 +155,16 @@
   auto operator<=>(const Ballot&) const = default;
 };
 
-/// Phase 1 of a proposal, or a read: from a proposer to each acceptor. Answered by a Promise.
+/// Phase 1 of a proposal, or a read. Sent by a proposer to each acceptor; answered by a Promise.
 struct Prepare {
   static constexpr const char* record = "Prepare";
   static constexpr std::uint8_t kind = 7;
-  std::int64_t epoch = 0;  ///< that the proposer believes to be the current one
-  Ballot ballot;           ///< to be promised
-  /// First value of that epoch, for an acceptor that has not entered it; empty: it has.
+  std::int64_t epoch = 0;  ///< the proposer's current epoch
+  Ballot ballot;           ///< ballot to promise
+  /// First value of that epoch, for an acceptor that has not entered it; empty if it has.
   RegisterValue initial;
-  bool read_only = false;  ///< only reads: nothing is promised
-  /// The proposer has the value that was accepted under it, which need not be sent; round 0: none.
+  bool read_only = false;  ///< the request is a read: nothing is promised
+  /// The proposer already has the value accepted under this ballot, so it need not be sent; round 0 if none.
   Ballot known_ballot{};
   template <class Visitor>
   void each(Visitor& v) {
@@ -177,14 +180,14 @@
 struct Promise {
   static constexpr const char* record = "Promise";
   static constexpr std::uint8_t kind = 8;
-  std::int64_t verdict = 0;  ///< a control::Verdict
-  std::int64_t epoch = 0;    ///< that the acceptor is in
+  std::int64_t verdict = 0;  ///< a control::AcceptorStatus
+  std::int64_t epoch = 0;    ///< epoch that the acceptor is in
   Ballot promised;           ///< the highest ballot that it has promised
-  Ballot accepted;           ///< under which it accepted `value`; round 0: it has accepted none
-  /// Empty: none, or, with `value_known`, the one that the proposer named by its `known_ballot`.
+  Ballot accepted;           ///< ballot under which it accepted `value`; round 0 if it has accepted none
+  /// The accepted value. Empty if there is none, or if `value_known` is set.
   RegisterValue value;
   RegisterValue initial;     ///< first value of a later epoch than the proposer's; empty otherwise
-  bool value_known = false;  ///< `value` is left out because the proposer has it
+  bool value_known = false;  ///< `value` is omitted because it is the one of the proposer's `known_ballot`
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
@@ -197,14 +200,14 @@
   }
 };
 
-/// Phase 2 of a proposal: from a proposer to each acceptor. Answered by an Accepted.
+/// Phase 2 of a proposal. Sent by a proposer to each acceptor; answered by an Accepted.
 struct Accept {
   static constexpr const char* record = "Accept";
   static constexpr std::uint8_t kind = 9;
-  std::int64_t epoch = 0;        ///< as in the Prepare
-  Ballot ballot;                 ///< that was promised
-  RegisterValue value;           ///< empty: it is sent as a difference
-  ValueDifference difference{};  ///< from the value that the acceptor has accepted last
+  std::int64_t epoch = 0;        ///< epoch of the Prepare
+  Ballot ballot;                 ///< the promised ballot
+  RegisterValue value;           ///< empty if it is sent as a difference
+  ValueDifference difference{};  ///< difference from the value that the acceptor accepted last
   template <class Visitor>
   void each(Visitor& v) {
     v("epoch", epoch);
@@ -218,8 +221,8 @@
 struct Accepted {
   static constexpr const char* record = "Accepted";
   static constexpr std::uint8_t kind = 10;
-  std::int64_t verdict = 0;  ///< a control::Verdict
-  std::int64_t epoch = 0;    ///< that the acceptor is in
+  std::int64_t verdict = 0;  ///< a control::AcceptorStatus
+  std::int64_t epoch = 0;    ///< epoch that the acceptor is in
   Ballot promised;           ///< the highest ballot that it has promised
   template <class Visitor>
   void each(Visitor& v) {
@@ -229,15 +232,15 @@
   }
 };
 
-/// A notification from a proposer to the other control sidecars: this value has been chosen.
+/// Notification from a proposer to the other control sidecars that a value has been chosen.
 struct Chosen {
   static constexpr const char* record = "Chosen";
   static constexpr std::uint8_t kind = 11;
-  RegisterValue value;           ///< empty: it is sent as a difference
-  RegisterValue initial;         ///< first value of its epoch; empty: the receiver has entered that epoch
-  ValueDifference difference{};  ///< from a value that the receiver knows
-  std::int64_t epoch = 0;        ///< of the value
-  Ballot ballot{};               ///< under which the value was accepted; round 0: not known
+  RegisterValue value;           ///< empty if it is sent as a difference
+  RegisterValue initial;         ///< first value of its epoch; empty if the receiver has entered that epoch
+  ValueDifference difference{};  ///< difference from a value that the receiver knows
+  std::int64_t epoch = 0;        ///< epoch of the value
+  Ballot ballot{};               ///< ballot under which the value was accepted; round 0 if not known
   template <class Visitor>
   void each(Visitor& v) {
     v("value", value);
@@ -252,10 +255,10 @@
 struct AcceptorRecord {
   static constexpr const char* record = "Acceptor_record";
   static constexpr std::uint8_t kind = 12;
-  std::int64_t epoch = 0;  ///< that it is in; 0: it has entered none
+  std::int64_t epoch = 0;  ///< epoch that it is in; 0 if it has entered none
   Ballot promised;         ///< the highest ballot that it has promised
-  Ballot accepted;         ///< under which it accepted `value`; round 0: none
-  RegisterValue value;     ///< accepted last in this epoch
+  Ballot accepted;         ///< ballot under which it accepted `value`; round 0 if none
+  RegisterValue value;     ///< the value accepted last in this epoch
   RegisterValue initial;   ///< first value of this epoch
   template <class Visitor>
   void each(Visitor& v) {
--- a/src/common/messages/sessions.hpp
+++ b/src/common/messages/sessions.hpp
@@ -1,7 +1,7 @@
-/// Records of sessions between members (edge and storage sidecars) and control sidecars.
+/// Records of the sessions between members (edge and storage sidecars) and control sidecars.
 ///
 /// A member keeps sessions with several control sidecars (common/control_sessions.hpp) and sends heartbeats
-/// down each; control sidecars push register values and endpoint lists, and send heartbeats of their own.
+/// on each; control sidecars push register values and endpoint lists, and send their own heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,22 @@
 
 namespace chutevane::common {
 
-/// A sidecar with a session, as it describes itself and as control sidecars pass it on to each other.
+/// A sidecar's description of itself, which control sidecars forward to each other.
 struct Member {
   static constexpr const char* record = "Member";
   static constexpr std::uint8_t kind = 14;
   std::string node;         ///< name of the sidecar, unique in the system
   std::string plane;        ///< "edge" or "storage"
-  std::string disk;         ///< id of its disk; empty: it has none
+  std::string disk;         ///< id of its disk; empty if it has none
   std::string address;      ///< `ADDRESS:PORT` of its internal port
   std::string zone;         ///< failure domain
-  std::int64_t number = 0;  ///< of the newest register value that it has; 0: none
-  /// The newest version of the storage map by which it has all replicas that are placed on it; 0: none.
+  std::int64_t number = 0;  ///< number of the newest register value that it has; 0 if none
+  /// The newest version of the storage map for which it has all replicas that are placed on it; 0 if none.
   std::int64_t complete_map_version = 0;
   /// Its machine counts towards the machine losses that the system must tolerate (setting `lossCounted`).
   bool counted = false;
-  bool draining = false;      ///< it shuts down gracefully: it is to be given nothing new
-  bool disk_failing = false;  ///< its disk refuses writes
+  bool draining = false;      ///< it is shutting down gracefully and must be given no new work
+  bool disk_failing = false;  ///< writes to its disk fail
   template <class Visitor>
   void each(Visitor& v) {
     v("node", node);
@@ -43,17 +43,17 @@
   }
 };
 
-/// From a member down each of its sessions: when it opens the session, and at each heartbeat.
+/// Sent by a member on each of its sessions: when the session is established, and at each heartbeat.
 struct MemberHeartbeat {
   static constexpr const char* record = "Hello";
   static constexpr std::uint8_t kind = 21;
   Member member;                 ///< the sender
-  std::int64_t list_term = 0;    ///< term of the endpoint list that it has; 0: none
+  std::int64_t list_term = 0;    ///< term of the endpoint list that it has; 0 if none
   std::int64_t list_number = 0;  ///< number of that list
-  bool primary = false;          ///< this session is the one that it takes its updates from first
-  bool closing = false;    ///< the session is at its end: the sender opens another elsewhere or shuts down
-  std::int64_t stamp = 0;  ///< the sender's steady clock at sending, in microseconds
-  /// Number of the newest push that it could not apply, as long as it has no later value; 0: none.
+  bool primary = false;          ///< this session is the primary: changes are pushed on it immediately
+  bool closing = false;          ///< the session is ending: the sender opens another elsewhere or shuts down
+  std::int64_t stamp = 0;        ///< the sender's steady clock at sending, in microseconds
+  /// Number of the newest push that it could not apply, until it has a newer value; 0 if none.
   std::int64_t rejected_push = 0;
   template <class Visitor>
   void each(Visitor& v) {
@@ -67,13 +67,13 @@
   }
 };
 
-/// A newer register value down a session: in full, or as the difference from one that the receiver has.
+/// Pushes a newer register value on a session: in full, or as the difference from one that the receiver has.
 struct ValuePush {
   static constexpr const char* record = "Push";
   static constexpr std::uint8_t kind = 22;
-  std::int64_t number = 0;     ///< of the value
-  RegisterValue value;         ///< empty: it is sent as a difference
-  ValueDifference difference;  ///< from a value that the receiver has
+  std::int64_t number = 0;     ///< number of the value
+  RegisterValue value;         ///< empty if it is sent as a difference
+  ValueDifference difference;  ///< difference from a value that the receiver has
   template <class Visitor>
   void each(Visitor& v) {
     v("number", number);
@@ -82,17 +82,18 @@
   }
 };
 
-/// From a control sidecar down each session, four times a second.
+/// Sent by a control sidecar on each session, four times per second.
 struct ControlHeartbeat {
   static constexpr const char* record = "Heartbeat";
   static constexpr std::uint8_t kind = 23;
-  /// Milliseconds: no value that was chosen longer ago than this is newer than `number`.
+  /// Age of the sender's knowledge in milliseconds: every value chosen longer ago than this has a number of
+  /// at most `number`.
   std::int64_t knowledge_age_ms = 0;
-  /// `stamp` of the newest MemberHeartbeat received down this session, in microseconds.
+  /// `stamp` of the newest MemberHeartbeat received on this session, in microseconds.
   std::int64_t echo_stamp = 0;
-  std::int64_t number = 0;               ///< of the newest chosen value that the sender knows; 0: none
-  std::int64_t edge_count = 0;           ///< edge sidecars in the system; 0: not known
-  std::vector<std::string> controllers;  ///< `ADDRESS:PORT` of the control sidecars; empty: as sent before
+  std::int64_t number = 0;      ///< number of the newest chosen value that the sender knows; 0 if none
+  std::int64_t edge_count = 0;  ///< number of edge sidecars in the system; 0 if not known
+  std::vector<std::string> controllers;  ///< `ADDRESS:PORT` of the control sidecars; empty if unchanged
   template <class Visitor>
   void each(Visitor& v) {
     v("fresh_ms", knowledge_age_ms);
--- a/src/common/messages/storage.hpp
+++ b/src/common/messages/storage.hpp
@@ -1,9 +1,9 @@
-/// Records of the storage plane: accounts of programs, retained turns, anti-entropy, what a storage disk
-/// stores.
+/// Records of the storage plane: accounts of programs, retained turns, anti-entropy, and the records on a
+/// storage disk.
 ///
-/// Accounts and turns are replicated: an edge sends each request to every replica that the storage map names,
-/// and counts the replies. Each message names the version of the map that its sender goes by, so that the two
-/// ends notice where they differ.
+/// Accounts and turns are replicated: an edge sends each request to every replica in the storage map and
+/// counts the replies. Requests and replies contain the version of the map that their sender uses, so that
+/// both ends detect different versions.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 
 namespace chutevane::common {
 
-/// From an edge to the replicas of a program's account, before a turn runs: reserves the most tokens that
-/// it may use. Answered by a ReserveReply.
+/// Sent by an edge to the replicas of a program's account before a turn runs: reserves the maximum number of
+/// tokens that the turn may use. Answered by a ReserveReply.
 struct ReserveRequest {
   static constexpr const char* record = "Reserve";
   static constexpr std::uint8_t kind = 24;
-  std::int64_t map_version = 0;  ///< of the storage map that the sender places by
+  std::int64_t map_version = 0;  ///< version of the storage map that the sender uses
   std::string program;           ///< id of the program
   std::string attempt;           ///< id of the reservation
-  std::int64_t max_tokens = 0;   ///< to be reserved
+  std::int64_t max_tokens = 0;   ///< number of tokens to reserve
   template <class Visitor>
   void each(Visitor& v) {
     v("map", map_version);
@@ -32,13 +32,13 @@
   }
 };
 
-/// Tokens that one attempt has reserved from its program's budget, or has used.
+/// The tokens of its program's budget that one attempt has reserved or used.
 struct Reservation {
   static constexpr const char* record = "Reservation";
   static constexpr std::uint8_t kind = 32;
-  std::string attempt;      ///< its id
-  std::int64_t tokens = 0;  ///< reserved, or used once committed
-  bool committed = false;   ///< `tokens` is the usage, and final
+  std::string attempt;      ///< id of the attempt
+  std::int64_t tokens = 0;  ///< reserved tokens, or used tokens once committed
+  bool committed = false;   ///< `tokens` is the final usage
   template <class Visitor>
   void each(Visitor& v) {
     v("attempt", attempt);
@@ -53,8 +53,8 @@
   static constexpr const char* record = "Reserved";
   static constexpr std::uint8_t kind = 25;
   std::int64_t verdict = 0;         ///< a storage::ReplicaStatus
-  std::int64_t map_version = 0;     ///< of the storage map that the replica goes by
-  std::vector<Reservation> others;  ///< all that the replica knows of the program's other attempts
+  std::int64_t map_version = 0;     ///< version of the storage map that the replica uses
+  std::vector<Reservation> others;  ///< the program's other attempts known to the replica
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
@@ -63,7 +63,7 @@
   }
 };
 
-/// Notification from an edge to the replicas: what a reservation's attempt has used. It replaces the
+/// Notification from an edge to the replicas of the usage of a reservation's attempt. It replaces the
 /// reservation.
 struct CommitUsage {
   static constexpr const char* record = "Settle";
@@ -79,16 +79,16 @@
   }
 };
 
-/// A turn that was answered completely, as it is retained for turns that continue it.
+/// A completely answered turn, retained for turns that continue it.
 struct Turn {
   static constexpr const char* record = "Turn";
   static constexpr std::uint8_t kind = 27;
-  std::string id;                 ///< of the turn
-  std::string previous;           ///< id of the turn that it continues; empty: none
-  std::string program;            ///< id of the program; empty: none
+  std::string id;                 ///< id of the turn
+  std::string previous;           ///< id of the turn that it continues; empty if none
+  std::string program;            ///< id of the program; empty if none
   Bytes input;                    ///< body of the request
-  Bytes output;                   ///< body of the answer
-  std::int64_t retention_ms = 0;  ///< milliseconds to retain it, from when a replica stores it
+  Bytes output;                   ///< body of the response
+  std::int64_t retention_ms = 0;  ///< retention time in milliseconds, from when a replica stores it
   template <class Visitor>
   void each(Visitor& v) {
     v("id", id);
@@ -101,13 +101,13 @@
   bool operator==(const Turn&) const = default;
 };
 
-/// From an edge to the replicas of a turn: store it durably. Answered by a StoreTurnReply.
+/// Sent by an edge to the replicas of a turn: stores the turn durably. Answered by a StoreTurnReply.
 struct StoreTurnRequest {
   static constexpr const char* record = "Keep";
   static constexpr std::uint8_t kind = 28;
-  std::int64_t map_version = 0;  ///< of the storage map that the sender places by
-  Turn turn;                     ///< to be stored
-  std::int64_t used_tokens = 0;  ///< commits the usage of the turn's reservation too; negative: it has none
+  std::int64_t map_version = 0;  ///< version of the storage map that the sender uses
+  Turn turn;                     ///< turn to store
+  std::int64_t used_tokens = 0;  ///< usage to commit for the turn's reservation; negative if it has none
   template <class Visitor>
   void each(Visitor& v) {
     v("map", map_version);
@@ -121,7 +121,7 @@
   static constexpr const char* record = "Kept";
   static constexpr std::uint8_t kind = 29;
   std::int64_t verdict = 0;      ///< a storage::ReplicaStatus
-  std::int64_t map_version = 0;  ///< of the storage map that the replica goes by
+  std::int64_t map_version = 0;  ///< version of the storage map that the replica uses
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
@@ -129,13 +129,13 @@
   }
 };
 
-/// From an edge to the replicas of a turn: a read. Answered by a FindTurnReply.
+/// Sent by an edge to the replicas of a turn: reads the turn. Answered by a FindTurnReply.
 struct FindTurnRequest {
   static constexpr const char* record = "Find";
   static constexpr std::uint8_t kind = 30;
-  std::int64_t map_version = 0;  ///< of the storage map that the sender places by
-  std::string id;                ///< of the turn
-  std::string attempt;           ///< of the request that the read is for, for logs; empty: none
+  std::int64_t map_version = 0;  ///< version of the storage map that the sender uses
+  std::string id;                ///< id of the turn
+  std::string attempt;           ///< attempt id of the request that needs the turn, for logs; empty if none
   template <class Visitor>
   void each(Visitor& v) {
     v("map", map_version);
@@ -149,7 +149,7 @@
   static constexpr const char* record = "Found";
   static constexpr std::uint8_t kind = 31;
   std::int64_t verdict = 0;      ///< a storage::ReplicaStatus
-  std::int64_t map_version = 0;  ///< of the storage map that the replica goes by
+  std::int64_t map_version = 0;  ///< version of the storage map that the replica uses
   std::vector<Turn> turns;       ///< the turn, then those that it continues, newest first
   template <class Visitor>
   void each(Visitor& v) {
@@ -159,12 +159,12 @@
   }
 };
 
-/// The durable account of a program: what it has reserved and used.
+/// The durable account of a program: its reserved and used tokens.
 struct Account {
   static constexpr const char* record = "Account";
   static constexpr std::uint8_t kind = 33;
   std::string program;               ///< id of the program
-  std::vector<Reservation> entries;  ///< one an attempt
+  std::vector<Reservation> entries;  ///< one entry for each attempt
   template <class Visitor>
   void each(Visitor& v) {
     v("program", program);
@@ -173,16 +173,16 @@
   bool operator==(const Account&) const = default;
 };
 
-/// From one storage sidecar to another, page by page: what is placed on the sender by this version of the
-/// map (anti-entropy). Answered by a PullReply.
+/// Sent by a storage sidecar to another (anti-entropy): requests, page by page, what this version of the map
+/// places on the sender. Answered by a PullReply.
 struct PullRequest {
   static constexpr const char* record = "Pull";
   static constexpr std::uint8_t kind = 34;
-  std::int64_t map_version = 0;         ///< of the storage map
+  std::int64_t map_version = 0;         ///< version of the storage map
   std::string node;                     ///< name of the sender
-  bool turns = false;                   ///< ids of turns are asked for; else accounts
-  std::string after_id;                 ///< the page begins after this id; empty: the first page
-  std::vector<std::string> wanted_ids;  ///< not empty: these turns are asked for, and no page
+  bool turns = false;                   ///< true requests ids of turns, false requests accounts
+  std::string after_id;                 ///< the page begins after this id; empty for the first page
+  std::vector<std::string> wanted_ids;  ///< if not empty, requests these turns instead of a page
   template <class Visitor>
   void each(Visitor& v) {
     v("map", map_version);
@@ -198,11 +198,11 @@
   static constexpr const char* record = "Pulled";
   static constexpr std::uint8_t kind = 35;
   std::int64_t verdict = 0;       ///< a storage::ReplicaStatus
-  std::int64_t map_version = 0;   ///< of the storage map that the replica goes by
-  bool last = false;              ///< no page follows
-  std::vector<Account> accounts;  ///< of the page
-  std::vector<std::string> ids;   ///< of the page's turns
-  std::vector<Turn> turns;        ///< those that were named in `wanted_ids` and are there
+  std::int64_t map_version = 0;   ///< version of the storage map that the replica uses
+  bool last = false;              ///< this is the last page
+  std::vector<Account> accounts;  ///< accounts of the page
+  std::vector<std::string> ids;   ///< ids of the page's turns
+  std::vector<Turn> turns;        ///< the turns of `wanted_ids` that the replica has
   template <class Visitor>
   void each(Visitor& v) {
     v("verdict", verdict);
@@ -219,7 +219,7 @@
   static constexpr const char* record = "Storage_node_record";
   static constexpr std::uint8_t kind = 36;
   std::string disk;   ///< id of the disk, generated when the disk was new
-  bool held = false;  ///< not used any more; disks of older versions have it
+  bool held = false;  ///< no longer used; present on disks of older versions
   template <class Visitor>
   void each(Visitor& v) {
     v("disk", disk);
@@ -227,13 +227,13 @@
   }
 };
 
-/// The newest version of the storage map that the process of this disk has gone by.
+/// The newest version of the storage map that the process with this disk has used.
 struct MapRecord {
   static constexpr const char* record = "Map_record";
   static constexpr std::uint8_t kind = 38;
   std::string disk;              ///< id of the disk
-  std::int64_t map_version = 0;  ///< 0: none yet
-  bool complete = false;         ///< all replicas that are placed on it by that version are on this disk
+  std::int64_t map_version = 0;  ///< 0 if there is none yet
+  bool complete = false;         ///< this disk has all replicas that that version places on it
   template <class Visitor>
   void each(Visitor& v) {
     v("disk", disk);
--- a/tests/common/avro_test.cpp
+++ b/tests/common/avro_test.cpp
@@ -1,5 +1,5 @@
-// Messages as Avro: every struct of messages.hpp has the fields of its record in api/*.avsc, and no others;
-// each comes back as it was written; bytes that are none are refused.
+// Avro encoding of messages: every struct of messages.hpp has exactly the fields of its record in api/*.avsc,
+// every message survives a round trip, and invalid bytes are rejected.
 #include <avro.h>
 
 #include <cstring>
@@ -32,12 +32,12 @@
     common::CoordinationReport, common::CoordinationCall, common::CoordinationAnswer, common::AcceptorChange>;
 
 template <class F>
-void each_message(F f) {
+void for_each_message(F f) {
   std::apply([&](auto&&... one) { (f(one), ...); }, Messages{});
 }
 
-// What a struct says of itself: its fields in order, each with the type that it has by the schema's words.
-class Named {
+// Visitor that collects the fields of a struct in order, each with its schema type.
+class FieldCollector {
  public:
   void operator()(const char* name, std::int64_t&) { add(name, "long"); }
   void operator()(const char* name, bool&) { add(name, "boolean"); }
@@ -74,10 +74,10 @@
   }
 }
 
-// The records of both schema files.
+// Returns the fields of all records in both schema files, by record name.
 std::map<std::string, std::vector<std::string>> schema_records() {
   std::map<std::string, std::vector<std::string>> out;
-  const ForGood schemas;
+  const ScopedLeakCheckDisabler disabler;
   for (const char* text : {common::control_schema, common::storage_schema}) {
     avro_schema_t all;
     CHECK_EQUAL(0, avro_schema_from_json_length(text, std::strlen(text), &all));
@@ -94,10 +94,10 @@
   return out;
 }
 
-// Puts something into every field.
+// Visitor that fills every field with random content.
 class Filler {
  public:
-  Filler(RandomSource& luck, std::size_t most) : random_(luck), most_(most) {}
+  Filler(RandomSource& random, std::size_t max_items) : random_(random), max_items_(max_items) {}
   void operator()(const char*, std::int64_t& v) {
     v = static_cast<std::int64_t>(random_.next() >> random_.below(64));
     if (random_.chance(0.3)) v = -v;
@@ -109,28 +109,28 @@
   void operator()(const char*, common::Bytes& v) { v.data = text(); }
   template <class T>
   void operator()(const char* name, std::vector<T>& v) {
-    v.resize(random_.below(most_ + 1));
+    v.resize(random_.below(max_items_ + 1));
     for (T& one : v) (*this)(name, one);
   }
   template <class T>
   requires requires { T::record; }
   void operator()(const char*, T& v) {
-    Filler inner(random_, most_ > 0 ? most_ - 1 : 0);
+    Filler inner(random_, max_items_ > 0 ? max_items_ - 1 : 0);
     v.each(inner);
   }
 
  private:
-  std::string text() {  // any bytes, zeros among them
+  std::string text() {  // any bytes, including zeros
     std::string out(random_.below(random_.chance(0.05) ? 3000 : 20), '\0');
     for (char& c : out) c = static_cast<char>(random_.next());
     return out;
   }
   RandomSource& random_;
-  const std::size_t most_;
+  const std::size_t max_items_;
 };
 
-// All that a message holds, as text of its own: no codec stands between.
-class Shown {
+// Visitor that prints all fields of a message without using the codec under test.
+class FieldPrinter {
  public:
   void operator()(const char* name, std::int64_t& v) { add(name, std::to_string(v)); }
   void operator()(const char* name, bool& v) { add(name, v ? "true" : "false"); }
@@ -159,8 +159,8 @@
 };
 
 template <class M>
-std::string shown(M& message) {
-  Shown out;
+std::string printed(M& message) {
+  FieldPrinter out;
   message.each(out);
   return out.text;
 }
@@ -169,20 +169,20 @@
 
 TEST_GROUP(AvroMessages){};
 
-// A ctest of its own: under the sanitizers the library leaks here.
+// Run as a separate ctest, because the library leaks in these tests under the sanitizers.
 TEST_GROUP(AvroNoise){};
 
-// A field that is missing in either is found, and one of another type or in another place too.
+// Guards against a field that is missing in a struct or its schema, or that differs in type or position.
 TEST(AvroMessages, FieldsAgreeWithTheSchemaFiles) {
   auto records = schema_records();
-  each_message([&](auto& message) {
+  for_each_message([&](auto& message) {
     using M = std::remove_reference_t<decltype(message)>;
     const auto record = records.find(M::record);
     CHECK_WHERE(record != records.end(), std::string("no record ") + M::record);
-    Named named;
-    message.each(named);
+    FieldCollector collector;
+    message.each(collector);
     std::string struct_text, schema_text;
-    for (const std::string& f : named.fields()) struct_text += f + "\n";
+    for (const std::string& f : collector.fields()) struct_text += f + "\n";
     for (const std::string& f : record->second) schema_text += f + "\n";
     CHECK_WHERE(struct_text == schema_text,
                 std::string(M::record) + ", struct:\n" + struct_text + "schema:\n" + schema_text);
@@ -191,11 +191,12 @@
   CHECK_WHERE(records.empty(), "no struct for " + (records.empty() ? "" : records.begin()->first));
 }
 
-// The kind stands on the wire: two of one kind would be taken for each other.
+// The kind identifies a record on the wire, so records with the same kind would be mistaken for each
+// other.
 TEST(AvroMessages, KindsAreUnique) {
   std::set<int> kinds;
   std::size_t count = 0;
-  each_message([&](auto& message) {
+  for_each_message([&](auto& message) {
     kinds.insert(std::remove_reference_t<decltype(message)>::kind);
     ++count;
   });
@@ -204,24 +205,24 @@
 }
 
 TEST(AvroNoise, RoundTrip) {
-  RandomSource luck(5);
+  RandomSource random(5);
   for (int round = 0; round < 40; ++round) {
-    each_message([&](auto& message) {
+    for_each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
-      Filler fill(luck, static_cast<std::size_t>(round % 4));
+      Filler fill(random, static_cast<std::size_t>(round % 4));
       message.each(fill);
       const std::string bytes = common::encoded(message);
       M back;
-      Filler other(luck, 2);
-      back.each(other);  // what was there before does not stay
+      Filler previous_content(random, 2);
+      back.each(previous_content);  // decoding must replace the previous content
       CHECK_WHERE(common::decode(bytes, back), M::record);
-      CHECK_WHERE(shown(message) == shown(back), M::record);
+      CHECK_WHERE(printed(message) == printed(back), M::record);
       CHECK_WHERE(common::encoded(back) == bytes, M::record);
     });
   }
 }
 
-// A configuration as large as one may be.
+// A value with a configuration of 8 MiB.
 TEST(AvroMessages, LargeValue) {
   common::RegisterValue value;
   value.config.data.assign(8U << 20U, '\x7f');
@@ -229,13 +230,13 @@
   CHECK_TRUE(common::decode(common::encoded(value), back) && back == value);
 }
 
-// Every beginning of a message is refused.
+// Every proper prefix of an encoded message is rejected.
 TEST(AvroNoise, CutAtEveryByte) {
-  RandomSource luck(6);
+  RandomSource random(6);
   for (int round = 0; round < 6; ++round) {
-    each_message([&](auto& message) {
+    for_each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
-      Filler fill(luck, 2);
+      Filler fill(random, 2);
       message.each(fill);
       const std::string bytes = common::encoded(message);
       const std::size_t step = bytes.size() > 600 ? 7 : 1;
@@ -248,47 +249,48 @@
   }
 }
 
-// Bytes of anybody: refused, or a message that stands by itself; the process goes on.
+// Random bytes are either rejected or decoded into a message that survives a round trip.
 TEST(AvroNoise, RandomBytes) {
-  RandomSource luck(7);
-  std::size_t refused = 0, all = 0;
+  RandomSource random(7);
+  std::size_t rejected = 0, all = 0;
   for (int round = 0; round < 300; ++round) {
-    std::string noise(luck.below(120), '\0');
-    for (char& c : noise) c = static_cast<char>(luck.next());
-    each_message([&](auto& message) {
+    std::string noise(random.below(120), '\0');
+    for (char& c : noise) c = static_cast<char>(random.next());
+    for_each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
       ++all;
       if (!common::decode(noise, message)) {
-        ++refused;
+        ++rejected;
         return;
       }
       M back;
-      CHECK_WHERE(common::decode(common::encoded(message), back) && shown(message) == shown(back), M::record);
+      CHECK_WHERE(common::decode(common::encoded(message), back) && printed(message) == printed(back),
+                  M::record);
     });
   }
-  CHECK_TRUE(refused > all / 2);
+  CHECK_TRUE(rejected > all / 2);
 }
 
-// One byte of a good message is changed: lengths and counts among them.
+// Changes one byte of a valid message, which may be part of a length or count.
 TEST(AvroNoise, ChangedBytes) {
-  RandomSource luck(8);
+  RandomSource random(8);
   for (int round = 0; round < 60; ++round) {
-    each_message([&](auto& message) {
+    for_each_message([&](auto& message) {
       using M = std::remove_reference_t<decltype(message)>;
-      Filler fill(luck, 2);
+      Filler fill(random, 2);
       message.each(fill);
       std::string bytes = common::encoded(message);
       if (bytes.empty()) return;
-      bytes[luck.below(bytes.size())] = static_cast<char>(luck.next());
+      bytes[random.below(bytes.size())] = static_cast<char>(random.next());
       M back;
       if (!common::decode(bytes, back)) return;
       M again;
-      CHECK_WHERE(common::decode(common::encoded(back), again) && shown(back) == shown(again), M::record);
+      CHECK_WHERE(common::decode(common::encoded(back), again) && printed(back) == printed(again), M::record);
     });
   }
 }
 
-// Lengths and counts far beyond what follows, and below nothing.
+// Lengths and counts that are negative or far larger than what follows.
 TEST(AvroNoise, ImpossibleLengths) {
   const std::vector<std::string> lengths = {"\x01",
                                             "\x7f",
@@ -297,14 +299,14 @@
                                             std::string(10, '\xff'),
                                             std::string("\xfe\xff\xff\xff\x0f")};
   for (const std::string& length : lengths) {
-    for (const std::string& behind : {std::string(), std::string("abc"), std::string(64, '\0')}) {
-      each_message([&](auto& message) { (void)common::decode(length + behind, message); });
-      common::CommitUsage word;
-      CHECK_FALSE(common::decode(length, word));
+    for (const std::string& suffix : {std::string(), std::string("abc"), std::string(64, '\0')}) {
+      for_each_message([&](auto& message) { (void)common::decode(length + suffix, message); });
+      common::CommitUsage usage;
+      CHECK_FALSE(common::decode(length, usage));
     }
   }
-  // A message after a refused one is read as ever.
-  common::VoteReply voted;
-  CHECK_TRUE(common::decode(common::encoded(common::VoteReply{true, 9}), voted) && voted.granted &&
-             voted.term == 9);
+  // A valid message is decoded correctly after rejected ones.
+  common::VoteReply reply;
+  CHECK_TRUE(common::decode(common::encoded(common::VoteReply{true, 9}), reply) && reply.granted &&
+             reply.term == 9);
 }
--- a/tests/common/main.cpp
+++ b/tests/common/main.cpp
@@ -1,7 +1,7 @@
-// The serving tier's unit tests: state machines fed with played time, disks and votes in memory.
+// Main function of the serving tier's unit tests, which use simulated time and disks and votes in memory.
 //
-// Leak detection by overloaded new is off: the libraries below keep statics until the process ends. The
-// sanitizer's own looks for leaks.
+// CppUTest's leak detection by overloaded new is disabled, because libraries keep static objects until the
+// process ends. LeakSanitizer detects leaks instead.
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 #include <CppUTest/TestRegistry.h>
@@ -21,33 +21,32 @@
 
 namespace {
 
-// A part of the tests, so that several processes share them: of so many parts, the one of that index. Each
-// test is in exactly one.
+// One of `of` disjoint parts of the tests, so that several processes can run them in parallel.
 struct Part {
   std::size_t index = 0, of = 1;
 };
 
-// Of TEST_PART, as "2/4"; all of the tests where it is not set.
-Part part_of_environment() {
+// Returns the part given by TEST_PART, such as "2/4", or all tests if it is not set. Exits if it is invalid.
+Part part_from_environment() {
   const char* const text = std::getenv("TEST_PART");
   if (text == nullptr) return {};
   Part out;
   if (std::sscanf(text, "%zu/%zu", &out.index, &out.of) == 2 && out.index < out.of) return out;
-  std::fprintf(stderr, "TEST_PART: not a part such as 2/4\n");
+  std::fprintf(stderr, "TEST_PART: must be INDEX/COUNT with INDEX < COUNT, such as 2/4\n");
   std::exit(2);
 }
 
-// Leaves the tests of one part in the registry. By turns, as they are registered: those of a group, which
-// take alike long, come to different parts.
-void keep_part(const Part& part) {
+// Removes the tests of other parts from the registry. Tests are assigned in turn, so that those of a group,
+// which take similar time, are spread over the parts.
+void select_part(const Part& part) {
   TestRegistry& registry = *TestRegistry::getCurrentRegistry();
-  std::vector<UtestShell*> mine;
+  std::vector<UtestShell*> selected;
   std::size_t number = 0;
   for (UtestShell* test = registry.getFirstTest(); test != nullptr; test = test->getNext()) {
-    if (number++ % part.of == part.index) mine.push_back(test);
+    if (number++ % part.of == part.index) selected.push_back(test);
   }
   while (registry.getFirstTest() != nullptr) registry.unDoLastAddTest();
-  for (auto test = mine.rbegin(); test != mine.rend(); ++test) registry.addTest(*test);
+  for (auto test = selected.rbegin(); test != selected.rend(); ++test) registry.addTest(*test);
 }
 
 }  // namespace
@@ -55,9 +54,9 @@
 int main(int argc, char** argv) {
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   {
-    const ForGood schemas;
+    const ScopedLeakCheckDisabler disabler;
     chutevane::common::avro::shared_value("Value");
   }
-  keep_part(part_of_environment());
+  select_part(part_from_environment());
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/tests/common/unit.hpp
+++ b/tests/common/unit.hpp
@@ -1,4 +1,5 @@
-// CppUTest, included last by every test file here: its macros are plain words such as CHECK and FAIL.
+// CppUTest with helpers. Test files must include it last, because its macros have common names such as CHECK
+// and FAIL.
 #pragma once
 
 #include <CppUTest/TestHarness.h>
@@ -9,20 +10,22 @@
 
 #include <string>
 
-// A check that says in words what was not so, and where in a run of many.
+// Checks a condition; on failure, `where` identifies the case among many.
 #define CHECK_WHERE(condition, where) CHECK_TEXT(condition, std::string(where).c_str())
 
-// A word and its number. (Not inline: GCC 12 warns of "word" + std::to_string(n), wrongly.)
+// Returns `word` followed by `number`. Not inline, because GCC 12 gives a false warning for "word" +
+// std::to_string(n).
 std::string numbered(const char* word, long long number);
 
-// While it stands, what is allocated is there until the process ends, and is no leak: schemas, read once.
-struct ForGood {
+// Excludes what is allocated during its lifetime from leak detection. Used for the schemas, which are parsed
+// once and live until the process ends.
+struct ScopedLeakCheckDisabler {
 #if defined(__SANITIZE_ADDRESS__)
-  ForGood() { __lsan_disable(); }
-  ~ForGood() { __lsan_enable(); }
+  ScopedLeakCheckDisabler() { __lsan_disable(); }
+  ~ScopedLeakCheckDisabler() { __lsan_enable(); }
 #else
-  ForGood() {}
+  ScopedLeakCheckDisabler() {}
 #endif
-  ForGood(const ForGood&) = delete;
-  ForGood& operator=(const ForGood&) = delete;
+  ScopedLeakCheckDisabler(const ScopedLeakCheckDisabler&) = delete;
+  ScopedLeakCheckDisabler& operator=(const ScopedLeakCheckDisabler&) = delete;
 };
