--- a/src/common/invariant.cpp
+++ b/src/common/invariant.cpp
@@ -9,9 +9,9 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::uint64_t max_logged_violations = 20;  // of one invariant; further ones are only counted
+constexpr std::uint64_t max_logged_violations = 20;  // for each invariant; further ones are only counted
 
-constexpr std::array<std::string_view, invariants> names = {
+constexpr std::array<std::string_view, invariant_kind_count> names = {
     "value-number-rises",      "one-value-under-a-number",      "configuration-version-rises",
     "confirmed-value-is-held", "accepted-not-above-promised",   "answered-after-sync",
     "kept-by-enough-disks",    "reserved-before-sent",          "unknown-only-when-whole",
@@ -19,7 +19,7 @@
     "places-held-by-attempts", "connections-equal-descriptors", "log-is-bounded",
 };
 
-std::array<std::uint64_t, invariants> violations{};
+std::array<std::uint64_t, invariant_kind_count> violations{};
 
 InvariantMode mode_from_environment() {
   const char* const wanted = std::getenv("CHUTEVANE_INVARIANTS");
@@ -38,9 +38,9 @@
 
 void set_invariant_mode(InvariantMode wanted) { mode() = wanted; }
 
-std::array<InvariantCount, invariants> invariant_counts() {
-  std::array<InvariantCount, invariants> out;
-  for (std::size_t i = 0; i < invariants; ++i) out[i] = {names[i], violations[i]};
+std::array<InvariantCount, invariant_kind_count> invariant_counts() {
+  std::array<InvariantCount, invariant_kind_count> out;
+  for (std::size_t i = 0; i < invariant_kind_count; ++i) out[i] = {names[i], violations[i]};
   return out;
 }
 
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -11,9 +11,9 @@
 namespace chutevane::common {
 namespace {
 
-constexpr int max_lines_per_second = 50;  // what readers and the processor bear when much goes wrong
+constexpr int max_lines_per_second = 50;  // limits processor time and log volume during large failures
 
-// The log's state: one a process.
+// The state of the process's log.
 std::string log_node, log_role;
 std::int64_t current_second = 0;  // Unix time
 int lines_in_second = 0, dropped_in_second = 0;
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -1,7 +1,7 @@
-/// The log of a process: JSON lines, at most 50 a second. Nothing is logged for each request.
+/// The log of a process: JSON lines, at most 50 per second. There is no per-request logging.
 ///
-/// One log a process, to be used on one thread. Before open_log() lines are dropped, so that tests are
-/// silent.
+/// There is one log per process, and it must be used on one thread. Lines before open_log() are discarded, so
+/// that tests are silent.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 enum class Level : std::uint8_t { info, warning, error };
 
-/// Begins to log, to standard output. `node` and `role` (the program's name) stand in each line.
+/// Starts logging to standard output. Each line contains `node` and `role` (the program's name).
 void open_log(std::string_view node, std::string_view role);
-/// `event`: a stable name that tools may search for; `detail`: text for people. Lines above the rate limit
-/// are only counted.
+/// Logs a line. `event` is a stable name that tools may match; `detail` is human-readable text. Lines above
+/// the rate limit are dropped and counted.
 void log_event(Level level, std::string_view event, std::string_view detail);
 inline void log_info(std::string_view event, std::string_view detail) {
   log_event(Level::info, event, detail);
@@ -24,13 +24,13 @@
 inline void log_warning(std::string_view event, std::string_view detail) {
   log_event(Level::warning, event, detail);
 }
-/// Lines that the rate limit has dropped since the process started.
+/// Returns the number of lines dropped by the rate limit since the process started.
 std::uint64_t log_lines_dropped();
-/// Receives lines instead of standard output, in simulations.
+/// Receives log lines instead of standard output; used by simulations.
 using LogSink = std::function<void(Level level, std::string_view event, std::string_view detail)>;
-/// nullptr: lines go to standard output again.
+/// Redirects log lines to `sink`; nullptr restores standard output.
 void set_log_sink(LogSink sink);
-/// One line as it is written, without the line's end.
+/// Returns one formatted log line, without a line terminator.
 std::string log_line_of(std::string_view level, std::string_view node, std::string_view role,
                         std::string_view event, std::string_view detail, std::int64_t unix_ms);
 
--- a/src/common/metrics.cpp
+++ b/src/common/metrics.cpp
@@ -13,7 +13,7 @@
 namespace chutevane::common {
 namespace {
 
-/// As a label's value or a help text.
+/// Appends a label value or help text, escaped.
 void append_escaped(std::string& out, std::string_view text) {
   for (const char c : text) {
     if (c == '\\' || c == '"') out.push_back('\\');
@@ -36,7 +36,7 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) * 1e-6;
 }
 
-/// Resident memory in bytes; 0 where /proc cannot be read.
+/// Returns the resident memory in bytes, or 0 if /proc cannot be read.
 double resident_bytes() {
   std::ifstream in("/proc/self/statm");
   double total_pages = 0, resident_pages = 0;
--- a/src/common/process.cpp
+++ b/src/common/process.cpp
@@ -19,13 +19,14 @@
 namespace chutevane::common {
 namespace {
 
-constexpr Span settings_check_interval = Span::ms(2000);  // the file may change without a signal
-constexpr std::size_t max_metrics_body_bytes = 1024;      // of a request for metrics
+constexpr Span settings_check_interval = Span::ms(2000);  // a change of the file needs no signal
+constexpr std::size_t max_metrics_body_bytes = 1024;      // limit for a request's body
 
 // Exit statuses.
 constexpr int success = 0, output_failed = 1, bad_usage = 2, start_failed = 3;
 
-/// Changes whenever the file does: its time of modification and its size. Empty: there is no file.
+/// Returns a string that changes whenever the file does, from its modification time and size. Empty if the
+/// file does not exist.
 std::string file_version(const std::string& path) {
   struct stat info {};
   if (::stat(path.c_str(), &info) != 0) return "";
@@ -33,8 +34,8 @@
          std::to_string(info.st_size);
 }
 
-/// Serves `GET /metrics`: the metrics of process and plane. Where the port is taken, the process goes on
-/// without.
+/// Serves the metrics of the process and its plane at `GET /metrics`. If the port cannot be bound, the
+/// process continues without it.
 class MetricsServer {
  public:
   MetricsServer(net::Scheduler& scheduler, Plane& plane, const sockaddr_in& at)
@@ -70,7 +71,7 @@
   return out;
 }
 
-/// Handles signals, and watches the settings file.
+/// Handles signals and watches the settings file.
 class LifecycleEvents {
  public:
   LifecycleEvents(net::Scheduler& scheduler, Plane& plane, std::string path, std::string node)
@@ -102,14 +103,14 @@
     if (file_version(path_) != settings_version_) reload();
     timers_.after(settings_check_interval, [this] { check_settings_file(); });
   }
-  /// A rejected file changes nothing.
+  /// Reloads the settings. Invalid settings are logged and have no effect.
   void reload() {
     settings_version_ = file_version(path_);
     const auto settings = load_settings(path_);
     if (!settings.ok()) {
       log_warning("settings.refused", std::string(settings.status().message()));
     } else if (settings->node != node_) {
-      log_warning("settings.refused", "nodeName has changed: that needs a new start");
+      log_warning("settings.refused", "nodeName has changed, which requires a restart");
     } else {
       plane_.reload(*settings);
       log_info("settings.read", path_);
@@ -121,22 +122,22 @@
   net::TimerQueue timers_;
   net::Waker waker_;
   net::Signals signals_;
-  std::string settings_version_;  // of the file as it was read last
+  std::string settings_version_;  // file_version() when the file was last read
   net::Task task_;
 };
 
 struct CommandLine {
   std::string settings_path;
   bool check = false;
-  std::optional<int> exit_status;  // nothing more is to be done: it was help or version
+  std::optional<int> exit_status;  // set if only the help or the version was printed
 };
 
-/// Throws cxxopts' exceptions where it is wrong.
+/// Throws an exception of cxxopts if the command line is invalid.
 CommandLine parse_command_line(const Program& program, int argc, char** argv) {
   cxxopts::Options options(program.name, program.about);
-  options.add_options()("settings", "the settings file; else $CHUTEVANE_SETTINGS",
-                        cxxopts::value<std::string>())("check", "read and check the settings, and end")(
-      "version", "print the version")("help", "print this");
+  options.add_options()("settings", "path of the settings file (default: $CHUTEVANE_SETTINGS)",
+                        cxxopts::value<std::string>())("check", "check the settings and exit")(
+      "version", "print the version")("help", "print this help");
   const char* const variable = std::getenv(settings_variable);
   CommandLine out;
   out.settings_path = variable != nullptr && *variable != '\0' ? variable : settings_default;
--- a/src/common/process.hpp
+++ b/src/common/process.hpp
@@ -1,4 +1,5 @@
-/// What the three programs (edge, control, storage) share: command line, settings, log, signals, event loop.
+/// Common main function of the three programs (edge, control, storage): command line, settings, log, signals,
+/// metrics and event loop.
 #pragma once
 
 #include <functional>
@@ -12,42 +13,42 @@
 
 namespace chutevane::common {
 
-/// A program's own part, as the event loop drives it. All calls come on the loop's thread.
+/// The program-specific part of a process. All functions are called on the event loop's thread.
 class Plane {
  public:
   virtual ~Plane() = default;
-  /// Called once, first: opens disks and listening addresses. An error ends the process.
+  /// Opens disks and listening sockets. Called once, before all other functions. An error ends the process.
   virtual absl::Status open() = 0;
-  /// Begins a graceful shutdown, which ends within the grace of the settings. May be called again.
+  /// Begins a graceful shutdown, which completes within ProcessSettings::grace. May be called repeatedly.
   virtual void begin_shutdown() = 0;
-  /// Whether the process may exit.
+  /// Returns true once the process may exit.
   virtual bool finished() const = 0;
-  /// The settings file has changed; what cannot be changed while the process runs is ignored.
+  /// Applies changed settings. Settings that cannot be changed while the process runs are ignored.
   virtual void reload(const ProcessSettings&) {}
-  /// Adds the plane's own metrics to those of the process.
+  /// Adds the plane's metrics to those of the process.
   virtual void write_metrics(MetricsWriter&) {}
 };
 
 using MakePlane = std::function<std::unique_ptr<Plane>(net::Scheduler&, const ProcessSettings&)>;
 
-// Default ports of metrics, one a program, so that two roles share a machine. deploy/system.toml names them
-// too.
+// Default metrics ports. Each program has its own, so that several can share a machine. They must match
+// deploy/system.toml.
 constexpr std::uint16_t edge_metrics_port = 9464;
 constexpr std::uint16_t control_metrics_port = 9465;
 constexpr std::uint16_t storage_metrics_port = 9466;
 
 struct Program {
   std::string name;
-  std::string about;               ///< for --help
-  std::uint16_t metrics_port = 0;  ///< where the settings name no `listenAddrs.metrics`
+  std::string about;               ///< description printed by --help
+  std::uint16_t metrics_port = 0;  ///< used if the settings have no `listenAddrs.metrics`
 };
 
 /// Runs the program until its plane is finished. Returns the exit status: 0 after a graceful shutdown, 2 for
-/// a wrong command line or wrong settings, 3 where the plane could not be opened.
+/// an invalid command line or invalid settings, 3 if the plane could not be opened.
 ///
-/// The settings file is named by `--settings FILE`, else by the variable CHUTEVANE_SETTINGS, else it is
-/// settings_default. `--check` only reads the settings. SIGTERM and SIGINT begin a graceful shutdown. SIGHUP,
-/// or a change of the file, reloads the settings.
+/// The settings file is given by `--settings FILE`, otherwise by the environment variable CHUTEVANE_SETTINGS,
+/// otherwise it is settings_default. `--check` only validates the settings. SIGTERM and SIGINT begin a
+/// graceful shutdown. SIGHUP, or a change of the file, reloads the settings.
 int run_process(const Program& program, int argc, char** argv, const MakePlane& make);
 
 }  // namespace chutevane::common
--- a/src/common/rate_limited_log.hpp
+++ b/src/common/rate_limited_log.hpp
@@ -1,5 +1,5 @@
-/// Log lines of one event, limited in rate and size. Lines above the limit are counted, and the count is
-/// added to the next line that is written.
+/// Log lines of one event, limited in rate and size. Dropped lines are counted, and the count is appended to
+/// the next line that is written.
 #pragma once
 
 #include <algorithm>
@@ -14,36 +14,37 @@
 
 class RateLimitedLog {
  public:
-  /// `event`: a stable name, which must outlive this.
+  /// `event` is a stable name; it must outlive this object.
   RateLimitedLog(std::string_view event, int max_lines_per_second)
       : event_(event), max_lines_(max_lines_per_second) {}
 
-  /// Whether a line may be written now. If not, it counts as left out, and its text need not be made.
+  /// Returns true if a line may be written now. Otherwise counts it as dropped, so the caller need not format
+  /// it.
   bool admits(TimePoint now) {
-    if (now - second_began_ >= Span::ms(1000)) {
-      second_began_ = now;
+    if (now - second_started_at_ >= Span::ms(1000)) {
+      second_started_at_ = now;
       lines_ = 0;
     }
     if (lines_ < max_lines_) return true;
-    ++left_out_;
+    ++dropped_;
     return false;
   }
-  /// Writes a line, cut to 500 bytes. Only after admits() was true.
+  /// Writes a line, truncated to 500 bytes. May be called only after admits() has returned true.
   void line(std::string detail) {
     ++lines_;
     if (detail.size() > max_line_bytes) detail.resize(max_line_bytes);
-    if (left_out_ > 0) detail += " left_out=" + std::to_string(left_out_);
-    left_out_ = 0;
+    if (dropped_ > 0) detail += " left_out=" + std::to_string(dropped_);
+    dropped_ = 0;
     log_warning(event_, detail);
   }
 
  private:
   static constexpr std::size_t max_line_bytes = 500;
   const std::string_view event_;
-  const int max_lines_;  // in a second
-  int lines_ = 0;        // in this second
-  TimePoint second_began_;
-  std::uint64_t left_out_ = 0;  // since the last line
+  const int max_lines_;  // per second
+  int lines_ = 0;        // in the current second
+  TimePoint second_started_at_;
+  std::uint64_t dropped_ = 0;  // lines dropped since the last one that was written
 };
 
 }  // namespace chutevane::common
--- a/tests/common/invariant_test.cpp
+++ b/tests/common/invariant_test.cpp
@@ -1,5 +1,5 @@
-// Invariants: a violation is counted under its name, logged at a bounded rate in service, and ends the
-// process where that is wanted. And the figures that tell of it.
+// Invariants: a violation is counted by the invariant's name, logged at a limited rate in production, and
+// aborts the process in fatal mode. Also tests metrics and rate-limited log lines.
 #include "common/invariant.hpp"
 
 #include <sys/wait.h>
@@ -19,8 +19,8 @@
 using chutevane::TimePoint;
 using chutevane::common::check_invariant;
 using chutevane::common::Invariant;
+using chutevane::common::invariant_kind_count;
 using chutevane::common::InvariantMode;
-using chutevane::common::invariants;
 using chutevane::common::MetricsWriter;
 using chutevane::common::RateLimitedLog;
 
@@ -57,7 +57,7 @@
   }
 };
 
-TEST(Invariants, TheDetailIsMadeOnlyOnAViolation) {
+TEST(Invariants, DetailIsFormattedOnlyOnAViolation) {
   bool described = false;
   CHECK_TRUE(check_invariant(Invariant::not_sent_twice, true, [&] {
     described = true;
@@ -67,13 +67,13 @@
   LONGS_EQUAL(0, violations());
 }
 
-TEST(Invariants, CountedAndLoggedInService) {
+TEST(Invariants, CountedAndLoggedInProduction) {
   chutevane::common::set_invariant_mode(InvariantMode::count_and_log);
   CHECK_FALSE(violate());
   LONGS_EQUAL(1, violations());
   LONGS_EQUAL(1, captured.size());
   CHECK_TRUE(contains(captured[0], "invariant.violated not-sent-twice: id 7"));
-  // The count goes on where the lines end.
+  // Violations are still counted after the limit of log lines.
   for (int i = 0; i < 1000; ++i) violate();
   LONGS_EQUAL(1001, violations());
   CHECK_TRUE(captured.size() <= 20);
@@ -93,7 +93,7 @@
 }
 
 TEST(Invariants, NamesAreUnique) {
-  for (std::size_t i = 0; i < invariants; ++i) {
+  for (std::size_t i = 0; i < invariant_kind_count; ++i) {
     const auto name = name_of(static_cast<Invariant>(i));
     CHECK_FALSE(name.empty());
     for (std::size_t j = 0; j < i; ++j) CHECK_FALSE(name == name_of(static_cast<Invariant>(j)));
