--- a/src/common/control_sessions.cpp
+++ b/src/common/control_sessions.cpp
@@ -11,13 +11,13 @@
 namespace chutevane::common {
 namespace {
 
-constexpr Span heartbeat_interval = Span::ms(300);  // control ends a session after four without one
-constexpr Span heartbeat_timeout = Span::ms(1000);  // of the controller's
-// Limit on the age of what a controller is known to know. An echo is up to a heartbeat of either side old,
-// the echoes that it rests on at the controller as much again: 1.1 s and the delays between them; half of it
-// is spare for late turns of the loop.
+constexpr Span heartbeat_interval = Span::ms(300);  // a controller ends a session after four missed ones
+constexpr Span heartbeat_timeout = Span::ms(1000);  // for the controller's heartbeats
+// Limit on the age of a controller's confirmed knowledge. An echo is delayed by up to one heartbeat interval
+// of each side, and the echoes between controllers that it depends on by the same again: 1.1 s plus network
+// delays. Half as much again is allowed for delayed turns of the event loop.
 constexpr Span max_knowledge_age = Span::ms(1700);
-constexpr std::size_t max_sessions = 3;  // one may be lost, and one be partitioned unseen
+constexpr std::size_t max_sessions = 3;  // one may fail, and one may be partitioned without being detected
 
 std::uint64_t hash_of_pair(const std::string& a, const std::string& b) {
   return XXH3_64bits_withSeed(a.data(), a.size(), XXH3_64bits(b.data(), b.size()));
@@ -75,10 +75,11 @@
   return usable(session) || timers_.now() - session.opened_at < heartbeat_timeout;
 }
 
-// The known controllers, those that hash nearest to this process first; the seeds while none are known.
+// Returns the known controllers, or the seeds if none are known, ordered by their hash with this process
+// (rendezvous hashing).
 std::vector<std::string> ControlSessions::ranked_controllers() const {
   std::vector<std::string> out = controllers_.empty() ? seeds_ : controllers_;
-  if (usable_count() == 0) {  // all that were known may be gone
+  if (usable_count() == 0) {  // all known controllers may be gone
     for (const std::string& seed : seeds_)
       if (!contains(out, seed)) out.push_back(seed);
   }
@@ -88,7 +89,7 @@
   return out;
 }
 
-// A controller that is silent, or has lost its majority, is passed over for the next.
+// Skips controllers that do not respond or have lost contact with their majority.
 void ControlSessions::choose_controllers() {
   const std::vector<std::string> ranked = ranked_controllers();
   std::size_t chosen = 0;
@@ -119,11 +120,11 @@
 }
 
 void ControlSessions::on_session_up(const std::string& address) {
-  // A session that was closed may come up all the same before its link is destroyed.
+  // The link of a closed session may still connect before it is destroyed.
   const auto found = sessions_.find(address);
   if (found == sessions_.end()) return;
   found->second.rejected_push = 0;
-  if (primary_.empty()) primary_ = address;  // changes need not wait for the next tick
+  if (primary_.empty()) primary_ = address;  // so that changes are pushed before the next tick
   send_heartbeat(found->second);
 }
 
@@ -138,7 +139,7 @@
   }
 }
 
-// A primary is kept while it can: what is in flight down it would be sent again down another.
+// The primary is kept as long as possible: another session would send again what is in flight on this one.
 bool ControlSessions::primary_stays() const {
   const auto found = sessions_.find(primary_);
   return found != sessions_.end() && found->second.link->up() && may_become_usable(found->second);
@@ -191,7 +192,7 @@
   session.heartbeat_at = timers_.now();
   const TimePoint confirmed_at = TimePoint() + Span::us(heartbeat.echo_stamp) -
                                  Span::ms(static_cast<double>(heartbeat.knowledge_age_ms));
-  // A controller whose newest value has not arrived, or could not be applied, confirms nothing.
+  // A heartbeat confirms nothing if its value has not arrived or could not be applied.
   if (heartbeat.number <= values_.number()) {
     session.confirmed_at = std::max(session.confirmed_at, confirmed_at);
     session.confirmed_number = std::max(session.confirmed_number, heartbeat.number);
@@ -210,10 +211,11 @@
       break;
     case ValueReceiver::Result::stale: break;
     case ValueReceiver::Result::rejected:
-      log_warning("value.refused", "number " + std::to_string(number) + ": asked for whole");
+      log_warning("value.refused",
+                  "value " + std::to_string(number) + " could not be applied: requesting the full value");
       session.rejected_push = std::max(session.rejected_push, number);
   }
-  send_heartbeats();  // the acknowledgement; controllers that have not pushed it yet need not
+  send_heartbeats();  // acknowledges the value, so that other controllers do not push it as well
 }
 
 }  // namespace chutevane::common
--- a/src/common/frame.hpp
+++ b/src/common/frame.hpp
@@ -21,7 +21,7 @@
 
 namespace chutevane::common::frame {
 
-/// The values are part of the wire format.
+/// The values are part of the wire format and must not change.
 enum class MessageType : std::uint8_t {
   notification = 0,  ///< expects no reply
   request = 1,
@@ -29,15 +29,15 @@
 };
 
 struct Header {
-  std::uint32_t size = 0;  ///< of the record behind it, in bytes
-  std::uint8_t kind = 0;   ///< of the record
+  std::uint32_t size = 0;  ///< size in bytes of the record that follows
+  std::uint8_t kind = 0;   ///< kind of the record
   MessageType type = MessageType::notification;
-  std::uint64_t number = 0;  ///< of the call; 0 in a notification
+  std::uint64_t number = 0;  ///< call number; 0 in a notification
 };
 
 constexpr std::size_t header_size = 14;  ///< bytes
-constexpr std::uint32_t max_record_size = std::uint32_t{64}
-                                          << 20U;  ///< bytes: many times a configuration of 4 MB
+constexpr std::uint32_t max_record_size =
+    std::uint32_t{64} << 20U;  ///< bytes; leaves ample room for configurations of up to 4 MB
 
 /// Appends one whole frame to `out`.
 void append(net::Buffer& out, std::uint8_t kind, MessageType type, std::uint64_t number,
@@ -45,12 +45,12 @@
 
 enum class ParseResult : std::uint8_t {
   incomplete,  ///< more bytes are needed
-  complete,    ///< header and record are there
-  malformed,   ///< no frame: the connection cannot be used any more
+  complete,    ///< header and record are complete
+  malformed,   ///< not a valid frame: the connection must be closed
 };
 
-/// Reads the header of the frame at the front of `bytes`. Only where the result is `complete` does its record
-/// lie at `bytes` + header_size.
+/// Parses the header of the frame at the beginning of `bytes`. If the result is `complete`, the record begins
+/// at `bytes` + header_size.
 [[nodiscard]] ParseResult parse_header(std::span<const char> bytes, Header& header);
 
 }  // namespace chutevane::common::frame
--- a/src/common/http_server.cpp
+++ b/src/common/http_server.cpp
@@ -33,7 +33,7 @@
 }
 
 void HttpServer::Connection::process_requests() {
-  if (processing_) return;  // a handler that replies at once leads back here: the loop below goes on
+  if (processing_) return;  // called by a handler that replied synchronously: the outer loop continues
   processing_ = true;
   while (!request_pending_ && channel_.open() && !channel_.in().empty() && handle_next_request()) {
   }
--- a/src/common/http_server.hpp
+++ b/src/common/http_server.hpp
@@ -1,7 +1,7 @@
-/// An HTTP/1.1 server for operators, readiness checks and metrics, not for clients' traffic.
+/// An HTTP/1.1 server for operators, readiness checks and metrics, not for client traffic.
 ///
-/// Requests are handled once they have arrived completely, and answered with bodies of known length. All of
-/// it runs on the thread of its scheduler.
+/// Each request is handled once it has arrived completely; responses have bodies of known length. Everything
+/// runs on the scheduler's thread.
 #pragma once
 
 #include <functional>
@@ -20,27 +20,26 @@
 
 struct HttpResponse {
   int status = 200;
-  /// With a Content-Type of JSON where it begins with `{`, else of plain text.
+  /// The Content-Type is JSON if the body begins with `{`, otherwise plain text.
   std::string body;
-  std::vector<std::pair<std::string, std::string>> fields = {};  ///< further header fields
+  std::vector<std::pair<std::string, std::string>> fields = {};  ///< additional header fields
 };
 
 class HttpServer {
  public:
-  /// Sends the response to one request. It may be called later, even after the connection or the server's
-  /// handling of it has ended (nothing happens then), but not after the server is destroyed. Further calls do
-  /// nothing.
+  /// Sends the response to one request. It may be called after the handler has returned, but not after the
+  /// server is destroyed. It has no effect if the connection has ended or if it has been called before.
   using Reply = std::function<void(HttpResponse)>;
-  /// Called for each complete request; a connection's next request waits until the one before is replied to.
-  /// `request` is valid until the handler returns or replies.
+  /// Called for each complete request. The next request of a connection waits until the previous one has been
+  /// replied to. `request` is valid until the handler returns or replies.
   using Handler = std::function<void(const http::Parser& request, Reply reply)>;
 
-  /// Requests with a larger body are rejected with 413, malformed ones with the status of the parser's error.
-  /// `scheduler` must outlive this.
+  /// Requests with a body larger than `max_body_bytes` are rejected with 413, malformed requests with the
+  /// status that the parser determines. `scheduler` must outlive this object.
   HttpServer(net::Scheduler& scheduler, std::size_t max_body_bytes, Handler handler);
-  /// Throws std::system_error where the address cannot be bound.
+  /// Throws std::system_error if the address cannot be bound.
   void listen(const sockaddr_in& at) { listener_.listen(at); }
-  /// Nothing: it does not listen.
+  /// Returns the listening address, or std::nullopt if the server does not listen.
   std::optional<sockaddr_in> address() const { return listener_.address(); }
 
  private:
@@ -51,9 +50,9 @@
 
    private:
     friend class HttpServer;
-    /// Handles what has arrived, up to the first request whose response is still to come.
+    /// Handles the requests that have arrived, up to the first one that is not replied to immediately.
     void process_requests();
-    /// False: the next request has not arrived completely.
+    /// Returns false if the next request has not arrived completely.
     bool handle_next_request();
     void respond(const HttpResponse& response);
     void on_channel_data(net::Channel&) override { process_requests(); }
@@ -62,8 +61,8 @@
     net::Channel channel_;
     http::Parser parser_;
     std::uint64_t id_;
-    std::uint64_t request_number_ = 0;  // of the newest request
-    bool request_pending_ = false;      // it has not been responded to
+    std::uint64_t request_number_ = 0;  // number of the newest request
+    bool request_pending_ = false;      // the newest request has not been replied to
     bool keep_alive_ = true;
     bool processing_ = false;  // process_requests() is running
   };
--- a/src/common/rpc.cpp
+++ b/src/common/rpc.cpp
@@ -7,7 +7,7 @@
 namespace chutevane::common {
 namespace {
 
-constexpr Span connect_timeout = Span::ms(500);  // a machine that is there answers within some ms
+constexpr Span connect_timeout = Span::ms(500);  // a reachable machine responds within some ms
 constexpr Span initial_backoff = Span::ms(20), max_backoff = Span::ms(200);
 
 }  // namespace
@@ -106,8 +106,8 @@
   const ReplyCallback done = std::move(found->second.done);
   const bool nothing_received = up() && received_at_ < found->second.started_at;
   calls_.erase(found);
-  done(absl::DeadlineExceededError("no answer in time"));
-  if (nothing_received) reconnect();  // the connection may be dead without having been closed
+  done(absl::DeadlineExceededError("no reply within the timeout"));
+  if (nothing_received) reconnect();  // the peer may be gone without having closed the connection
 }
 
 void RpcClient::on_reply(std::uint64_t number, const std::string& record) {
@@ -177,7 +177,7 @@
     const frame::ParseResult result = frame::parse_header(bytes, header);
     if (result == frame::ParseResult::incomplete) return;
     if (result == frame::ParseResult::malformed) {
-      log_warning("rpc.malformed_frame", "a peer sent what is no frame");
+      log_warning("rpc.malformed_frame", "a peer sent bytes that are not a valid frame");
       close();
       return;
     }
@@ -194,7 +194,8 @@
     : scheduler_(scheduler),
       listener_(scheduler,
                 [this](int fd) {
-                  // Added before it adopts the socket: what has arrived already may end it at once.
+                  // Added before it adopts the socket: data that has already arrived may end the
+                  // connection immediately.
                   tasks_.add(std::make_unique<Connection>(*this)).channel_.adopt(fd);
                 }),
       tasks_(scheduler) {}
--- a/src/common/value_difference.cpp
+++ b/src/common/value_difference.cpp
@@ -11,10 +11,10 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::size_t block_size = 32;                  // bytes: a shorter match costs about what it saves
-constexpr std::size_t max_unmatched_bytes = 1U << 20U;  // searched without a match: some ten milliseconds
+constexpr std::size_t block_size = 32;                  // bytes; a copy of a shorter match would save little
+constexpr std::size_t max_unmatched_bytes = 1U << 20U;  // ends the search after some ten milliseconds
 
-// ---- the encoding
+// ---- Encoding
 
 void put_integer(std::string& out, std::uint64_t value) {
   while (value >= 0x80U) {
@@ -24,7 +24,7 @@
   out.push_back(static_cast<char>(value));
 }
 
-/// Removes an integer from the front of `in`. Nothing: there is no valid one.
+/// Removes an integer from the beginning of `in`. Returns std::nullopt if there is no valid one.
 std::optional<std::uint64_t> take_integer(std::string_view& in) {
   std::uint64_t out = 0;
   for (unsigned shift = 0; shift < 64 && !in.empty(); shift += 7) {
@@ -58,7 +58,7 @@
     put_integer(out_, zigzag(static_cast<std::int64_t>(offset) - static_cast<std::int64_t>(copied_end_)));
     copied_end_ = offset + length;
   }
-  /// The offset in the base behind the last copy.
+  /// Returns the offset in the base where the last copy ended.
   std::size_t copied_end() const { return copied_end_; }
 
  private:
@@ -66,7 +66,7 @@
   std::size_t copied_end_ = 0;
 };
 
-// ---- the search
+// ---- Search
 
 constexpr std::uint64_t power_of(std::uint64_t base, std::size_t exponent) {
   std::uint64_t out = 1;
@@ -74,7 +74,7 @@
   return out;
 }
 
-/// The polynomial hash of a window of block_size bytes, which moves on byte by byte.
+/// The polynomial hash of a window of block_size bytes that moves forward byte by byte.
 class RollingHash {
  public:
   explicit RollingHash(const char* block) {
@@ -92,8 +92,8 @@
   std::uint64_t hash_ = 0;
 };
 
-/// The blocks of the base by hash; of equal blocks, the first. A hash table without probing: a block whose
-/// slot is occupied is left out, so that each look-up takes one step.
+/// Hash table of the blocks of the base; of equal blocks it has the first. There is no probing: a block whose
+/// slot is occupied is omitted, so that each lookup takes one step.
 class BlockIndex {
  public:
   explicit BlockIndex(std::string_view base) : base_(base) {
@@ -106,7 +106,7 @@
       if (slot == empty_slot) slot = static_cast<std::uint32_t>(block);
     }
   }
-  /// The offset of a block with these bytes, where one is indexed.
+  /// Returns the offset of an indexed block with these bytes, or std::nullopt.
   std::optional<std::size_t> find(std::uint64_t hash, const char* bytes) const {
     const std::uint32_t block = slots_[slot_of(hash)];
     if (block == empty_slot) return std::nullopt;
@@ -137,7 +137,7 @@
   return out;
 }
 
-/// `offset`, where the base has a block with these bytes there.
+/// Returns `offset` if the base has a block with these bytes there, otherwise std::nullopt.
 std::optional<std::size_t> block_at(std::string_view base, std::size_t offset, const char* bytes) {
   if (offset + block_size > base.size()) return std::nullopt;
   if (std::memcmp(base.data() + offset, bytes, block_size) != 0) return std::nullopt;
@@ -149,8 +149,8 @@
 std::string difference(std::string_view base, std::string_view target) {
   std::string out;
   OperationWriter writer(out);
-  // Most changes leave the beginning as it is: no search for that part.
-  std::size_t done = common_prefix(base, target);  // bytes of the target that are written
+  // Most changes leave the beginning unchanged, so that part is not searched.
+  std::size_t done = common_prefix(base, target);  // number of bytes of the target already written
   if (done > 0) writer.copy(0, done);
   if (target.size() - done < block_size || base.size() < block_size) {
     writer.literal(target.substr(done));
@@ -160,8 +160,8 @@
   std::size_t at = done, unmatched = 0;
   RollingHash hash(target.data() + at);
   while (true) {
-    // Tried first, since of equal blocks the index has only one: where the last copy would have gone on, had
-    // as many bytes been replaced as were skipped since.
+    // Of equal blocks the index has only one, so the aligned position is tried first: where the last copy
+    // would continue if the bytes skipped since had replaced as many bytes of the base.
     const std::size_t aligned = writer.copied_end() + (at - done);
     std::optional<std::size_t> match = block_at(base, aligned, target.data() + at);
     if (!match) match = index.find(hash.value(), target.data() + at);
--- a/src/common/value_update.cpp
+++ b/src/common/value_update.cpp
@@ -7,13 +7,13 @@
 namespace chutevane::common {
 namespace {
 
-constexpr std::size_t max_record_size = 64U << 20U;  // bytes: as much as a frame of a connection holds
-// Stored as bases: at twenty changes a second, the values of three seconds.
+constexpr std::size_t max_record_size = 64U << 20U;  // bytes; equals frame::max_record_size
+// Values stored as bases: those of three seconds at twenty changes per second.
 constexpr std::size_t max_recent_values = 64;        // values
-constexpr std::size_t max_recent_bytes = 4U << 20U;  // of all but the newest
-constexpr std::size_t min_recent_values = 2;         // values: the newest, and one to change it from
-constexpr std::size_t min_saving_factor =
-    2;  // a difference is sent if it has half the size of the value or less
+constexpr std::size_t max_recent_bytes = 4U << 20U;  // bytes of all values but the newest
+constexpr std::size_t min_recent_values = 2;         // values: the newest and one base
+// A difference is sent only if its size is at most that of the value divided by this factor.
+constexpr std::size_t min_saving_factor = 2;
 constexpr std::int64_t no_base = -1;
 
 }  // namespace
@@ -31,11 +31,11 @@
 absl::StatusOr<RegisterValue> apply_value_difference(const ValueDifference& difference,
                                                      std::string_view base_record) {
   if (static_cast<std::int64_t>(content_hash(base_record)) != difference.base_hash)
-    return absl::FailedPreconditionError("another base");
+    return absl::FailedPreconditionError("the base differs from the sender's");
   const auto record = apply_difference(base_record, difference.content.data, max_record_size);
   RegisterValue out;
   if (!record || static_cast<std::int64_t>(content_hash(*record)) != difference.hash || !decode(*record, out))
-    return absl::DataLossError("the difference makes another value");
+    return absl::DataLossError("the result differs from the sender's value");
   return out;
 }
 
@@ -79,7 +79,7 @@
   if (change != nullptr) {
     push.difference = *change;
   } else {
-    static_cast<void>(decode(record(), push.value));  // it was encoded here
+    static_cast<void>(decode(record(), push.value));  // cannot fail: the record was encoded by this process
   }
   cached->second = encoded(push);
   return cached->second;
@@ -89,14 +89,14 @@
                                              const RecentValues& recent) {
   if (!is_difference(difference)) return full;
   const std::string* const base = recent.record_of(difference.base);
-  if (base == nullptr) return absl::FailedPreconditionError("the base is not held");
+  if (base == nullptr) return absl::FailedPreconditionError("the base is not stored");
   return apply_value_difference(difference, *base);
 }
 
 void PushCursor::acknowledged(std::int64_t number, std::int64_t rejected) {
   acknowledged_ = std::max(acknowledged_, number);
   sent(number);
-  // A full value that is on its way already settles rejections of what was sent before it.
+  // A full value that is already in flight resolves rejections of what was sent before it.
   if (rejected > number && rejected > sent_full_) needs_full_value_ = true;
 }
 
@@ -107,8 +107,8 @@
   if (bases_.size() > max_bases) bases_.pop_front();
 }
 
-// The newest number that the receiver has and that is stored here too: it has values from other sessions that
-// are not.
+// Returns the newest number that the receiver has and that is stored here too. The receiver may also have
+// values from other sessions that are not stored here.
 std::int64_t PushCursor::base(const RecentValues& values) const {
   const auto at = std::find_if(bases_.rbegin(), bases_.rend(),
                                [&](std::int64_t number) { return values.record_of(number) != nullptr; });
--- a/tests/common/changing_value.hpp
+++ b/tests/common/changing_value.hpp
@@ -1,5 +1,5 @@
-// Values of the register as operators change them: a configuration of a given size, of which each change
-// touches a little.
+// Generates register values as changed by operators: each change modifies a small part of a configuration of
+// a given size.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
     for (std::size_t size = 0, i = 0; size < config_bytes; size += routes_.back().size(), ++i)
       routes_.push_back(route(i, 1500));
   }
-  // `value` with the next configuration, under the next version and number.
+  // Returns `value` with the next configuration, version and number.
   common::RegisterValue next(const common::RegisterValue& value) {
     ++version_;
     const std::size_t at = random_.below(routes_.size());
@@ -29,13 +29,13 @@
     out.config_version = static_cast<std::int64_t>(version_);
     out.config.data = text();
     out.applied_configurations.push_back({out.config_version, static_cast<std::int64_t>(random_.next())});
-    if (out.applied_configurations.size() > taken_most)
+    if (out.applied_configurations.size() > max_applied_configurations)
       out.applied_configurations.erase(out.applied_configurations.begin());
     return out;
   }
 
  private:
-  static constexpr std::size_t taken_most = 64;
+  static constexpr std::size_t max_applied_configurations = 64;
   static std::string route(std::size_t name, std::size_t timeout) {
     const std::string n = std::to_string(name);
     return "{\"name\":\"route-" + n + "\",\"match\":{\"host\":\"api.example\",\"prefix\":\"/v1/r" + n +
--- a/tests/common/http_server_test.cpp
+++ b/tests/common/http_server_test.cpp
@@ -1,5 +1,5 @@
-/// The HTTP server on real sockets: each reply reaches the request that it belongs to, on one connection or
-/// many, whatever the order of the replies, and is dropped where the connection is closed.
+/// The HTTP server on real sockets: each reply reaches its own request, on one connection or many and in any
+/// order of the replies, and is dropped if the connection is closed.
 #include "common/http_server.hpp"
 
 #include <arpa/inet.h>
@@ -25,7 +25,7 @@
 
 namespace {
 
-/// A server that replies when the test says so, by the target of the request.
+/// A server whose replies are triggered by the test, by the target of the request.
 struct TestServer {
   TestServer() {
     sockaddr_in at{};
@@ -33,9 +33,9 @@
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     server.listen(at);
   }
-  void turn(const std::function<bool()>& enough) {
+  void turn(const std::function<bool()>& done) {
     const auto end = scheduler.now() + Span::ms(3000);
-    while (!enough() && scheduler.now() < end) {
+    while (!done() && scheduler.now() < end) {
       timers.after(Span::ms(2), [] {});
       scheduler.turn();
     }
@@ -51,11 +51,11 @@
   chutevane::net::TimerQueue timers{scheduler};
   std::map<std::string, HttpServer::Reply> pending;
   std::size_t requests = 0;
-  bool reply_at_once = false;
+  bool reply_immediately = false;
   HttpServer server{scheduler, 1U << 20U, [this](const Parser& request, HttpServer::Reply reply) {
                       ++requests;
                       const std::string target(request.target());
-                      if (reply_at_once) return reply({200, "to " + target, {}});
+                      if (reply_immediately) return reply({200, "to " + target, {}});
                       pending[target] = std::move(reply);
                     }};
 };
@@ -78,7 +78,7 @@
     const std::string text = "GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n";
     CHECK_EQUAL(static_cast<ssize_t>(text.size()), ::write(fd_, text.data(), text.size()));
   }
-  /// The bodies of so many responses; nothing may follow them.
+  /// Returns the bodies of `count` responses. No more bytes may follow them.
   std::vector<std::string> receive_bodies(std::size_t count) {
     std::vector<std::string> out;
     server_.turn([&] {
@@ -119,7 +119,7 @@
 
 TEST_GROUP(HttpServerReplies) { TestServer server; };
 
-TEST(HttpServerReplies, EightConnectionsRepliedToInAnyOrder) {
+TEST(HttpServerReplies, EightConnectionsWithRepliesInAnyOrder) {
   std::vector<std::unique_ptr<Connection>> connections;
   for (std::size_t i = 0; i < 8; ++i) {
     connections.push_back(std::make_unique<Connection>(server));
@@ -134,7 +134,7 @@
   }
 }
 
-// On one connection they are handled one after the other.
+// Requests on one connection are handled one after another.
 TEST(HttpServerReplies, EightOnOneConnection) {
   Connection connection(server);
   for (std::size_t i = 0; i < 8; ++i) connection.send_request(target(i));
@@ -148,9 +148,9 @@
   for (std::size_t i = 0; i < 8; ++i) STRCMP_EQUAL(("to " + target(i)).c_str(), received[i].c_str());
 }
 
-// Thousands that wait in one buffer, each answered at once: no deeper for the last than for the first.
-TEST(HttpServerReplies, ThousandsRepliedToAtOnce) {
-  server.reply_at_once = true;
+// Guards against recursion for each of many pipelined requests that are replied to synchronously.
+TEST(HttpServerReplies, ThousandsOfSynchronousReplies) {
+  server.reply_immediately = true;
   Connection connection(server);
   for (std::size_t i = 0; i < 3000; ++i) connection.send_request(target(i));
   const auto received = connection.receive_bodies(3000);
@@ -158,8 +158,8 @@
   STRCMP_EQUAL(("to " + target(2999)).c_str(), received.back().c_str());
 }
 
-// The connection is closed before its reply: the next connection, even one with the same descriptor, gets
-// only its own.
+// The connection is closed before its reply. The next connection, which may have the same descriptor, must
+// receive only its own reply.
 TEST(HttpServerReplies, AReplyToAClosedConnectionIsDropped) {
   auto gone = std::make_unique<Connection>(server);
   gone->send_request(target(1));
@@ -175,7 +175,7 @@
   STRCMP_EQUAL(("to " + target(2)).c_str(), received[0].c_str());
 }
 
-// An answer that is given twice does not become the answer to the call behind it.
+// A second reply to a request must not become the reply to the next request.
 TEST(HttpServerReplies, ASecondReplyIsDropped) {
   Connection connection(server);
   connection.send_request(target(1));
--- a/tests/common/simulated_system.hpp
+++ b/tests/common/simulated_system.hpp
@@ -1,5 +1,5 @@
-// A machine for tests: a clock that only the test moves, and no network. A wait ends at once, at the next
-// timer's time: code with timers runs as fast as it can.
+// A simulated machine for tests: a clock that is controlled by the test, and no network. A wait returns
+// immediately and advances the clock to the next timer, so that code with timers runs as fast as possible.
 #pragma once
 
 #include <cerrno>
@@ -11,15 +11,15 @@
 
 namespace chutevane::simulated {
 
-class PlayedSystem final : public net::System {
+class SimulatedSystem final : public net::System {
  public:
-  explicit PlayedSystem(TimePoint start = TimePoint::at_ms(1e9)) : now_(start) {}
+  explicit SimulatedSystem(TimePoint start = TimePoint::at_ms(1e9)) : now_(start) {}
   TimePoint now() const override { return now_; }
   std::size_t wait(std::span<Event>, Span most) override {
     now_ = std::min(now_ + most, std::max(now_, until_));
     return 0;
   }
-  // Waits do not go beyond it.
+  // Sets the time beyond which waits do not advance the clock.
   void stop_at(TimePoint until) { until_ = until; }
   void advance(Span by) { now_ = now_ + by; }
 
@@ -50,13 +50,14 @@
   std::size_t connects_ = 0;
 };
 
-// A clock, a scheduler on it, and TimerQueue.
+// A simulated clock with a scheduler and a timer queue.
 struct Clockwork {
-  PlayedSystem system;
+  SimulatedSystem system;
   net::Scheduler scheduler{system};
   net::TimerQueue later{scheduler};
 
-  // Plays until then, or until `enough` says so; false where it had to go on to the end.
+  // Runs the scheduler for the time `most`, or until `enough` returns true. Returns false if it ran for all
+  // of `most`.
   bool play(Span most, const std::function<bool()>& enough = nullptr) {
     const TimePoint end = system.now() + most;
     system.stop_at(end);
@@ -70,7 +71,7 @@
   }
 };
 
-// RandomSource by a seed: alike on every machine.
+// A random generator with a seed. It gives the same sequence on every machine.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 0x853c49e6748fea9bULL) {}
--- a/tests/common/value_difference_test.cpp
+++ b/tests/common/value_difference_test.cpp
@@ -1,5 +1,6 @@
-// Differences of byte strings: what comes back is the target, whatever the edits; what is malformed or rests
-// on another base makes nothing, or something that the hash tells from the target.
+// Differences of byte strings: applying a difference to its base yields the target for all kinds of edits. A
+// malformed difference, or another base, yields nothing or a result that its hash distinguishes from the
+// target.
 #include "common/value_difference.hpp"
 
 #include <string>
@@ -15,15 +16,15 @@
 
 namespace {
 
-constexpr std::size_t most = 64U << 20U;  // bytes
+constexpr std::size_t max_result_bytes = 64U << 20U;
 
-std::string noise(RandomSource& luck, std::size_t size) {
+std::string noise(RandomSource& random, std::size_t size) {
   std::string out(size, '\0');
-  for (char& c : out) c = static_cast<char>(luck.next());
+  for (char& c : out) c = static_cast<char>(random.next());
   return out;
 }
 
-// Text as a configuration has it: much alike, and never quite.
+// Returns text like that of a configuration: repetitive, but with small differences.
 std::string routes(std::size_t size) {
   std::string out = "{\"routes\":[";
   for (std::size_t i = 0; out.size() < size; ++i)
@@ -33,19 +34,19 @@
   return out;
 }
 
-// Replaces, inserts, removes and moves ranges.
-std::string edited(RandomSource& luck, std::string text) {
-  const std::size_t edits = 1 + luck.below(6);
+// Replaces, inserts, removes and moves random ranges of `text`.
+std::string edited(RandomSource& random, std::string text) {
+  const std::size_t edits = 1 + random.below(6);
   for (std::size_t i = 0; i < edits; ++i) {
-    const std::size_t at = luck.below(text.size() + 1), length = luck.below(200);
-    switch (luck.below(4)) {
-      case 0: text.insert(at, noise(luck, length)); break;
+    const std::size_t at = random.below(text.size() + 1), length = random.below(200);
+    switch (random.below(4)) {
+      case 0: text.insert(at, noise(random, length)); break;
       case 1: text.erase(at, length); break;
-      case 2: text.replace(at, std::min(length, text.size() - at), noise(luck, length)); break;
+      case 2: text.replace(at, std::min(length, text.size() - at), noise(random, length)); break;
       default: {
         const std::string moved = text.substr(at, length * 10);
         text.erase(at, moved.size());
-        text.insert(luck.below(text.size() + 1), moved);
+        text.insert(random.below(text.size() + 1), moved);
       }
     }
   }
@@ -54,7 +55,7 @@
 
 void check_round_trip(const std::string& base, const std::string& target, const std::string& where) {
   const std::string made = difference(base, target);
-  const auto got = apply_difference(base, made, most);
+  const auto got = apply_difference(base, made, max_result_bytes);
   CHECK_WHERE(got.has_value(), where);
   CHECK_WHERE(*got == target, where);
   CHECK_WHERE(made.size() <= target.size() + 16, where);
@@ -73,14 +74,14 @@
 
 TEST(ValueDifference, RandomEditsRoundTrip) {
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
-    RandomSource luck(seed);
-    const std::size_t size = luck.below(8000);
-    const std::string base = luck.chance(0.5) ? routes(size) : noise(luck, size);
-    check_round_trip(base, edited(luck, base), numbered("seed ", static_cast<long long>(seed)));
+    RandomSource random(seed);
+    const std::size_t size = random.below(8000);
+    const std::string base = random.chance(0.5) ? routes(size) : noise(random, size);
+    check_round_trip(base, edited(random, base), numbered("seed ", static_cast<long long>(seed)));
   }
 }
 
-// From 1 KB to 8 MB, one field changed: the difference does not grow with the whole.
+// Changes one field in texts of 1 KB to 8 MB: the size of the difference does not grow with the text.
 TEST(ValueDifference, OneFieldCostsAFewBytesAtEachSize) {
   for (std::size_t size = 1024; size <= (8U << 20U); size *= 8) {
     const std::string base = routes(size);
@@ -93,15 +94,15 @@
   }
 }
 
-// Ranges that moved are copied, not sent.
+// Moved ranges are encoded as copies, not as literals.
 TEST(ValueDifference, MovedHalvesAreCopied) {
-  RandomSource luck(1);
-  const std::string a = noise(luck, 100000), b = noise(luck, 100000);
+  RandomSource random(1);
+  const std::string a = noise(random, 100000), b = noise(random, 100000);
   check_round_trip(a + b, b + a, "halves");
   CHECK_TRUE(difference(a + b, b + a).size() < 100);
 }
 
-// Alike everywhere: each step of the search finds a match, and none is gone over twice.
+// Guards against quadratic time on repetitive texts, where each step of the search finds a match.
 TEST(ValueDifference, OneByteRepeated) {
   const std::string base(2U << 20U, 'a');
   check_round_trip(base, base + "b" + base.substr(7), "repeated");
@@ -110,54 +111,54 @@
   check_round_trip(periods, periods.substr(3) + periods, "periods");
 }
 
-// The search gives up on what is new altogether, and what comes behind is literal.
+// The search ends after a long range without a match, and the rest is a literal.
 TEST(ValueDifference, LargeAndNewRoundTrips) {
-  RandomSource luck(5);
-  const std::string base = noise(luck, 3U << 20U);
-  check_round_trip(base, noise(luck, 3U << 20U) + base, "new and long");
+  RandomSource random(5);
+  const std::string base = noise(random, 3U << 20U);
+  check_round_trip(base, noise(random, 3U << 20U) + base, "new and long");
 }
 
 TEST(ValueDifference, CutAtEveryByteIsNeverTheTarget) {
   const std::string base = routes(3000);
-  RandomSource luck(3);
-  const std::string target = edited(luck, edited(luck, base));
+  RandomSource random(3);
+  const std::string target = edited(random, edited(random, base));
   const std::string made = difference(base, target);
   for (std::size_t size = 0; size < made.size(); ++size) {
-    const auto got = apply_difference(base, std::string_view(made).substr(0, size), most);
+    const auto got = apply_difference(base, std::string_view(made).substr(0, size), max_result_bytes);
     CHECK_WHERE(!got || *got != target, numbered("cut at ", static_cast<long long>(size)));
   }
 }
 
-// What noise makes is bounded, and lies within the base.
-TEST(ValueDifference, NoiseIsBounded) {
+// Random differences never exceed the size limit and never read outside the base.
+TEST(ValueDifference, RandomDifferencesAreBounded) {
   const std::string base = routes(2000);
   for (std::uint64_t seed = 0; seed < 20000; ++seed) {
-    RandomSource luck(seed);
-    const auto got = apply_difference(base, noise(luck, luck.below(60)), 5000);
+    RandomSource random(seed);
+    const auto got = apply_difference(base, noise(random, random.below(60)), 5000);
     CHECK_TRUE(!got || got->size() <= 5000);
   }
-  // A copy of nothing, one behind the base, one before it, and a length that overflows.
+  // An empty copy, one after the base, one before it, a length that overflows, and a literal that ends early.
   for (const std::string& bad :
        {std::string("\x01\x00", 2), std::string("\x03\x7e", 2) + "x", std::string("\x03\x01", 2),
         std::string(9, '\xff') + "\x01", std::string("\x08\x61", 2)}) {
-    CHECK_FALSE(apply_difference("ab", bad, most).has_value());
+    CHECK_FALSE(apply_difference("ab", bad, max_result_bytes).has_value());
   }
 }
 
-// Guards the hash check of those who apply: on another base of the same size a difference often makes
-// something.
-TEST(ValueDifference, AnotherBaseMakesAnotherHash) {
-  std::size_t made_something = 0;
+// Shows why callers must verify the hash: applied to another base of the same size, a difference often
+// succeeds.
+TEST(ValueDifference, AnotherBaseYieldsAnotherHash) {
+  std::size_t applied = 0;
   for (std::uint64_t seed = 0; seed < 500; ++seed) {
-    RandomSource luck(seed);
+    RandomSource random(seed);
     const std::string base = routes(2000);
-    const std::string target = edited(luck, base);
+    const std::string target = edited(random, base);
     std::string other = base;
-    other[luck.below(other.size())] ^= 1;
-    const auto got = apply_difference(other, difference(base, target), most);
-    if (!got || *got == target) continue;  // the byte is not in the target
-    ++made_something;
+    other[random.below(other.size())] ^= 1;
+    const auto got = apply_difference(other, difference(base, target), max_result_bytes);
+    if (!got || *got == target) continue;  // the changed byte is not copied to the target
+    ++applied;
     CHECK_TRUE(content_hash(*got) != content_hash(target));
   }
-  CHECK_TRUE(made_something > 300);
+  CHECK_TRUE(applied > 300);
 }
--- a/tests/common/value_update_test.cpp
+++ b/tests/common/value_update_test.cpp
@@ -1,5 +1,6 @@
-// Values that go down sessions as differences: what a receiver takes is what was chosen under that number, or
-// nothing; whoever missed some, or holds another base, gets the whole, within a bound; bytes are counted.
+// Register values sent on sessions as differences: a receiver applies exactly the value chosen under a number
+// or nothing. A receiver that missed values, or has another base, gets the full value within a limited time.
+// The number of bytes sent is checked too.
 #include "common/value_update.hpp"
 
 #include <map>
@@ -33,7 +34,7 @@
   return push;
 }
 
-// The values 1 to `count`, of one history.
+// Returns the empty value 0 and the values 1 to `count` of one history.
 std::vector<RegisterValue> history(std::size_t count, std::size_t bytes, std::uint64_t seed = 1) {
   ChangingValue changes(seed, bytes);
   std::vector<RegisterValue> out = {{}};
@@ -60,7 +61,7 @@
   }
 }
 
-// Guards against a wrong value: another value of the base's number, on either side.
+// Guards against a wrong result when sender and receiver have different values with the base's number.
 TEST(ValueUpdate, AnotherBaseIsRejectedAndTheFullValueIsSent) {
   const std::vector<RegisterValue> values = history(3, 5000);
   RegisterValue other = values[1];
@@ -77,15 +78,15 @@
   CHECK_TRUE(receiver.receive(push) == ValueReceiver::Result::rejected);
   CHECK_TRUE(*receiver.value() == other);
   cursor.acknowledged(1, 2);
-  const ValuePush whole = decoded(*cursor.next(sent, 0));
-  CHECK_FALSE(common::is_difference(whole.difference));
-  cursor.acknowledged(1, 2);  // was written before the whole came
+  const ValuePush full = decoded(*cursor.next(sent, 0));
+  CHECK_FALSE(common::is_difference(full.difference));
+  cursor.acknowledged(1, 2);  // sent before the full value arrived
   CHECK_TRUE(cursor.next(sent, 0) == nullptr);
-  CHECK_TRUE(receiver.receive(whole) == ValueReceiver::Result::newer);
+  CHECK_TRUE(receiver.receive(full) == ValueReceiver::Result::newer);
   CHECK_TRUE(*receiver.value() == values[2]);
 }
 
-// A difference that is spoilt on its way makes nothing, wherever.
+// A difference that is corrupted at any byte is rejected.
 TEST(ValueUpdate, CorruptDifferencesAreRejected) {
   const std::vector<RegisterValue> values = history(2, 3000);
   RecentValues sent;
@@ -104,7 +105,7 @@
   }
 }
 
-// A receiver whose base is long gone, that holds nothing, or that knows nothing of the base's number.
+// Receivers without a value, or with values that the sender no longer stores, get the full value.
 TEST(ValueUpdate, FullValueWhereTheBaseIsNotStored) {
   const std::vector<RegisterValue> values = history(200, 3000);
   RecentValues sent;
@@ -119,8 +120,8 @@
   CHECK_TRUE(common::is_difference(decoded(*cursor.next(sent, 0)).difference));
 }
 
-// One that does not read gets no more: what waits for it is bounded by one value.
-TEST(ValueUpdate, NothingMoreForAReceiverThatDoesNotRead) {
+// Guards against unbounded buffering for a receiver that does not read.
+TEST(ValueUpdate, NothingIsSentToAReceiverThatDoesNotRead) {
   const std::vector<RegisterValue> values = history(50, 1U << 20U);
   RecentValues sent;
   PushCursor cursor;
@@ -130,11 +131,11 @@
     if (const std::string* const record = cursor.next(sent, unsent)) unsent += record->size();
     CHECK_TRUE(unsent <= PushCursor::max_unsent_bytes + 2 * values[1].config.data.size());
   }
-  // It reads again: the newest comes next, and is what it asked for.
+  // Once it reads again, the newest value is sent next.
   CHECK_EQUAL(50, decoded(*cursor.next(sent, 0)).number);
 }
 
-// Whatever the sizes, what is held for differences is bounded: 4 MiB beside the newest, or one value.
+// The memory for bases is limited for all sizes of values: 4 MiB besides the newest value, or one value.
 TEST(ValueUpdate, MemoryIsBounded) {
   for (const std::size_t bytes : {1024U, 64U << 10U, 1U << 20U, 8U << 20U}) {
     RecentValues sent;
@@ -149,175 +150,186 @@
   }
 }
 
-// ---- a day of changes, with sidecars and control machines that fail in every way
+// ---- Simulation of sidecars and controllers with changes and faults
 
 namespace {
 
-constexpr Span change_every = Span::ms(50);
-constexpr Span heartbeat_every = Span::ms(250);
-constexpr Span hello_every = Span::ms(300);
-constexpr Span caught_up_most = Span::ms(1200);  // of a sidecar that nothing holds up
-constexpr std::size_t controls = 3;
+constexpr Span change_interval = Span::ms(50);
+constexpr Span controller_heartbeat_interval = Span::ms(250);
+constexpr Span member_heartbeat_interval = Span::ms(300);
+constexpr Span max_catch_up_time = Span::ms(1200);  // for a sidecar that no fault delays
+constexpr std::size_t controller_count = 3;
 
 struct Sidecar;
 
-// A held connection: what is written comes in order, or is lost with the connection.
+// A connection between a sidecar and a controller. Messages arrive in order, or are lost with the connection.
 struct Connection {
   PushCursor cursor;
-  std::int64_t refused = 0;
+  std::int64_t rejected_push = 0;
   std::size_t unsent = 0;
-  std::uint64_t turn = 0;  // of the connection: what belongs to an earlier one is lost
+  std::uint64_t incarnation = 0;  // counts reconnects: messages of earlier connections are lost
   TimePoint last_down, last_up;
   bool up = true;
 };
 
 struct Sidecar {
   std::unique_ptr<ValueReceiver> values = std::make_unique<ValueReceiver>();
-  Connection to[controls];
-  std::size_t first = 0;
+  Connection to[controller_count];
+  std::size_t primary = 0;
   bool frozen = false, down = false;
-  TimePoint calm_since;
+  TimePoint undisturbed_since;
 };
 
-struct PlayedDay {
-  PlayedDay(std::uint64_t seed, std::size_t bytes, std::size_t count)
-      : luck(seed), changes(seed, bytes), sidecars(count) {
-    for (std::size_t i = 0; i < controls; ++i) known.push_back(std::make_unique<RecentValues>());
-    for (Sidecar& s : sidecars) s.first = luck.below(controls), s.calm_since = clock.system.now();
+struct Simulation {
+  Simulation(std::uint64_t seed, std::size_t bytes, std::size_t count)
+      : random(seed), changes(seed, bytes), sidecars(count) {
+    for (std::size_t i = 0; i < controller_count; ++i)
+      known_values.push_back(std::make_unique<RecentValues>());
+    for (Sidecar& s : sidecars)
+      s.primary = random.below(controller_count), s.undisturbed_since = clock.system.now();
   }
 
   TimePoint now() const { return clock.system.now(); }
-  Span way() { return Span::ms(1 + 15 * luck.unit()); }
+  Span network_delay() { return Span::ms(1 + 15 * random.unit()); }
 
-  // Control's side.
-  void push(Sidecar& s, std::size_t control) {
-    Connection& c = s.to[control];
+  // The controllers' side.
+  void push(Sidecar& s, std::size_t controller) {
+    Connection& c = s.to[controller];
     if (!c.up || s.down) return;
-    const std::string* const record = c.cursor.next(*known[control], c.unsent);
+    const std::string* const record = c.cursor.next(*known_values[controller], c.unsent);
     if (record == nullptr) return;
     bytes_sent += record->size();
-    bytes_whole += known[control]->record().size();
+    bytes_of_full_values += known_values[controller]->record().size();
     ++pushes;
     c.unsent += record->size();
-    c.last_down = std::max(c.last_down, now() + way());
-    clock.later.at(c.last_down,
-                   [this, &s, control, turn = c.turn, copy = *record] { arrive(s, control, turn, copy); });
+    c.last_down = std::max(c.last_down, now() + network_delay());
+    clock.later.at(c.last_down, [this, &s, controller, incarnation = c.incarnation, copy = *record] {
+      arrive(s, controller, incarnation, copy);
+    });
   }
-  void arrive(Sidecar& s, std::size_t control, std::uint64_t turn, const std::string& record) {
-    Connection& c = s.to[control];
-    if (turn != c.turn) return;
-    if (s.frozen || !c.up) {  // it lies in the socket
-      clock.later.after(Span::ms(20),
-                        [this, &s, control, turn, record] { arrive(s, control, turn, record); });
+  void arrive(Sidecar& s, std::size_t controller, std::uint64_t incarnation, const std::string& record) {
+    Connection& c = s.to[controller];
+    if (incarnation != c.incarnation) return;
+    if (s.frozen || !c.up) {  // the message remains in the socket
+      clock.later.after(Span::ms(20), [this, &s, controller, incarnation, record] {
+        arrive(s, controller, incarnation, record);
+      });
       return;
     }
     c.unsent -= record.size();
     const std::int64_t before = s.values->number();
     ValuePush push = decoded(record);
     const std::int64_t number = push.number;
-    const auto came = s.values->receive(std::move(push));
-    if (came == ValueReceiver::Result::rejected) c.refused = std::max(c.refused, number), ++refusals;
-    if (came == ValueReceiver::Result::newer) {
-      check(s.values->number() > before, "went back");
-      check(*s.values->value() == truth[static_cast<std::size_t>(number)], "took a wrong value");
+    const auto result = s.values->receive(std::move(push));
+    if (result == ValueReceiver::Result::rejected)
+      c.rejected_push = std::max(c.rejected_push, number), ++rejections;
+    if (result == ValueReceiver::Result::newer) {
+      check(s.values->number() > before, "the value number decreased");
+      check(*s.values->value() == chosen_values[static_cast<std::size_t>(number)], "applied a wrong value");
     }
-    hello_all(s);
+    send_heartbeats(s);
   }
-  // The sidecar's side.
-  void hello_all(Sidecar& s) {
-    for (std::size_t i = 0; i < controls; ++i) hello(s, i);
+  // The sidecars' side.
+  void send_heartbeats(Sidecar& s) {
+    for (std::size_t i = 0; i < controller_count; ++i) send_heartbeat(s, i);
   }
-  void hello(Sidecar& s, std::size_t control) {
-    Connection& c = s.to[control];
+  void send_heartbeat(Sidecar& s, std::size_t controller) {
+    Connection& c = s.to[controller];
     if (!c.up || s.frozen || s.down) return;
-    const std::int64_t number = s.values->number(), refused = c.refused > number ? c.refused : 0;
-    c.last_up = std::max(c.last_up, now() + way());
-    clock.later.at(c.last_up, [this, &s, control, turn = c.turn, number, refused] {
-      Connection& there = s.to[control];
-      if (turn != there.turn) return;
-      there.cursor.acknowledged(number, refused);
-      if (s.first == control || refused != 0) push(s, control);
+    const std::int64_t number = s.values->number(),
+                       rejected_push = c.rejected_push > number ? c.rejected_push : 0;
+    c.last_up = std::max(c.last_up, now() + network_delay());
+    clock.later.at(c.last_up, [this, &s, controller, incarnation = c.incarnation, number, rejected_push] {
+      Connection& there = s.to[controller];
+      if (incarnation != there.incarnation) return;
+      there.cursor.acknowledged(number, rejected_push);
+      if (s.primary == controller || rejected_push != 0) push(s, controller);
     });
   }
-  void reconnect(Sidecar& s, std::size_t control) {
-    Connection& c = s.to[control];
+  void reconnect(Sidecar& s, std::size_t controller) {
+    Connection& c = s.to[controller];
     c.cursor = {};
-    c.refused = 0;
+    c.rejected_push = 0;
     c.unsent = 0;
-    ++c.turn;
+    ++c.incarnation;
     c.up = true;
     c.last_down = c.last_up = now();
-    hello(s, control);
+    send_heartbeat(s, controller);
   }
 
   void change() {
-    truth.push_back(changes.next(truth.back()));
-    for (std::size_t i = 0; i < controls; ++i) {
-      if (luck.chance(0.1)) continue;  // it does not hear of this one
-      clock.later.after(way() * 3, [this, i, value = truth.back()] { hear(i, value); });
+    chosen_values.push_back(changes.next(chosen_values.back()));
+    for (std::size_t i = 0; i < controller_count; ++i) {
+      if (random.chance(0.1)) continue;  // this controller misses the change
+      clock.later.after(network_delay() * 3, [this, i, value = chosen_values.back()] { learn(i, value); });
     }
   }
-  void hear(std::size_t control, const RegisterValue& value) {
-    if (lost_for[control] > now() || value.number <= known[control]->number()) return;
-    known[control]->add(value);
+  void learn(std::size_t controller, const RegisterValue& value) {
+    if (partitioned_until[controller] > now() || value.number <= known_values[controller]->number()) return;
+    known_values[controller]->add(value);
     for (Sidecar& s : sidecars) {
-      if (s.first == control) push(s, control);
+      if (s.primary == controller) push(s, controller);
     }
   }
-  void heartbeat() {
-    for (std::size_t i = 0; i < controls; ++i) {
-      if (lost_for[i] <= now() && truth.size() > 1) hear(i, truth.back());  // it has read the register
+  void controller_heartbeats() {
+    for (std::size_t i = 0; i < controller_count; ++i) {
+      if (partitioned_until[i] <= now() && chosen_values.size() > 1)
+        learn(i, chosen_values.back());  // reads the register
       for (Sidecar& s : sidecars) push(s, i);
     }
   }
 
-  void trouble() {
-    Sidecar& s = sidecars[luck.below(sidecars.size())];
-    const std::size_t control = luck.below(controls);
-    const Span most = Span::ms(2000 * luck.unit());
-    const auto calm_again = [this, &s](Span after) { s.calm_since = std::max(s.calm_since, now() + after); };
-    switch (luck.below(6)) {
+  void inject_fault() {
+    Sidecar& s = sidecars[random.below(sidecars.size())];
+    const std::size_t controller = random.below(controller_count);
+    const Span duration = Span::ms(2000 * random.unit());
+    const auto disturb_for = [this, &s](Span time) {
+      s.undisturbed_since = std::max(s.undisturbed_since, now() + time);
+    };
+    switch (random.below(6)) {
       case 0:  // frozen
         s.frozen = true;
-        calm_again(most);
-        clock.later.after(most, [&s] { s.frozen = false; });
+        disturb_for(duration);
+        clock.later.after(duration, [&s] { s.frozen = false; });
         break;
-      case 1:  // starts again with nothing
+      case 1:  // restarts without a value
         s.down = true;
-        calm_again(most);
-        clock.later.after(most, [this, &s] {
+        disturb_for(duration);
+        clock.later.after(duration, [this, &s] {
           s.values = std::make_unique<ValueReceiver>();
           s.down = false;
-          for (std::size_t i = 0; i < controls; ++i) reconnect(s, i);
+          for (std::size_t i = 0; i < controller_count; ++i) reconnect(s, i);
         });
         break;
-      case 2:  // one connection is cut, and made anew
-        s.to[control].up = false;
-        calm_again(most);
-        clock.later.after(most, [this, &s, control] { reconnect(s, control); });
+      case 2:  // one connection is lost and re-established
+        s.to[controller].up = false;
+        disturb_for(duration);
+        clock.later.after(duration, [this, &s, controller] { reconnect(s, controller); });
         break;
-      case 3:  // another control machine is the first
-        s.first = control;
+      case 3:  // another controller becomes the primary
+        s.primary = controller;
         break;
-      case 4:  // a control machine starts again: it knows the newest alone
-        known[control] = std::make_unique<RecentValues>();
+      case 4:  // a controller restarts and knows only the newest value
+        known_values[controller] = std::make_unique<RecentValues>();
         for (Sidecar& one : sidecars) {
-          one.calm_since = std::max(one.calm_since, now());
-          reconnect(one, control);
+          one.undisturbed_since = std::max(one.undisturbed_since, now());
+          reconnect(one, controller);
         }
         break;
-      default:  // a control machine is cut off from the others: it hears of nothing
-        lost_for[control] = now() + most;
-        for (Sidecar& one : sidecars) one.calm_since = std::max(one.calm_since, now() + most);
+      default:  // a controller is partitioned from the others and learns no values
+        partitioned_until[controller] = now() + duration;
+        for (Sidecar& one : sidecars)
+          one.undisturbed_since = std::max(one.undisturbed_since, now() + duration);
     }
   }
 
-  // Whoever was not held up for so long has what was newest at that time.
-  void look() {
-    const std::int64_t newest = truth.back().number;
-    clock.later.after(caught_up_most, [this, newest] {
+  // Checks that each sidecar without faults for max_catch_up_time has the value that was the newest at its
+  // beginning.
+  void check_progress() {
+    const std::int64_t newest = chosen_values.back().number;
+    clock.later.after(max_catch_up_time, [this, newest] {
       for (const Sidecar& s : sidecars) {
-        if (s.calm_since <= now() - caught_up_most)
+        if (s.undisturbed_since <= now() - max_catch_up_time)
           check(s.values->number() >= newest,
                 numbered("not caught up: ", s.values->number()) + numbered(" of ", newest));
       }
@@ -326,62 +338,67 @@
 
   void run(std::size_t count, bool faults) {
     for (std::size_t i = 0; i < count; ++i) {
-      clock.later.after(change_every * static_cast<double>(i), [this] { change(); });
-      if (i % 10 == 0) clock.later.after(change_every * static_cast<double>(i), [this] { look(); });
+      clock.later.after(change_interval * static_cast<double>(i), [this] { change(); });
+      if (i % 10 == 0)
+        clock.later.after(change_interval * static_cast<double>(i), [this] { check_progress(); });
       if (faults && i % 5 == 0 && i + 60 < count)
-        clock.later.after(change_every * static_cast<double>(i), [this] { trouble(); });
+        clock.later.after(change_interval * static_cast<double>(i), [this] { inject_fault(); });
     }
-    const Span all = change_every * static_cast<double>(count) + Span::ms(4000);
-    for (Span at; at < all; at = at + heartbeat_every) clock.later.after(at, [this] { heartbeat(); });
-    for (Span at; at < all; at = at + hello_every) {
+    const Span all = change_interval * static_cast<double>(count) + Span::ms(4000);
+    for (Span at; at < all; at = at + controller_heartbeat_interval)
+      clock.later.after(at, [this] { controller_heartbeats(); });
+    for (Span at; at < all; at = at + member_heartbeat_interval) {
       clock.later.after(at, [this] {
-        for (Sidecar& s : sidecars) hello_all(s);
+        for (Sidecar& s : sidecars) send_heartbeats(s);
       });
     }
     clock.play(all);
     for (const Sidecar& s : sidecars)
-      check(s.values->number() == truth.back().number, "not caught up at the end");
+      check(s.values->number() == chosen_values.back().number, "not caught up at the end");
   }
 
   void check(bool good, const std::string& what) {
-    if (!good && broken.empty()) broken = what;
+    if (!good && failure.empty()) failure = what;
   }
 
   Clockwork clock;
-  RandomSource luck;
+  RandomSource random;
   ChangingValue changes;
-  std::vector<RegisterValue> truth = {{}};
-  std::vector<std::unique_ptr<RecentValues>> known;
-  TimePoint lost_for[controls];
+  std::vector<RegisterValue> chosen_values = {{}};
+  std::vector<std::unique_ptr<RecentValues>> known_values;
+  TimePoint partitioned_until[controller_count];
   std::vector<Sidecar> sidecars;
-  std::size_t bytes_sent = 0, bytes_whole = 0, pushes = 0, refusals = 0;
-  std::string broken;
+  std::size_t bytes_sent = 0, bytes_of_full_values = 0, pushes = 0, rejections = 0;
+  std::string failure;
 };
 
 }  // namespace
 
-TEST_GROUP(ValueUpdateDays){};
+TEST_GROUP(ValueUpdateSimulation){};
 
-// 1,000 changes at 20 a second, eight sidecars: bytes a change and sidecar.
-TEST(ValueUpdateDays, BytesOfADayWithoutFaults) {
+// Checks the number of bytes per change and sidecar for 1,000 changes at 20 per second and eight sidecars.
+TEST(ValueUpdateSimulation, BytesSentWithoutFaults) {
   for (const std::size_t bytes : {1024U, 16U << 10U, 64U << 10U}) {
-    PlayedDay day(7, bytes, 8);
-    day.run(1000, false);
-    CHECK_TEXT(day.broken.empty(), day.broken.c_str());
-    const double each = static_cast<double>(day.bytes_sent) / 1000 / 8;
-    const std::string where = numbered("bytes ", static_cast<long long>(bytes)) +
-                              numbered(": a change and sidecar ", static_cast<long long>(each)) +
-                              numbered(", whole ", static_cast<long long>(day.bytes_whole / 8000)) +
-                              numbered(", refused ", static_cast<long long>(day.refusals));
+    Simulation simulation(7, bytes, 8);
+    simulation.run(1000, false);
+    CHECK_TEXT(simulation.failure.empty(), simulation.failure.c_str());
+    const double each = static_cast<double>(simulation.bytes_sent) / 1000 / 8;
+    const std::string where =
+        numbered("bytes ", static_cast<long long>(bytes)) +
+        numbered(": per change and sidecar ", static_cast<long long>(each)) +
+        numbered(", full ", static_cast<long long>(simulation.bytes_of_full_values / 8000)) +
+        numbered(", rejected ", static_cast<long long>(simulation.rejections));
     CHECK_WHERE(each < 1000, where);
-    if (const char* told = std::getenv("CHUTEVANE_TELL_BYTES"); told != nullptr) UT_PRINT(where.c_str());
+    if (const char* enabled = std::getenv("CHUTEVANE_TELL_BYTES"); enabled != nullptr)
+      UT_PRINT(where.c_str());
   }
 }
 
-TEST(ValueUpdateDays, EveryFaultByManySeeds) {
+TEST(ValueUpdateSimulation, EveryFaultByManySeeds) {
   for (std::uint64_t seed = 0; seed < 6; ++seed) {
-    PlayedDay day(seed, 2000 + 1500 * seed, 6);
-    day.run(1000, true);
-    CHECK_WHERE(day.broken.empty(), numbered("seed ", static_cast<long long>(seed)) + ": " + day.broken);
+    Simulation simulation(seed, 2000 + 1500 * seed, 6);
+    simulation.run(1000, true);
+    CHECK_WHERE(simulation.failure.empty(),
+                numbered("seed ", static_cast<long long>(seed)) + ": " + simulation.failure);
   }
 }
