--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -1,5 +1,6 @@
-// The files on disk: written today byte by byte as those stored in tests/golden/, and those read with all
-// that they hold. And what a sidecar leaves for its next process, in a file and over the hot restart channel.
+// Formats of files on disk: files are written byte by byte like those stored in tests/golden/, and the stored
+// ones are read completely. Also covers what a sidecar passes to its next process, by a file and over the hot
+// restart channel.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -38,19 +39,20 @@
 
 const std::string disk_id = "0123456789abcdef0123456789abcdef", seed_address = "127.0.0.1:4100";
 
-// All files of a disk, each stored as CASE/FILE, and no others.
-void compare_files(golden::Stored& stored, const std::string& prefix, common::Disk& disk) {
+// Compares all files of a disk with the entries PREFIX + FILE, and expects no other entries with that prefix.
+void compare_files(golden::GoldenFile& stored, const std::string& prefix, common::Disk& disk) {
   for (const std::string& name : disk.list_files()) stored.compare(prefix + name, *disk.read(name));
   stored.expect_all_compared(prefix);
 }
 
-void fill(common::Disk& disk, const golden::Stored& stored, const std::string& prefix) {
-  for (const auto& [name, bytes] : stored.under(prefix)) {
+// Writes the stored files to a disk.
+void fill(common::Disk& disk, const golden::GoldenFile& stored, const std::string& prefix) {
+  for (const auto& [name, bytes] : stored.entries_under(prefix)) {
     ASSERT_TRUE(disk.truncate(name, 0).ok() && disk.append(name, bytes).ok() && disk.sync(name).ok());
   }
 }
 
-// What lies there outlives the process that writes it, and a new disk's name is always the same.
+// A disk that outlives the plane that owns it, and whose generated id is always the same.
 class SharedDisk final : public common::Disk {
  public:
   explicit SharedDisk(MemoryDisk& disk) : disk_(disk) {}
@@ -70,7 +72,7 @@
   MemoryDisk& disk_;
 };
 
-// What the operators' client reads of a disk's files.
+// Returns what chutevane-ctl reads from a disk's files.
 ctl::FolderContents contents_of(common::Disk& disk) {
   auto copy = ctl::DiskSnapshot::of(disk);
   EXPECT_TRUE(copy.ok());
@@ -92,7 +94,7 @@
 }  // namespace
 
 TEST(GoldenFiles, DurableState) {
-  golden::Stored stored("files.txt");
+  golden::GoldenFile stored("files.txt");
   MemoryDisk disk;
   common::DurableState slots(disk, "s");
   ASSERT_TRUE(slots.write_checkpoint("first").ok() && slots.append_change("first, 1").ok() &&
@@ -115,7 +117,7 @@
 }
 
 TEST(GoldenFiles, StorageSegment) {
-  golden::Stored stored("files.txt");
+  golden::GoldenFile stored("files.txt");
   const TimePoint now = TimePoint::at_ms(1000);
   const common::Turn first{"t1", "", "p1", {std::string("in\0 1", 5)}, {"out 1"}, 60000};
   const common::Turn second{"t2", "t1", "p1", {"in 2"}, {"out 2"}, 70000};
@@ -146,7 +148,7 @@
 }
 
 TEST(GoldenFiles, Acceptor) {
-  golden::Stored stored("files.txt");
+  golden::GoldenFile stored("files.txt");
   MemoryDisk disk;
   control::DurableAcceptor acceptor(disk, {seed_address, disk_id, true});
   ASSERT_TRUE(acceptor.open().ok());
@@ -183,10 +185,10 @@
   EXPECT_EQ(opened.epoch(), 2);
 }
 
-// The acceptor of the coordination register: its log has what each request has changed, the accepted value as
-// a difference where that is shorter.
+// The acceptor of the coordination register: its log has the changes made by each request, with the accepted
+// value as a difference if that is shorter.
 TEST(GoldenFiles, AcceptorLogOfChanges) {
-  golden::Stored stored("files.txt");
+  golden::GoldenFile stored("files.txt");
   const control::AcceptorIdentity identity{seed_address, disk_id, true};
   const auto form = control::AcceptorLogForm::changes;
   MemoryDisk disk;
@@ -222,9 +224,9 @@
   EXPECT_EQ(opened.accepted_ballot(), (common::Ballot{4, 78}));
 }
 
-// A process on real sockets. Its first start is as new; the second finds the disk that was stored.
+// The control plane on real sockets: the first start with a new disk, the second with the stored disk.
 TEST(GoldenFiles, ControllerRecord) {
-  golden::Stored stored("files.txt");
+  golden::GoldenFile stored("files.txt");
   net::Scheduler scheduler;
   common::ProcessSettings settings;
   const sockaddr_in own = edge::harness::free_address(scheduler);
@@ -253,11 +255,11 @@
   EXPECT_EQ(record.disk, disk_id);
   EXPECT_TRUE(record.first);
   EXPECT_EQ(record.initial, control::first_epoch_value({{seed_address, ""}}));
-  settings.initial_start = false;  // a new disk would have another record
+  settings.initial_start = false;  // a new disk would get another record
   ASSERT_TRUE(open(before).ok());
   compare_files(stored, "control_first_start/", before);
 
-  // The version before had no coordination service: what it has left opens too, with all that it holds.
+  // The previous version had no coordination service. Its files can be opened too, with all their contents.
   MemoryDisk older;
   fill(older, stored, "control_first_start/");
   for (const std::string& name : older.list_files()) {
@@ -269,9 +271,9 @@
   EXPECT_EQ(common::encoded(contents_of(older).controller), common::encoded(record));
 }
 
-// Later contents of the same slots.
-TEST(GoldenFiles, ControllerRecordWithAllItKnows) {
-  golden::Stored stored("files.txt");
+// A record with all fields that are set later.
+TEST(GoldenFiles, ControllerRecordWithAllFields) {
+  golden::GoldenFile stored("files.txt");
   common::ControllerRecord record;
   record.disk = disk_id;
   record.known = value_of_epoch(1);
@@ -291,10 +293,11 @@
   EXPECT_EQ(found.controller.controllers, record.controllers);
 }
 
-// The production node under a scripted control: it has all of map 1, alone, and writes so down. Another, with
-// what was stored, goes on by that map at once, though the other node named by it says nothing.
+// The storage plane with a scripted controller: as the only node it is complete in map 1, and stores that. A
+// second one with the stored files is complete in that map immediately, although the map's other node does
+// not respond.
 TEST(GoldenFiles, StorageNodeAndMapRecords) {
-  golden::Stored stored("files.txt");
+  golden::GoldenFile stored("files.txt");
   edge::harness::Loop loop;
   const sockaddr_in control_address = edge::harness::free_address(loop.scheduler);
   common::ProcessSettings settings;
@@ -314,7 +317,7 @@
   const edge::harness::SilentAddress silent;
   other.address = net::text_of(silent.address());
   const std::string configuration = edge::harness::configuration_text({}, {});
-  const auto whole_by_map_1 = [&](MemoryDisk& disk, const std::vector<common::StorageNode>& nodes) {
+  const auto completes_map_1 = [&](MemoryDisk& disk, const std::vector<common::StorageNode>& nodes) {
     edge::harness::ScriptedControl control(loop, control_address);
     storage::StoragePlane plane(loop.scheduler, settings, std::make_unique<SharedDisk>(disk));
     if (!plane.open().ok()) return false;
@@ -323,17 +326,17 @@
            control.member()->disk == disk_id;
   };
   MemoryDisk disk;
-  ASSERT_TRUE(whole_by_map_1(disk, {own}));
+  ASSERT_TRUE(completes_map_1(disk, {own}));
   compare_files(stored, "storage_records/", disk);
 
   MemoryDisk before;
   fill(before, stored, "storage_records/");
   EXPECT_EQ(contents_of(before).storage_node.disk, disk_id);
-  ASSERT_TRUE(whole_by_map_1(before, {own, other}));
+  ASSERT_TRUE(completes_map_1(before, {own, other}));
   compare_files(stored, "storage_records/", before);
 }
 
-// ---- the sidecar
+// ---- Sidecar
 
 namespace {
 
@@ -376,12 +379,12 @@
   return out.str();
 }
 
-class Folder {
+class TemporaryDirectory {
  public:
-  Folder() : path_(::mkdtemp(template_.data())) {}
-  ~Folder() { std::filesystem::remove_all(path_); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryDirectory() : path_(::mkdtemp(template_.data())) {}
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
   std::string file(const std::string& name) const { return path_ + "/" + name; }
 
  private:
@@ -392,9 +395,9 @@
 }  // namespace
 
 TEST(GoldenFiles, SidecarSnapshot) {
-  golden::Stored stored("files.txt");
-  const Folder folder;
-  const std::string path = folder.file("state");
+  golden::GoldenFile stored("files.txt");
+  const TemporaryDirectory directory;
+  const std::string path = directory.file("state");
   snapshot::Snapshot older = sample_snapshot();
   older.incarnation = 2;
   older.is_clean_shutdown = false;
@@ -409,8 +412,8 @@
   stored.compare("sidecar_snapshot/state.1", file_text(path + ".1"));
   stored.expect_all_compared("sidecar_snapshot/");
 
-  const Folder before;
-  for (const auto& [name, bytes] : stored.under("sidecar_snapshot/"))
+  const TemporaryDirectory before;
+  for (const auto& [name, bytes] : stored.entries_under("sidecar_snapshot/"))
     std::ofstream(before.file(name), std::ios::binary) << bytes;
   const auto generations = snapshot::open_file_store(before.file("state"))->read_generations();
   ASSERT_EQ(generations.size(), 2U);
@@ -425,12 +428,12 @@
   EXPECT_EQ(read.endpoint_list.entries[1].zone, wanted.endpoint_list.entries[1].zone);
 }
 
-// No file: a socket's name and the bytes that the process before sends to the next one.
-TEST(GoldenHotRestart, BytesAsStored) {
-  golden::Stored stored("handover.txt");
-  const Folder folder;
-  const std::string socket_path = hot_restart::socket_path_for(folder.file(""), "edge 1");
-  stored.compare("socket_name", socket_path.substr(folder.file("").size()));
+// The name of the hot restart socket, and the bytes that a process sends to its successor.
+TEST(GoldenHotRestart, MatchesStoredBytes) {
+  golden::GoldenFile stored("handover.txt");
+  const TemporaryDirectory directory;
+  const std::string socket_path = hot_restart::socket_path_for(directory.file(""), "edge 1");
+  stored.compare("socket_name", socket_path.substr(directory.file("").size()));
   net::Scheduler scheduler;
   hot_restart::TransferPayload payload;
   payload.state = "what is known";
@@ -454,7 +457,7 @@
   };
   const int successor = connect();
   std::string all = receive(successor);
-  all += receive(successor);  // what comes with descriptors comes by itself
+  all += receive(successor);  // data with descriptors is received separately
   stored.compare("given_and_does_not_serve", all);
   channel.announce(true);
   stored.compare("serves", receive(successor));
--- a/tests/golden/golden_data.hpp
+++ b/tests/golden/golden_data.hpp
@@ -1,8 +1,8 @@
-// Bytes as they were on the wire and on disk when they were stored: what is written today is held to them.
+// Golden data: stored bytes of wire and disk formats, with which the current output is compared.
 //
-// A file of tests/golden/ has one entry a line: a name and its bytes in hexadecimal digits ("-": none).
-// To store anew, after a form was changed on purpose: remove the lines, run the tests with
-// CHUTEVANE_WRITE_GOLDEN=1, and review the difference. Such a run fails: it compares nothing.
+// A file in tests/golden/ has one entry per line: a name and its bytes in hexadecimal digits ("-" if there
+// are none). To store new entries after an intended change of a format, remove the lines, run the tests with
+// CHUTEVANE_WRITE_GOLDEN=1, and review the difference. Such a run fails, because it compares nothing.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -34,14 +34,15 @@
   return out;
 }
 
-class Stored {
+// The entries of one golden file.
+class GoldenFile {
  public:
-  explicit Stored(const std::string& file) : path_(GOLDEN "/" + file) {
+  explicit GoldenFile(const std::string& file) : path_(GOLDEN "/" + file) {
     std::ifstream in(path_);
     for (std::string name, hex; in >> name >> hex;) entries_[name] = hex;
   }
 
-  // What is written today is what was stored under that name.
+  // Expects `bytes` to equal the entry `name`.
   void compare(const std::string& name, std::string_view bytes) {
     compared_.insert(name);
     if (std::getenv("CHUTEVANE_WRITE_GOLDEN") != nullptr) return write(name, hex_of(bytes));
@@ -49,14 +50,15 @@
     EXPECT_EQ(entries_[name], hex_of(bytes)) << name;
   }
 
+  // Returns the bytes of the entry `name`.
   std::string bytes(const std::string& name) const {
     const auto found = entries_.find(name);
     EXPECT_NE(found, entries_.end()) << path_ << " has no " << name;
     return found == entries_.end() ? "" : bytes_of(found->second);
   }
 
-  // Entries whose names begin so, without that beginning.
-  std::map<std::string, std::string> under(const std::string& prefix) const {
+  // Returns the entries whose names begin with `prefix`, by the rest of their names.
+  std::map<std::string, std::string> entries_under(const std::string& prefix) const {
     std::map<std::string, std::string> out;
     for (const auto& [name, hex] : entries_) {
       if (name.starts_with(prefix)) out[name.substr(prefix.size())] = bytes_of(hex);
@@ -64,7 +66,7 @@
     return out;
   }
 
-  // Every entry that begins so was compared: none is stored for nothing.
+  // Expects that all entries whose names begin with `prefix` were compared, so that no entry is obsolete.
   void expect_all_compared(const std::string& prefix = "") const {
     for (const auto& [name, hex] : entries_)
       EXPECT_TRUE(!name.starts_with(prefix) || compared_.contains(name)) << name << " is no longer written";
--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -1,5 +1,5 @@
-// The wire forms: each record of common/messages.hpp, filled and empty, frames, and the numbers and hashes
-// that processes of different versions must agree on, against the bytes stored in tests/golden/.
+// Wire formats, compared with the bytes stored in tests/golden/: each record of common/messages.hpp with and
+// without content, frames, and the numbers and hashes on which processes of different versions must agree.
 #include <gtest/gtest.h>
 
 #include <span>
@@ -19,9 +19,9 @@
 namespace chutevane::common {
 namespace {
 
-// ---- examples: each field of a record has a content of its own, by the field's number and the example's.
+// ---- Examples: the content of each field is unique, given by the numbers of the field and the example.
 
-// Positive and negative, of several bytes.
+// Returns positive and negative numbers with several bytes.
 std::int64_t number(int field, int n) { return (field % 2 == 0 ? 1 : -1) * (field * 1000003LL + n); }
 
 std::string text(int field, int n) {
@@ -34,9 +34,9 @@
 
 Bytes bytes(int field, int n) { return {std::string(1, '\0') + text(field, n) + '\xff'}; }
 
-// The record's boolean fields, by their places among these: all are set in example 31, one in each of 1, 2,
-// 4, 8 and 16.
-bool bit(int place, int n) { return (n >> place & 1) == 1; }
+// Returns the value of a record's boolean field, given its position among the boolean fields: all are set in
+// example 31, and one in each of the examples 1, 2, 4, 8 and 16.
+bool bit(int position, int n) { return (n >> position & 1) == 1; }
 
 constexpr int filled = 31;
 
@@ -426,9 +426,9 @@
   return record + ("/" + std::to_string(kind)) + "/" + which;
 }
 
-// Written as stored; what is stored is read, and written as it was.
+// Compares the encoding of `message` with the stored one, and expects the stored one to survive a round trip.
 template <class M>
-void compare(golden::Stored& stored, const M& message, const std::string& which) {
+void compare(golden::GoldenFile& stored, const M& message, const std::string& which) {
   const std::string name = entry(M::record, M::kind, which);
   stored.compare(name, encoded(message));
   M read;
@@ -436,17 +436,17 @@
   EXPECT_EQ(golden::hex_of(encoded(read)), golden::hex_of(stored.bytes(name))) << name;
 }
 
-// Booleans look alike: examples with one of them set tell them apart.
+// Compares examples with only one boolean field set, which detects swapped boolean fields.
 template <class M>
-void compare_booleans(golden::Stored& stored, int count) {
-  for (int place = 0; place < count; ++place)
-    compare(stored, example<M>(1 << place), "boolean" + std::to_string(place));
+void compare_booleans(golden::GoldenFile& stored, int count) {
+  for (int position = 0; position < count; ++position)
+    compare(stored, example<M>(1 << position), "boolean" + std::to_string(position));
 }
 
 }  // namespace
 
-TEST(GoldenRecords, EachIsWrittenAndReadAsStored) {
-  golden::Stored stored("records.txt");
+TEST(GoldenRecords, EncodingMatchesStoredBytes) {
+  golden::GoldenFile stored("records.txt");
   const auto compare_record = [&]<class M>(const M& empty) {
     compare(stored, empty, "no_field");
     compare(stored, example<M>(filled), "all_fields");
@@ -460,35 +460,36 @@
   EXPECT_EQ(std::tuple_size_v<Records>, 47U);
 }
 
-TEST(GoldenFrames, EachSortIsWrittenAndReadAsStored) {
-  golden::Stored stored("frames.txt");
+TEST(GoldenFrames, EncodingMatchesStoredBytes) {
+  golden::GoldenFile stored("frames.txt");
   const std::string record = encoded(example<Prepare>(filled));
-  for (const frame::MessageType sort :
+  for (const frame::MessageType type :
        {frame::MessageType::notification, frame::MessageType::request, frame::MessageType::reply}) {
-    const std::uint64_t number = sort == frame::MessageType::notification ? 0 : 0x1122334455667788;
-    const std::string name = "sort" + std::to_string(static_cast<int>(sort));
+    const std::uint64_t number = type == frame::MessageType::notification ? 0 : 0x1122334455667788;
+    const std::string name = "sort" + std::to_string(static_cast<int>(type));
     net::Buffer out;
-    frame::append(out, Prepare::kind, sort, number, record);
+    frame::append(out, Prepare::kind, type, number, record);
     stored.compare(name, std::string_view(out.bytes().data(), out.bytes().size()));
 
     const std::string bytes = stored.bytes(name);
-    frame::Header head;
-    ASSERT_EQ(frame::parse_header(std::span(bytes.data(), bytes.size()), head), frame::ParseResult::complete)
+    frame::Header header;
+    ASSERT_EQ(frame::parse_header(std::span(bytes.data(), bytes.size()), header),
+              frame::ParseResult::complete)
         << name;
-    EXPECT_EQ(head.kind, Prepare::kind);
-    EXPECT_EQ(head.type, sort);
-    EXPECT_EQ(head.number, number);
-    EXPECT_EQ(head.size, record.size());
+    EXPECT_EQ(header.kind, Prepare::kind);
+    EXPECT_EQ(header.type, type);
+    EXPECT_EQ(header.number, number);
+    EXPECT_EQ(header.size, record.size());
     EXPECT_EQ(bytes.substr(frame::header_size), record);
-    EXPECT_EQ(frame::parse_header(std::span(bytes.data(), bytes.size() - 1), head),
+    EXPECT_EQ(frame::parse_header(std::span(bytes.data(), bytes.size() - 1), header),
               frame::ParseResult::incomplete);
   }
   stored.expect_all_compared();
 }
 
-// A value's difference from another is made by one process and applied by another.
-TEST(GoldenDifferences, AreWrittenAndAppliedAsStored) {
-  golden::Stored stored("differences.txt");
+// The difference between two values is computed by one process and applied by another.
+TEST(GoldenDifferences, EncodingMatchesStoredBytes) {
+  golden::GoldenFile stored("differences.txt");
   const std::string base =
       encoded(example<RegisterValue>(1)) + std::string(300, 'c') + encoded(example<RegisterValue>(2));
   const std::string target =
@@ -499,8 +500,8 @@
   stored.expect_all_compared();
 }
 
-// Verdicts go over the wire as numbers.
-TEST(GoldenNumbers, OfVerdicts) {
+// Statuses are sent as numbers.
+TEST(GoldenNumbers, OfStatuses) {
   using Control = control::AcceptorStatus;
   EXPECT_EQ(static_cast<int>(Control::ok), 0);
   EXPECT_EQ(static_cast<int>(Control::ballot_outdated), 1);
@@ -517,21 +518,22 @@
   EXPECT_EQ(static_cast<int>(Storage::out_of_capacity), 6);
 }
 
-// Hashes that another process compares, and the places that edges and storage nodes work out alike.
-TEST(GoldenNumbers, OfHashes) {
-  golden::Stored stored("hashes.txt");
+// Hashes that other processes compare, and replica groups, which edges and storage nodes must compute
+// identically.
+TEST(GoldenNumbers, OfHashesAndReplicaGroups) {
+  golden::GoldenFile stored("hashes.txt");
   stored.compare("hash_of_content", std::to_string(content_hash("content")));
   stored.compare("hash_of_configuration", hash_text(hash_of("{}")));
   std::vector<StorageNode> nodes;
   for (int i = 0; i < 7; ++i) {
-    nodes.push_back(example<StorageNode>(8 * i));  // none leaves
+    nodes.push_back(example<StorageNode>(8 * i));  // no node is draining
     nodes.back().zone = text(204, i % 3);
   }
   for (int program = 0; program < 6; ++program) {
-    std::string places;
+    std::string indices;
     for (const std::size_t at : storage::replica_group(text(1, program), nodes, 1))
-      places += std::to_string(at);
-    stored.compare("group" + std::to_string(program), places);
+      indices += std::to_string(at);
+    stored.compare("group" + std::to_string(program), indices);
   }
   stored.expect_all_compared();
 }
