--- a/include/chutevane/balancer.hpp
+++ b/include/chutevane/balancer.hpp
@@ -1,9 +1,9 @@
-/// Decides for one sidecar: where an API call goes, whether it goes again, how long it waits. No I/O, no
-/// clock.
+/// The load balancer of one sidecar: selects the endpoint of each API call, and decides whether the call is
+/// retried and how long it may wait. It does no I/O and reads no clock.
 ///
-/// The owner reports events, carries out the answers that come back, and calls woken() no later than
-/// next_wake(). Every event brings the time of one monotonic clock, never falling. Views that are returned
-/// hold until the next call. An instance serves one thread; instances share nothing.
+/// The owner reports events, executes the answers that are returned, and calls woken() no later than
+/// next_wake(). Every event carries the time of one monotonic clock, which never decreases. Returned views
+/// stay valid until the next call. An instance is used by one thread; instances share no state.
 #pragma once
 
 #include <cstdint>
@@ -15,59 +15,59 @@
 
 namespace chutevane {
 
-/// What is to be done after an event, in order.
+/// The balancer's decisions on an event, in the order in which they are to be executed.
 using Answers = std::span<const Answer>;
 
 class Balancer {
  public:
-  /// `settings`: of the deployment, by name. `seed`: of all random choices. Throws SettingError, naming key
-  /// and value, when a needed setting is missing or no number.
+  /// `settings` are those of the deployment, by name; `seed` determines all random choices. Throws
+  /// SettingError, which names the key and the value, if a required setting is missing or malformed.
   Balancer(const Settings& settings, std::uint64_t seed, TimePoint now);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
   // --- Events
-  /// An endpoint list has come, in full or as changes; or asking for one has failed.
+  /// Applies an endpoint list, in full or as changes, or records that a request for one has failed.
   Answers listed(ListKind kind, std::span<const ListedEndpoint> entries, TimePoint now);
-  /// A new API call: exactly one answer, which may be to wait.
+  /// Handles a new API call. Returns exactly one answer, which may be `wait`.
   Answer arrived(const ApiCall& call, TimePoint now);
-  /// A dispatch has ended. Without `call_over` the call is still owed its answer.
+  /// Handles the end of a dispatch. Unless `end.call_over` is set, the call still needs a final answer.
   Answers ended(const DispatchEnd& end, TimePoint now);
-  /// More of a large request has been sent on, or the last of it: the call's time counts from here, and with
-  /// the last part the call counts among those in progress.
+  /// Records that a part of a large request has been forwarded. The call's time restarts here. After the
+  /// last part the call counts as in progress.
   void moved(CallId call, bool last, TimePoint now);
-  /// A response has broken off after its dispatch was reported as done, when it began.
+  /// Records that a response was cut off after its dispatch had been reported as done, at its first byte.
   void broke(EndpointId endpoint, TimePoint now);
-  /// The client has left; nothing more is owed to it.
+  /// Records that the client has disconnected: its call needs no final answer any more.
   Answers client_left(CallId call, TimePoint now);
-  /// Another sidecar's `tell` has come: its endpoint and number.
+  /// Applies the load of an endpoint that another sidecar published (Verdict::tell).
   void told(EndpointId endpoint, std::uint32_t load, TimePoint now);
-  /// Time has passed.
+  /// Runs the timers that are due.
   Answers woken(TimePoint now);
-  /// When woken() is to be called, unless another event comes first and changes it.
+  /// Returns the time at which woken() is to be called. Any event may change it.
   [[nodiscard]] TimePoint next_wake() const;
 
-  // --- Warm start: what one process has learned, for the next
-  /// The latencies of ready endpoints, where measured.
+  // --- Warm start: learned state that one process hands over to the next
+  /// Returns the measured latencies of ready endpoints.
   [[nodiscard]] std::vector<LearnedLatency> learned_latencies() const;
-  /// Takes latencies of endpoints that the list has named; what is measured already stays. Those of another
-  /// start of an endpoint are left out.
+  /// Restores the latencies of listed endpoints. Existing measurements are kept, and latencies of an earlier
+  /// process of an endpoint are ignored.
   void restore_latencies(std::span<const LearnedLatency> latencies, TimePoint now);
   [[nodiscard]] LearnedLoad learned_load(TimePoint now) const;
-  /// To be called once the first list has come.
+  /// Restores the load estimate. To be called after the first endpoint list has been applied.
   void restore_load(const LearnedLoad& load, TimePoint now);
 
-  /// The share of this sidecar's slow start budgets that is this process's, 0 to 1: during a hot restart two
-  /// processes serve as one sidecar.
+  /// Sets the share, from 0 to 1, of this sidecar's slow start budgets that this process may use: during a
+  /// hot restart two processes act as one sidecar.
   void set_slow_start_share(double share);
 
-  // --- For counters and checks
-  /// Ready endpoints that are passed over now.
+  // --- For metrics and tests
+  /// Returns the number of ready endpoints that are ejected or silent.
   [[nodiscard]] std::size_t avoided(TimePoint now) const;
-  /// Whether calls may go to the endpoint; it may be one that a list has dropped.
+  /// Returns true if calls may be sent to the endpoint, even if the current list does not contain it.
   [[nodiscard]] bool usable(EndpointId endpoint) const;
-  /// Places for endpoints: as many as were listed, or still answered calls, at one time.
+  /// Returns the number of allocated endpoint slots: the most endpoints that were listed or in use at a time.
   [[nodiscard]] std::size_t endpoints_kept() const;
 
  private:
--- a/include/chutevane/sidecar.hpp
+++ b/include/chutevane/sidecar.hpp
@@ -1,4 +1,4 @@
-/// A whole sidecar for programs that embed it: give it its configuration and turn it.
+/// A complete sidecar, for programs that embed one.
 #pragma once
 
 #include <memory>
@@ -8,31 +8,32 @@
 
 namespace chutevane {
 
-/// What is wrong with which key of a configuration, under the name that its writer knows.
+/// An invalid configuration value. `key` is the key as it is spelled in the configuration.
 struct ConfigError : std::runtime_error {
   ConfigError(const std::string& k, const std::string& why) : std::runtime_error(k + ": " + why), key(k) {}
   std::string key;
 };
 
+/// Construct, then listen(), then call turn() until finished(). An instance is used by one thread.
 class Sidecar {
  public:
-  /// The configuration as the platform writes it, in JSON. Throws ConfigError.
+  /// `configuration` is JSON in the platform's format. Throws ConfigError.
   explicit Sidecar(std::string_view configuration);
   ~Sidecar();
   Sidecar(Sidecar&&) noexcept;
   Sidecar& operator=(Sidecar&&) noexcept;
 
-  void listen();  ///< throws std::system_error
-  /// Waits for something to do and does it; all of the sidecar's work is done in here, on this thread. A
-  /// wait lasts no longer than a tenth of a second.
+  void listen();  ///< Opens the listening socket. Throws std::system_error.
+  /// Runs one iteration of the event loop on the calling thread: waits for events, for no longer than a
+  /// tenth of a second, and handles them. All of the sidecar's work is done here.
   void turn();
-  /// Takes over from a new configuration what may change while it serves: where discovery is, and the bounds
-  /// on callers. Throws ConfigError; nothing has changed then.
+  /// Applies the settings that can change at run time: the address of discovery, and the limits on clients.
+  /// Throws ConfigError, in which case nothing has changed.
   void reconfigure(std::string_view configuration);
-  void drain();                  ///< serve on for a moment, answer all that is taken, then be finished
-  bool finished() const;         ///< drained
-  std::string address() const;   ///< where it listens
-  std::string counters() const;  ///< what it has taken in, sent and answered, as JSON
+  void drain();  ///< Begins a graceful shutdown: accepts calls for a moment longer, then completes them all.
+  bool finished() const;         ///< Returns true if the drain is complete.
+  std::string address() const;   ///< Returns the address that the sidecar listens on.
+  std::string counters() const;  ///< Returns the counters of calls, dispatches and responses as JSON.
 
  private:
   struct State;
--- a/include/chutevane/types.hpp
+++ b/include/chutevane/types.hpp
@@ -1,4 +1,4 @@
-/// The plain values that go in and out of the balancer.
+/// The value types of the balancer's interface.
 #pragma once
 
 #include <array>
@@ -10,7 +10,7 @@
 
 namespace chutevane {
 
-/// A length of time. Never mixes with a point in time except as point + span and point - point.
+/// A duration with a resolution of 1 us.
 class Span {
  public:
   constexpr Span() = default;
@@ -31,7 +31,7 @@
   std::int64_t us_ = 0;
 };
 
-/// A reading of the caller's clock. There is no "now" in the library: every call brings its own.
+/// A point in time on the caller's monotonic clock. The library reads no clock: each call passes the time.
 class TimePoint {
  public:
   constexpr TimePoint() = default;
@@ -49,11 +49,12 @@
 };
 
 using CallId = std::uint64_t;
-using EndpointId = std::uint64_t;  ///< the bytes that name it, kept as they came
+using EndpointId = std::uint64_t;  ///< the endpoint's identifier on the wire, as received
 
-/// Settings by name. The balancer reads what it needs; names it does not know are left alone.
+/// Settings by name. The balancer ignores names that it does not know.
 using Settings = std::map<std::string, std::string, std::less<>>;
 
+/// A missing or malformed setting. `key` is the setting's name.
 struct SettingError : std::runtime_error {
   SettingError(const std::string& k, const std::string& why) : std::runtime_error(k + ": " + why), key(k) {}
   std::string key;
@@ -61,57 +62,59 @@
 
 enum class Availability : std::uint8_t { ready, draining, gone };
 
+/// An entry of an endpoint list.
 struct ListedEndpoint {
   EndpointId id = 0;
   std::uint16_t zone = 0;
   std::uint16_t cell = 0;
   Availability availability = Availability::ready;
-  double size = 1.0;        ///< relative, as the list states it
-  TimePoint came_up;        ///< zero: long ago
-  std::uint16_t model = 0;  ///< of machine, as the list numbers them
-  std::uint64_t mark = 0;   ///< tells it from others, alike at all sidecars; 0: its id does
+  double size = 1.0;        ///< relative capacity, as stated by the list
+  TimePoint came_up;        ///< start time of the endpoint's process; zero: long ago
+  std::uint16_t model = 0;  ///< machine model, as numbered by the list
+  std::uint64_t mark = 0;   ///< identifier that all sidecars agree on; 0: `id` is used
 };
 
-/// The latency of an endpoint as a process has learned it, for another process beside the same clients.
+/// The measured latency of an endpoint, for a process that takes over the same clients.
 struct LearnedLatency {
   EndpointId endpoint = 0;
-  TimePoint started_at;     ///< of the endpoint's process that was measured
+  TimePoint started_at;     ///< start time of the endpoint's process that was measured
   double latency_ms = 0.0;  ///< smoothed
 };
 
-/// What a sidecar has learned of its own load, for the process that takes over its clients.
+/// A sidecar's load estimate, for the process that takes over its clients.
 struct LearnedLoad {
-  double limit = 0.0;      ///< on calls in progress; 0: nothing was learned
+  double limit = 0.0;      ///< limit on calls in progress; 0: not learned
   double rate = 0.0;       ///< calls/s
-  double late_part = 0.0;  ///< fraction of its results that were late
+  double late_part = 0.0;  ///< fraction of results that were late
   double retry_tokens = 0.0;
-  /// Response times in the estimate's window: the quantiles at the middle of each twentieth. Zeros: not
+  /// Quantiles of the response times in the estimate's window, at the middle of each twentieth. Zeros: not
   /// measured.
   std::array<double, 20> times_ms{};
-  bool on_trial = false;  ///< the limit is from before a gap: it stands until first results speak against it
+  bool on_trial = false;       ///< the limit predates a gap: it is dropped if the first results are late
   bool budgets_spent = false;  ///< slow start budgets begin empty
 };
 
 enum class ListKind : std::uint8_t { failed, full, cached, changes };
 
-/// What was done for an API call before it came here, by other pools of endpoints.
+/// The attempts that other endpoint pools have already made for an API call.
 struct Elsewhere {
-  bool was = false;
+  bool was = false;  ///< the call was in another pool before
   std::uint8_t dispatches = 0;
-  bool may_have_run = false;  ///< one of them
-  Span spent;                 ///< since the call was first taken
+  bool may_have_run = false;  ///< at least one of the dispatches may have been executed
+  Span spent;                 ///< time since the call arrived at the first pool
 };
 
 struct ApiCall {
   CallId id = 0;
   std::uint32_t track = 0;
-  Span left;  ///< until the client gives this try up
-  bool repeated = false;
+  Span left;              ///< time until the client times out
+  bool repeated = false;  ///< the client marks the call as a retry
   Elsewhere elsewhere{};
-  std::uint64_t key = 0;  ///< what the call is about; 0: not told
-  bool coming = false;    ///< its request is large and still on its way: told of by moved()
+  std::uint64_t key = 0;  ///< the call's key, for cache affinity and ordering; 0: none
+  bool coming = false;    ///< its large request is still being received; moved() reports the progress
 };
 
+/// How a dispatch ended.
 enum class Outcome : std::uint8_t {
   done,
   error,
@@ -123,38 +126,40 @@
   not_sent
 };
 
-/// What an endpoint says of its load; a negative figure was not given.
+/// The load that an endpoint reports with a response. A negative value was not reported.
 struct LoadReport {
-  double waiting = -1.0;
-  double held = -1.0;  ///< API calls that it holds, waiting or in work
-  double busy = -1.0;
-  double service_ms = -1.0;
+  double waiting = -1.0;     ///< queued API calls
+  double held = -1.0;        ///< API calls in the endpoint, queued or in service
+  double busy = -1.0;        ///< fraction of its cores in use
+  double service_ms = -1.0;  ///< service time of this call
 };
 
+/// The end of a dispatch.
 struct DispatchEnd {
   CallId call = 0;
   EndpointId endpoint = 0;
   std::uint32_t number = 0;  ///< 0 for a call's first dispatch, then 1, 2, ...
-  bool call_over = false;    ///< the client has its answer, or needs none
+  bool call_over = false;    ///< the client has its response, or needs none
   Outcome outcome = Outcome::done;
   Span elapsed;
   LoadReport load{};
-  bool last = false;  ///< its request is no longer held whole: it cannot go again
+  bool last = false;  ///< the request is no longer buffered whole, so it cannot be retried
 };
 
+/// The kind of an Answer.
 enum class Verdict : std::uint8_t {
   nothing,
-  dispatch,  ///< send `call` to `endpoint`, give up on it after `span`; where `until` is set, it has gone out
-             ///< by then or does not go out
-  wait,      ///< hold `call`; the balancer comes back to it by `until`
-  reject,    ///< final: safe to try again, after `span` where one is stated
-  break_off,  ///< final: no promise
-  cancel,     ///< stop waiting for dispatch `number` of `call`
-  tell,       ///< pass `endpoint` and `number` on to all other sidecars, which take it in told()
-  subscribe,  ///< ask for the list and its changes
-  log,        ///< `text` is worth a line in the log
+  dispatch,   ///< send `call` to `endpoint` with a timeout of `span`; if `until` is set, only before `until`
+  wait,       ///< hold `call`; the balancer decides on it by `until`
+  reject,     ///< final: the client may retry safely, after `span` if it is not zero
+  break_off,  ///< final: the call may have been executed, so a retry may not be safe
+  cancel,     ///< cancel dispatch `number` of `call`
+  tell,       ///< publish `endpoint` and `number` to all other sidecars, which pass them to told()
+  subscribe,  ///< subscribe to the endpoint list and its changes
+  log,        ///< write `text` to the log
 };
 
+/// One decision of the balancer. The members that its verdict names are set.
 struct Answer {
   Verdict verdict = Verdict::nothing;
   CallId call = 0;
@@ -162,7 +167,7 @@
   std::uint32_t number = 0;
   Span span{};
   TimePoint until{};
-  bool fresh = false;  ///< dispatch: not on a connection that has idled; such ones are to be closed
+  bool fresh = false;  ///< dispatch: use a new connection, and close the endpoint's idle ones
   std::array<char, 96> text{};
 };
 
--- a/src/base/answer_list.hpp
+++ b/src/base/answer_list.hpp
@@ -1,5 +1,4 @@
-/// Collects the balancer's answers to one event, log lines among them, in the order in which they are to be
-/// executed.
+/// The balancer's answers to one event, including log lines, in the order in which they are to be executed.
 #pragma once
 
 #include <cstdarg>
@@ -15,20 +14,21 @@
     Answer& a = emplace_back();
     a.verdict = verdict, a.call = call, a.number = number, a.endpoint = endpoint;
   }
-  /// Adds a final answer. `wait` is dropped: the call is queued already.
+  /// Adds an answer to a call that has been waiting. `wait` is dropped, since the call is waiting already.
   void add_final(const Answer& a) {
     if (a.verdict != Verdict::wait) push_back(a);
   }
-  /// A line for the log, printf-style; cut to the size of Answer::text.
-  void say(const char* format, ...) __attribute__((format(printf, 2, 3))) {
+  /// Adds a log line, printf-style. It is truncated to the size of Answer::text.
+  void add_log(const char* format, ...) __attribute__((format(printf, 2, 3))) {
     add(Verdict::log);
     va_list args;
     va_start(args, format);
     std::vsnprintf(back().text.data(), back().text.size(), format, args);
     va_end(args);
   }
-  void say_of(EndpointId endpoint, const char* what, const char* more = "") {
-    say("endpoint %012llx %s%s", static_cast<unsigned long long>(endpoint), what, more);
+  /// Adds a log line about an endpoint.
+  void add_endpoint_log(EndpointId endpoint, const char* what, const char* more = "") {
+    add_log("endpoint %012llx %s%s", static_cast<unsigned long long>(endpoint), what, more);
   }
 };
 
--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -1,4 +1,5 @@
-/// Quantiles of durations over a sliding window: logarithmic buckets in time slices that expire one by one.
+/// A histogram of durations over a sliding window, for quantiles. It has logarithmic buckets, and time slices
+/// that expire one by one.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
   WindowedHistogram() : WindowedHistogram(Span::ms(1000)) {}
   explicit WindowedHistogram(Span window) : slice_(window * (1.0 / slices)) {}
-  /// Counts a duration; those under 1 ms share a bucket, six buckets double the duration.
+  /// Records a duration. Durations under 1 ms share a bucket; above, the bounds double every six buckets.
   void add(Span value, TimePoint now) {
     advance(now);
     const int b = bucket(value.as_ms());
@@ -25,12 +26,12 @@
     ++sums_[static_cast<std::size_t>(b)];
     ++total_;
   }
-  /// Durations within the window.
+  /// Returns the number of durations within the window.
   std::uint32_t count(TimePoint now) {
     advance(now);
     return total_;
   }
-  /// The q-quantile, 0 <= q <= 1, interpolated within its bucket; zero where nothing was counted.
+  /// Returns the q-quantile, 0 <= q <= 1, interpolated within its bucket; zero if the window is empty.
   Span quantile(double q, TimePoint now) {
     advance(now);
     const double want = q * total_;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -9,9 +9,10 @@
 namespace chutevane {
 namespace {
 
-constexpr double lines_per_s = 20.0;  // a busy sidecar's changes of state; more is a flood that hides them
-constexpr double lines_in_hand = 200.0;
-constexpr std::size_t line_most = 1024;  // bytes of a line that a sink gets
+// Enough for the state changes of a busy sidecar; a higher rate would be a flood that hides them.
+constexpr double lines_per_s = 20.0;
+constexpr double max_burst_lines = 200.0;
+constexpr std::size_t max_sink_line_bytes = 1024;  // including the terminating zero
 
 LogSink sink;
 
@@ -21,7 +22,7 @@
 
 void log_line(const char* format, ...) {
   if (sink) {
-    char line[line_most];
+    char line[max_sink_line_bytes];
     va_list args;
     va_start(args, format);
     const int size = std::vsnprintf(line, sizeof line, format, args);
@@ -30,22 +31,22 @@
     return;
   }
   using clock = std::chrono::steady_clock;
-  static double tokens = lines_in_hand;
-  static clock::time_point filled = clock::now();
-  static unsigned long held_back = 0;
+  static double tokens = max_burst_lines;
+  static clock::time_point filled_at = clock::now();
+  static unsigned long dropped_lines = 0;
   const clock::time_point now = clock::now();
-  tokens =
-      std::min(lines_in_hand, tokens + std::chrono::duration<double>(now - filled).count() * lines_per_s);
-  filled = now;
+  tokens = std::min(max_burst_lines,
+                    tokens + std::chrono::duration<double>(now - filled_at).count() * lines_per_s);
+  filled_at = now;
   if (tokens < 1.0) {
-    ++held_back;
+    ++dropped_lines;
     return;
   }
   tokens -= 1.0;
   const std::chrono::duration<double> unix_time = std::chrono::system_clock::now().time_since_epoch();
   std::fprintf(stderr, "%.3f ", unix_time.count());
-  if (held_back > 0) std::fprintf(stderr, "(%lu lines held back) ", held_back);
-  held_back = 0;
+  if (dropped_lines > 0) std::fprintf(stderr, "(%lu lines dropped) ", dropped_lines);
+  dropped_lines = 0;
   va_list args;
   va_start(args, format);
   std::vfprintf(stderr, format, args);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,4 @@
-/// Log lines of the sidecar: to standard error, limited in rate.
+/// The sidecar's log: lines on standard error, limited in rate.
 #pragma once
 
 #include <functional>
@@ -6,10 +6,11 @@
 
 namespace chutevane {
 
-/// Writes one line, printf-style. Lines over the rate limit are counted and dropped.
+/// Writes one line, printf-style. Lines above the rate limit are dropped; the next line states their number.
 void log_line(const char* format, ...) __attribute__((format(printf, 1, 2)));
 
-/// Sends all lines to `sink` instead, until an empty one is given. For simulated processes.
+/// Sends all lines to a sink instead of standard error, without a rate limit. An empty sink restores standard
+/// error. For simulated processes.
 using LogSink = std::function<void(std::string_view line)>;
 void send_log_to(LogSink sink);
 
--- a/src/base/mix_bits.hpp
+++ b/src/base/mix_bits.hpp
@@ -1,4 +1,4 @@
-/// A hash of 64-bit ids, the same in all processes: the finalizer of splitmix64.
+/// A hash of 64-bit ids that is the same in all processes: the finalizer of splitmix64.
 #pragma once
 
 #include <cstdint>
--- a/src/base/pcg.hpp
+++ b/src/base/pcg.hpp
@@ -1,5 +1,5 @@
-/// The random generator PCG-XSH-RR: 64 bits of state, 32 bits of output (M. E. O'Neill, 2014). Not for
-/// secrets.
+/// The pseudorandom number generator PCG-XSH-RR: 64 bits of state, 32 bits of output (M. E. O'Neill, 2014).
+/// Not cryptographically secure.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
     const auto r = static_cast<std::uint32_t>(old >> 59U);
     return (x >> r) | (x << ((32U - r) & 31U));
   }
-  /// Uniform in [0, 1).
+  /// Returns a uniform random number in [0, 1).
   double unit() { return next() * 0x1p-32; }
 
  private:
--- a/src/base/remembered.hpp
+++ b/src/base/remembered.hpp
@@ -1,21 +1,23 @@
-/// A small cache whose entries have weights that decay with each look-up; the lightest entry is evicted.
+/// A small cache whose entries have weights that decay with each lookup. The entry of least weight is
+/// evicted.
 #pragma once
 
 #include <array>
 
 namespace chutevane {
 
-/// The index of the first entry that `same` accepts, or else of `fresh`, which replaces the lightest entry.
-/// Multiplies all weights by `decay`. T has a member `weight`.
-template <class T, std::size_t n, class Same>
-std::size_t remember(std::array<T, n>& kept, double decay, const T& fresh, Same same) {
+/// Returns the index of the first entry that `is_same` accepts. If there is none, replaces the entry of least
+/// weight with `new_entry` and returns its index. Multiplies all weights by `decay` first. T has a member
+/// `weight`.
+template <class T, std::size_t n, class IsSame>
+std::size_t find_or_replace(std::array<T, n>& entries, double decay, const T& new_entry, IsSame is_same) {
   std::size_t at = n, least = 0;
   for (std::size_t i = 0; i < n; ++i) {
-    kept[i].weight *= decay;
-    if (at == n && same(kept[i])) at = i;
-    if (kept[i].weight < kept[least].weight) least = i;
+    entries[i].weight *= decay;
+    if (at == n && is_same(entries[i])) at = i;
+    if (entries[i].weight < entries[least].weight) least = i;
   }
-  if (at == n) kept[at = least] = fresh;
+  if (at == n) entries[at = least] = new_entry;
   return at;
 }
 
--- a/src/base/settings_reader.hpp
+++ b/src/base/settings_reader.hpp
@@ -1,5 +1,5 @@
-/// Typed look-ups in the balancer's settings. All of them throw SettingError, naming the key, where a value
-/// is missing or malformed.
+/// Typed lookups in the balancer's settings. They throw SettingError, which names the key, if a value is
+/// missing or malformed.
 #pragma once
 
 #include <cmath>
@@ -24,17 +24,18 @@
     char* end = nullptr;
     const double v = std::strtod(value.c_str(), &end);
     if (value.empty() || *end != '\0' || !std::isfinite(v)) {
-      throw SettingError(key, "not a number: '" + value + "'");
+      throw SettingError(key, "must be a number, got '" + value + "'");
     }
     return v;
   }
+  /// Reads a duration in ms.
   Span span(const std::string& key) const { return Span::ms(number(key)); }
   bool flag(std::string_view key) const { return text(key) == "true"; }
-  /// For settings that may be missing; a malformed one still throws.
+  /// For optional settings. A malformed value still throws.
   double number_or(const std::string& key, double otherwise) const {
     return has(key) ? number(key) : otherwise;
   }
-  bool flag_or_not(std::string_view key) const { return has(key) && flag(key); }
+  bool flag_or_false(std::string_view key) const { return has(key) && flag(key); }
 
  private:
   Settings settings_;
--- a/src/base/windowed_count.hpp
+++ b/src/base/windowed_count.hpp
@@ -1,5 +1,5 @@
-/// A count over a sliding window of time, in slices that expire one by one: a slice counts while all of it
-/// lies within the window.
+/// A count over a sliding window, in time slices that expire one by one. A slice counts only while all of it
+/// is within the window.
 #pragma once
 
 #include <array>
@@ -29,7 +29,7 @@
  private:
   Span window_;
   std::array<std::uint32_t, slices> counts_{};
-  std::int64_t latest_ = 0;  // the number of the latest slice
+  std::int64_t latest_ = 0;  // number of the latest slice
 };
 
 }  // namespace chutevane
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,5 +1,5 @@
-/// The events of include/chutevane/balancer.hpp, put together from the decisions on each concern
-/// (balancer_state.hpp lists them). docs/design.md has the design and its reasons.
+/// The events of include/chutevane/balancer.hpp, composed of the methods that balancer_state.hpp lists.
+/// docs/design.md describes the design and its reasons.
 #include "chutevane/balancer.hpp"
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 namespace chutevane {
 
 constexpr double retry_tokens_per_call = 0.2;
-constexpr double mean_value_gain = 0.01;        // per call: the mean over about the last 100
-constexpr double mean_in_progress_gain = 0.03;  // per look: the mean over about 1.5 s, some response times
+constexpr double mean_value_gain = 0.01;        // weight of a call: averages about the last 100
+constexpr double mean_in_progress_gain = 0.03;  // weight per look_interval: averages about 1.5 s
 
 // --- State: events
 
@@ -63,7 +63,7 @@
   const Call& call = calls[index];
   if (!is_admitted(call)) return reject(index, now, true);
   if (request.elsewhere.may_have_run) {
-    // It may have been executed in another pool: sending it is a retry, and takes a retry's token.
+    // It may have been executed in another pool, so sending it is a retry and takes a retry token.
     if (retry_tokens < 1.0) return reject(index, now, false);
     retry_tokens -= 1.0;
   }
@@ -76,7 +76,7 @@
   --call.in_flight_count;
   pending_retries -= dispatch.is_abandoned ? 1 : 0;
   if (end.outcome == Outcome::not_sent && end.number + call.dispatched_elsewhere > 0) {
-    // It was counted as a retry, and was none.
+    // It was counted as a retry when it was dispatched, but was never sent.
     const auto sent = std::find(recent_retries.begin(), recent_retries.end(), dispatch.sent_at);
     if (sent != recent_retries.end()) recent_retries.erase(sent);
   }
@@ -90,12 +90,12 @@
   learn_from(endpoints[dispatch.endpoint], dispatch, end, now);
 }
 
-// An attempt of a call that is not over has ended without an answer for the client.
+// Retries or rejects a call whose attempt has ended without a response for the client.
 void Balancer::State::continue_call(std::uint32_t index, const Dispatch& dispatch, const DispatchEnd& end,
                                     bool may_have_run, TimePoint now) {
   const Call& call = calls[index];
   if (call.in_flight_count > 0) return;
-  const bool is_free = !may_have_run || dispatch.is_abandoned;  // of the retry tokens
+  const bool is_free = !may_have_run || dispatch.is_abandoned;  // needs no retry token
   if (!end.last && may_dispatch_again(call, now) && (is_free || retry_tokens >= 1.0)) {
     if (!is_free) retry_tokens -= 1.0;
     answers.add_final(dispatch_or_wait(index, now));
@@ -166,7 +166,8 @@
   return s.end_event(now);
 }
 
-// A request that is large does not count against its client's or its endpoint's time while it arrives.
+// The time that a large request takes to arrive counts neither against the client's deadline nor against the
+// endpoint.
 void Balancer::moved(CallId id, bool last, TimePoint now) {
   State& s = *state_;
   const std::uint32_t index = s.call_index.find(id);
@@ -184,7 +185,8 @@
 }
 
 void Balancer::broke(EndpointId id, TimePoint now) {
-  if (Endpoint* endpoint = state_->find_endpoint(id)) state_->record_failure(*endpoint, now, "answers break");
+  if (Endpoint* endpoint = state_->find_endpoint(id))
+    state_->record_failure(*endpoint, now, "responses break off");
 }
 
 Answers Balancer::client_left(CallId id, TimePoint now) {
--- a/src/policy/call_lifecycle.cpp
+++ b/src/policy/call_lifecycle.cpp
@@ -1,4 +1,4 @@
-/// A call's life: dispatched, waiting for an endpoint, rejected, finished.
+/// The lifecycle of a call: dispatch, wait for an endpoint, rejection, end.
 #include <algorithm>
 
 #include "policy/balancer_state.hpp"
@@ -6,8 +6,10 @@
 
 namespace chutevane {
 
-constexpr double max_wait_fraction = 0.15;  // of the latency target: leaves most of it for the response
-constexpr double short_retry_after_fraction = 0.25;  // of the longest: where no overload is the cause
+// Fraction of the latency target that a call may wait for an endpoint: leaves most of it for the response.
+constexpr double max_wait_fraction = 0.15;
+// Fraction of the maximum retry delay that is stated when the rejection is not due to overload.
+constexpr double short_retry_after_fraction = 0.25;
 
 Answer Balancer::State::dispatch_or_wait(std::uint32_t index, TimePoint now) {
   const Call& call = calls[index];
@@ -26,8 +28,8 @@
   Answer answer{
       .verdict = Verdict::dispatch, .call = call.id, .endpoint = endpoint.id, .number = call.dispatch_count};
   answer.span = estimate.attempt_timeout(std::min(track.client_timeout, remaining), now);
-  // A connection may take longer to come up than the endpoints remember the call's key: it would then be
-  // executed a second time.
+  // Connecting may take longer than the endpoints remember the call's idempotency key, in which case the call
+  // would be executed a second time.
   if (call.first_executed >= 0 && track.idempotency == Idempotency::keyed)
     answer.until = call.executed_since + track.idempotency_window;
   answer.fresh = is_connection_suspect(endpoint, now);
@@ -52,7 +54,7 @@
   return answer;
 }
 
-// No endpoint takes the call now: it waits for a moment if that leaves time for the response.
+// Handles a call that no endpoint can take now: lets it wait briefly if that leaves time for the response.
 Answer Balancer::State::wait_or_reject(std::uint32_t index, TimePoint now) {
   Call& call = calls[index];
   if (!call.is_waiting) {
@@ -65,8 +67,8 @@
   return {.verdict = Verdict::wait, .call = call.id, .until = call.wait_until};
 }
 
-// The client may be told to retry where that cannot execute the call twice: it never left, it is idempotent,
-// or every endpoint knows its key.
+// Asks the client to retry only if the call cannot be executed twice: it was never sent, it is idempotent, or
+// every endpoint knows its idempotency key.
 Answer Balancer::State::reject(std::uint32_t index, TimePoint now, bool is_overload) {
   const Call& call = calls[index];
   const Track& track = tracks[call.track];
@@ -82,7 +84,7 @@
   return answer;
 }
 
-// Calls of higher value first.
+// Dispatches waiting calls in order of value, the highest first.
 void Balancer::State::serve_waiting(TimePoint now) {
   if (waiting.empty()) return;
   std::erase_if(waiting, [&](std::uint32_t index) { return !calls[index].is_waiting; });
@@ -94,7 +96,7 @@
     answers.add_final(answer);
     if (answer.verdict == Verdict::wait) {
       ++i;
-    } else if (waiting.size() == size_before) {  // else it has been taken out with its end
+    } else if (waiting.size() == size_before) {  // otherwise the call has ended and was removed
       waiting.erase(waiting.begin() + static_cast<long>(i));
     }
   }
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -1,6 +1,6 @@
-/// Which endpoints there are, and which of them the rules permit: the list, drains, starts. After a start or
-/// an ejection an endpoint's calls are capped, and while it warms up they are limited by a budget (slow
-/// start).
+/// The known endpoints, and which of them the rules permit: endpoint lists, drains, slow start. After a start
+/// or an ejection the calls in flight at an endpoint are capped, and while it warms up their rate is limited
+/// by a token bucket (slow start).
 #include <algorithm>
 #include <vector>
 
@@ -10,10 +10,11 @@
 
 namespace chutevane {
 
-constexpr double slow_start_depth = 0.3;     // of the window's budget that may be sent in one burst
-constexpr double min_slow_start_rate = 1.0;  // calls/s of all sidecars: lets idle ones learn of the endpoint
+constexpr double slow_start_depth = 0.3;  // fraction of the window's budget that one burst may use
+constexpr double min_slow_start_rate =
+    1.0;  // calls/s of all sidecars, so that idle ones measure the endpoint
 
-// The fraction of its load that an endpoint can take: rises from `slow_start_share` to 1.
+// Returns the fraction of a warm endpoint's load that this one can take: rises from `slow_start_share` to 1.
 double Balancer::State::slow_start_factor(const Endpoint& endpoint, TimePoint now) const {
   const Span age = now - endpoint.started_at;
   if (endpoint.started_at <= TimePoint() || age >= slow_start_duration) return 1.0;
@@ -29,8 +30,9 @@
   return endpoint.slow_start_tokens >= 1.0;
 }
 
-// All sidecars together must not push a cold endpoint over: each sends it its own mean rate per endpoint, by
-// how warm it must be, in bursts well under the window's. Outside the own subset it is one of all endpoints.
+// All sidecars together must not overload a cold endpoint. Each one sends it its own mean rate per endpoint,
+// scaled by the slow start factor, in bursts well below the window's limit. The mean is taken over the subset
+// for an endpoint in it, and over all endpoints otherwise.
 void Balancer::State::refill_slow_start_tokens(Endpoint& endpoint, TimePoint now) {
   const int sharing = endpoint.is_in_subset ? subset_ready_count : ready_count;
   const double rate = std::max(min_slow_start_rate / sidecar_count,
@@ -43,15 +45,15 @@
   endpoint.slow_start_refilled_at = now;
 }
 
-// Where only draining binds, a list may be wrong: an endpoint without a failure is kept until its own calls
-// fail. The price is one failed call for each endpoint that has really gone.
+// If removal from the list is not binding, the list may be wrong: an endpoint without failures is kept until
+// its own calls fail. This costs one failed call for each endpoint that is really gone.
 void Balancer::State::remove_endpoint(Endpoint& endpoint, TimePoint now) {
   endpoint.is_unlisted = !is_removal_binding && endpoint.is_ready() && endpoint.consecutive_failures == 0 &&
                          endpoint.ejection_pause == Span() && !is_silent(endpoint, now);
   if (!endpoint.is_unlisted) endpoint.availability = Availability::gone;
 }
 
-// The index of an endpoint that is gone and that no call in hand was sent to, or a new one.
+// Returns the index of a slot whose endpoint is gone and is referenced by no current call, or of a new slot.
 std::uint32_t Balancer::State::allocate_endpoint() {
   std::vector<bool> is_referenced(endpoints.size() + 1, false);
   for (std::uint32_t i = 0; i < calls.size(); ++i) {
@@ -74,14 +76,14 @@
   endpoint.is_unlisted = false;
   const bool is_new_process = !endpoint.is_ready() || entry.came_up != endpoint.started_at;
   if (entry.availability == Availability::ready && is_new_process) {
-    // Nothing that was known of the process before holds for this one.
+    // Nothing that was learned about the previous process holds for this one.
     const int in_flight_before = endpoint.in_flight;
     endpoint = Endpoint();
     endpoint.response_times = WindowedHistogram(estimate.config().window);
     endpoint.in_flight = in_flight_before;
     endpoint.active_since = endpoint.slow_start_refilled_at = now;
     endpoint.started_at = entry.came_up;
-    // With budgets far under one call a window, chance decides which sidecar calls it first.
+    // With budgets far below one call per window, this decides at random which sidecar calls it first.
     endpoint.slow_start_tokens = random.unit();
     if (slow_start_factor(endpoint, now) < 1.0) endpoint.concurrency_cap = initial_concurrency_cap;
   }
@@ -100,7 +102,7 @@
 Answers Balancer::State::update_endpoints(ListKind kind, std::span<const ListedEndpoint> entries,
                                           TimePoint now) {
   if (kind == ListKind::failed) {
-    // With jitter: sidecars whose subscriptions broke together do not ask together.
+    // Jitter keeps sidecars whose subscriptions broke at the same time from retrying at the same time.
     subscribe_at = now + subscribe_backoff * (0.5 + random.unit());
     subscribe_backoff = std::min(max_subscribe_backoff, subscribe_backoff * 2.0);
     return answers;
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -1,5 +1,5 @@
-/// Which endpoint a call is sent to: a subset of the ring, a random draw by latency weights, endpoints that
-/// are warm for the call's key, and passing over those that are loaded.
+/// Endpoint selection: a subset of the ring, weighted random selection by latency, key affinity by rendezvous
+/// hashing, and the skipping of loaded endpoints.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -14,32 +14,36 @@
 
 namespace chutevane {
 
-constexpr double max_zone_draws = 16.0;  // for an endpoint in the own zone: few calls cross then
-constexpr double slow_zone_speed = 0.5;  // of all zones' mean: an own zone so slow is not preferred
-constexpr double normal_zone_speed =
-    0.8;  // of the same: preferred in full; zones differ by chance up to this
-constexpr double shared_connection_responses = 50.0;  // in the window, per endpoint: enough to judge it well
-constexpr double single_connection_responses =
-    10.0;                                // the same, where a connection carries one call at a time
-constexpr std::size_t subset_count = 3;  // ranges as long as the subset are tried before all of the ring
-constexpr std::size_t max_key_endpoints = 32;  // tried for a key: a popular one warms them all
-constexpr double key_spread = 4.0;  // endpoints per mean endpoint's load that a key brings: warm work is less
-constexpr double key_gain = 0.005;  // per call: popularity over the last 200
+constexpr double max_zone_draws = 16.0;  // draws for an endpoint in the own zone, so that few calls leave it
+// Relative to the mean speed of all zones: an own zone this slow is not preferred at all, and one at normal
+// speed is preferred in full. Zones differ by chance down to the normal speed.
+constexpr double slow_zone_speed = 0.5;
+constexpr double normal_zone_speed = 0.8;
+// Responses per endpoint in the window that are enough to judge it well, where connections are shared and
+// where a connection carries one call at a time.
+constexpr double shared_connection_responses = 50.0;
+constexpr double single_connection_responses = 10.0;
+constexpr std::size_t subset_count = 3;  // ranges as long as the subset that are tried before the whole ring
+constexpr std::size_t max_key_endpoints = 32;  // endpoints tried for a key; a popular key warms them all
+// Endpoints per mean endpoint's load that a key brings. Calls of a warm key take less work.
+constexpr double key_spread = 4.0;
+constexpr double key_gain = 0.005;  // weight of a call: popularity over the last 200
 constexpr Span load_report_lifetime = Span::ms(2000);
-constexpr double tail_quantile = 0.9;           // high enough for tails, low enough for few responses
-constexpr double outlier_factor = 3.0;          // x the peers' median: machines of one tier differ by 2 to 3
+constexpr double tail_quantile = 0.9;   // high enough for tails, low enough to measure from few responses
+constexpr double outlier_factor = 3.0;  // multiple of the peers' median; machines of a tier differ by 2 to 3
 constexpr std::uint32_t min_tail_samples = 15;  // responses in the window before an endpoint is judged
 constexpr std::size_t min_tails = 3;            // endpoints with a measured tail before any is an outlier
-constexpr double min_rate_seconds = 0.5;        // that a rate is measured over
+constexpr double min_rate_seconds = 0.5;        // shortest time over which a rate is measured
 constexpr double rate_gain = 0.5;
 
-// Costs that put an endpoint behind all others, but before none at all.
+// Costs that rank an endpoint behind all others, but that still allow its selection.
 constexpr double already_tried_cost = 1e9;
 constexpr double new_connection_cost = 1e6;
 
-// --- The ring and the own subset
+// --- The ring and this sidecar's subset
 
-// Where sidecars keep to subsets the ring is ordered by a hash: endpoints that fail together lie apart.
+// Where sidecars use subsets the ring is ordered by a hash, so that endpoints that fail together are not
+// neighbors.
 void Balancer::State::order_ring() {
   ring.resize(endpoints.size());
   std::iota(ring.begin(), ring.end(), 0U);
@@ -49,17 +53,17 @@
   });
 }
 
-// As many endpoints as this sidecar's calls can measure, and enough that all sidecars together cover each
-// one: a larger subset would mean hundreds of idle connections, and endpoints that are met once a minute and
-// never known.
+// Selects as many endpoints as this sidecar's calls can measure, and enough for all sidecars together to
+// cover each one. A larger subset would mean hundreds of idle connections, and endpoints that are called once
+// a minute and never measured.
 void Balancer::State::update_subset(TimePoint now) {
   subset_ready_count = ready_count;
   subset = {0, ring.size()};
   const bool are_connections_scarce = now < connections_scarce_until;
   if (!has_shared_connections && !uses_subset && !are_connections_scarce) return;
   subset.from = static_cast<std::size_t>(ring_position * static_cast<double>(ring.size()));
-  // What has arrived since the rate was measured counts at once: a sidecar whose load rises would otherwise
-  // overload a narrow subset for seconds.
+  // Calls that have arrived since the rate was measured count at once. Otherwise a sidecar whose load rises
+  // would overload a narrow subset for seconds.
   const Span step = limit_update_interval;
   const double seconds = std::max((now - rate_measured_at) / step, 1.0) * step.as_ms() / 1000.0;
   const double responses_needed = has_shared_connections || are_connections_scarce
@@ -81,7 +85,7 @@
   subset_ready_count = std::min(ready_count, static_cast<int>(usable_count));
 }
 
-// --- Figures that are updated together, every two seconds or so
+// --- Statistics that are updated together, about every two seconds
 
 void Balancer::State::update_weights(TimePoint now) {
   order_ring();
@@ -100,7 +104,8 @@
   update_outliers_and_weights(typical_tail_ms, now);
   const bool was_starved = estimate.is_starved();
   if (estimate.update_starved(now) != was_starved)
-    answers.say(was_starved ? "estimate bounds dispatches again" : "cuts starve the estimate: full timeouts");
+    answers.add_log(was_starved ? "adaptive attempt timeouts are in use again"
+                                : "adaptive timeouts cut off too many responses: using client timeouts");
   update_arrival_rate(now);
   update_subset(now);
 }
@@ -122,11 +127,11 @@
       ++own_zone_count;
     }
   }
-  // The limit is per warm endpoint: those that are left of a lost zone must not get all of its calls, nor a
-  // growing fleet of cold ones.
+  // The limit scales with the number of warm endpoints: the endpoints that remain after the loss of a zone
+  // must not get all of its calls, nor must a growing number of cold ones.
   if (warm_before > 0.0 && ready_count > 0) limit *= warm_ready_count / warm_before;
-  // An own zone that has lost machines, or is sent more than its part, is not preferred until it is
-  // overloaded.
+  // The preference for the own zone fades as that zone gets slow, because it has lost machines or gets more
+  // than its share of calls, so that preferring it does not overload it.
   const double relative_speed =
       own_zone_count > 0 ? own_zone_speed / own_zone_count / weights.mean_speed() : 1.0;
   const double preference =
@@ -142,8 +147,8 @@
         typical_tail_ms > 0.0 && endpoint.response_times.count(now) >= min_tail_samples &&
         endpoint.response_times.quantile(tail_quantile, now).as_ms() > outlier_factor * typical_tail_ms;
     if (endpoint.is_outlier != was_outlier)
-      answers.say_of(endpoint.id, endpoint.is_outlier ? "answers far slower than its fellows"
-                                                      : "answers like its fellows again");
+      answers.add_endpoint_log(endpoint.id, endpoint.is_outlier ? "latency outlier: far slower than its peers"
+                                                                : "no longer a latency outlier");
     const double spare = has_shared_connections ? 1.0 / (1.0 + endpoint.reported_load) : 1.0;
     const double weight = weights.speed(endpoint.latency_ms) * slow_start_factor(endpoint, now) * spare;
     weights.add_weight(endpoint.is_ready() ? weight : 0.0);
@@ -161,7 +166,8 @@
 
 // --- Load and keys
 
-// By its last report: the more loaded, the more often it is passed over, so that some calls still bring news.
+// Returns true if the endpoint is to be skipped for its last reported load. The chance of it rises with the
+// load, so that some calls still bring a new report.
 bool Balancer::State::is_passed_over_by_load(const Endpoint& endpoint, TimePoint now) {
   if (now - endpoint.load_reported_at >= load_report_lifetime) return false;
   if (endpoint.reported_load <= high_reported_load()) return false;
@@ -172,15 +178,15 @@
   return std::max(min_calls_per_endpoint, weights.overload_threshold(mean_reported_load, 1));
 }
 
-// The fraction of the recent calls with this key; little where it is none of the popular ones.
+// Returns the fraction of the recent calls with this key. It is small unless the key is a popular one.
 double Balancer::State::key_popularity(std::uint64_t key) {
   const auto is_same = [&](const KeyPopularity& popular) { return popular.key == key; };
-  const std::size_t at = remember(popular_keys, 1.0 - key_gain, {key, 0.0}, is_same);
+  const std::size_t at = find_or_replace(popular_keys, 1.0 - key_gain, {key, 0.0}, is_same);
   return popular_keys[at].weight += key_gain;
 }
 
-// By weighted rendezvous hashing, so that all sidecars send a key to the same endpoints: one that has served
-// the key before has less work with it.
+// Selects by weighted rendezvous hashing, so that all sidecars send a key to the same endpoints: an endpoint
+// that has served the key before needs less work for it.
 int Balancer::State::select_by_key(const Call& call, TimePoint now) {
   using Ranked = std::pair<double, std::size_t>;  // the lower the better; index
   constexpr double unranked = 1e300;
@@ -195,7 +201,8 @@
         (static_cast<double>(mix_bits(call.key ^ endpoint.ring_hash) >> 11U) + 0.5) * 0x1p-53;
     const double latency_ms = std::max(1e-9, model_latency_ms[endpoint.model]);
     Ranked ranked{-std::log(uniform) * latency_ms / slow_start_factor(endpoint, now), i};
-    // Most are none of the best: this loop takes much of a busy sidecar's time.
+    // Most endpoints are not among the best and skip the inner loop, which takes much of a busy sidecar's
+    // time.
     for (auto b = ranked < best.back() ? best.begin() : best.end(); b != best.end(); ++b)
       if (ranked < *b) std::swap(ranked, *b);
   }
@@ -205,25 +212,25 @@
     Endpoint& endpoint = endpoints[ranked.second];
     return is_healthy(endpoint, now) && is_permitted(call, endpoint, now);
   };
-  // Any of as many as the key is popular for.
+  // Select among as many endpoints as the key's popularity calls for.
   for (std::size_t n = 0; n < wanted; ++n) {
     const Ranked& ranked = best[(first + n) % wanted];
     if (ranked.first >= unranked || is_passed_over_by_load(endpoints[ranked.second], now)) continue;
     if (is_usable(ranked)) return static_cast<int>(ranked.second);
   }
-  // All of these are loaded: another one of the best, or one of them in spite of it; endpoints farther down
-  // would have the whole work to do.
+  // All of these are loaded: select another of the best, or one of these despite its load. For endpoints
+  // ranked lower the key would be cold.
   for (const Ranked& ranked : best) {
     if (ranked.first < unranked && is_usable(ranked)) return static_cast<int>(ranked.second);
   }
   return -1;
 }
 
-// --- The choice
+// --- Selection
 
 int Balancer::State::select_endpoint(const Call& call, TimePoint now) {
   if (weights.size() != endpoints.size()) update_weights(now);
-  // With warm keys each sidecar wants a connection to every endpoint: not while connections are scarce.
+  // Key affinity needs a connection to every endpoint, so it is off while connections are scarce.
   if (has_warm_keys && call.key != 0 && now >= connections_scarce_until) {
     const int endpoint = select_by_key(call, now);
     if (endpoint >= 0) return endpoint;
@@ -257,7 +264,7 @@
     if (endpoint.in_flight > overload || is_passed_over_by_load(endpoint, now) || was_tried(call, index) ||
         !is_healthy(endpoint, now) || !is_permitted(call, endpoint, now))
       return Fit::rejected;
-    // New connections cost endpoints work and may fail: those that have one to spare come first.
+    // New connections cost endpoints work and may fail, so endpoints with a spare connection come first.
     const bool is_last_draw = draw >= weights.config().max_draws - 1 && now >= connections_scarce_until;
     if (uses_subset && !has_spare_connection(endpoint, now) && !is_last_draw) return Fit::rejected;
     return zone_draws == 0 || endpoint.zone == own_zone ? Fit::accepted : Fit::remote;
@@ -265,8 +272,8 @@
   return position >= 0 ? static_cast<int>(ring[static_cast<std::size_t>(position)]) : -1;
 }
 
-// Where the draw has found only loaded or closed endpoints: the least loaded one that may be used. Where most
-// are unhealthy all are slow, and health is set aside.
+// Selects the least loaded endpoint that is permitted, after the draw has found none. If most endpoints are
+// unhealthy the cause is not theirs alone, and health is ignored.
 int Balancer::State::least_loaded_of(const Call& call, const RingRange& range, TimePoint now) {
   const int healthy = least_loaded_where(call, range, true, now);
   if (healthy >= 0 || !are_most_unhealthy(range, now)) return healthy;
--- a/src/policy/endpoint_state.hpp
+++ b/src/policy/endpoint_state.hpp
@@ -1,4 +1,4 @@
-/// What a balancer knows of one endpoint.
+/// A balancer's state of one endpoint.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +16,34 @@
   std::uint64_t ring_hash = 0;  ///< the same at all sidecars
   std::uint16_t zone = 0, cell = 0, model = 0;
   Availability availability = Availability::gone;
-  TimePoint started_at;       ///< of its process; zero: long ago
+  TimePoint started_at;       ///< start time of its process; zero: long ago
   bool is_unlisted = false;   ///< the list has removed it; it is kept until it fails (endpoint_list.cpp)
-  bool is_in_subset = false;  ///< of the endpoints that this sidecar prefers
+  bool is_in_subset = false;  ///< it is in the subset that this sidecar prefers
 
   // --- Calls and connections
   int in_flight = 0;
-  int connections = 0;     ///< that have served and may still be open
-  TimePoint last_used_at;  ///< of any connection; zero: never
-  TimePoint active_since;  ///< last sign of life; or, with none since, when calls began to be in flight
+  int connections = 0;     ///< connections that have served a call and may still be open
+  TimePoint last_used_at;  ///< last use of any of its connections; zero: never
+  TimePoint active_since;  ///< last response; without one, the time since which calls have been in flight
 
   // --- Health
   int consecutive_failures = 0;
-  Span ejection_pause;  ///< of the last ejection, doubled with each; zero: it is not ejected
+  Span ejection_pause;  ///< duration of the last ejection, doubled with each one; zero: not ejected
   TimePoint ejected_until;
-  bool is_outlier = false;        ///< its tail latency is far above its peers': one call at a time
-  double concurrency_cap = -1.0;  ///< calls in flight, after a start or an ejection; negative: no cap
+  bool is_outlier = false;        ///< its tail latency is far above its peers', so it gets one call at a time
+  double concurrency_cap = -1.0;  ///< maximum calls in flight after a start or an ejection; negative: no cap
 
   // --- Latency and load
   double latency_ms = 0.0;     ///< smoothed over responses; 0: not measured
-  double reported_load = 0.0;  ///< calls that it holds, as last reported
+  double reported_load = 0.0;  ///< calls in the endpoint, as last reported
   TimePoint load_reported_at;
-  TimePoint load_published_at;  ///< by or to other sidecars
+  TimePoint load_published_at;  ///< last time that this or another sidecar published its load
 
   // --- Slow start
   double slow_start_tokens = 0.0;  ///< calls that may be sent to it while it warms up
   TimePoint slow_start_refilled_at;
 
-  /// Last, as it is large: what every choice of an endpoint reads stays close together.
+  /// The last member because it is large: the members that endpoint selection reads stay close together.
   WindowedHistogram response_times;
 };
 
--- a/src/policy/key_ordering.cpp
+++ b/src/policy/key_ordering.cpp
@@ -1,5 +1,5 @@
-/// Calls of one key, one at a time: some deployments state that calls with the same key are executed in the
-/// order of their arrival. All calls of a key stand in a queue, and only its first one is sent.
+/// Serial execution of calls with the same key: some deployments require that they are executed in order of
+/// arrival. All calls of a key are in one queue, and only its first call is sent.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 namespace chutevane {
 
-// A call that would be too late behind those before it is rejected now, which keeps a popular key's queue
+// A call that would be late behind those before it is rejected at once, which keeps a popular key's queue
 // short.
 Answer Balancer::State::enqueue_by_key(std::uint32_t index, TimePoint now) {
   Call& call = calls[index];
@@ -32,7 +32,7 @@
   return {.verdict = Verdict::wait, .call = call.id, .until = call.wait_until};
 }
 
-// The queue itself ends with its last call, once it is not blocked any more.
+// The queue itself is removed after its last call, once it is no longer blocked.
 void Balancer::State::leave_key_queue(std::uint32_t index, TimePoint now) {
   const std::uint32_t at = std::exchange(calls[index].key_queue, KeyQueue::none);
   KeyQueue& queue = key_queues[at];
@@ -66,7 +66,7 @@
   }
 }
 
-// A queued call is answered while its client can still use the answer, wherever in the queue it stands.
+// Rejects queued calls, at any position, while their clients can still use the response.
 void Balancer::State::expire_queued(TimePoint now) {
   for (std::uint32_t at = 0; at < key_queues.size(); ++at) {
     std::uint32_t index = key_queues[at].in_use ? key_queues[at].first : KeyQueue::none;
--- a/src/policy/latency_estimate.hpp
+++ b/src/policy/latency_estimate.hpp
@@ -1,5 +1,4 @@
-/// How long an attempt may take, by the response times of the last seconds. Stands alone: plain values, no
-/// settings.
+/// Adaptive attempt timeouts, from the response times of the last seconds. Independent of the settings.
 #pragma once
 
 #include <algorithm>
@@ -9,34 +8,34 @@
 namespace chutevane {
 
 struct LatencyEstimateConfig {
-  double timeout_multiple = 3.0;  ///< x the high quantile
+  double timeout_multiple = 3.0;  ///< the timeout as a multiple of the high quantile
   double high_quantile = 0.95;
   Span window = Span::ms(10000);
   std::uint32_t min_samples = 20;   ///< responses in the window before there is an estimate
   Span min_timeout = Span::ms(50);  ///< one scheduling hiccup
-  /// Adaptive timeouts per response: with more they cut off more than the tail.
+  /// Adaptive timeouts per response. Above this ratio the timeouts cut off more than the tail.
   double max_timeouts_per_response = 0.2;
 };
 
-/// An adaptive attempt timeout, and quantiles of response times, over a sliding window. Time never falls from
-/// call to call.
+/// An adaptive attempt timeout and quantiles of response times, over a sliding window. The time that is
+/// passed never decreases from call to call.
 class LatencyEstimate {
  public:
   explicit LatencyEstimate(const LatencyEstimateConfig& config = {})
       : config_(config), response_times_(config.window), timeouts_(response_times_) {}
 
   void record_response(Span elapsed, TimePoint now) { response_times_.add(elapsed, now); }
-  /// An attempt has ended by a timeout that was shorter than the caller's own.
+  /// Records an attempt that ended by a timeout shorter than the caller's own.
   void record_adaptive_timeout(Span elapsed, TimePoint now) { timeouts_.add(elapsed, now); }
 
   [[nodiscard]] bool is_measured(TimePoint now) { return response_times_.count(now) >= config_.min_samples; }
   [[nodiscard]] Span quantile(double q, TimePoint now) { return response_times_.quantile(q, now); }
-  /// Zero while not measured.
+  /// Returns zero while the estimate is not measured.
   [[nodiscard]] Span median(TimePoint now) { return is_measured(now) ? quantile(0.5, now) : Span(); }
   [[nodiscard]] Span high(TimePoint now) { return quantile(config_.high_quantile, now); }
 
-  /// Updates whether the estimate is starved: its own timeouts cut off so many of the responses which it is
-  /// learned from that it could only fall. To be called every few seconds; returns the new state.
+  /// Updates whether the estimate is starved: its own timeouts cut off so many responses that it could only
+  /// decrease. To be called every few seconds. Returns the new state.
   bool update_starved(TimePoint now) {
     const double timeouts = timeouts_.count(now);
     const double responses = response_times_.count(now);
@@ -44,8 +43,8 @@
   }
   [[nodiscard]] bool is_starved() const { return is_starved_; }
 
-  /// The timeout of an attempt whose caller allows `max`: shorter where the estimate is measured and not
-  /// starved.
+  /// Returns the timeout of an attempt whose caller allows `max`. It is at most `max`, and equal to it while
+  /// the estimate is not measured or is starved.
   [[nodiscard]] Span attempt_timeout(Span max, TimePoint now) {
     if (!is_measured(now) || is_starved_) return max;
     return std::min(max, std::max(config_.min_timeout, high(now) * config_.timeout_multiple));
--- a/src/policy/latency_weights.hpp
+++ b/src/policy/latency_weights.hpp
@@ -1,5 +1,5 @@
-/// Weights by the inverse of smoothed latency, and the random draw that follows them. Stands alone: positions
-/// are numbers, and the caller knows which endpoint each of them is.
+/// Weighted random selection by the inverse of smoothed latency. Works on positions; the caller maps them to
+/// endpoints.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace chutevane {
 
-/// Consecutive positions on a ring; the range may run past the ring's end.
+/// Consecutive positions on a ring. The range may wrap around the ring's end.
 struct RingRange {
   std::size_t from = 0;
   std::size_t size = 0;
@@ -19,27 +19,29 @@
 
 struct LatencyWeightsConfig {
   Span update_interval = Span::ms(2000);
-  double latency_gain = 0.1;     ///< per response: smooths over about 20 of them
-  double overload_factor = 1.2;  ///< x mean in flight: well above it where endpoints queue
-  double overload_margin = 0.5;  ///< calls: with a mean near 0, an endpoint with one in flight is passed over
-  int max_draws = 4;             ///< before the caller takes the least loaded instead
+  double latency_gain = 0.1;  ///< weight of a response in the mean, which covers about 20 responses
+  /// Multiple of the mean calls in flight above which a position is overloaded: endpoints that queue are
+  /// well above it.
+  double overload_factor = 1.2;
+  double overload_margin = 0.5;  ///< calls; with a mean near 0, an endpoint with one in flight is skipped
+  int max_draws = 4;             ///< draws before the caller selects the least loaded endpoint instead
 };
 
 /// The owner updates all weights together, about every `update_interval`: begin_update(), then
 /// add_measured_latency() for each endpoint, then add_weight() for each position in order.
 class LatencyWeights {
  public:
-  /// What the caller thinks of a drawn position.
+  /// Whether the caller accepts a drawn position.
   enum class Fit : std::uint8_t {
     rejected,
-    remote,  ///< acceptable, but a nearer one is preferred
+    remote,  ///< acceptable, but a position in the own zone is preferred
     accepted,
   };
 
   explicit LatencyWeights(TimePoint now, const LatencyWeightsConfig& config = {})
       : config_(config), next_update_at_(now) {}
 
-  /// Smooths `latency_ms`, which is 0 before its first measurement, by a response's latency.
+  /// Updates the moving average `latency_ms`, which is 0 before the first measurement.
   void smooth(double& latency_ms, double measured_ms) const {
     latency_ms += (measured_ms - latency_ms) * (latency_ms > 0.0 ? config_.latency_gain : 1.0);
   }
@@ -50,34 +52,34 @@
     cumulative_.clear();
     next_update_at_ = now + config_.update_interval;
   }
-  /// A smoothed latency in ms; 0, not measured, is left out.
+  /// Adds a smoothed latency in ms. 0 means not measured and is ignored.
   void add_measured_latency(double latency_ms) {
     if (latency_ms <= 0.0) return;
     speed_sum_ += 1.0 / latency_ms;
     ++measured_count_;
   }
-  /// Mean of the inverse latencies, per ms; 1 where none is measured.
+  /// Returns the mean of the inverse latencies, per ms; 1 if none is measured.
   [[nodiscard]] double mean_speed() const {
     return measured_count_ > 0.0 ? speed_sum_ / measured_count_ : 1.0;
   }
-  /// Inverse of a latency; what is not measured is taken for average.
+  /// Returns the inverse of a latency, or the mean if it is not measured.
   [[nodiscard]] double speed(double latency_ms) const {
     return latency_ms > 0.0 ? 1.0 / latency_ms : mean_speed();
   }
-  /// The weight of the next position; 0 for one that is not in use.
+  /// Appends the weight of the next position; 0 for a position that is not in use.
   void add_weight(double weight) {
     cumulative_.push_back((cumulative_.empty() ? 0.0 : cumulative_.back()) + weight);
   }
   [[nodiscard]] std::size_t size() const { return cumulative_.size(); }
 
-  /// A position with more calls in flight than this is overloaded, where `calls` are in flight at
-  /// `positions`.
+  /// Returns the number of calls in flight above which a position is overloaded, if `calls` are in flight
+  /// over `positions`.
   [[nodiscard]] double overload_threshold(double calls, int positions) const {
     return config_.overload_factor * calls / std::max(1, positions) + config_.overload_margin;
   }
 
-  /// Draws positions of `range` by weight until `fit(position, draw)` accepts one; -1 where none fits. The
-  /// first remote one is kept while `extra_draws` after it look for one that is accepted.
+  /// Draws positions of `range` by weight until `fit(position, draw)` accepts one. The first remote position
+  /// is the result if none of `extra_draws` further draws is accepted. Returns -1 if no position fits.
   template <class Fits>
   [[nodiscard]] int draw(const RingRange& range, Pcg& random, int extra_draws, Fits fit) const {
     if (cumulative_.empty()) return -1;
@@ -101,7 +103,7 @@
   [[nodiscard]] const LatencyWeightsConfig& config() const { return config_; }
 
  private:
-  // Of the first `count` positions, which may go round the ring more than once.
+  // Sum of the weights of the first `count` positions, which may wrap around the ring more than once.
   [[nodiscard]] double weight_before(std::size_t count) const {
     const std::size_t rounds = count / cumulative_.size();
     const std::size_t rest = count % cumulative_.size();
@@ -109,7 +111,7 @@
   }
 
   LatencyWeightsConfig config_;
-  std::vector<double> cumulative_;  // weights along the ring
+  std::vector<double> cumulative_;  // prefix sums of the weights along the ring
   double speed_sum_ = 0.0, measured_count_ = 0.0;
   TimePoint next_update_at_;
 };
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -1,4 +1,4 @@
-/// What a process passes to the one after it, so that it need not learn it anew.
+/// Learned state that a process hands over to its successor, which then need not learn it again.
 #include <algorithm>
 
 #include "policy/balancer_state.hpp"
--- a/src/policy/retries.cpp
+++ b/src/policy/retries.cpp
@@ -1,6 +1,6 @@
-/// Whether a call is sent again. Three bounds hold together: what its idempotency permits, a bucket of tokens
-/// that is filled by calls (so that retries stay a fraction of the load), and the budget that some
-/// deployments state.
+/// Decides whether a call is retried. Three bounds hold at the same time: the call's idempotency, a bucket of
+/// tokens that calls fill (so that retries stay a fraction of the load), and the retry budget that some
+/// deployments set.
 #include <algorithm>
 #include <limits>
 
@@ -9,14 +9,14 @@
 
 namespace chutevane {
 
-// Of a call that may have been executed: whether it may go nowhere again.
+// Returns true if a call that may have been executed must not be sent to any endpoint again.
 bool Balancer::State::is_retry_forbidden(const Call& call, TimePoint now) const {
   const Track& track = tracks[call.track];
   return track.idempotency == Idempotency::non_idempotent ||
          (track.idempotency == Idempotency::keyed && now - call.executed_since >= track.idempotency_window);
 }
 
-// Of a call that may have been executed: whether the endpoint recognises it.
+// Returns true if the endpoint would recognize a retry of a call that may have been executed.
 bool Balancer::State::is_in_retry_scope(const Call& call, const Endpoint& endpoint, TimePoint now) const {
   const Track& track = tracks[call.track];
   if (track.idempotency == Idempotency::idempotent) return true;
@@ -36,8 +36,8 @@
   return remaining_retry_budget(now) > pending_retries && can_be_served_in_time(call, Span(), now);
 }
 
-// By the median response time. Where late responses have no value, the time to the latency target counts in
-// place of the time to the deadline.
+// Judges by the median response time. If late responses have no value, the time to the latency target counts
+// instead of the time to the deadline.
 bool Balancer::State::can_be_served_in_time(const Call& call, Span wait, TimePoint now) {
   Span remaining = call.deadline - now;
   if (is_first_tier && tracks[call.track].late_value <= 0.0)
@@ -45,8 +45,8 @@
   return remaining - wait > estimate.median(now);
 }
 
-// What the stated budget leaves of dispatches beyond a call's first. Calls count while the whole of their
-// slice lies within the window, so that it is never more than the rule allows.
+// Returns the number of retries that the deployment's budget still allows. Calls count only while the whole
+// of their time slice is within the window, so the result never exceeds the rule.
 int Balancer::State::remaining_retry_budget(TimePoint now) {
   if (free_retries < 0.0) return std::numeric_limits<int>::max();
   while (!recent_retries.empty() && now - recent_retries.front() > retry_window + clock_granularity)
@@ -55,7 +55,8 @@
          static_cast<int>(recent_retries.size());
 }
 
-// Calls at an endpoint that alone is silent are cancelled, to be sent elsewhere, before their latency target.
+// Cancels calls at silent endpoints, so that they are retried elsewhere before their latency target. Does
+// nothing if most endpoints are silent.
 void Balancer::State::cancel_calls_at_silent_endpoints(TimePoint now) {
   int silent_count = 0;
   for (const Endpoint& endpoint : endpoints)
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -1,4 +1,4 @@
-/// What a deployment states, read once: the rules, the tracks, and what its platform permits.
+/// Reads the deployment's settings: the rules, the tracks, and the capabilities of the platform.
 #include <algorithm>
 #include <string>
 
@@ -9,8 +9,9 @@
 namespace chutevane {
 namespace {
 
-constexpr double unknown_own_time = 0.36;  // of a response's time, at an endpoint that may call deeper tiers
-constexpr double prior_value_samples = 5.0;  // calls that the tracks' mean value counts for at the start
+// Fraction of the response time spent at an endpoint that may call deeper tiers.
+constexpr double unknown_own_time = 0.36;
+constexpr double prior_value_samples = 5.0;  // weight, in calls, of the initial mean value of the tracks
 
 Idempotency idempotency_of(const std::string& effect) {
   if (effect == "replayable") return Idempotency::idempotent;
@@ -34,7 +35,7 @@
     track.retry_scope = retry_scope_of(settings.text(prefix + "repeat_group"));
     track.idempotency_window = settings.span(prefix + "repeat_window_ms");
   }
-  track.is_ordered_by_key = settings.flag_or_not(prefix + "in_turn");
+  track.is_ordered_by_key = settings.flag_or_false(prefix + "in_turn");
   return track;
 }
 
@@ -45,20 +46,20 @@
   is_first_tier = settings.number("tier") == 0;
   can_cancel = settings.flag("allowed.cancel");
   can_send_retry_after = settings.flag("allowed.retry_after");
-  clients_mark_retries = settings.flag_or_not("client_habits.marks_retry");
-  is_removal_binding = !settings.flag_or_not("rules.drain_binds_alone");
+  clients_mark_retries = settings.flag_or_false("client_habits.marks_retry");
+  is_removal_binding = !settings.flag_or_false("rules.drain_binds_alone");
   must_subscribe = settings.text("discovery") == "subscribe";
   if (settings.has("zone") && settings.number_or("penalties.cross_zone", 0.0) > 0.0)
     own_zone = static_cast<int>(settings.number("zone"));
   sidecar_count = std::max(1.0, settings.number("sidecars"));
-  // Sidecars without a number begin at random positions: otherwise those that start together would all
-  // prefer the same endpoints.
+  // Sidecars without an index start at random ring positions. Otherwise all of them would prefer the same
+  // endpoints.
   ring_position = settings.has("me") ? std::clamp(settings.number("me") / sidecar_count, 0.0, 1.0)
                                      : static_cast<double>(mix_bits(seed)) * 0x1p-64;
-  can_publish_load = settings.flag_or_not("allowed.may_tell");
+  can_publish_load = settings.flag_or_false("allowed.may_tell");
   expects_load_reports = settings.has("report.how") && settings.text("report.how") == "inline";
   is_only_tier = settings.has("layers") && settings.text("layers").find(',') == std::string::npos;
-  has_warm_keys = settings.flag_or_not("extra.warm_keys");
+  has_warm_keys = settings.flag_or_false("extra.warm_keys");
   has_shared_connections = settings.number_or("allowed.streams_per_conn", 0.0) > 1.0;
   uses_subset = !has_shared_connections && !has_warm_keys && own_zone < 0 && sidecar_count > min_subset_size;
   slow_start_share = settings.number("rules.cold_share");
@@ -76,7 +77,9 @@
     retry_ratio = settings.number_or("rules.resend_ratio", 0.0);
     recent_calls = WindowedCount(retry_window);
   }
-  if (tracks.empty()) throw SettingError("tracks.count", "no track: '" + settings.text("tracks.count") + "'");
+  if (tracks.empty())
+    throw SettingError("tracks.count",
+                       "expected at least one track, got '" + settings.text("tracks.count") + "'");
   for (const Track& track : tracks) mean_value += track.value / static_cast<double>(tracks.size());
   timeout_statistics.resize(tracks.size());
   next_look_at = next_limit_update_at = rate_measured_at = now;
