--- a/src/limit/limiter.cpp
+++ b/src/limit/limiter.cpp
@@ -7,7 +7,7 @@
 namespace chutevane::limit {
 namespace {
 
-/// Entries that one admission looks at, the oldest first, for some to forget: bounds the work of a call.
+/// Maximum number of entries, from the oldest, that one admission checks for eviction: bounds its cost.
 constexpr std::uint32_t max_eviction_scan = 8;
 
 }  // namespace
@@ -25,7 +25,7 @@
   bucket_ = {config.rate.burst, now};
 }
 
-/// Fills the bucket up to now. Zero: there is a token.
+/// Refills the bucket. Returns the time until it has a token, or zero if it has one or there is no limit.
 Span Limiter::time_until_token(Bucket& bucket, const Rate& rate, TimePoint now) {
   if (rate.per_s <= 0.0) return Span();
   const double capacity = std::max(1.0, rate.burst);
@@ -72,7 +72,7 @@
   return slot_by_key_.size() >= config_.max_clients ? shared_slot : new_slot(key, now);
 }
 
-/// Forgets clients that have been idle for long, and at the bound the oldest ones.
+/// Evicts idle clients, and if the table is full the least recently seen ones without calls in flight.
 void Limiter::evict(TimePoint now) {
   std::uint32_t slot = oldest_;
   for (std::uint32_t i = 0; i < max_eviction_scan && slot != none; ++i) {
@@ -102,7 +102,7 @@
   return slot;
 }
 
-/// Of the limits on calls in flight, the one that one more call of this client would exceed.
+/// Returns the limit on calls in flight that one more call of this client would exceed.
 Rejection Limiter::exceeded_concurrency(const Client& client) const {
   if (config_.max_client_in_flight > 0.0 && client.in_flight >= config_.max_client_in_flight)
     return Rejection::client_in_flight;
@@ -120,8 +120,7 @@
   Admission out;
   out.client_slot = slot_of(key, now);
   Client& client = clients_[out.client_slot];
-  // All limits are checked before any token is taken: a call that one limit rejects costs nothing of the
-  // others.
+  // All limits are checked before any token is taken: a call that one limit rejects does not use up another.
   out.retry_after = time_until_token(client.bucket, config_.client_rate, now);
   if (out.retry_after > Span()) {
     out.rejection = Rejection::client_rate;
@@ -150,7 +149,7 @@
 }
 
 std::size_t Limiter::bytes() const {
-  constexpr std::size_t map_entry = 40;  // a node of the index, about
+  constexpr std::size_t map_entry = 40;  // approximate size of a node of the index
   return sizeof *this + clients_.capacity() * sizeof(Client) +
          free_slots_.capacity() * sizeof(std::uint32_t) + slot_by_key_.size() * map_entry +
          slot_by_key_.bucket_count() * sizeof(void*);
--- a/src/limit/limiter.hpp
+++ b/src/limit/limiter.hpp
@@ -1,9 +1,9 @@
-/// Admission limits of a service: calls in flight and calls per second, over all clients and for each. No
-/// I/O. What exceeds a limit is rejected at once, with the time after which a retry is worth it.
+/// Admission limits of a service: calls in flight and calls per second, in total and per client. A call that
+/// exceeds a limit is rejected at once, with the time after which a retry is worthwhile. Does no I/O.
 ///
-/// The table of clients is bounded. A new client takes the entry of the one that was seen longest ago and has
-/// nothing in flight; without such an entry it shares one entry with all other clients that found none. The
-/// service's own limits hold whoever asks.
+/// The table of clients is bounded. If it is full, a new client replaces the least recently seen one that has
+/// no calls in flight. If there is none, the new client shares one entry with all others without an entry.
+/// The limits of the service hold for all clients in any case.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,22 @@
 
 /// A token bucket.
 struct Rate {
-  double per_s = 0.0;  // 0: no limit
-  double burst = 0.0;  // calls at once; at least 1 where there is a limit
+  double per_s = 0.0;  // tokens per second; 0: no limit
+  double burst = 0.0;  // capacity in calls; if there is a limit, at least 1 is used
 };
 
-/// The names of the settings differ where the operator's file has other words (operator_file/reader.cpp).
+/// The operator's file has its own names for some of these settings (operator_file/reader.cpp).
 struct LimitConfig {
   double max_in_flight = 0.0;  // calls of the service; 0: no limit
   Rate rate;
-  double max_client_in_flight = 0.0;  // calls of each client, whatever capacity there is; 0: no limit
+  double max_client_in_flight = 0.0;  // calls of each client, even if the service has capacity; 0: no limit
   Rate client_rate;
-  /// The last part of the service's calls in flight is reserved for clients that have less than an even share
-  /// of them: one noisy client leaves that much to the others.
+  /// Fraction of `max_in_flight` that is reserved for clients with less than an even share of the calls in
+  /// flight, so that one noisy client cannot take all capacity.
   double reserved_share = 0.2;
-  std::size_t max_clients = 10000;             // that are told apart
-  Span client_idle_timeout = Span::ms(60000);  // after which a client is forgotten
-  /// What a rejection states where no token bucket tells: calls in flight are to end first.
+  std::size_t max_clients = 10000;             // clients with an entry of their own
+  Span client_idle_timeout = Span::ms(60000);  // time after which an idle client's entry is removed
+  /// The retry delay of a rejection by a limit on calls in flight: one of these calls must end first.
   Span retry_after = Span::ms(250);
 };
 
@@ -45,29 +45,31 @@
   client_rate,
   client_share
 };
+/// Returns the name of the limit, for metrics and messages.
 std::string_view name_of(Rejection rejection);
 
+/// The result of Limiter::admit().
 struct Admission {
   Rejection rejection = Rejection::none;
-  Span retry_after;  // of a rejection
-  /// Of an admitted call, for release().
-  std::uint32_t client_slot = 0;
+  Span retry_after;               // if rejected: time after which a retry is worthwhile
+  std::uint32_t client_slot = 0;  // if admitted: the argument of release()
 };
 
 class Limiter {
  public:
+  /// `seed` is that of the hash of client keys.
   Limiter(const LimitConfig& config, std::uint64_t seed, TimePoint now);
-  /// Each admitted call is released once. `client`: any key; clients are told apart by its hash. Empty: no
-  /// client in particular, all of these are one.
+  /// Admits or rejects a call. Each admitted call must be released once. `client` is any key, and clients are
+  /// distinguished by its hash. All calls with an empty key share one entry.
   [[nodiscard]] Admission admit(std::string_view client, TimePoint now);
   void release(std::uint32_t client_slot);
-  /// Whether it matters to admit() who the client is.
+  /// Returns true if admit() depends on the client.
   bool needs_client_key() const {
     return config_.max_client_in_flight > 0.0 || config_.client_rate.per_s > 0.0 ||
            config_.max_in_flight > 0.0;
   }
   std::size_t clients() const { return slot_by_key_.size(); }
-  std::size_t bytes() const;  // of memory, about
+  std::size_t bytes() const;  // approximate memory use
   double in_flight() const { return in_flight_; }
 
  private:
@@ -78,7 +80,7 @@
   };
   struct Client {
     std::uint64_t key = 0;
-    std::uint32_t newer = none, older = none;  // slots, by when clients were last seen
+    std::uint32_t newer = none, older = none;  // slots; the list is ordered by `last_seen`
     Bucket bucket;
     std::uint32_t in_flight = 0;
     TimePoint last_seen;
@@ -94,11 +96,11 @@
 
   LimitConfig config_;
   std::uint64_t seed_;
-  std::vector<Client> clients_;  // by slot
+  std::vector<Client> clients_;  // indexed by slot
   std::vector<std::uint32_t> free_slots_;
   std::unordered_map<std::uint64_t, std::uint32_t> slot_by_key_;
   std::uint32_t newest_ = none, oldest_ = none;
-  std::uint32_t active_clients_ = 0;  // with calls in flight
+  std::uint32_t active_clients_ = 0;  // clients with calls in flight
   double in_flight_ = 0.0;
   Bucket bucket_;
 };
--- a/src/pool/cross_pool_retry.hpp
+++ b/src/pool/cross_pool_retry.hpp
@@ -1,8 +1,8 @@
-/// Whether a call that one pool has given up may be sent to another. No I/O.
+/// Decides whether a call that failed in one pool may be retried in another.
 ///
-/// The rules on retries hold across pools as they do within one: a call that is not idempotent may go on only
-/// if no endpoint can have run it; one with an idempotency key only to a pool whose endpoints share the
-/// memory of keys with those that may have run it; and one budget of dispatches counts over all pools.
+/// The retry rules hold across pools as they do within one: a call that is not idempotent may be retried only
+/// if no endpoint can have run it; a call with an idempotency key only in a pool whose endpoints share the
+/// memory of keys with those that may have run it; and all pools together have one budget of dispatches.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +11,30 @@
 
 namespace chutevane::pool {
 
-/// What running a call twice does. In settings: `replayable`, `referenced`, `single-use`.
+/// The effect of running a call twice. In settings: `replayable`, `referenced`, `single-use`.
 enum class Idempotency : std::uint8_t {
-  idempotent,      // no harm
-  keyed,           // no harm where the endpoints remember the call's idempotency key
-  non_idempotent,  // the call's effect twice
+  idempotent,      // harmless
+  keyed,           // harmless if the endpoints remember the call's idempotency key
+  non_idempotent,  // the call takes effect twice
 };
 
 /// The attempts that were made for a call.
 struct AttemptHistory {
-  int dispatches = 0;         // over all pools so far
-  bool may_have_run = false;  // at least one of them, for all that is known
-  TimePoint first_sent;       // of those that may have run
+  int dispatches = 0;         // number of attempts in all pools
+  bool may_have_run = false;  // at least one of them may have been executed
+  TimePoint first_sent;       // when the first attempt that may have been executed was sent
 };
 
-/// The call, and the pool that it might go to.
+/// The properties of the call and of the next pool that decide whether the call may be retried there.
 struct CrossPoolRetry {
   Idempotency idempotency = Idempotency::idempotent;
-  /// The next pool remembers keys together with all pools that the call was in.
+  /// The next pool shares its memory of idempotency keys with all pools that the call was in.
   bool shares_key_memory = false;
-  /// A key is remembered by all of a group of pools, not by zone or cell alone.
+  /// Keys are remembered by the whole group of pools, not only by a zone or cell.
   bool memory_spans_group = true;
-  Span key_retention;
+  Span key_retention;  // time for which endpoints remember a key
   int max_dispatches = 1;
-  TimePoint deadline;  // the client's patience
+  TimePoint deadline;  // when the client times out
 };
 
 /// Why a retry is not allowed.
@@ -47,7 +47,7 @@
   key_forgotten
 };
 
-/// `none`: the retry is allowed.
+/// Returns RetryDenial::none if the retry is allowed.
 inline RetryDenial check_cross_pool_retry(const CrossPoolRetry& retry, const AttemptHistory& history,
                                           TimePoint now) {
   if (retry.deadline <= now) return RetryDenial::deadline_passed;
@@ -55,8 +55,8 @@
   if (!history.may_have_run || retry.idempotency == Idempotency::idempotent) return RetryDenial::none;
   if (retry.idempotency == Idempotency::non_idempotent) return RetryDenial::may_have_run;
   if (!retry.shares_key_memory || !retry.memory_spans_group) return RetryDenial::other_key_memory;
-  // The next pool counts the retention from its own first dispatch: the key must still be remembered from the
-  // very first one until the last moment at which that pool may send.
+  // The next pool counts the retention from its own first dispatch. So the key must be remembered from the
+  // first dispatch of all until the last moment at which that pool may send, which is the deadline.
   if (retry.deadline > history.first_sent + retry.key_retention) return RetryDenial::key_forgotten;
   return RetryDenial::none;
 }
--- a/src/pool/failover.cpp
+++ b/src/pool/failover.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr Span update_interval = Span::ms(100);
-constexpr double min_results = 5.0;  // calls ended: fewer are chance
-// Of the most ready endpoints: a pool that has been made smaller counts as complete again within minutes.
+constexpr double min_results = 5.0;  // ended calls; the success ratio of fewer is not significant
+// Relative decay of `max_ready`: a pool that was scaled down counts as complete again within minutes.
 constexpr double max_ready_decay_per_s = 0.002;
-constexpr double proven_success_ratio = 0.95;     // from here on a pool has proven its rate
-constexpr double proven_rate_decay_per_s = 0.01;  // a rate of an hour ago says little
-constexpr int successes_for_recovery = 3;         // in a row, of an unhealthy pool: no longer chance
-// Of the way to a higher share: most of it is made within half a second.
+constexpr double proven_success_ratio = 0.95;     // success ratio from which a pool has proven its rate
+constexpr double proven_rate_decay_per_s = 0.01;  // a rate of an hour ago tells little
+constexpr int successes_for_recovery = 3;         // consecutive ones of an unhealthy pool: not by chance
+// Fraction of the difference by which a share follows: most of it within half a second.
 constexpr double failover_speed_per_s = 5.0;
 
 }  // namespace
@@ -66,16 +66,16 @@
   return chosen;
 }
 
-/// Ready endpoints and results are two views of the same loss: the worse one counts.
+/// Ready endpoints and call results both reflect the same loss of capacity, so the worse of the two counts.
 double Failover::health_of(const Pool& pool) const {
   if (pool.ready <= 0.0) return 0.0;
   const double ready_ratio = pool.max_ready > 0.0 ? pool.ready / pool.max_ready : 1.0;
   return std::min(1.0, std::min(ready_ratio, pool.success_ratio) / config_.healthy_threshold);
 }
 
-/// Calls/s that a pool is trusted with: the stated rate, by the ratio of its endpoints that are ready; else
-/// its proven rate and a little more, and at first something for each endpoint. Without this bound failover
-/// would turn the loss of one pool into the loss of two.
+/// Returns the rate, in calls/s, that a pool may get: its stated rate, scaled by the ratio of its ready
+/// endpoints. If none is stated it is the proven rate and a little more, and at least a small rate for each
+/// endpoint. Without this bound failover would turn the loss of one pool into the loss of two.
 double Failover::sustainable_rate(const Pool& pool) const {
   if (pool.ready <= 0.0) return 0.0;
   if (pool.stated_rate > 0.0)
@@ -83,9 +83,9 @@
   return std::max(config_.unknown_per_s * pool.ready, pool.proven_rate * (1.0 + config_.growth));
 }
 
-/// Calls/s that a pool has been sent of late.
+/// Returns the rate, in calls/s, at which a pool has recently been sent calls.
 double Failover::sent_rate(const Pool& pool, TimePoint now) const {
-  // Shortly after the start the memory is only partly filled.
+  // Shortly after the start the averaging window is only partly filled.
   const double filled = 1.0 - std::exp(std::max(update_interval, now - started_at_) / config_.memory * -1.0);
   return pool.sent / (config_.memory.as_ms() / 1000.0 * filled);
 }
@@ -119,8 +119,8 @@
   pool.proven_rate *= 1.0 - proven_rate_decay_per_s * seconds;
   if (results >= min_results && pool.succeeded >= proven_success_ratio * results)
     pool.proven_rate = std::max(pool.proven_rate, sent_rate(pool, now));
-  // While a pool gets hardly any calls its last ratio holds: a silent pool must not pass for healthy as soon
-  // as its failures have faded, time after time.
+  // While a pool gets hardly any calls its last ratio is kept. Otherwise a silent pool would count as healthy
+  // again each time its failures have decayed.
   if (results >= min_results)
     pool.success_ratio = pool.succeeded / results;
   else if (pool.successes_in_row >= successes_for_recovery)
@@ -133,20 +133,21 @@
   for (Pool& pool : pools_) pool.share = pool.health_share = pool.ready / ready;
 }
 
-/// Each pool takes its health's part of what those before it leave. A share moves away from a pool quickly
-/// and back to one of higher priority slowly, so that a pool that flaps does not move its calls each time.
+/// Each pool gets the fraction given by its health of what the pools before it leave. Shares move away from a
+/// pool quickly and back to one of higher priority slowly, so that a flapping pool does not move its calls
+/// each time.
 void Failover::share_by_health(double seconds) {
   double left = 1.0, sum = 0.0;
   for (const Pool& pool : pools_) {
     sum += left * pool.health;
     left -= left * pool.health;
   }
-  // Summed up to each pool: the shares so far, those that health asks for, the new ones.
+  // Cumulative shares up to each pool: the current ones, those that health calls for, and the new ones.
   double current = 0.0, wanted = 0.0, assigned = 0.0;
   left = 1.0;
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     Pool& pool = pools_[i];
-    // Where all pools together are not healthy enough, each gets its part of what is missing as well.
+    // If all pools together are not healthy enough, each also gets its part of the remainder.
     wanted += sum > 0.0 ? left * pool.health / sum : i == 0 ? 1.0 : 0.0;
     left -= left * pool.health;
     current += pool.health_share;
@@ -159,8 +160,8 @@
   }
 }
 
-/// Takes effect at once, in both directions. What the other pools are not known to sustain stays with the
-/// first one, also when that is lost: its balancer rejects without delay.
+/// Takes effect at once, in both directions. The rate that the other pools are not known to sustain stays
+/// with the first one, even if that pool is lost: its balancer rejects the calls without delay.
 void Failover::limit_to_sustainable_rates(double total_rate) {
   double rest = 1.0;
   for (std::size_t i = pools_.size(); i-- > 1;) {
@@ -172,7 +173,7 @@
   pools_[0].share = std::max(0.0, rest);
 }
 
-/// An unhealthy pool goes on getting a few calls, at the cost of the pool with the largest share.
+/// Keeps a few calls going to each unhealthy pool, at the cost of the pool with the largest share.
 void Failover::reserve_probes(double total_rate) {
   for (Pool& pool : pools_) {
     const double probes = total_rate > 0.0 ? std::min(0.5, config_.probe_per_s / total_rate) : 0.0;
--- a/src/pool/failover.hpp
+++ b/src/pool/failover.hpp
@@ -1,9 +1,9 @@
-/// Which of a service's pools a call goes to first. No I/O.
+/// Failover between the pools of a service: selects the pool that a call is sent to first. Does no I/O.
 ///
-/// Pools are ordered by priority. Each is judged by the share of its endpoints that are ready and by the
-/// share of its calls that succeed, whichever is worse. What a pool lacks goes to the next: at once in step
-/// with the loss, back slowly, and never more than the next pool is known to sustain. Inside a pool its
-/// balancer decides, and may reject.
+/// Pools are ordered by priority. The health of a pool is the fraction of its endpoints that are ready or of
+/// its calls that succeed, whichever is worse. As a pool's health falls, its share of calls moves to the next
+/// pool quickly and in proportion, but never more than the next pool is known to sustain; it moves back
+/// slowly. Within a pool its balancer selects the endpoint, and may reject the call.
 #pragma once
 
 #include <cstdint>
@@ -15,57 +15,57 @@
 namespace chutevane::pool {
 
 struct FailoverConfig {
-  /// A pool is healthy down to this fraction of its endpoints and of its successful calls: the spare capacity
-  /// that it has. In the operator's file: `whole_from`.
+  /// Fraction of ready endpoints and of successful calls from which a pool counts as healthy: the rest is its
+  /// spare capacity. In the operator's file: `whole_from`.
   double healthy_threshold = 0.8;
-  /// The time constant with which a pool's results fade.
+  /// Time constant of the exponential decay of a pool's results.
   Span memory = Span::ms(1000);
-  /// Of all calls, by how much the share of a recovered pool grows in a second.
+  /// Fraction of all calls by which the share of a recovered pool grows per second.
   double return_per_s = 0.05;
-  /// How much above its proven rate a pool is tried with, as a fraction of it.
+  /// Fraction of its proven rate by which a pool may exceed it.
   double growth = 0.2;
-  /// Calls/s for each ready endpoint of a pool of which no rate is known.
+  /// Calls/s for each ready endpoint of a pool whose rate is unknown.
   double unknown_per_s = 5.0;
-  /// When no pool's health reaches this, calls are spread over all pools by their ready endpoints.
+  /// If no pool's health reaches this, calls are distributed over all pools by their ready endpoints.
   double panic_threshold = 0.5;
-  /// Calls/s that an unhealthy pool goes on getting: by these its recovery is seen.
+  /// Calls/s that an unhealthy pool still gets, to detect its recovery.
   double probe_per_s = 2.0;
 };
 
 class Failover {
  public:
-  /// At least one pool; index 0 has the highest priority. `stated_rates`: calls/s that the operator says each
-  /// pool sustains when healthy; 0: not stated.
+  /// `stated_rates` has one entry per pool, at least one; index 0 has the highest priority. Each is the rate,
+  /// in calls/s, that the operator states for the healthy pool; 0: not stated.
   Failover(const FailoverConfig& config, const std::vector<double>& stated_rates, std::uint64_t seed,
            TimePoint now);
 
-  /// The pool for a new call, which counts as sent there.
+  /// Returns the pool for a new call, and counts the call as sent there.
   std::size_t choose(TimePoint now);
-  /// Whether a pool may get one more call that another has given up. If it does, record_sent() follows.
+  /// Returns true if a pool may get a call that failed in another one. If it is sent, call record_sent().
   bool has_capacity(std::size_t pool, TimePoint now);
   void record_sent(std::size_t pool, TimePoint now);
-  /// A call has ended in that pool.
+  /// Records that a call has ended in the pool.
   void record_end(std::size_t pool, bool succeeded, TimePoint now);
   void set_ready(std::size_t pool, double endpoints, TimePoint now);
 
   // For logs and tests
   double health(std::size_t pool) const { return pools_[pool].health; }  // 0 to 1
-  double share(std::size_t pool) const { return pools_[pool].share; }    // of all calls
+  double share(std::size_t pool) const { return pools_[pool].share; }    // fraction of all calls
   bool panic() const { return panic_; }
 
  private:
   struct Pool {
-    double ready = 0.0;                    // endpoints
-    double max_ready = 0.0;                // the most of late: what a complete pool has
-    double succeeded = 0.0, failed = 0.0;  // calls ended, fading
-    double sent = 0.0;                     // calls, fading: its rate follows
-    double success_ratio = 1.0;            // as last measured
+    double ready = 0.0;                    // number of ready endpoints
+    double max_ready = 0.0;                // recent maximum of `ready`: the size of the complete pool
+    double succeeded = 0.0, failed = 0.0;  // ended calls, decaying
+    double sent = 0.0;                     // calls sent, decaying; gives the rate
+    double success_ratio = 1.0;            // last measured
     int successes_in_row = 0;
-    double proven_rate = 0.0;  // calls/s that it has been seen to sustain
-    double stated_rate = 0.0;  // the same as the operator says; 0: not stated
+    double proven_rate = 0.0;  // calls/s that the pool has been seen to sustain
+    double stated_rate = 0.0;  // calls/s that the operator states; 0: not stated
     double health = 1.0;
-    double health_share = 0.0;  // of all calls, by health: falls quickly, returns slowly
-    double share = 0.0;         // of that, what its rate allows
+    double health_share = 0.0;  // fraction of all calls by health: falls quickly, returns slowly
+    double share = 0.0;         // fraction of all calls, limited by the sustainable rate
   };
   void update(TimePoint now);
   void update_results(Pool& pool, double seconds, double fade, TimePoint now);
--- a/src/pool/traffic_split.cpp
+++ b/src/pool/traffic_split.cpp
@@ -19,7 +19,7 @@
   for (std::size_t i = 0; i < targets_.size(); ++i) {
     if (targets_[i].weight <= 0.0) continue;
     const std::uint64_t hash = XXH3_64bits_withSeed(key.data(), key.size(), targets_[i].seed);
-    const double unit = (static_cast<double>(hash >> 11U) + 0.5) * 0x1p-53;  // 53 bits of it, in (0, 1)
+    const double unit = (static_cast<double>(hash >> 11U) + 0.5) * 0x1p-53;  // 53 bits, in (0, 1)
     const double score = targets_[i].weight / -std::log(unit);
     if (score > best_score) best_score = score, best = i;
   }
@@ -35,7 +35,7 @@
     if (rest < targets_[i].weight) return i;
     rest -= targets_[i].weight;
   }
-  return last;  // rounding
+  return last;  // reached only by rounding errors
 }
 
 }  // namespace chutevane::pool
--- a/src/pool/traffic_split.hpp
+++ b/src/pool/traffic_split.hpp
@@ -1,8 +1,8 @@
-/// A weighted split of traffic by a stable hash. No I/O.
+/// A weighted split of traffic by a stable hash.
 ///
-/// Weighted rendezvous hashing: each key has a draw of its own for each target, so a client stays with its
-/// target, raising one target's weight moves to it just the share that it gains, and every process splits
-/// alike without any state.
+/// Uses weighted rendezvous hashing: each pair of key and target has its own pseudorandom number. So a client
+/// stays with its target, raising a target's weight moves only the share that the target gains, and all
+/// processes split in the same way without shared state.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,23 @@
 namespace chutevane::pool {
 
 struct SplitTarget {
-  std::string name;     // what the draws go by: the same name draws the same, whatever its index
-  double weight = 1.0;  // absolute, not a percentage
+  std::string name;     // seeds the hash, so that a target's keys do not depend on its index
+  double weight = 1.0;  // relative to the other targets; not a percentage
 };
 
 class TrafficSplit {
  public:
   TrafficSplit() = default;
   explicit TrafficSplit(std::span<const SplitTarget> targets);
-  /// The index of the target for this key, among those with a weight; 0 if there is none.
+  /// Returns the index of the target for this key, among those with a positive weight; 0 if there is none.
   std::size_t choose(std::string_view key) const;
-  /// The same for a request without a key, from a uniform draw in [0, 1).
+  /// Returns a target for a request without a key. `draw` is a uniform random number in [0, 1).
   std::size_t choose(double draw) const;
   std::size_t size() const { return targets_.size(); }
 
  private:
   struct Target {
-    std::uint64_t seed = 0;  // the hash of its name
+    std::uint64_t seed = 0;  // hash of the target's name
     double weight = 0.0;
   };
   std::vector<Target> targets_;
--- a/src/quota_lease/leader_lease.cpp
+++ b/src/quota_lease/leader_lease.cpp
@@ -6,7 +6,7 @@
 namespace chutevane::quota_lease {
 namespace {
 
-// Both are fractions of the leader's lease.
+// Fractions of the leader's lease.
 constexpr double renewal_interval_fraction = 0.3;  // two renewals in a row may be lost
 constexpr double max_jitter_fraction = 0.5;
 
@@ -28,8 +28,8 @@
 
 LeaderVote LeaderLease::on_vote_request(const ProcessIdentity& candidate, std::uint64_t round,
                                         TimePoint now) {
-  // After a start `voted_for_` is empty and the vote unexpired: whom the earlier incarnation has voted for is
-  // not known, so nobody gets a vote.
+  // After a start `voted_for_` is empty while the vote has not expired: it is unknown for whom the previous
+  // incarnation voted, so no candidate gets a vote.
   if (now < vote_expires_at_ && voted_for_ != candidate) return {round, false};
   voted_for_ = candidate;
   vote_expires_at_ = now + config_.grantor_duration(config_.leader_lease_duration);
@@ -46,7 +46,7 @@
 }
 
 bool LeaderLease::on_vote(std::uint32_t voter, const LeaderVote& vote, TimePoint now) {
-  // Only the newest round counts: when earlier ones began is not kept.
+  // Only the newest round counts, since the start times of earlier rounds are not kept.
   if (!vote.is_granted || vote.round != round_ || voter >= server_count_) return false;
   const bool was_leader = is_leader(now);
   votes_until_[voter] = campaign_started_at_ + config_.holder_duration(config_.leader_lease_duration);
--- a/src/quota_lease/leader_lease.hpp
+++ b/src/quota_lease/leader_lease.hpp
@@ -1,14 +1,14 @@
-/// Election of the one lease server that grants, by a lease from a majority of the servers. No I/O, no disk.
+/// Election of the lease server that grants leases (the leader), by a lease from a majority of the servers.
+/// Does no I/O and stores nothing on disk.
 ///
-/// Each server votes for one candidate at a time, for `leader_lease_duration`, and renews its vote as the
+/// Each server votes for one candidate at a time, for `leader_lease_duration`, and renews its vote when the
 /// same candidate asks again. A candidate with unexpired votes of a majority is the leader. Two majorities
-/// share a server, and that server votes for another only after its earlier vote has expired by its own
-/// clock, which is later than the candidate stops relying on it: so there is at most one leader at any time.
-/// This is PaxosLease (Trencseni, Gazso, Reinhardt 2012) without ballots: a candidate that fails to get a
-/// majority lets its own vote expire and campaigns again after a random delay.
+/// share a server, and that server votes for another candidate only after its earlier vote has expired by its
+/// own clock, which is after the first candidate stops relying on it. So there is at most one leader at any
+/// time. This is PaxosLease (Trencseni, Gazso, Reinhardt 2012) without ballots: a candidate that fails to get
+/// a majority lets its own vote expire and campaigns again after a random delay.
 ///
-/// Nothing is stored. A server that starts votes for nobody until any vote of its earlier incarnation must
-/// have expired.
+/// After a start a server grants no vote until every vote of its previous incarnation must have expired.
 #pragma once
 
 #include <map>
@@ -21,33 +21,34 @@
 
 /// A server's reply to a vote request.
 struct LeaderVote {
-  std::uint64_t round = 0;  ///< of the request that it replies to, as the candidate numbered it
+  std::uint64_t round = 0;  ///< round of the request, as numbered by the candidate
   bool is_granted = false;
 };
 
-/// One server's part in the election: voter and candidate. The owner carries the messages, and passes the
-/// time of one monotonic clock, never falling, to every call.
+/// One server's state in the election, as voter and as candidate. The owner transports the messages, and
+/// passes the time of one monotonic clock, which never decreases, to every call.
 class LeaderLease {
  public:
-  /// `self.index` is below `server_count`. `seed` draws the delays between campaigns.
+  /// `self.index` is below `server_count`. `seed` determines the random delays between campaigns.
   LeaderLease(const LeaseConfig& config, ProcessIdentity self, std::uint32_t server_count, std::uint64_t seed,
               TimePoint now);
 
-  /// A candidate, which may be this server itself, asks for a vote.
+  /// Handles a vote request of a candidate, which may be this server itself.
   [[nodiscard]] LeaderVote on_vote_request(const ProcessIdentity& candidate, std::uint64_t round,
                                            TimePoint now);
 
-  /// Begins a round of vote requests; returns its number. The owner sends it to all servers, itself included.
+  /// Begins a round of vote requests and returns its number. The owner sends the request to all servers,
+  /// including this one.
   [[nodiscard]] std::uint64_t start_campaign(TimePoint now);
-  /// A reply to this server's vote request. Returns whether a new term of this server begins with it.
+  /// Handles a reply to this server's vote request. Returns true if it starts a new term of this server.
   bool on_vote(std::uint32_t voter, const LeaderVote& vote, TimePoint now);
-  /// When the next campaign is due. A leader campaigns often enough that two rounds in a row may be lost;
-  /// another server once its own vote has expired, and some random delay more, so that candidates do not
-  /// split the votes time after time.
+  /// Returns the time at which the next campaign is due. A leader campaigns often enough that two rounds in a
+  /// row may be lost. Another server campaigns a random delay after its own vote has expired, so that
+  /// candidates do not split the votes repeatedly.
   [[nodiscard]] TimePoint next_campaign_at() const { return next_campaign_at_; }
 
   [[nodiscard]] bool is_leader(TimePoint now) const { return now < leader_until_; }
-  /// The current term; nothing while this server is not the leader.
+  /// Returns the current term, or std::nullopt if this server is not the leader.
   [[nodiscard]] std::optional<LeaderTerm> term(TimePoint now) const;
 
  private:
@@ -63,7 +64,7 @@
   // As a candidate
   std::uint64_t round_ = 0;
   TimePoint campaign_started_at_, next_campaign_at_, leader_until_;
-  std::map<std::uint32_t, TimePoint> votes_until_;  // until when a vote may be relied on, by voter
+  std::map<std::uint32_t, TimePoint> votes_until_;  // expiry of the vote, by voter
   std::uint32_t term_count_ = 0;
 };
 
--- a/src/quota_lease/lease_client.cpp
+++ b/src/quota_lease/lease_client.cpp
@@ -20,7 +20,7 @@
     if (grant.term.number > 0) term_ = grant.term;
     return false;
   }
-  // From before the request was sent: a grant that was under way for long is short, or void.
+  // The lease counts from before the request was sent, so a grant that was delayed is short or has expired.
   const TimePoint expires_at = requested_at_ + config_.holder_duration(config_.lease_duration);
   if (expires_at <= now) return false;
   amount_ = grant.amount;
--- a/src/quota_lease/lease_server.cpp
+++ b/src/quota_lease/lease_server.cpp
@@ -8,8 +8,9 @@
 namespace chutevane::quota_lease {
 namespace {
 
-constexpr double min_relative_increase = 0.05;  // of a lease; a smaller one is not granted: dampens swings
-constexpr std::size_t max_clients = 100000;     // others are granted nothing and keep their floor
+// Smallest relative increase of a lease that is granted. Smaller ones are not, which dampens oscillation.
+constexpr double min_relative_increase = 0.05;
+constexpr std::size_t max_clients = 100000;  // further clients get no lease and keep their floor
 constexpr double min_weight = 1e-9;
 
 }  // namespace
@@ -20,7 +21,7 @@
 
 void LeaseServer::on_vote(std::uint32_t voter, const LeaderVote& vote, TimePoint now) {
   if (!leadership_.on_vote(voter, vote, now)) return;
-  // Another server may have led until this moment, and granted until then.
+  // Another server may have been the leader, and granted leases, until now.
   grace_until_ = now + config_.grantor_duration(config_.lease_duration);
   leases_.clear();
 }
@@ -36,8 +37,8 @@
   return sum;
 }
 
-// What a client that certainly holds `held` gets after the grace period: its fair part, as far as the quota
-// is not counted for others.
+// Returns the amount that a client which holds `held` gets after the grace period: its fair share, limited to
+// the part of the quota that other clients do not hold.
 double LeaseServer::fair_amount(const ProcessIdentity& client, double held) const {
   std::vector<Demand> demands;
   std::size_t own = 0;
@@ -58,14 +59,14 @@
   const std::optional<LeaderTerm> own_term = term(now);
   if (!own_term) return {request.number, {}, 0.0, false};
   const LeaseGrant term_only{request.number, *own_term, 0.0, false};
-  // What a client says of its lease proves nothing here if it was said to another term, or before this one.
+  // A client's statement about its lease is valid only in the term that it was made to.
   if (!request.term || *request.term != *own_term) return term_only;
   remove_expired(now);
   const auto found = leases_.find(request.client);
   if (found == leases_.end() && leases_.size() >= max_clients) return term_only;
   const bool is_stale = found != leases_.end() && request.number <= found->second.number;
   if (is_stale) return term_only;
-  // In the grace period the client's word counts, later no more than what is known here.
+  // In the grace period the client's statement counts; later no more than the leader's own record.
   const double known = found != leases_.end()    ? found->second.counted
                        : is_in_grace_period(now) ? request.held
                                                  : 0.0;
@@ -74,11 +75,11 @@
   lease.number = request.number;
   lease.demand = std::max(0.0, request.demand);
   lease.weight = std::max(min_weight, request.weight);
-  lease.counted = held;  // the client takes no more grants to its earlier requests
+  lease.counted = held;  // the client ignores grants for its earlier requests
   lease.expires_at = now + config_.grantor_duration(config_.lease_duration);
   const double amount =
       is_in_grace_period(now) ? std::min(held, lease.demand) : fair_amount(request.client, held);
-  // A client that is to use less goes on with `held` until the grant has reached it.
+  // A client whose lease is reduced goes on using `held` until it receives the grant.
   lease.counted = std::max(held, amount);
   return {request.number, *own_term, amount, true};
 }
@@ -86,7 +87,7 @@
 void LeaseServer::on_release(const ProcessIdentity& client, std::uint64_t number, TimePoint now) {
   const auto found = leases_.find(client);
   if (!is_leader(now) || found == leases_.end() || number <= found->second.number) return;
-  // The entry stays, empty, so that a request which is still under way is recognised as stale.
+  // The empty entry stays, so that a request which is still in transit is recognized as stale.
   found->second.number = number;
   found->second.counted = found->second.demand = 0.0;
 }
--- a/src/quota_lease/lease_server.hpp
+++ b/src/quota_lease/lease_server.hpp
@@ -1,14 +1,14 @@
-/// A lease server: one of a few that elect a leader, which divides a fleet-wide quota among clients as
-/// leases. No I/O, no disk.
+/// A lease server: one of a few servers that elect a leader, which divides a fleet-wide quota among clients
+/// as leases. Does no I/O and stores nothing on disk.
 ///
-/// The guarantee: at no time may all clients together use more than the quota. Only the leader grants, and
-/// what a client may still use is counted until its lease must have expired. A leader that begins a term does
-/// not know what its predecessor has granted: for one `lease_duration` (the grace period) it grants nothing
-/// new and renews to each client at most what that client says that it holds, to this very term. After the
-/// grace period a client's statement counts for no more than the leader's own record of it.
+/// Guarantee: at no time may all clients together use more than the quota. Only the leader grants leases, and
+/// it counts what a client may still use until that client's lease must have expired. A new leader does not
+/// know what its predecessor has granted. For one `lease_duration` (the grace period) it therefore makes no
+/// new grants, and renews for each client at most the amount that the client states to hold in a request that
+/// names this term. After the grace period a client's statement counts for no more than the leader's record.
 ///
-/// Requests are numbered by their client. A request that is not newer than the last one of its client gets no
-/// grant, so that messages may be lost, delayed, duplicated and reordered. docs/shares.md has the proof.
+/// Clients number their requests. A request that is not newer than the client's last one gets no grant, so
+/// messages may be lost, delayed, duplicated and reordered. docs/shares.md has the proof.
 #pragma once
 
 #include <map>
@@ -19,29 +19,30 @@
 
 namespace chutevane::quota_lease {
 
-/// From a client to the servers.
+/// A request from a client to all servers.
 struct LeaseRequest {
   ProcessIdentity client;
-  std::uint64_t number = 0;        ///< rises with each request of this client
-  std::optional<LeaderTerm> term;  ///< that the request is made to; nothing: the client asks which one it is
-  double demand = 0.0;             ///< the most that the client can use, in the unit of the quota
-  double weight = 1.0;             ///< in the division among clients
-  double held = 0.0;               ///< what the client may still use, as it sends this
+  std::uint64_t number = 0;  ///< increases with each request of this client
+  std::optional<LeaderTerm>
+      term;             ///< the term it is addressed to; std::nullopt: the client asks for the term
+  double demand = 0.0;  ///< the most that the client can use, in the unit of the quota
+  double weight = 1.0;  ///< the client's weight in the division
+  double held = 0.0;    ///< the amount that the client may still use when it sends the request
 };
 
-/// From the leader to a client.
+/// A reply to a LeaseRequest.
 struct LeaseGrant {
-  std::uint64_t number = 0;  ///< of the request
-  LeaderTerm term;           ///< of the leader; number 0: the server that replies is not the leader
-  double amount = 0.0;       ///< replaces what the client held
-  bool is_granted = false;   ///< otherwise only the term is told, and the client's lease stays as it is
+  std::uint64_t number = 0;  ///< number of the request
+  LeaderTerm term;           ///< the leader's term; number 0: the replying server is not the leader
+  double amount = 0.0;       ///< replaces the amount that the client held
+  bool is_granted = false;   ///< if false, only the term is reported and the client's lease is unchanged
 };
 
-/// The owner carries messages between servers and clients, and passes the time of one monotonic clock, never
-/// falling, to every call.
+/// The owner transports messages between servers and clients, and passes the time of one monotonic clock,
+/// which never decreases, to every call.
 class LeaseServer {
  public:
-  /// `total`: the quota. The other parameters are those of LeaderLease.
+  /// `total` is the quota. The other parameters are those of LeaderLease.
   LeaseServer(const LeaseConfig& config, ProcessIdentity self, std::uint32_t server_count, double total,
               std::uint64_t seed, TimePoint now);
 
@@ -57,23 +58,24 @@
   [[nodiscard]] std::optional<LeaderTerm> term(TimePoint now) const { return leadership_.term(now); }
 
   // --- Leases
-  /// Not granted where this server is not the leader of the term that the request names, where the request
-  /// is not newer than the client's last one, or where too many clients are known.
+  /// Returns a reply without a grant if this server is not the leader of the term that the request names, if
+  /// the request is not newer than the client's last one, or if there are too many clients.
   [[nodiscard]] LeaseGrant on_lease_request(const LeaseRequest& request, TimePoint now);
-  /// A client shuts down and uses nothing more. `number`: from LeaseClient::release().
+  /// Records that a client shuts down and uses nothing any more. `number` is from LeaseClient::release().
   void on_release(const ProcessIdentity& client, std::uint64_t number, TimePoint now);
-  /// Changes the quota. Leases above a lowered one are reduced as they are renewed.
+  /// Changes the quota. If it is lowered, leases are reduced as they are renewed.
   void set_total(double total) { total_ = total; }
   [[nodiscard]] double total() const { return total_; }
-  /// The sum of what clients may rely on.
+  /// Returns the sum of the amounts that clients may still use.
   [[nodiscard]] double outstanding(TimePoint now);
   [[nodiscard]] std::size_t client_count() const { return leases_.size(); }
-  /// The first `lease_duration` of a term, in which leases of the term before may still be in use.
+  /// Returns true in the first `lease_duration` of a term, in which leases of the previous term may still be
+  /// in use.
   [[nodiscard]] bool is_in_grace_period(TimePoint now) const { return now < grace_until_; }
 
  private:
   struct ClientLease {
-    std::uint64_t number = 0;  // of the client's last request
+    std::uint64_t number = 0;  // number of the client's last request
     double counted = 0.0;      // the most that the client may use
     double demand = 0.0;
     double weight = 1.0;
--- a/src/quota_lease/max_min_division.cpp
+++ b/src/quota_lease/max_min_division.cpp
@@ -9,8 +9,8 @@
   std::vector<double> amounts(demands.size(), 0.0);
   std::vector<std::size_t> order(demands.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
-  // By demand per weight: in this order, each demand is either met or takes its weighted part of the rest,
-  // and one that is met leaves its surplus to those after it. One pass is enough.
+  // Sorted by demand per weight, each demand is either met or gets its weighted share of the remainder, and a
+  // demand that is met leaves its surplus to those after it. So one pass is enough.
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
     return demands[a].amount * demands[b].weight < demands[b].amount * demands[a].weight;
   });
--- a/src/route/route_table.cpp
+++ b/src/route/route_table.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t max_host_bytes = 255;    // no DNS name is longer
-constexpr std::size_t max_path_segments = 64;  // that a prefix may have
+constexpr std::size_t max_path_segments = 64;  // longest path prefix of a route
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
@@ -25,7 +25,7 @@
                     [](char x, char y) { return lower(x) == lower(y); });
 }
 
-/// "A.b.:80" names the same host as "a.b".
+/// Removes the port and a trailing dot: "a.b.:80" is the same host as "a.b".
 std::string_view normalized_host(std::string_view host) {
   const std::size_t colon = host.rfind(':');
   if (colon != std::string_view::npos && host.find(']') == std::string_view::npos)
@@ -34,7 +34,7 @@
   return host;
 }
 
-/// "/a/" is the prefix "/a", and "/" the empty one.
+/// Removes trailing slashes: "/a/" is the prefix "/a", and "/" the empty prefix.
 std::string_view normalized_prefix(std::string_view path) {
   while (path.ends_with('/')) path.remove_suffix(1);
   return path;
@@ -53,7 +53,7 @@
 
 bool is_suffix(const Route& r) { return r.host.starts_with("*."); }
 
-/// Larger is more specific.
+/// Returns a tuple that is larger for a more specific route.
 auto specificity(const Route& r) {
   const int host_kind = r.host.empty() ? 0 : is_suffix(r) ? 1 : 2;
   const std::size_t host_length = is_suffix(r) ? r.host.size() : 0;
@@ -72,7 +72,7 @@
                     prefix_length, kinds[2]);
 }
 
-/// Whether no value of one header can match both.
+/// Returns true if no value of a header can match both.
 bool are_exclusive(const HeaderMatcher& a, const HeaderMatcher& b) {
   if (!same_name(a.name, b.name)) return false;
   if (a.kind == HeaderMatcher::Kind::present || b.kind == HeaderMatcher::Kind::present) return false;
@@ -84,7 +84,7 @@
   return !a.value.starts_with(b.value) && !b.value.starts_with(a.value);
 }
 
-/// Whether no request can match the headers of both routes.
+/// Returns true if no request can match the headers of both routes.
 bool are_exclusive(const Route& a, const Route& b) {
   return std::any_of(a.headers.begin(), a.headers.end(), [&](const HeaderMatcher& x) {
     return std::any_of(b.headers.begin(), b.headers.end(),
@@ -145,7 +145,8 @@
   }
 }
 
-/// Two routes of one host, path and method that are equally specific must not match a common request.
+/// Throws AmbiguousRouteError if two equally specific routes of one host, path and method can match the same
+/// request.
 void RouteTable::check_ambiguity(std::span<const Route> routes,
                                  const std::vector<HeaderGroup>& groups) const {
   const auto check = [&](const std::vector<Candidate>& xs, const std::vector<Candidate>& ys) {
@@ -155,12 +156,12 @@
             are_exclusive(routes[x.route], routes[y.route]))
           continue;
         throw AmbiguousRouteError(std::min(x.route, y.route), std::max(x.route, y.route),
-                                  "fits the same requests as another route, with the same precision");
+                                  "matches the same requests as another route, with the same specificity");
       }
     }
   };
   for (std::size_t i = 0; i < groups.size(); ++i) {
-    // Other values of the same headers never match together: each bucket is compared with itself alone.
+    // Different values of the same headers never match together, so each bucket is compared only with itself.
     for (const auto& bucket : groups[i].buckets) check(bucket, bucket);
     for (std::size_t j = i + 1; j < groups.size() && groups[j].names.size() == groups[i].names.size(); ++j) {
       for (const auto& x : groups[i].buckets) {
@@ -170,7 +171,7 @@
   }
 }
 
-/// The entry for the route's host and path; a new one where there is none yet.
+/// Returns the entry for the route's host and path, creating it if needed.
 std::uint32_t RouteTable::path_routes_for(HostRoutes& host, const Route& route) {
   const auto existing_or_new = [&](std::uint32_t& index) {
     if (index == none) {
@@ -186,7 +187,8 @@
   return existing_or_new(is_exact ? nodes_[node].exact : nodes_[node].prefix);
 }
 
-/// Each segment includes the slash before it, so that "/a/" and "/a" differ.
+/// Returns the node of a path, creating it if needed. Each segment includes the slash before it, so that
+/// "/a/" and "/a" differ.
 std::uint32_t RouteTable::node_for(HostRoutes& host, std::string_view path) {
   const auto new_node = [&] {
     nodes_.emplace_back();
@@ -212,7 +214,7 @@
 void RouteTable::add_route(PathRoutes& path_routes, const Route& route, std::uint32_t index) {
   Candidate candidate;
   candidate.route = index;
-  std::map<std::string, std::string> exact;  // sorted by name, as the group's names
+  std::map<std::string, std::string> exact;  // sorted by name, like the group's names
   for (const HeaderMatcher& header : route.headers) {
     if (header.kind == HeaderMatcher::Kind::exact && exact.emplace(lowered(header.name), header.value).second)
       continue;
@@ -246,7 +248,7 @@
   group->buckets[bucket].push_back(std::move(candidate));
 }
 
-/// The best candidate of a group that matches and is better than `best`, or else `best`.
+/// Returns the best matching candidate of a group if it is better than `best`, and `best` otherwise.
 const RouteTable::Candidate* RouteTable::find_in_group(const HeaderGroup& group, const RequestView& request,
                                                        const Candidate* best) {
   std::uint64_t hash = 0;
@@ -258,7 +260,7 @@
   const auto [first, last] = group.by_values.equal_range(hash);
   for (auto it = first; it != last; ++it) {
     const std::vector<std::string>& values = group.values[it->second];
-    bool is_same = true;  // two lists of values may have one hash
+    bool is_same = true;  // different lists of values may have the same hash
     for (std::size_t i = 0; is_same && i < values.size(); ++i)
       is_same = request.header(group.names[i]) == values[i];
     if (!is_same) continue;
@@ -286,7 +288,7 @@
   return best == nullptr ? none : best->route;
 }
 
-/// Among the routes of one host and path.
+/// Matches the method and headers among the routes of one host and path.
 std::uint32_t RouteTable::match_path(std::uint32_t path_routes, const RequestView& request) const {
   if (path_routes == none) return none;
   const auto& by_method = path_routes_[path_routes].by_method;
@@ -301,7 +303,7 @@
 
 std::uint32_t RouteTable::match_in_host(const HostRoutes& host, const RequestView& request) const {
   if (host.root != none) {
-    // Down the tree: an exact path ends the search, prefixes are collected, the longest last.
+    // Descends the tree. A match of an exact path ends the search; prefixes are collected, the longest last.
     std::array<std::uint32_t, max_path_segments + 1> prefixes;
     std::size_t prefix_count = 0;
     std::string_view rest = request.path();
@@ -339,7 +341,7 @@
       const std::uint32_t route = match_in_host(exact->second, request);
       if (route != none) return route;
     }
-    // Each suffix at a dot, the longest first.
+    // Looks up each suffix that begins at a dot, the longest first.
     for (std::size_t dot = host.find('.', 1); !suffix_hosts_.empty() && dot != std::string_view::npos;
          dot = host.find('.', dot + 1)) {
       const auto suffix = suffix_hosts_.find(host.substr(dot + 1));
@@ -352,7 +354,7 @@
 }
 
 std::size_t RouteTable::bytes() const {
-  constexpr std::size_t entry = 64;  // a node of a hash table, about
+  constexpr std::size_t entry = 64;  // approximate size of a hash table node
   std::size_t out = nodes_.capacity() * sizeof(PathNode) + path_routes_.capacity() * sizeof(PathRoutes) +
                     (exact_hosts_.size() + suffix_hosts_.size()) * (sizeof(HostRoutes) + entry);
   for (const PathNode& n : nodes_)
