--- a/src/simulator_host/main.cpp
+++ b/src/simulator_host/main.cpp
@@ -1,6 +1,6 @@
-/// chutevane_simhost: the balancer under the simulator. Reads frames from standard input and writes one reply
-/// for each to standard output. Exit status 0 at the end of the input, 1 where a reply cannot be written, 2
-/// with a line on standard error where the input is malformed.
+/// chutevane_simhost: runs balancers under the simulator. Reads frames from standard input and writes one
+/// reply for each to standard output. The exit status is 0 at the end of the input, 1 if a reply cannot be
+/// written, and 2, with a line on standard error, if the input is malformed.
 #include <algorithm>
 #include <cstdio>
 #include <vector>
@@ -13,10 +13,10 @@
 using simulator_protocol::FrameError;
 using simulator_protocol::header_size;
 
-// A wrong length in a header must not make the process allocate gigabytes before the input has shown them.
+// A wrong length in a header must not make the process allocate gigabytes that the input does not contain.
 constexpr std::size_t max_read_size = 1U << 20U;
 
-// Reads one frame. False: the input has ended between two frames. Throws FrameError.
+// Reads one frame. Returns false if the input has ended between two frames. Throws FrameError.
 bool read_frame(std::vector<std::uint8_t>& frame) {
   frame.resize(header_size);
   std::size_t size = std::fread(frame.data(), 1, header_size, stdin);
@@ -34,7 +34,7 @@
 int run() {
   simulator_host::SimulatorHost host;
   std::vector<std::uint8_t> frame;
-  std::size_t frame_start = 0;  // in the whole input
+  std::size_t frame_start = 0;  // offset in the input
   try {
     while (read_frame(frame)) {
       const auto reply = host.handle_frame(frame);
--- a/src/simulator_host/simulator_host.cpp
+++ b/src/simulator_host/simulator_host.cpp
@@ -26,7 +26,7 @@
   return reply_.finish();
 }
 
-// A timer that is due earlier replaces the one before; a later one waits until that has expired.
+// An earlier timer replaces the current one. A later timer is set only once the current one has expired.
 void SimulatorHost::update_timers(TimePoint now) {
   for (const std::uint16_t number : touched_) {
     Instance& instance = instances_[number];
@@ -92,8 +92,8 @@
     case EventCode::stop: target.balancer.reset(); break;
     case EventCode::peer_data: balancer.told(event.end.endpoint, event.token, now); break;
     case EventCode::launch:
-    case EventCode::health:   // nothing is probed
-    case EventCode::started:  // no deployment has streamed responses
+    case EventCode::health:   // no probes are sent
+    case EventCode::started:  // no deployment streams responses
     case EventCode::snapshot_rows: break;
   }
 }
--- a/src/simulator_protocol/action_frame.cpp
+++ b/src/simulator_protocol/action_frame.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t action_size = 32;
 constexpr std::uint32_t all_peers = 0xffffffffU;
 
-// Codes, by the wire's names.
+// Action codes, named as in the protocol.
 constexpr std::uint8_t stream_changes = 64;
 constexpr std::uint8_t print = 65;
 constexpr std::uint8_t after = 66;
--- a/src/simulator_protocol/action_frame.hpp
+++ b/src/simulator_protocol/action_frame.hpp
@@ -1,7 +1,7 @@
-/// Frames that answer the simulator's: encoding.
+/// Encoding of action frames, the replies to the simulator's event frames.
 ///
-/// An action frame is a header of 8 bytes (number of records, length of the whole frame), action records of
-/// 32 bytes each, and a tail for texts and data, which records refer to by offset and size.
+/// An action frame consists of a header of 8 bytes (number of records, length of the whole frame), action
+/// records of 32 bytes each, and a tail of texts and data, which records refer to by offset and size.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 namespace chutevane::simulator_protocol {
 
-/// Built record by record, and reused from frame to frame.
+/// Builds a frame record by record. The object is reused from frame to frame.
 class ActionFrame {
  public:
   /// Begins a new frame.
   void clear();
-  /// Adds the actions that carry out what an instance's balancer has decided: none for `wait`, two for a
-  /// dispatch on a fresh connection.
+  /// Adds the actions that execute an answer of an instance's balancer: none for `wait`, two for a dispatch
+  /// on a new connection.
   void add_answer(std::uint16_t instance, const Answer& answer);
-  /// The simulator is to send a wake event with `token` after `delay`.
+  /// Asks the simulator for a wake event with `token` after `delay`.
   void add_timer(std::uint16_t instance, Span delay, std::uint32_t token);
-  /// The instance cannot run; `text` says why.
+  /// Reports that the instance cannot run. `text` is the reason.
   void add_error(std::uint16_t instance, std::string_view text);
-  /// Completes the frame. The bytes hold until the next clear().
+  /// Completes the frame. The returned bytes stay valid until the next clear().
   [[nodiscard]] std::span<const std::uint8_t> finish();
 
  private:
--- a/src/simulator_protocol/event_frame.cpp
+++ b/src/simulator_protocol/event_frame.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t event_size = 48;
 constexpr std::size_t list_entry_size = 25;
-constexpr std::uint8_t repeated_flag = 2;  // the client marks this as a retry
+constexpr std::uint8_t repeated_flag = 2;  // the client marks the call as a retry
 
 Outcome outcome_of(std::uint16_t disposition, std::size_t offset) {
   switch (disposition) {
@@ -25,7 +25,7 @@
   }
 }
 
-// The figures of a load report: their number, then four floats.
+// Decodes the values of a load report: their number, then four floats.
 void decode_load(const std::uint8_t* from, Event& event) {
   event.load_count = std::min<std::uint8_t>(from[0], 4);
   for (std::size_t i = 0; i < 4; ++i) event.load[i] = read_number<float>(from + 1 + 4 * i);
@@ -38,9 +38,9 @@
   const FrameHeader header{read_number<std::uint32_t>(bytes.data()), read_number<std::uint32_t>(&bytes[4]),
                            TimePoint::at_ms(read_number<double>(&bytes[8]))};
   if (header.length < header_size)
-    throw FrameError("frame length " + std::to_string(header.length) + " too small", 0);
+    throw FrameError("frame length " + std::to_string(header.length) + " is smaller than the header", 0);
   if (header_size + std::uint64_t{header.event_count} * event_size > header.length) {
-    throw FrameError("record count " + std::to_string(header.event_count) + " does not fit the frame", 4);
+    throw FrameError("record count " + std::to_string(header.event_count) + " exceeds the frame length", 4);
   }
   return header;
 }
@@ -96,7 +96,8 @@
 
 void EventFrame::decode_peer_data(std::size_t offset, Event& event) const {
   const auto data = tail_items(offset + 7, 1);
-  if (data.size() != peer_data_size) return;  // another program's: no endpoint has the id 0
+  if (data.size() != peer_data_size)
+    return;  // from another program; the endpoint id stays 0, which is unused
   event.end.endpoint = read_endpoint_id(data.data());
   event.token = read_number<std::uint16_t>(data.data() + endpoint_id_size);
 }
@@ -122,7 +123,7 @@
 }
 
 Event EventFrame::event(std::uint32_t number) const {
-  if (number >= header_.event_count) throw FrameError("no such record", frame_.size());
+  if (number >= header_.event_count) throw FrameError("record number out of range", frame_.size());
   const std::size_t offset = header_size + number * event_size;
   const std::uint8_t* record = &frame_[offset];
   if (record[0] > static_cast<std::uint8_t>(EventCode::snapshot_rows))
--- a/src/simulator_protocol/event_frame.hpp
+++ b/src/simulator_protocol/event_frame.hpp
@@ -1,9 +1,9 @@
-/// Frames that the simulator sends: decoding, with every access bounds-checked. The wire's name is
+/// Decoding of event frames, which the simulator sends. Every access is bounds-checked. The protocol is named
 /// tundra-18e3 (deploy/sites/wire.json).
 ///
-/// A frame is a header of 16 bytes (length of the whole frame, number of records, simulated time in ms), that
-/// many event records of 48 bytes each, and a tail. A record refers to what has no fixed size, such as a text
-/// or a list, by offset and size in the tail. Each frame is answered with one action frame
+/// An event frame consists of a header of 16 bytes (length of the whole frame, number of records, simulated
+/// time in ms), event records of 48 bytes each, and a tail. Records refer to data of variable size, such as
+/// texts and lists, by offset and size in the tail. Each frame is answered with one action frame
 /// (action_frame.hpp).
 #pragma once
 
@@ -20,20 +20,20 @@
 namespace chutevane::simulator_protocol {
 
 inline constexpr std::size_t header_size = 16;  // bytes
-/// What a sidecar publishes to its peers: an endpoint and a number of two bytes.
+/// Bytes that a sidecar publishes to its peers: an endpoint id and a number of two bytes.
 inline constexpr std::size_t peer_data_size = 8;
-inline constexpr std::size_t list_count = 16;  // endpoint lists that may be in use at one time
+inline constexpr std::size_t list_count = 16;  // maximum number of endpoint lists in use at a time
 
 /// A malformed frame.
 struct FrameError : std::runtime_error {
   FrameError(const std::string& what, std::size_t offset) : std::runtime_error(what), byte(offset) {}
-  std::size_t byte;  ///< where in the frame
+  std::size_t byte;  ///< offset of the error in the frame
 };
 
-/// By the wire's names.
+/// Event codes, named as in the protocol.
 enum class EventCode : std::uint8_t {
   launch = 0,          ///< an instance starts: seed, settings
-  targets = 1,         ///< an instance has received an endpoint list, or asking for one has failed
+  targets = 1,         ///< an instance has received an endpoint list, or a request for one has failed
   order = 2,           ///< a request has arrived
   started = 3,         ///< the first bytes of a response have arrived
   closed_attempt = 4,  ///< a dispatch has ended
@@ -42,13 +42,13 @@
   health = 7,          ///< a probe has ended
   peer_data = 8,       ///< another sidecar has published something
   stop = 9,            ///< an instance ends
-  snapshot_rows = 10,  ///< the content of one of the numbered endpoint lists, of no instance
+  snapshot_rows = 10,  ///< the content of one of the numbered endpoint lists; belongs to no instance
 };
 
-/// One record, decoded. Which members are set depends on the code.
+/// A decoded record. Each member's comment names the codes for which it is set.
 struct Event {
   EventCode code{};
-  std::uint16_t instance = 0;           ///< all but snapshot_rows
+  std::uint16_t instance = 0;           ///< all codes except snapshot_rows
   std::uint64_t seed = 0;               ///< launch
   std::string_view settings;            ///< launch; a view into the frame
   ListKind list_kind{};                 ///< targets
@@ -58,29 +58,30 @@
   DispatchEnd end;              ///< closed_attempt; started; vanished (call); health (endpoint, outcome);
                                 ///< peer_data (endpoint; 0: not published by this program)
   std::uint32_t token = 0;      ///< wake; peer_data: the number that was published
-  std::uint8_t load_count = 0;  ///< closed_attempt, health: how many of `load` are set
-  std::array<float, 4> load{};  ///< by the deployment's order: see parse_load_report()
+  std::uint8_t load_count = 0;  ///< closed_attempt, health: number of values in `load`
+  std::array<float, 4> load{};  ///< in the deployment's order; see parse_load_report()
 };
 
 struct FrameHeader {
-  std::uint32_t length = 0;  ///< bytes of the whole frame, this header included
+  std::uint32_t length = 0;  ///< bytes of the whole frame, including this header
   std::uint32_t event_count = 0;
   TimePoint now;
 };
-/// Throws FrameError where the bytes are fewer than a header's, or contradict each other.
+/// Throws FrameError if `bytes` is shorter than a header, or if the header's values contradict each other.
 [[nodiscard]] FrameHeader parse_header(std::span<const std::uint8_t> bytes);
 
-/// A view of one frame. The frame's bytes must outlive it, and its events' texts.
+/// A view of one frame. The frame's bytes must outlive the view and the texts of its events.
 class EventFrame {
  public:
-  /// `frame`: exactly one frame, header included. Throws FrameError.
+  /// `frame` is exactly one frame, including its header. Throws FrameError.
   explicit EventFrame(std::span<const std::uint8_t> frame);
   [[nodiscard]] const FrameHeader& header() const { return header_; }
-  /// Decodes the event `number`, from 0. Throws FrameError.
+  /// Decodes the event with index `number`. Throws FrameError.
   Event event(std::uint32_t number) const;
 
  private:
-  /// What the reference at byte `offset` of the frame refers to: so many items of `item_size` bytes.
+  /// Returns the bytes that the reference at byte `offset` of the frame refers to. The reference consists of
+  /// an offset in the tail and a number of items of `item_size` bytes.
   std::span<const std::uint8_t> tail_items(std::size_t offset, std::size_t item_size) const;
   void decode_targets(std::size_t offset, Event& event) const;
   void decode_order(const std::uint8_t* record, Event& event) const;
--- a/src/simulator_protocol/little_endian.hpp
+++ b/src/simulator_protocol/little_endian.hpp
@@ -1,4 +1,4 @@
-/// Numbers on the simulator's wire: little-endian, whatever this machine is. Callers check bounds.
+/// Little-endian numbers of the simulator protocol, on any host. Callers check bounds.
 #pragma once
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 inline constexpr std::size_t endpoint_id_size = 6;  // 4 bytes and 2 bytes, each little-endian
 
-/// Reads a T at `from`. A floating-point number that is not one becomes 0, and others are limited to 10^12 by
-/// magnitude, which a Span can hold in milliseconds.
+/// Reads a T at `from`. A floating-point NaN becomes 0, and other floating-point numbers are limited to a
+/// magnitude of 10^12, which a Span can hold in milliseconds.
 template <class T>
 T read_number(const std::uint8_t* from) {
   if constexpr (std::is_floating_point_v<T>) {
@@ -30,7 +30,7 @@
   }
 }
 
-/// Writes `value` in sizeof(T) bytes at `to`.
+/// Writes `value` at `to`, in sizeof(T) bytes.
 template <class T>
 void write_number(std::uint8_t* to, T value) {
   std::uint64_t bits = 0;
--- a/src/simulator_protocol/settings_text.cpp
+++ b/src/simulator_protocol/settings_text.cpp
@@ -7,7 +7,8 @@
 namespace chutevane::simulator_protocol {
 namespace {
 
-// Takes what stands before the next `separator` off `text`; the rest of it where there is none.
+// Removes the part of `text` up to the next `separator`, and returns it without the separator. Without a
+// separator this is all of `text`.
 std::string_view take_until(std::string_view& text, char separator) {
   const std::size_t end = std::min(text.find(separator), text.size());
   const std::string_view taken = text.substr(0, end);
--- a/src/simulator_protocol/settings_text.hpp
+++ b/src/simulator_protocol/settings_text.hpp
@@ -1,4 +1,4 @@
-/// What the simulator states about a deployment: its settings, and the meaning of load reports.
+/// Parsing of the deployment's settings and load reports, as the simulator sends them.
 #pragma once
 
 #include <string_view>
@@ -8,12 +8,12 @@
 
 namespace chutevane::simulator_protocol {
 
-/// Settings from lines of "name=value", under the names that this project uses (config/names.hpp). A name
-/// that is not known there is kept; a line without "=" is ignored.
+/// Parses lines of "name=value" and translates the simulator's names to this project's
+/// (config/setting_names.hpp). Unknown names are kept; lines without "=" are ignored.
 [[nodiscard]] Settings parse_settings(std::string_view text);
 
-/// A load report from an event's figures. `fields`: the deployment's setting `report.fields`, the names of
-/// the figures in their order, separated by commas. Figures of other names are ignored.
+/// Returns the load report in an event. `fields` is the deployment's setting `report.fields`: the names of
+/// the values in their order, separated by commas. Values with unknown names are ignored.
 [[nodiscard]] LoadReport parse_load_report(const Event& event, std::string_view fields);
 
 }  // namespace chutevane::simulator_protocol
--- a/tests/simulator_protocol_test.cpp
+++ b/tests/simulator_protocol_test.cpp
@@ -1,4 +1,4 @@
-/// The simulator's wire: malformed frames are named by their offset, events are decoded and actions encoded.
+/// The simulator protocol: errors in frames state their offset, events are decoded, and actions are encoded.
 #include "config/setting_names.hpp"
 #include "helpers.hpp"
 #include "simulator_protocol/action_frame.hpp"
@@ -27,29 +27,29 @@
   return std::string::npos;
 }
 
-TEST(EventFrame, ShortOneIsNamed) {
+TEST(EventFrame, ATruncatedFrameIsAnError) {
   Bytes b = frame(9);
   b.resize(40);
   EXPECT_EQ(error_byte(b), 40U);
 }
 
-TEST(EventFrame, CountTooLarge) { EXPECT_EQ(error_byte(frame(9, 2)), 4U); }
+TEST(EventFrame, ATooLargeRecordCountIsAnError) { EXPECT_EQ(error_byte(frame(9, 2)), 4U); }
 
-TEST(EventFrame, UnknownCode) { EXPECT_EQ(error_byte(frame(77)), header_size); }
+TEST(EventFrame, AnUnknownCodeIsAnError) { EXPECT_EQ(error_byte(frame(77)), header_size); }
 
-TEST(EventFrame, TailOutOfRange) {
+TEST(EventFrame, ATailReferenceOutOfRangeIsAnError) {
   Bytes b = frame(0);
-  b[header_size + 15] = 5;  // a text of five bytes, and no tail
+  b[header_size + 15] = 5;  // a text of five bytes, without a tail
   EXPECT_EQ(error_byte(b), header_size + 11);
 }
 
-TEST(EventFrame, UnknownDisposition) {
+TEST(EventFrame, AnUnknownDispositionIsAnError) {
   Bytes b = frame(4);
   b[header_size + 20] = 99;
   EXPECT_EQ(error_byte(b), header_size + 20);
 }
 
-TEST(EventFrame, ACallIsRead) {
+TEST(EventFrame, ACallIsDecoded) {
   Bytes b = frame(2);
   const std::uint8_t record[] = {0x02, 0x03, 0x00, 0xc4, 0x91, 0x3a, 0x5d, 0x40, 0x47, 0x04,
                                  0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x6e, 0x40};
@@ -60,7 +60,7 @@
   EXPECT_EQ(e.call.left, Span::ms(240));
 }
 
-TEST(ActionFrame, ADispatchIsWritten) {
+TEST(ActionFrame, ADispatchIsEncoded) {
   ActionFrame r;
   r.clear();
   Answer a;
@@ -76,7 +76,7 @@
   EXPECT_EQ(got.size(), 40U);
 }
 
-TEST(SettingsText, AreOursInsideAndTheWiresOutside) {
+TEST(SettingsText, NamesAreTranslatedBetweenTheProtocolAndThisProject) {
   const Settings s = parse_settings("classes.0.give_up_ms=1500.0\nclasses.0.effect=unsafe\nodd=1\n");
   EXPECT_EQ(s.at("tracks.0.client_timeout_ms"), "1500.0");
   EXPECT_EQ(s.at("tracks.0.effect"), "single-use");
@@ -84,7 +84,7 @@
   EXPECT_EQ(config::platform_name("tracks.0.client_timeout_ms"), "classes.0.give_up_ms");
 }
 
-TEST(EventFrame, PublishedDataIsDecodedAsItWasEncoded) {
+TEST(EventFrame, PublishedDataSurvivesARoundTrip) {
   ActionFrame reply;
   Answer a;
   a.verdict = Verdict::tell, a.endpoint = 0x2bc3074a120aU, a.number = 77;
@@ -100,7 +100,7 @@
   EXPECT_EQ(e.token, 77U);
 }
 
-TEST(ActionFrame, AFreshDispatchClosesIdleConnectionsFirst) {
+TEST(ActionFrame, ADispatchOnANewConnectionClosesIdleOnesFirst) {
   ActionFrame reply;
   Answer a;
   a.verdict = Verdict::dispatch, a.fresh = true;
