--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -1,3 +1,4 @@
+/// The balancer's decisions: event by event, with simulated time and without sockets.
 #include <rapidcheck.h>
 
 #include <deque>
@@ -9,12 +10,12 @@
 namespace chutevane {
 namespace {
 
-TEST(Cap, ColdInstanceGivesTheFullTime) {
+TEST(AttemptTimeout, IsTheClientTimeoutWithoutMeasurements) {
   Bench b(3);
   EXPECT_EQ(b.call(1, 10, 0, 2500).span, Span::ms(2500));
 }
 
-TEST(Cap, MeasuredIsThreeTimesP95) {
+TEST(AttemptTimeout, IsThreeTimesTheMeasuredP95) {
   Bench b(3);
   b.history(40, 100, 500);
   const double cap = b.call(1, 510).span.as_ms();
@@ -22,19 +23,19 @@
   EXPECT_LT(cap, 345);
 }
 
-TEST(Cap, NeverUnderTheFloor) {
+TEST(AttemptTimeout, IsNeverBelowTheMinimum) {
   Bench b(3);
   b.history(40, 2, 500);
   EXPECT_EQ(b.call(1, 510).span, Span::ms(50));
 }
 
-TEST(Cap, TimeLeftClamps) {
+TEST(AttemptTimeout, IsLimitedByTheTimeLeft) {
   Bench b(3, deeper());
   b.history(40, 100, 500);
   EXPECT_EQ(b.call(1, 510, 0, 120).span, Span::ms(120));
 }
 
-TEST(Cap, StarvedEstimateGivesTheFullTimeAgain) {
+TEST(AttemptTimeout, IsTheClientTimeoutWhileTheEstimateIsStarved) {
   Bench b(3);
   b.history(40, 100, 500);
   for (CallId id = 1; id <= 12; ++id) b.end(b.call(id, 510), Outcome::timed_out, 1900, 300);
@@ -42,25 +43,25 @@
   EXPECT_EQ(b.call(50, 2110).span, Span::ms(4000));
 }
 
-TEST(Cutoffs, SpentCallIsNotSent) {
+TEST(Deadline, ACallWithoutTimeLeftIsNotSent) {
   Bench b(3);
   EXPECT_EQ(b.call(1, 10, 0, 0).verdict, Verdict::reject);
 }
 
-TEST(Cutoffs, ShortRetryIsSkipped) {
+TEST(Deadline, ARetryWithTooLittleTimeIsSkipped) {
   Bench b(3, deeper());
   b.history(40, 100, 500);
   const auto got = b.end(b.call(1, 510, 0, 150), Outcome::error, 600);
   EXPECT_TRUE(find(got, Verdict::reject));
 }
 
-TEST(Cutoffs, RetryPastTheSoftLimitIsSkippedAtTheFirstTier) {
+TEST(Deadline, ARetryPastTheLatencyTargetIsSkippedAtTheFirstTier) {
   Bench b(3);
   b.history(40, 100, 500);
   EXPECT_TRUE(find(b.end(b.call(1, 510), Outcome::error, 1450), Verdict::reject));
 }
 
-TEST(Shares, FasterEndpointsGetMore) {
+TEST(LatencyWeights, FasterEndpointsGetMoreCalls) {
   Bench b(2);
   for (int i = 0; i < 60; ++i) {
     const Answer a = b.call(1000U + static_cast<CallId>(i), i);
@@ -77,8 +78,9 @@
   EXPECT_LT(first, 180);
 }
 
-// At the first of three tiers most of an answer's time is spent deeper and says little of the endpoint.
-TEST(Shares, AReportedServiceTimeIsTheSpeed) {
+// At the first of three tiers most of the response time is spent in deeper tiers and tells little about the
+// endpoint itself.
+TEST(LatencyWeights, AReportedServiceTimeReplacesTheResponseTime) {
   Bench b(2);
   const auto serve = [&](CallId id, double when) {
     const Answer a = b.call(id, when);
@@ -94,17 +96,17 @@
   EXPECT_GT(first, 125);
 }
 
-// Crossings cost more than anything else on a quiet day; a zone kept to while it chokes costs more still.
-TEST(Shares, TheOwnZoneIsPreferredWhereCrossingIsPricedUnlessItIsSlow) {
-  const auto near = [](const char* price, double near_ms) {
+// Under low load, calls to other zones were the largest cost; staying in an overloaded zone costs even more.
+TEST(LatencyWeights, TheOwnZoneIsPreferredIfCrossingCostsUnlessItIsSlow) {
+  const auto calls_in_own_zone = [](const char* price, double own_zone_ms) {
     Settings s = settings();
     s["zone"] = "1";
     s["penalties.cross_zone"] = price;
     Bench b(6, s);
-    const auto ms = [&](const Answer& a) { return (a.endpoint & 1U) == 1U ? near_ms : 50; };
-    std::vector<Answer> crowd;  // enough at once that all zones are heard from
-    for (CallId id = 1; id <= 18; ++id) crowd.push_back(b.call(id, 0));
-    for (const Answer& a : crowd) b.end(a, Outcome::done, 10, ms(a));
+    const auto ms = [&](const Answer& a) { return (a.endpoint & 1U) == 1U ? own_zone_ms : 50; };
+    std::vector<Answer> first_calls;  // enough at the same time to measure all zones
+    for (CallId id = 1; id <= 18; ++id) first_calls.push_back(b.call(id, 0));
+    for (const Answer& a : first_calls) b.end(a, Outcome::done, 10, ms(a));
     b.balancer.woken(at(2100));
     int in_zone = 0;
     for (CallId id = 100; id < 250; ++id) {
@@ -114,12 +116,12 @@
     }
     return in_zone;
   };
-  EXPECT_GT(near("0.01", 50), 140);
-  EXPECT_LT(near("0", 50), 110);
-  EXPECT_LT(near("0.01", 300), 75);
+  EXPECT_GT(calls_in_own_zone("0.01", 50), 140);
+  EXPECT_LT(calls_in_own_zone("0", 50), 110);
+  EXPECT_LT(calls_in_own_zone("0.01", 300), 75);
 }
 
-TEST(Drains, NothingGoesToDrainingOrUnlistedEndpoints) {
+TEST(EndpointList, NoCallsGoToDrainingOrUnlistedEndpoints) {
   Bench b(3);
   auto list = endpoints(2);
   list[0].availability = Availability::draining;
@@ -127,8 +129,8 @@
   for (CallId id = 1; id <= 5; ++id) EXPECT_EQ(b.call(id, 20).endpoint, 2U);
 }
 
-// A list called a whole tier gone while it served: nothing was left to send to.
-TEST(WrongList, WhereOnlyDrainingBindsThoseThatAnswerAreKeptUntilTheyFail) {
+// A wrong list reported a whole tier as gone while it was serving, and no endpoint was left.
+TEST(WrongEndpointList, IfOnlyDrainingBindsRespondingEndpointsAreKeptUntilTheyFail) {
   const auto listed_gone = [](const char* alone, Outcome then) {
     Settings s = settings();
     s["rules.drain_binds_alone"] = alone;
@@ -146,10 +148,10 @@
   };
   EXPECT_EQ(listed_gone("false", Outcome::done), 0);
   EXPECT_EQ(listed_gone("true", Outcome::done), 40);
-  EXPECT_EQ(listed_gone("true", Outcome::not_connected), 4);  // one each: the list was right
+  EXPECT_EQ(listed_gone("true", Outcome::not_connected), 4);  // one failure each: the list was right
 }
 
-TEST(WrongList, ADrainingEndpointIsNotKept) {
+TEST(WrongEndpointList, ADrainingEndpointIsNotKept) {
   Settings s = settings();
   s["rules.drain_binds_alone"] = "true";
   Bench b(1, s);
@@ -162,14 +164,14 @@
   EXPECT_FALSE(b.balancer.usable(1));
 }
 
-TEST(Drains, NoEndpointIsAQuickRejectionWithAComeBackTime) {
+TEST(EndpointList, WithoutEndpointsCallsAreRejectedAtOnceWithARetryDelay) {
   Bench b(0);
   const Answer a = b.call(1, 10);
   EXPECT_EQ(a.verdict, Verdict::reject);
   EXPECT_GT(a.span, Span());
 }
 
-TEST(Cold, SendsInAWindowStayWithinThisSidecarsPart) {
+TEST(SlowStart, SendsInAWindowStayWithinThisSidecarsShare) {
   Bench b(10);
   auto list = endpoints(10);
   list[0].came_up = at(0);
@@ -182,15 +184,15 @@
     b.end(a, Outcome::done, i * 10, 20);
   }
   EXPECT_GT(sent, 0);
-  EXPECT_LE(sent, 3 * 10 * 1.5);  // 3 x its mean part, 10 a second, for the window of 1.5 s
+  EXPECT_LE(sent, 3 * 10 * 1.5);  // 3 x its mean share, 10 calls/s, for the window of 1.5 s
 }
 
-// Any least amount for a sidecar is multiplied by hundreds of them: the sum must fit the budget.
-TEST(Cold, IdleSidecarsTogetherStayWithinTheBudget) {
+// A minimum rate per sidecar is multiplied by hundreds of sidecars: the sum must stay within the budget.
+TEST(SlowStart, IdleSidecarsTogetherStayWithinTheBudget) {
   Settings s = settings();
   s["sidecars"] = "400";
   auto list = endpoints(2);
-  list[1].availability = Availability::draining;  // nowhere else to go
+  list[1].availability = Availability::draining;  // no other endpoint is available
   list[0].came_up = at(0);
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
@@ -203,17 +205,17 @@
   EXPECT_LT(sent, 20);
 }
 
-TEST(Repeats, SingleUseIsBrokenOffOnceItMayHaveRun) {
+TEST(Retries, ANonIdempotentCallFailsOnceItMayHaveRun) {
   Bench b(3, settings("single-use"));
   EXPECT_TRUE(find(b.end(b.call(1, 10, 1), Outcome::timed_out, 200), Verdict::break_off));
 }
 
-TEST(Repeats, SingleUseGoesAgainWhenItNeverRan) {
+TEST(Retries, ANonIdempotentCallIsRetriedIfItNeverRan) {
   Bench b(3, settings("single-use"));
   EXPECT_TRUE(find(b.end(b.call(1, 10, 1), Outcome::turned_away, 20), Verdict::dispatch));
 }
 
-TEST(Repeats, ReferencedStaysInItsZone) {
+TEST(Retries, AKeyedCallStaysInItsZone) {
   Bench b(6, settings("referenced"));
   for (CallId id = 1; id <= 8; ++id) {
     const Answer first = b.call(id, 10, 1);
@@ -224,23 +226,24 @@
   }
 }
 
-TEST(Repeats, ReferencedIsNotSentPastItsWindow) {
+TEST(Retries, AKeyedCallIsNotRetriedPastItsWindow) {
   Settings s = deeper("referenced");
   s["tracks.1.client_timeout_ms"] = "9000";
   Bench b(6, s);
   EXPECT_TRUE(find(b.end(b.call(1, 10, 1, 9000), Outcome::timed_out, 3500), Verdict::break_off));
 }
 
-TEST(Repeats, DispatchLimitHolds) {
+TEST(Retries, TheDispatchLimitHolds) {
   Bench b(6);
   Answer a = b.call(1, 10);
   for (int n = 1; n < 4; ++n) a = *find(b.end(a, Outcome::turned_away, 10 + n), Verdict::dispatch);
   EXPECT_TRUE(find(b.end(a, Outcome::turned_away, 20), Verdict::reject));
 }
 
-// A tenth of the answers late is a few slow endpoints, not load: it shut a tier that had room.
-TEST(Admission, ATailOfLateAnswersDoesNotLowerTheLimit) {
-  const auto taken = [](CallId late_every) {  // calls taken in the last of 20 steps
+// If a tenth of the responses are late the cause is a few slow endpoints, not load. Counting them as overload
+// closed a tier that had capacity.
+TEST(Admission, ATailOfLateResponsesDoesNotLowerTheLimit) {
+  const auto taken = [](CallId late_every) {  // calls admitted in the last of 20 steps
     Bench b(4);
     std::vector<Answer> out;
     for (int step = 0; step < 20; ++step) {
@@ -259,7 +262,7 @@
   EXPECT_LT(taken(3), taken(8));
 }
 
-TEST(Admission, FullTierRejectsTheCheapAndTakesTheDear) {
+TEST(Admission, AFullTierRejectsLowValueAndAdmitsHighValueCalls) {
   Bench b(2);
   CallId id = 1;
   while (b.call(id, 10, 1).verdict == Verdict::dispatch && id < 500) ++id;
@@ -270,16 +273,17 @@
   EXPECT_EQ(a.span, Span::ms(2000));
 }
 
-// With the median over a track's soft limit its first tries were all rejected, the dear ones first.
-TEST(Admission, AFirstTryIsNotRejectedForTheMedianOfOthers) {
+// If the median exceeded a track's latency target all of its first tries were rejected, the calls of the
+// highest value first.
+TEST(Admission, AFirstTryIsNotRejectedForAHighMedian) {
   Bench b(4);
   b.history(40, 1500, 2000);
   EXPECT_EQ(b.call(1, 2010).verdict, Verdict::dispatch);
 }
 
-// One of many sidecars has a part of a call in the limit: as a bound on the moment it shut out the cheap
-// track.
-TEST(Admission, APartUnderOneCallIsHeldAsAMean) {
+// With many sidecars the limit of one is less than one call. As a bound on the current number of calls it
+// rejected all calls of the low-value track.
+TEST(Admission, ALimitUnderOneCallBoundsTheMean) {
   Settings s = settings();
   s["sidecars"] = "30";
   Bench b(2, s);
@@ -288,24 +292,24 @@
   EXPECT_EQ(b.call(2, 5010, 1).verdict, Verdict::reject);
 }
 
-// The calls of a track that a fresh balancer takes at once.
-CallId taken_at_once(Bench& b, double when, std::uint32_t track) {
+// Returns the number of calls of a track that the balancer admits at the same time.
+CallId admitted_at_once(Bench& b, double when, std::uint32_t track) {
   const CallId first = 10000U + static_cast<CallId>(when) * 1000U;
   CallId n = 0;
   while (n < 900 && b.call(first + n, when, track).verdict == Verdict::dispatch) ++n;
   return n;
 }
 
-// The first call alone set the mean payoff: a sidecar that met an excess call first took excess for the
-// usual.
-TEST(Admission, TheFirstCallsPayoffIsNotTakenForTheUsual) {
+// The first call alone used to set the mean value: a sidecar whose first call had a low value took that value
+// for the mean.
+TEST(Admission, TheFirstCallsValueIsNotTakenForTheMean) {
   Bench cheap(2), dear(2);
-  EXPECT_LT(taken_at_once(cheap, 10, 1), taken_at_once(dear, 10, 0));
+  EXPECT_LT(admitted_at_once(cheap, 10, 1), admitted_at_once(dear, 10, 0));
 }
 
-// Steps that take what the limit allows and reject the rest; `answered`, if what was taken is done in the
+// Runs steps with more calls than the limit admits. If `answered`, the admitted calls complete within their
 // step.
-void rejecting_steps(Bench& b, int steps, bool answered) {
+void run_overloaded_steps(Bench& b, int steps, bool answered) {
   for (int step = 0; step < steps; ++step) {
     std::vector<Answer> out;
     for (CallId i = 0; i < 100; ++i) {
@@ -319,32 +323,33 @@
   }
 }
 
-// A burst raised the limit step by step before any of its answers could tell how that sat.
-TEST(Admission, TheLimitDoesNotGrowWithoutAnswers) {
+// A burst raised the limit step by step before any of its responses could show overload.
+TEST(Admission, TheLimitDoesNotGrowWithoutResponses) {
   Bench silent(4), answering(4);
-  rejecting_steps(silent, 16, false);
-  rejecting_steps(answering, 16, true);
+  run_overloaded_steps(silent, 16, false);
+  run_overloaded_steps(answering, 16, true);
   for (CallId id = 1; id <= 100; ++id) silent.balancer.client_left(id, at(4000));
   Bench fresh(4);
-  EXPECT_LE(taken_at_once(silent, 4010, 0), taken_at_once(fresh, 10, 0));
-  EXPECT_GT(taken_at_once(answering, 4010, 0), 0U);
+  EXPECT_LE(admitted_at_once(silent, 4010, 0), admitted_at_once(fresh, 10, 0));
+  EXPECT_GT(admitted_at_once(answering, 4010, 0), 0U);
 }
 
-// After a lost zone the limit stayed at what all zones had taught it, and the endpoints left choked.
-TEST(Admission, TheLimitFollowsTheEndpointsAndColdOnesCountLittle) {
+// After the loss of a zone the limit stayed at the value learned with all zones, and the remaining endpoints
+// were overloaded.
+TEST(Admission, TheLimitFollowsTheEndpointCountAndColdOnesCountLittle) {
   Bench whole(8), half(8), grown(8);
-  for (Bench* b : {&whole, &half, &grown}) rejecting_steps(*b, 24, true);
+  for (Bench* b : {&whole, &half, &grown}) run_overloaded_steps(*b, 24, true);
   half.balancer.listed(ListKind::full, endpoints(4), at(6000));
   auto more = endpoints(16);
   for (std::size_t i = 8; i < 16; ++i) more[i].came_up = at(6000);
   grown.balancer.listed(ListKind::full, more, at(6000));
-  const auto before = static_cast<double>(taken_at_once(whole, 6010, 0));
-  EXPECT_LT(static_cast<double>(taken_at_once(half, 6010, 0)), 0.7 * before);
-  EXPECT_LT(static_cast<double>(taken_at_once(grown, 6010, 0)), 1.3 * before);
+  const auto before = static_cast<double>(admitted_at_once(whole, 6010, 0));
+  EXPECT_LT(static_cast<double>(admitted_at_once(half, 6010, 0)), 0.7 * before);
+  EXPECT_LT(static_cast<double>(admitted_at_once(grown, 6010, 0)), 1.3 * before);
 }
 
-// Endpoints choked on their cores long before answers were late: reported busy cores are no room to grow
-// into.
+// The cores of endpoints were overloaded long before responses were late. Reports of busy cores mean that
+// there is no spare capacity.
 TEST(Admission, TheLimitDoesNotGrowWhileTheCoresAreBusy) {
   const auto grown = [](double busy) {
     Bench b(4);
@@ -360,13 +365,13 @@
       }
       for (int ms = 50; ms <= 250; ms += 50) b.balancer.woken(at(step * 250 + ms));
     }
-    return taken_at_once(b, 4010, 0);
+    return admitted_at_once(b, 4010, 0);
   };
   EXPECT_LT(grown(0.9), grown(0.4));
 }
 
-// Clients' repeats past their soft limit took a quarter of an overloaded tier for no payoff.
-TEST(Admission, ARepeatPastItsSoftLimitIsRejectedAtOnce) {
+// Client retries past their latency target took a quarter of an overloaded tier's capacity for no value.
+TEST(Admission, AClientRetryPastItsLatencyTargetIsRejectedAtOnce) {
   Bench b(4);
   for (CallId id = 1; id <= 30; ++id) b.end(b.call(id, 10, 0, 3000), Outcome::done, 110, 100);
   EXPECT_EQ(b.call(100, 200, 0, 3001).verdict, Verdict::dispatch);
@@ -374,8 +379,9 @@
   EXPECT_EQ(b.call(102, 200, 0, 2500).verdict, Verdict::reject);    // tried 1.5 s ago
 }
 
-// Where clients mark their repeats, a caller in a hurry is no repeat: half of a day's calls were turned away.
-TEST(Admission, AShortStatedWaitIsNoRepeatWhereClientsMarkThem) {
+// If clients mark their retries, a call with a short timeout is not a retry. Half of a day's calls were
+// rejected.
+TEST(Admission, AShortTimeoutIsNotARetryIfClientsMarkRetries) {
   Settings s = settings();
   s["client_habits.marks_retry"] = "true";
   Bench b(4, s);
@@ -384,8 +390,9 @@
   EXPECT_EQ(b.balancer.arrived({101, 0, Span::ms(300), true}, at(200)).verdict, Verdict::reject);
 }
 
-// Nor does it tell of endpoints or of room when such a caller's time is up.
-TEST(Admission, TheEndOfAShortWaitBlamesNobody) {
+// The timeout of a client that waits for less than the usual response time tells nothing about the endpoint
+// or the capacity.
+TEST(Admission, AShortClientTimeoutIsNoFailureOfTheEndpoint) {
   Settings s = settings();
   s["client_habits.marks_retry"] = "true";
   const auto after = [&](double left) {
@@ -399,24 +406,25 @@
     return b.call(100, 1500).verdict;
   };
   EXPECT_EQ(after(100), Verdict::dispatch);
-  EXPECT_NE(after(700), Verdict::dispatch);  // longer than answers take: it is passed over
+  EXPECT_NE(after(700), Verdict::dispatch);  // longer than the response time: the endpoint is ejected
 }
 
-// A lost zone stays listed for seconds; one failed connection must be enough.
-TEST(Health, OneFailedConnectionPassesAnEndpointOver) {
+// A lost zone stays in the list for seconds, so one failed connection must be enough.
+TEST(Health, OneFailedConnectionEjectsAnEndpoint) {
   Bench b(4);
   const Answer a = b.call(1, 10);
   b.end(a, Outcome::not_connected, 20);
   for (CallId id = 2; id <= 9; ++id) EXPECT_NE(b.call(id, 30).endpoint, a.endpoint);
 }
 
-// An endpoint that fails at once is never loaded, and drew a third of all calls on a reload day.
-TEST(Health, ErrorsRunningPassAnEndpointOver) {
+// An endpoint that fails immediately is never loaded, and attracted a third of all calls on a day of reloads.
+TEST(Health, ConsecutiveErrorsEjectAnEndpoint) {
   Bench b(4, settings("single-use"));
   b.history(40, 100, 500);
   const EndpointId bad = 1;
   CallId id = 0;
-  const auto drawn = [&](double when) {  // of 100 calls, one after another; the bad one fails each
+  // Sends 100 calls in sequence and returns how many went to the bad endpoint, where all of them fail.
+  const auto drawn = [&](double when) {
     int n = 0;
     for (int i = 0; i < 100; ++i) {
       const Answer a = b.call(++id, when, 1);
@@ -430,18 +438,18 @@
   EXPECT_EQ(drawn(1101), 1);  // after the pause one more error is enough
 }
 
-TEST(Health, CallsAtASilentEndpointAreCancelledAndSentElsewhere) {
+TEST(Health, CallsAtASilentEndpointAreCancelledAndRetriedElsewhere) {
   Bench b(4);
   b.history(40, 100, 500);
-  const Answer stuck = b.call(1, 510);
+  const Answer silent_call = b.call(1, 510);
   const Answers got = b.balancer.woken(at(850));
   const std::vector<Answer> answers(got.begin(), got.end());
   const Answer* cancel = find(answers, Verdict::cancel);
   ASSERT_TRUE(cancel);
   EXPECT_EQ(cancel->call, 1U);
-  const auto after = b.end(stuck, Outcome::cancelled, 860);
+  const auto after = b.end(silent_call, Outcome::cancelled, 860);
   ASSERT_TRUE(find(after, Verdict::dispatch));
-  EXPECT_NE(find(after, Verdict::dispatch)->endpoint, stuck.endpoint);
+  EXPECT_NE(find(after, Verdict::dispatch)->endpoint, silent_call.endpoint);
 }
 
 TEST(Events, UnknownCallsAndLateEndsAreIgnored) {
@@ -453,7 +461,7 @@
   EXPECT_TRUE(b.balancer.client_left(77, at(50)).empty());
 }
 
-TEST(Discovery, FailedSubscriptionIsRenewedAfterAPause) {
+TEST(Discovery, AFailedSubscriptionIsRetriedAfterABackoff) {
   Settings s = settings();
   s["discovery"] = "subscribe";
   Balancer b(s, 3, at(0));
@@ -465,7 +473,7 @@
   EXPECT_TRUE(find({later.begin(), later.end()}, Verdict::subscribe));
 }
 
-TEST(SettingsGiven, AMissingOrWrongOneIsNamed) {
+TEST(BalancerSettings, AMissingOrMalformedOneIsNamed) {
   Settings s = settings();
   s["rules.fall_ms"] = "soon";
   try {
@@ -479,13 +487,13 @@
   EXPECT_THROW(Balancer(s, 1, at(0)), SettingError);
 }
 
-// Guards a long day: an endpoint that comes takes the place of one that is gone, once no call was sent to
-// that.
-TEST(List, PlacesOfGoneEndpointsAreUsedAgain) {
+// Bounds the memory of a long-running process: a new endpoint reuses the slot of one that is gone, once no
+// current call refers to that one.
+TEST(EndpointList, SlotsOfGoneEndpointsAreReused) {
   Bench b(1, deeper("referenced"));
   const Answer held = b.call(1, 0, 1);
   ASSERT_EQ(held.endpoint, 1U);
-  for (unsigned i = 2; i < 50; ++i) {  // each replaces the one before; the call stays with the first
+  for (unsigned i = 2; i < 50; ++i) {  // each replaces the previous one; the call stays at the first
     std::vector<ListedEndpoint> list = endpoints(i);
     list.erase(list.begin(), list.end() - 1);
     list[0].zone = i % 2;
@@ -495,7 +503,7 @@
     EXPECT_EQ(a.endpoint, i);
     b.end(a, Outcome::done, 10 * i + 1, 1);
   }
-  // It may have run in the first one's zone, 1; the one that is listed, 49, is in the same.
+  // It may have run in zone 1, the zone of endpoint 1; the listed endpoint, 49, is in the same zone.
   const Answer* again = nullptr;
   const auto answers = b.end(held, Outcome::reset, 500);
   ASSERT_NE(again = find(answers, Verdict::dispatch), nullptr);
@@ -503,9 +511,9 @@
   EXPECT_LE(b.balancer.endpoints_kept(), 3U);
 }
 
-// --- Hundreds of sidecars, one beside each caller --------------------------------------------------------
+// --- Many sidecars, one per client -------------------------------------------------------------------
 
-Settings of_many(int me, bool shared) {
+Settings settings_of_many_sidecars(int me, bool shared) {
   Settings s = settings();
   s["sidecars"] = "100";
   s["me"] = std::to_string(me);
@@ -515,7 +523,7 @@
   return s;
 }
 
-std::set<EndpointId> used_by(const Settings& s, std::uint64_t key = 0) {
+std::set<EndpointId> endpoints_used(const Settings& s, std::uint64_t key = 0) {
   Bench b(40, s);
   std::set<EndpointId> out;
   for (CallId id = 1; id <= 60; ++id) {
@@ -528,39 +536,41 @@
   return out;
 }
 
-// 333 sidecars each wanted a connection to every one of 51 endpoints, and 76 are accepted.
-TEST(Parts, ASidecarKeepsToItsOwnPartWhereConnectionsAreShared) {
-  const auto first = used_by(of_many(0, true)), other = used_by(of_many(50, true));
+// 333 sidecars each opened a connection to every one of 51 endpoints, which accept 76 connections.
+TEST(Subset, ASidecarStaysInItsSubsetIfConnectionsAreShared) {
+  const auto first = endpoints_used(settings_of_many_sidecars(0, true)),
+             other = endpoints_used(settings_of_many_sidecars(50, true));
   EXPECT_LE(first.size(), 3U);
   for (const EndpointId id : other) EXPECT_FALSE(first.contains(id));
 }
 
-Settings crossing(const char* price) {
-  Settings s = of_many(0, false);
+Settings settings_with_crossing_cost(const char* price) {
+  Settings s = settings_of_many_sidecars(0, false);
   s["zone"] = "0";
   s["penalties.cross_zone"] = price;
   return s;
 }
 
-// 40 endpoints, each met every 16 s: none was known, and hardly a connection was used twice. A part of the
-// ring crosses zones as it comes: not where that is priced. A sidecar alone covers all.
-TEST(Parts, ThinTrafficKeepsToItsOwnPartUnlessCrossingIsPricedOrNobodyElseCoversTheRest) {
-  EXPECT_LE(used_by(crossing("0")).size(), 8U);
-  EXPECT_GE(used_by(crossing("0.01")).size(), 20U);  // all of its zone
-  Settings alone = crossing("0");
+// With 40 endpoints each one was called every 16 s: none was measured, and hardly a connection was reused. A
+// subset of the ring spans all zones, so it is not used if settings_with_crossing_cost zones costs. A sidecar
+// that is alone covers all endpoints.
+TEST(Subset, LowTrafficStaysInTheSubsetUnlessCrossingZonesCostsOrTheSidecarIsAlone) {
+  EXPECT_LE(endpoints_used(settings_with_crossing_cost("0")).size(), 8U);
+  EXPECT_GE(endpoints_used(settings_with_crossing_cost("0.01")).size(), 20U);  // all endpoints of its zone
+  Settings alone = settings_with_crossing_cost("0");
   alone["sidecars"] = "1";
-  EXPECT_GT(used_by(alone).size(), 20U);
+  EXPECT_GT(endpoints_used(alone).size(), 20U);
 }
 
-TEST(Parts, EndpointsWithAConnectionToSpareComeFirst) {
+TEST(Subset, EndpointsWithASpareConnectionAreSelectedFirst) {
   const auto again = [](const char* price) {
-    Bench b(12, crossing(price));
-    const Answer stands = b.call(1, 0);
-    b.end(stands, Outcome::done, 50);
+    Bench b(12, settings_with_crossing_cost(price));
+    const Answer connected = b.call(1, 0);
+    b.end(connected, Outcome::done, 50);
     int out = 0;
     for (CallId id = 10; id < 14; ++id) {
       const Answer a = b.call(id, 60);
-      out += a.endpoint == stands.endpoint ? 1 : 0;
+      out += a.endpoint == connected.endpoint ? 1 : 0;
       b.end(a, Outcome::done, 60, 50);
     }
     return out;
@@ -569,8 +579,8 @@
   EXPECT_LE(again("0.01"), 1);
 }
 
-TEST(Parts, AHotSidecarSpreadsFurtherBeforeTheNextSolve) {
-  Bench b(40, of_many(0, true));
+TEST(Subset, ABusySidecarWidensItsSubsetBeforeTheNextUpdate) {
+  Bench b(40, settings_of_many_sidecars(0, true));
   std::set<EndpointId> used;
   for (CallId id = 1; id <= 200; ++id) {
     const double when = static_cast<double>(id) * 4;
@@ -582,10 +592,10 @@
   EXPECT_GT(used.size(), 20U);
 }
 
-// All sidecars whose own parts are closed come to the same cold endpoint: there each has its part of the
-// fleet.
-TEST(Parts, AColdEndpointOutsideThePartGetsNoMoreThanItsPartOfTheFleet) {
-  Bench b(40, of_many(0, true));
+// All sidecars whose subsets are closed select the same cold endpoint. There each may send its share of the
+// rate over all endpoints.
+TEST(Subset, AColdEndpointOutsideTheSubsetGetsItsShareOfAllEndpoints) {
+  Bench b(40, settings_of_many_sidecars(0, true));
   CallId id = 0;
   for (double ms = 0; ms < 8000; ms += 100) {
     b.balancer.woken(at(ms));
@@ -605,9 +615,10 @@
   EXPECT_LE(cold, 4);  // its mean rate is 10 calls/s over 40 endpoints, a tenth warm
 }
 
-// An endpoint that has met a key does a quarter of the work: every sidecar must draw the same one.
-TEST(Keys, AllSidecarsDrawAlikeForAKey) {
-  Settings s = of_many(1, false), t = of_many(70, false);
+// A call takes a quarter of the work at an endpoint that knows its key, so all sidecars must select the same
+// one.
+TEST(KeyAffinity, AllSidecarsSelectTheSameEndpointForAKey) {
+  Settings s = settings_of_many_sidecars(1, false), t = settings_of_many_sidecars(70, false);
   s["extra.warm_keys"] = t["extra.warm_keys"] = "true";
   Bench a(40, s), b(40, t);
   for (std::uint64_t key = 1; key <= 50; ++key) {
@@ -618,17 +629,16 @@
   }
 }
 
-// One key with a tenth of the calls turned a quarter of all dispatches away as full.
-TEST(Keys, APopularKeyIsSpread) {
-  Settings s = of_many(1, false);
+// One key with a tenth of the calls caused a quarter of all dispatches to be rejected by full queues.
+TEST(KeyAffinity, APopularKeyIsSpreadOverSeveralEndpoints) {
+  Settings s = settings_of_many_sidecars(1, false);
   s["extra.warm_keys"] = "true";
-  EXPECT_GT(used_by(s, 7).size(), 3U);
+  EXPECT_GT(endpoints_used(s, 7).size(), 3U);
 }
 
-// 645 sidecars that each wanted a connection everywhere met endpoints that took few: nine in ten were
-// refused.
-TEST(Keys, AreLeftWhileConnectionsAreRefused) {
-  Settings s = of_many(1, false);
+// 645 sidecars each opened connections to all endpoints, which accept only a few: nine in ten were refused.
+TEST(KeyAffinity, IsOffWhileConnectionsAreRefused) {
+  Settings s = settings_of_many_sidecars(1, false);
   s["extra.warm_keys"] = "true";
   Bench b(40, s);
   const auto used = [&](CallId from, double when, Outcome outcome) {
@@ -648,8 +658,8 @@
   EXPECT_LT(used(200, 12000, Outcome::done), 15U);
 }
 
-// A model that had not answered yet weighed nothing and drew every call.
-TEST(Keys, AnUnheardModelDrawsItsPart) {
+// A machine model without measurements counted as having zero latency and got every call.
+TEST(KeyAffinity, AnUnmeasuredModelGetsItsShare) {
   Settings s = settings();
   s["extra.warm_keys"] = "true";
   Bench b(0, s);
@@ -665,8 +675,8 @@
   EXPECT_GT(std::min(drawn[0], drawn[1]), 20);
 }
 
-TEST(Keys, ACrowdedPlaceIsPassedOverWhenToldOf) {
-  Settings s = of_many(1, false);
+TEST(KeyAffinity, AnEndpointWithAHighPublishedLoadIsSkipped) {
+  Settings s = settings_of_many_sidecars(1, false);
   s["extra.warm_keys"] = "true";
   Bench b(40, s);
   std::map<EndpointId, int> before, after;
@@ -684,16 +694,19 @@
   EXPECT_LT(after[full], before[full] / 2);
 }
 
-// At half of what the endpoints could do, hot sidecars refused 20% of the calls: their even part was over.
-// A jam answers nothing, and the room told before it stood; a caller in a hurry is no jam.
-TEST(Reports, AHotSidecarMayGrowWhileTheyTellOfRoomAndNoTimeOutOfAJam) {
-  const auto refused_late = [](double busy, double waited = 0) {  // from 6 s on, before a time-out; 0: none
-    Settings s = of_many(0, true);
+// At half of the endpoints' capacity, busy sidecars rejected 20% of the calls since they had used up their
+// even share. Overloaded endpoints do not respond, so their last report of spare capacity remained valid. A
+// short client timeout is no sign of overload.
+TEST(LoadReports, ABusySidecarMayGrowWhileEndpointsHaveCapacityAndDoNotTimeOut) {
+  const auto rejected_late = [](double busy,
+                                double waited =
+                                    0) {  // `waited`: ms before each timeout, from 6 s on; 0: none
+    Settings s = settings_of_many_sidecars(0, true);
     s["report.how"] = "inline";
     Bench b(4, s);
     std::deque<std::pair<double, Answer>> out;
     CallId id = 0;
-    int refused = 0;
+    int rejected = 0;
     for (double ms = 0; ms < 12000; ms += 50) {
       b.balancer.woken(at(ms));
       for (; !out.empty() && out.front().first <= ms; out.pop_front()) {
@@ -706,32 +719,32 @@
       for (int i = 0; i < 3; ++i) {
         const Answer a = b.call(++id, ms);
         if (a.verdict == Verdict::dispatch) out.emplace_back(ms + 500, a);
-        refused += a.verdict != Verdict::dispatch && ms >= 10000 ? 1 : 0;
+        rejected += a.verdict != Verdict::dispatch && ms >= 10000 ? 1 : 0;
       }
     }
-    return refused;
+    return rejected;
   };
-  EXPECT_EQ(refused_late(0.5), 0);
-  EXPECT_GT(refused_late(0.99), 30);
-  EXPECT_GT(refused_late(0.5, 1000), 30);
-  EXPECT_EQ(refused_late(0.5, 10), 0);
+  EXPECT_EQ(rejected_late(0.5), 0);
+  EXPECT_GT(rejected_late(0.99), 30);
+  EXPECT_GT(rejected_late(0.5, 1000), 30);
+  EXPECT_EQ(rejected_late(0.5, 10), 0);
 }
 
-// Connections dropped unseen lost every call that came after a pause, and their endpoints were passed over.
-TEST(Idle, AConnectionLostAfterIdlingIsNotTrustedAgain) {
-  Bench b(1, of_many(0, true));
+// Connections that were dropped silently lost every call after a pause, and their endpoints were ejected.
+TEST(IdleConnections, AConnectionLostWhileIdleMakesOthersSuspect) {
+  Bench b(1, settings_of_many_sidecars(0, true));
   b.history(30, 100, 500);
   const Answer lost = b.call(1, 3600);
   EXPECT_FALSE(lost.fresh);
   b.balancer.ended({1, lost.endpoint, 0, true, Outcome::timed_out, Span::ms(400), {}}, at(4000));
   const Answer next = b.call(2, 4100);
-  EXPECT_FALSE(next.fresh);  // it has not idled as long
+  EXPECT_FALSE(next.fresh);  // it has not been idle for as long
   b.end(next, Outcome::done, 4300);
   EXPECT_TRUE(b.call(3, 7000).fresh);
 }
 
-// A reset at once after idling is the connection's; one while work is done is the endpoint's.
-TEST(Idle, AResetAtOnceAfterIdlingIsHeldAgainstTheConnection) {
+// A reset right after an idle time is due to the connection; one during the call is due to the endpoint.
+TEST(IdleConnections, AnImmediateResetAfterIdlingIsNotTheEndpointsFault) {
   const auto after = [](double elapsed) {
     Bench b(1);
     b.history(30, 100, 500);
@@ -746,9 +759,9 @@
   EXPECT_EQ(after(90), std::pair(false, std::size_t{1}));
 }
 
-// Guards endpoints against a fleet that starts together and is not told who is who: all would begin with the
-// same few of the ring.
-TEST(Parts, SidecarsThatAreNotNumberedBeginAtDifferentPlaces) {
+// Sidecars that start at the same time without an index must not all begin with the same few endpoints of the
+// ring.
+TEST(Subset, SidecarsWithoutAnIndexStartAtDifferentPositions) {
   std::map<EndpointId, int> sent;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Settings s = settings();
@@ -761,11 +774,12 @@
     }
   }
   EXPECT_GE(sent.size(), 11U);
-  for (const auto& [endpoint, calls] : sent) EXPECT_LE(calls, 25) << endpoint;  // of 120; 10 were even
+  for (const auto& [endpoint, calls] : sent)
+    EXPECT_LE(calls, 25) << endpoint;  // an even share of the 120 is 10
 }
 
-// What is carried over a restart: the times count at once, the limit until first answers speak against it.
-TEST(CarriedOver, TimesAreMeasuredFromTheFirstCall) {
+// Learned state after a restart: response times count at once, and the limit unless first results are late.
+TEST(RestoredLoad, ResponseTimesCountFromTheFirstCall) {
   Bench before(3), after(3);
   before.history(40, 100, 500);
   const LearnedLoad c = before.balancer.learned_load(at(510));
@@ -776,8 +790,8 @@
   EXPECT_LT(cap, 400);
 }
 
-TEST(CarriedOver, ALimitOnTrialFallsToTheFloorWithLateAnswers) {
-  const auto let_in = [](double took, bool on_trial) {
+TEST(RestoredLoad, ALimitOnTrialIsDroppedAfterLateResponses) {
+  const auto limit_after = [](double took, bool on_trial) {
     Bench b(3);
     LearnedLoad c;
     c.limit = 200.0;
@@ -788,20 +802,21 @@
     for (const Answer& a : out) b.end(a, Outcome::done, 10 + took, took);
     return b.balancer.learned_load(at(10 + took)).limit;
   };
-  EXPECT_EQ(let_in(50, true), 200.0);
-  EXPECT_EQ(let_in(1900, true), 0.0);     // more than a fifth of the answers of the trial are late
-  EXPECT_EQ(let_in(1900, false), 200.0);  // until the next step
+  EXPECT_EQ(limit_after(50, true), 200.0);
+  EXPECT_EQ(limit_after(1900, true), 0.0);     // more than a fifth of the trial's results are late
+  EXPECT_EQ(limit_after(1900, false), 200.0);  // unchanged until the next step
 }
 
-// Guards rule 4 against processes that die often: a cold endpoint's budget is not had anew with each life.
-TEST(CarriedOver, SpentBudgetsStaySpent) {
+// A process that crashes often must not get a new slow start budget for a cold endpoint at each start
+// (rule 4).
+TEST(RestoredLoad, SpentBudgetsStaySpent) {
   const auto sent = [](bool spent) {
     int out = 0;
-    for (std::uint64_t life = 0; life < 20; ++life) {
+    for (std::uint64_t seed = 0; seed < 20; ++seed) {
       Settings s = settings();
       s.insert_or_assign("sidecars",
-                         std::to_string(2));  // half a send a second each, until their rates are known
-      Balancer b(s, life, at(0));
+                         std::to_string(2));  // half a call/s each until rates are measured
+      Balancer b(s, seed, at(0));
       std::vector<ListedEndpoint> cold = endpoints(3);
       for (ListedEndpoint& l : cold) l.came_up = at(9);
       b.listed(ListKind::full, cold, at(10));
@@ -818,7 +833,7 @@
   EXPECT_GT(sent(false), 3);
 }
 
-TEST(LearnedLatencies, AFollowerDrawsByWhatWasLearntOfTheSameProcess) {
+TEST(RestoredLatencies, ASuccessorUsesTheLatenciesOfTheSameProcesses) {
   Bench before(4), after(4);
   for (CallId id = 1; id <= 200; ++id) {
     const Answer a = before.call(id, 10);
@@ -827,7 +842,7 @@
   auto known = before.balancer.learned_latencies();
   ASSERT_EQ(known.size(), 4U);
   for (LearnedLatency& l : known)
-    l.started_at = l.endpoint == 2 ? at(-5) : l.started_at;  // of a process before it
+    l.started_at = l.endpoint == 2 ? at(-5) : l.started_at;  // an earlier process
   after.balancer.restore_latencies(known, at(30));
   EXPECT_EQ(after.balancer.learned_latencies().size(), 3U);
   int slow = 0;
@@ -839,17 +854,17 @@
   EXPECT_LT(slow, 30);
 }
 
-// --- Further rules: order by key, a budget of dispatches -------------------------------------------
+// --- Optional rules: ordering by key, retry budget --------------------------------------------------
 
-Settings in_turn(const std::string& effect = "replayable") {
+Settings ordered_settings(const std::string& effect = "replayable") {
   Settings s = settings(effect);
   s["tracks.0.in_turn"] = s["tracks.1.in_turn"] = "true";
   s["rules.settle_after_doubt_ms"] = "200";
   return s;
 }
 
-struct Turns : Bench {
-  explicit Turns(unsigned n, const Settings& s = in_turn()) : Bench(n, s) {}
+struct OrderedBench : Bench {
+  explicit OrderedBench(unsigned n, const Settings& s = ordered_settings()) : Bench(n, s) {}
   Answer ask(CallId id, double when, std::uint64_t key, std::uint32_t track = 0, double left = 4000) {
     return balancer.arrived({.id = id, .track = track, .left = Span::ms(left), .key = key}, at(when));
   }
@@ -859,9 +874,9 @@
   }
 };
 
-// As reported: a payout went out while an earlier one with its key was not over.
-TEST(InTurn, CallsOfAKeyGoOneAtATimeAsTheyWereTakenOverAllSuchTracks) {
-  Turns b(4);
+// A payout was sent while an earlier one with the same key was still in progress.
+TEST(KeyOrdering, CallsOfAKeyRunOneAtATimeInOrderOverAllOrderedTracks) {
+  OrderedBench b(4);
   const Answer first = b.ask(1, 0, 7);
   EXPECT_EQ(first.verdict, Verdict::dispatch);
   EXPECT_EQ(b.ask(2, 1, 7, 1).verdict, Verdict::wait);
@@ -874,27 +889,27 @@
   EXPECT_EQ(find(b.end(*find(next, Verdict::dispatch), Outcome::done, 90), Verdict::dispatch)->call, 3U);
 }
 
-TEST(InTurn, TheKeyRestsAfterADispatchThatMayStillRunThoughItsOwnCallDoesNot) {
-  for (const Outcome doubt : {Outcome::timed_out, Outcome::reset}) {
-    Turns b(4);
+TEST(KeyOrdering, AKeyIsBlockedAfterAnAttemptThatMayStillRunExceptForTheSameCall) {
+  for (const Outcome unknown_outcome : {Outcome::timed_out, Outcome::reset}) {
+    OrderedBench b(4);
     const Answer first = b.ask(1, 0, 7);
     b.ask(2, 1, 7);
-    const auto again = b.end(first, doubt, 100);
+    const auto again = b.end(first, unknown_outcome, 100);
     ASSERT_TRUE(find(again, Verdict::dispatch));
     EXPECT_EQ(find(again, Verdict::dispatch)->call, 1U);
     EXPECT_FALSE(find(b.end(*find(again, Verdict::dispatch), Outcome::done, 150), Verdict::dispatch));
     EXPECT_EQ(b.ask(3, 160, 7).verdict, Verdict::wait);
     EXPECT_FALSE(find(b.wake(300), Verdict::dispatch));
     EXPECT_LE(b.balancer.next_wake(), at(301));
-    const auto rested = b.wake(302);
-    ASSERT_TRUE(find(rested, Verdict::dispatch));
-    EXPECT_EQ(find(rested, Verdict::dispatch)->call, 2U);
+    const auto unblocked = b.wake(302);
+    ASSERT_TRUE(find(unblocked, Verdict::dispatch));
+    EXPECT_EQ(find(unblocked, Verdict::dispatch)->call, 2U);
   }
 }
 
-// What is out after its call ended holds the key until it has ended too.
-TEST(InTurn, ACallThatItsClientLeftHoldsItsKeyUntilItsDispatchHasEnded) {
-  Turns b(4);
+// An attempt that is in flight after the end of its call blocks the key until the attempt has ended too.
+TEST(KeyOrdering, ACallWithoutAClientBlocksItsKeyUntilItsAttemptHasEnded) {
+  OrderedBench b(4);
   const Answer first = b.ask(1, 0, 7);
   b.balancer.client_left(1, at(10));
   EXPECT_EQ(b.ask(2, 20, 7).verdict, Verdict::wait);
@@ -903,8 +918,8 @@
   EXPECT_EQ(find(b.wake(232), Verdict::dispatch)->call, 2U);
 }
 
-TEST(InTurn, ThoseThatWaitAreAnsweredInTimeAndHoldUpNoOne) {
-  Turns b(4, in_turn("single-use"));
+TEST(KeyOrdering, QueuedCallsAreRejectedInTimeAndDoNotBlockOthers) {
+  OrderedBench b(4, ordered_settings("single-use"));
   const Answer first = b.ask(1, 0, 7);
   EXPECT_EQ(b.ask(2, 1, 7, 0, 400).verdict, Verdict::wait);
   EXPECT_EQ(b.ask(3, 2, 7).verdict, Verdict::wait);
@@ -916,51 +931,52 @@
   EXPECT_EQ(find(b.end(first, Outcome::done, 395), Verdict::dispatch)->call, 4U);
 }
 
-// A key that is asked for more than one at a time can serve: state and waits stay bounded.
-TEST(InTurn, TheLineOfAPopularKeyIsAsLongAsItsCallsCanWait) {
-  Turns b(4);
+// A key with more calls than serial execution can serve: the queue and the waiting times stay bounded.
+TEST(KeyOrdering, TheQueueOfAPopularKeyIsBounded) {
+  OrderedBench b(4);
   b.history(40, 100, 500);
   int waits = 0;
   for (CallId id = 1; id <= 1000; ++id) waits += b.ask(id, 510, 7).verdict == Verdict::wait ? 1 : 0;
   EXPECT_GE(waits, 5);
-  EXPECT_LE(waits, 10);  // of a soft limit of 1 s, at 100 ms each
+  EXPECT_LE(waits, 10);  // within a latency target of 1 s, at 100 ms each
 }
 
-// Any order of events: sends of a key one at a time, in order, rested; nobody waits past the client.
-TEST(InTurn, HoldsOverAnyOrderOfEvents) {
+// For any sequence of events: the calls of a key are sent one at a time, in order, and not while the key is
+// blocked; no call waits past its client's timeout.
+TEST(KeyOrdering, HoldsForAnySequenceOfEvents) {
   EXPECT_TRUE(rc::check([](const std::vector<std::uint8_t>& steps) {
     struct Known {
       Answer out;
       std::uint64_t key = 0;
-      bool sent = false, over = false, flying = false;
+      bool sent = false, over = false, in_flight = false;
       double until = 0;
     };
-    Turns b(3, in_turn("single-use"));
+    OrderedBench b(3, ordered_settings("single-use"));
     std::map<CallId, Known> calls;
-    std::map<std::uint64_t, double> rests;
+    std::map<std::uint64_t, double> blocked_until;
     double now = 0;
     const auto take = [&](const Answer& a) {
       if (a.verdict == Verdict::cancel || a.verdict == Verdict::wait || a.verdict == Verdict::log) return;
       Known& c = calls.at(a.call);
       RC_ASSERT(!c.over);
       if (a.verdict != Verdict::dispatch) return void(c.over = true);
-      if (!c.sent) RC_ASSERT(now >= rests[c.key]);
+      if (!c.sent) RC_ASSERT(now >= blocked_until[c.key]);
       for (const auto& [id, other] : calls)
-        RC_ASSERT(id >= a.call || other.key != c.key || (other.over && !other.flying));
-      c.out = a, c.sent = c.flying = true;
+        RC_ASSERT(id >= a.call || other.key != c.key || (other.over && !other.in_flight));
+      c.out = a, c.sent = c.in_flight = true;
     };
     for (const std::uint8_t step : steps) {
       now += step >> 4U;
       const CallId id = calls.size() + 1;
-      const auto flying = std::find_if(calls.begin(), calls.end(), [&](const auto& c) {
-        return c.second.flying && c.first % 4 == step % 4;
+      const auto in_flight = std::find_if(calls.begin(), calls.end(), [&](const auto& c) {
+        return c.second.in_flight && c.first % 4 == step % 4;
       });
-      if (step % 16 < 6 || flying == calls.end()) {
+      if (step % 16 < 6 || in_flight == calls.end()) {
         calls[id].key = 1U + step % 2U, calls[id].until = now + 500;
         take(b.ask(id, now, calls[id].key, step % 3 == 0, 500));
       } else if (step % 16 < 8) {
-        flying->second.over = true;
-        for (const Answer& a : b.balancer.client_left(flying->first, at(now))) take(a);
+        in_flight->second.over = true;
+        for (const Answer& a : b.balancer.client_left(in_flight->first, at(now))) take(a);
       } else if (step % 16 < 10) {
         now += 60;
         for (const Answer& a : b.wake(now)) take(a);
@@ -968,20 +984,21 @@
         constexpr Outcome ends[] = {Outcome::done,        Outcome::timed_out, Outcome::reset,
                                     Outcome::turned_away, Outcome::error,     Outcome::not_connected};
         const Outcome how = ends[step % 16 - 10];
-        flying->second.flying = false;
-        flying->second.over |= how == Outcome::done;
-        if (how == Outcome::timed_out || how == Outcome::reset) rests[flying->second.key] = now + 200;
-        for (const Answer& a : b.end(Answer(flying->second.out), how, now)) take(a);
+        in_flight->second.in_flight = false;
+        in_flight->second.over |= how == Outcome::done;
+        if (how == Outcome::timed_out || how == Outcome::reset)
+          blocked_until[in_flight->second.key] = now + 200;
+        for (const Answer& a : b.end(Answer(in_flight->second.out), how, now)) take(a);
       }
     }
     for (const double end = now + 600; now < end;) {
       for (const Answer& a : b.wake(now += 10)) take(a);
-      for (const auto& [id, c] : calls) RC_ASSERT(c.over || c.flying || now <= c.until);
+      for (const auto& [id, c] : calls) RC_ASSERT(c.over || c.in_flight || now <= c.until);
     }
   }));
 }
 
-Settings budgeted() {
+Settings settings_with_retry_budget() {
   Settings s = settings();
   s["rules.resend_span_ms"] = "2000";
   s["rules.budget_free"] = "2";
@@ -989,9 +1006,9 @@
   return s;
 }
 
-// As reported: three further dispatches within 2 s, where 14 calls taken allow 2.4.
-TEST(ResendBudget, FurtherDispatchesKeepToWhatIsStatedHoweverTheEarlierOnesEnded) {
-  Bench b(4, budgeted());
+// Three retries were sent within 2 s, where 14 calls allow 2.4.
+TEST(RetryBudget, HoldsHoweverTheEarlierAttemptsEnded) {
+  Bench b(4, settings_with_retry_budget());
   int again = 0;
   for (CallId id = 1; id <= 14; ++id) {
     const Answer a = b.call(id, 10.0 * static_cast<double>(id));
@@ -1002,14 +1019,14 @@
   EXPECT_EQ(again, 2);
   const Answer later = b.call(100, 2200);
   EXPECT_TRUE(find(b.end(later, Outcome::turned_away, 2205), Verdict::dispatch));
-  const Answer much_later = b.call(101, 1.8e12);  // a clock's leap is no work for each span passed over
+  const Answer much_later = b.call(101, 1.8e12);  // a jump of the clock must not cost work per skipped slice
   EXPECT_TRUE(find(b.end(much_later, Outcome::turned_away, 1.8e12), Verdict::dispatch));
 }
 
-// Any rhythm of calls and failures: within every span no more than stated, by an exact count.
-TEST(ResendBudget, HoldsInEveryWindow) {
+// For any sequence of calls and failures, no window has more retries than the budget, by an exact count.
+TEST(RetryBudget, HoldsInEveryWindow) {
   EXPECT_TRUE(rc::check([](const std::vector<std::uint8_t>& steps) {
-    Bench b(5, budgeted());
+    Bench b(5, settings_with_retry_budget());
     std::vector<double> taken, again;
     double now = 0;
     CallId id = 0;
@@ -1035,8 +1052,9 @@
 
 // --- Large requests --------------------------------------------------------------------------------
 
-// Guards against large requests on their way that hold others back: their place begins with the last byte.
-TEST(Large, ARequestOnItsWayTakesNoPlaceUnderTheLimit) {
+// Uploads of large requests must not hold other calls back: they count against the limit from the last byte
+// on.
+TEST(LargeRequests, AnUploadDoesNotCountAgainstTheLimit) {
   Bench b(1);
   const auto taken = [&](CallId first, bool coming) {
     int out = 0;
@@ -1055,8 +1073,8 @@
   EXPECT_EQ(b.call(999, 3).verdict, Verdict::reject);
 }
 
-// Guards its client timeout, and an endpoint against being taken for silent, while it comes.
-TEST(Large, TimeCountsFromTheLastByte) {
+// The time of the upload counts neither against the client timeout nor as silence of the endpoint.
+TEST(LargeRequests, TimeCountsFromTheLastByte) {
   Bench b(1);
   ApiCall call{1, 0, Span::ms(1000), false};
   call.coming = true;
@@ -1068,7 +1086,7 @@
   EXPECT_NE(again.front().verdict, Verdict::reject);
 }
 
-TEST(Large, WhatIsNoLongerHeldDoesNotGoAgain) {
+TEST(LargeRequests, ARequestThatIsNoLongerBufferedIsNotRetried) {
   Bench b(2);
   const Answer sent = b.call(1, 0);
   DispatchEnd e;
