--- a/tests/quota_lease_test.cpp
+++ b/tests/quota_lease_test.cpp
@@ -1,6 +1,6 @@
 /// Leases on a fleet-wide quota, in a simulated network: clocks drift, processes pause, crash and restart,
-/// and messages are lost, duplicated, delayed and reordered. At no time may clients together use more than
-/// the total.
+/// and messages are lost, duplicated, delayed and reordered. At no time may all clients together use more
+/// than the total.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -23,7 +23,7 @@
   EXPECT_DOUBLE_EQ(got[0], 10);
   EXPECT_DOUBLE_EQ(got[1], 30);
   EXPECT_DOUBLE_EQ(got[2], 60);
-  EXPECT_DOUBLE_EQ(divide_max_min(1000, demands)[1], 100);  // nobody gets more than it wants
+  EXPECT_DOUBLE_EQ(divide_max_min(1000, demands)[1], 100);  // no demand gets more than it asks for
   EXPECT_TRUE(divide_max_min(5, {}).empty());
 }
 
@@ -33,13 +33,13 @@
 
 struct Plan {
   LeaseConfig config;
-  double clocks_off = 0.01;  // the rates of clocks, from real time
+  double max_clock_error = 0.01;  // relative deviation of clock rates from real time
   std::uint32_t servers = 3, clients = 8;
   double seconds = 60.0;
   double faults_per_s = 0.6;
-  bool servers_forget = false;       // planted defect: a server votes at once after its start
-  bool clients_remember = false;     // planted defect: a client keeps its lease over a restart
-  double client_lease_factor = 1.0;  // planted defect: x the lease duration
+  bool servers_forget = false;       // injected defect: a server votes immediately after its start
+  bool clients_remember = false;     // injected defect: a client keeps its lease over a restart
+  double client_lease_factor = 1.0;  // injected defect: multiple of the lease duration
 };
 
 class Simulation {
@@ -57,7 +57,7 @@
     }
   }
 
-  void play() {
+  void run_all() {
     const double faults = plan_.faults_per_s * plan_.seconds;
     for (int i = 0; i < faults; ++i) at(plan_.seconds * 0.9 * random_.unit(), [this] { inject_fault(); });
     for (double t = 0.0; t < plan_.seconds; t += 0.05) at(t, [this] { sample(); });
@@ -70,12 +70,12 @@
     }
   }
 
-  double max_in_use = 0.0;  // in use at one moment
+  double max_in_use = 0.0;  // maximum of the amount in use at one time
   int max_leaders = 0;
-  double used = 0.0;           // the mean over the run's last fifth
-  std::vector<double> in_use;  // by sample
+  double used = 0.0;           // mean amount in use over the last fifth of the run
+  std::vector<double> in_use;  // amount in use, by sample
 
-  // For tests of their own
+  // For tests that control the simulation
   void kill_server(std::uint32_t i) { servers_[i].up = false; }
   std::optional<std::uint32_t> leader() const {
     for (std::uint32_t i = 0; i < plan_.servers; ++i) {
@@ -117,7 +117,9 @@
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
 
-  Clock clock() { return {1.0 + plan_.clocks_off * (2.0 * random_.unit() - 1.0), 1000.0 * random_.unit()}; }
+  Clock clock() {
+    return {1.0 + plan_.max_clock_error * (2.0 * random_.unit() - 1.0), 1000.0 * random_.unit()};
+  }
   TimePoint local(const Clock& c) const { return TimePoint::at_ms(1000.0 * (c.ahead + now_ * c.rate)); }
 
   void start_server(std::uint32_t i, double) {
@@ -142,7 +144,8 @@
     request_lease(i, client.incarnation);
   }
 
-  // On a process, now or once it is not paused; not at all where it is dead, or has been restarted.
+  // Runs `what` on a process, now or when its pause ends. Does nothing if the process is down or has been
+  // restarted.
   template <class P>
   void run(P& p, std::uint64_t incarnation, std::function<void()> what) {
     if (!p.up || p.incarnation != incarnation) return;
@@ -151,7 +154,8 @@
     else
       what();
   }
-  // A message: lost, late, duplicated, or blocked by a partition as it is sent.
+  // Sends a message, which may be lost, delayed, duplicated, or blocked by a partition at the time of
+  // sending.
   void send(std::uint32_t from, std::uint32_t to, const std::function<void()>& what) {
     if (blocked_until_.contains({from, to}) && now_ < blocked_until_[{from, to}]) return;
     const int copies = faults_disabled_ ? 1 : random_.unit() < 0.05 ? 0 : random_.unit() < 0.05 ? 2 : 1;
@@ -208,7 +212,8 @@
               ClientProcess& back = clients_[i];
               run(back, incarnation, [this, i, grant, incarnation, &back] {
                 const bool has_changed = back.lease_client->on_grant(grant, local(back.clock));
-                if (!has_changed && !grant.is_granted && now_ >= back.renew_at) {  // it has learned the term
+                if (!has_changed && !grant.is_granted &&
+                    now_ >= back.renew_at) {  // the client has learned the term
                   back.renew_at = now_ + 0.2;
                   request_lease(i, incarnation);
                 }
@@ -230,7 +235,7 @@
     const auto client = static_cast<std::uint32_t>(random_.unit() * plan_.clients);
     const double lasts = 8.0 * random_.unit();
     switch (static_cast<int>(random_.unit() * 8.0)) {
-      case 0:  // a server crashes, and restarts with nothing
+      case 0:  // a server crashes and restarts without state
         servers_[server].up = false;
         at(now_ + 0.5 * lasts, [this, server] {
           if (!servers_[server].up) start_server(server, now_);
@@ -239,7 +244,7 @@
       case 1: servers_[server].paused_until = std::max(servers_[server].paused_until, now_ + lasts); break;
       case 2:
         if (clients_[client].up && now_ >= clients_[client].paused_until && random_.unit() < 0.4) {
-          // It shuts down, and releases its lease.
+          // The client shuts down gracefully and releases its lease.
           const ProcessIdentity who = clients_[client].lease_client->self();
           const std::uint64_t number = clients_[client].lease_client->release();
           for (std::uint32_t k = 0; k < plan_.servers; ++k) {
@@ -253,13 +258,13 @@
         clients_[client].up = false;
         at(now_ + 0.2 * lasts, [this, client] {
           if (clients_[client].up) return;
-          if (plan_.clients_remember) clients_[client].clock.ahead -= 2.0;  // its clock begins anew
+          if (plan_.clients_remember) clients_[client].clock.ahead -= 2.0;  // its clock restarts
           start_client(client, now_);
         });
         break;
       case 3: clients_[client].paused_until = std::max(clients_[client].paused_until, now_ + lasts); break;
       case 4: blocked_until_[{server, id_of_client(client)}] = now_ + lasts; break;
-      case 5: {  // messages of a server are lost, or those to it
+      case 5: {  // all messages from a server are lost, or all messages to it
         const bool out = random_.unit() < 0.5;
         for (std::uint32_t i = 0; i < plan_.servers + plan_.clients; ++i)
           blocked_until_[out ? std::pair(server, i) : std::pair(i, server)] = now_ + lasts;
@@ -302,43 +307,44 @@
   bool faults_disabled_ = false;
 };
 
-// The first of so many seeds on which more than the total was in use, or there were two leaders; 0: none.
+// Returns the first seed, from 1 to `seeds`, with more than the total in use or with two leaders; 0: none.
 std::uint64_t breach(const Plan& plan, std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Simulation simulation(plan, seed);
-    simulation.play();
+    simulation.run_all();
     if (simulation.max_in_use > total * 1.0000001 || simulation.max_leaders > 1) return seed;
   }
   return 0;
 }
 
-// SHARES_SEEDS: more of them, for a search by hand.
+// The environment variable SHARES_SEEDS sets the number of seeds, for manual runs.
 TEST(QuotaLease, TheSumOfLeasesIsNeverOverTheTotal) {
   const char* more = std::getenv("SHARES_SEEDS");
   EXPECT_EQ(breach(Plan{}, more != nullptr ? std::strtoull(more, nullptr, 10) : 150), 0U);
 }
 
-TEST(QuotaLease, WithFiveServersAndClocksAtTheBoundNeither) {
+TEST(QuotaLease, TheSumOfLeasesIsNeverOverTheTotalWithFiveServersAndMaximumClockDrift) {
   Plan p;
   p.servers = 5;
   p.clients = 20;
   p.faults_per_s = 1.5;
-  p.config.clock_drift = p.clocks_off = 0.05;
+  p.config.clock_drift = p.max_clock_error = 0.05;
   EXPECT_EQ(breach(p, 30), 0U);
 }
 
-// The checker is shown to find what it is there for.
-TEST(QuotaLease, PlantedDefectsAreFound) {
-  Plan no_margin;
-  no_margin.config.clock_drift = 0.0;
-  no_margin.clocks_off = 0.1;
-  EXPECT_NE(breach(no_margin, 400), 0U);
-  Plan amnesic;  // two leaders: what they grant is still covered by the later one's grace period
-  amnesic.config.leader_lease_duration = Span::ms(6000);
-  amnesic.faults_per_s = 1.5;
-  EXPECT_EQ(breach(amnesic, 30), 0U);
-  amnesic.servers_forget = true;
-  EXPECT_NE(breach(amnesic, 400), 0U);
+// Shows that the checks detect the violations that they are written for.
+TEST(QuotaLease, InjectedDefectsAreDetected) {
+  Plan without_margin;
+  without_margin.config.clock_drift = 0.0;
+  without_margin.max_clock_error = 0.1;
+  EXPECT_NE(breach(without_margin, 400), 0U);
+  // With two leaders the leases are still safe, by the grace period of the later one.
+  Plan without_vote_memory;
+  without_vote_memory.config.leader_lease_duration = Span::ms(6000);
+  without_vote_memory.faults_per_s = 1.5;
+  EXPECT_EQ(breach(without_vote_memory, 30), 0U);
+  without_vote_memory.servers_forget = true;
+  EXPECT_NE(breach(without_vote_memory, 400), 0U);
   Plan restarted;
   restarted.clients_remember = true;
   EXPECT_NE(breach(restarted, 400), 0U);
@@ -347,7 +353,7 @@
   EXPECT_NE(breach(longer, 400), 0U);
 }
 
-// --- Leases follow demand, and a dead server is not missed.
+// --- Leases follow demand, and survive the loss of a server
 
 Plan plan_without_faults() {
   Plan p;
@@ -355,31 +361,31 @@
   return p;
 }
 
-TEST(QuotaLease, AllOfTheTotalIsInUseWhereThereIsDemand) {
+TEST(QuotaLease, TheWholeTotalIsInUseIfThereIsDemand) {
   Simulation simulation(plan_without_faults(), 3);
   simulation.disable_faults();
   for (std::uint32_t i = 0; i < 8; ++i)
-    simulation.set_demand(i, i == 2 ? 900.0 : 20.0);  // equal parts would leave 735
-  simulation.play();
+    simulation.set_demand(i, i == 2 ? 900.0 : 20.0);  // equal shares would leave 735 unused
+  simulation.run_all();
   EXPECT_GT(simulation.used, 0.95 * total);
   EXPECT_GT(simulation.leased(2), 800.0);
   EXPECT_LE(simulation.max_in_use, total * 1.0000001);
 }
 
-TEST(QuotaLease, ADemandThatMovedIsLeasedWithinOneLeaseDuration) {
+TEST(QuotaLease, AMovedDemandIsLeasedWithinOneLeaseDuration) {
   Simulation simulation(plan_without_faults(), 4);
   simulation.disable_faults();
   for (std::uint32_t i = 0; i < 8; ++i) simulation.set_demand(i, i == 2 ? 900.0 : 10.0);
   double then = 0.0;
   simulation.at(30.0, [&] { simulation.set_demand(2, 10.0), simulation.set_demand(5, 900.0); });
   simulation.at(34.0, [&] { then = simulation.leased(5); });
-  simulation.play();
+  simulation.run_all();
   EXPECT_GT(then, 800.0);
   EXPECT_LE(simulation.max_in_use, total * 1.0000001);
 }
 
-TEST(QuotaLease, WithTheLeaderDeadForGoodTheTotalIsInUseAgainWithinTwoLeaseDurations) {
-  int late = 0;  // votes that were split: the next round settles it
+TEST(QuotaLease, AfterTheLossOfTheLeaderTheTotalIsInUseAgainWithinTwoLeaseDurations) {
+  int late = 0;  // runs with split votes, which need another round
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Simulation simulation(plan_without_faults(), seed);
     simulation.disable_faults();
@@ -389,7 +395,7 @@
       ASSERT_TRUE(leader);
       simulation.kill_server(*leader);
     });
-    simulation.play();
+    simulation.run_all();
     double least_after = total, most_after = 0.0;
     for (std::size_t i = 0; i < simulation.in_use.size(); ++i) {
       const double t = 0.05 * static_cast<double>(i);
@@ -404,9 +410,9 @@
   EXPECT_LE(late, 2);
 }
 
-// --- One server, one client
+// --- A single server or client
 
-TEST(LeaseServer, VotesForNobodyUntilAnEarlierVoteMustHaveExpired) {
+TEST(LeaseServer, GrantsNoVoteUntilAnEarlierVoteMustHaveExpired) {
   const LeaseConfig config;
   LeaseServer server(config, {0, 2}, 3, total, 1, TimePoint::at_ms(1000));
   EXPECT_FALSE(server.on_vote_request({1, 1}, 1, TimePoint::at_ms(1100)).is_granted);
@@ -420,7 +426,7 @@
       << "another incarnation of the same server";
 }
 
-TEST(LeaseClient, AGrantCountsFromBeforeItsRequest) {
+TEST(LeaseClient, ALeaseCountsFromTheTimeOfItsRequest) {
   const LeaseConfig config;
   LeaseClient client(config, {7, 1}, 5.0);
   const LeaderTerm term{{0, 1}, 1};
@@ -428,7 +434,7 @@
   EXPECT_TRUE(client.on_grant({request.number, term, 60.0, true}, TimePoint::at_ms(3000)));
   EXPECT_EQ(client.usable(TimePoint::at_ms(3000)), 65.0);
   EXPECT_EQ(client.usable(TimePoint::at_ms(1000) + config.holder_duration(config.lease_duration)),
-            5.0);  // the floor demands nobody
+            5.0);  // the floor needs no lease
   request = client.make_request(100, 1, TimePoint::at_ms(10000));
   (void)client.make_request(100, 1, TimePoint::at_ms(10100));
   EXPECT_FALSE(client.on_grant({request.number, term, 60.0, true}, TimePoint::at_ms(10200)))
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,4 @@
-// Routes, splits, failover and limits: the choices, without sockets.
+/// Routes, traffic splits, failover and limits, without sockets.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -22,11 +22,11 @@
 using PathKind = Route::PathKind;
 using HeaderKind = HeaderMatcher::Kind;
 
-struct Asked final : route::RequestView {
+struct TestRequest final : route::RequestView {
   std::string h, p, m;
   std::map<std::string, std::string> headers;
-  Asked(std::string host_, std::string path_, std::string method_ = "GET",
-        std::map<std::string, std::string> headers_ = {})
+  TestRequest(std::string host_, std::string path_, std::string method_ = "GET",
+              std::map<std::string, std::string> headers_ = {})
       : h(std::move(host_)), p(std::move(path_)), m(std::move(method_)), headers(std::move(headers_)) {}
   std::string_view host() const override { return h; }
   std::string_view path() const override { return p; }
@@ -40,41 +40,41 @@
 
 constexpr std::uint32_t none = route::RouteTable::none;
 
-TEST(Routes, TheMostPreciseHostWins) {
+TEST(Routes, TheMostSpecificHostWins) {
   const std::vector<Route> r = {{"", PathKind::any, "", "", {}},
                                 {"*.example.org", PathKind::any, "", "", {}},
                                 {"*.a.example.org", PathKind::any, "", "", {}},
                                 {"b.a.example.org", PathKind::any, "", "", {}}};
   const route::RouteTable t(r);
-  EXPECT_EQ(t.match(Asked("else", "/")), 0U);
-  EXPECT_EQ(t.match(Asked("example.org", "/")), 0U);  // a suffix is not the name itself
-  EXPECT_EQ(t.match(Asked("x.example.org", "/")), 1U);
-  EXPECT_EQ(t.match(Asked("x.a.example.org", "/")), 2U);
-  EXPECT_EQ(t.match(Asked("B.A.Example.org.:8080", "/")), 3U);
-  EXPECT_EQ(t.match(Asked(std::string(300, 'x') + ".example.org", "/")), 0U);
+  EXPECT_EQ(t.match(TestRequest("else", "/")), 0U);
+  EXPECT_EQ(t.match(TestRequest("example.org", "/")), 0U);  // a suffix does not match the domain itself
+  EXPECT_EQ(t.match(TestRequest("x.example.org", "/")), 1U);
+  EXPECT_EQ(t.match(TestRequest("x.a.example.org", "/")), 2U);
+  EXPECT_EQ(t.match(TestRequest("B.A.Example.org.:8080", "/")), 3U);
+  EXPECT_EQ(t.match(TestRequest(std::string(300, 'x') + ".example.org", "/")), 0U);
 }
 
-TEST(Routes, PrefixesEndOnSegmentBordersAndTheLongestWins) {
+TEST(Routes, PrefixesMatchWholeSegmentsAndTheLongestWins) {
   const std::vector<Route> r = {{"", PathKind::prefix, "/a", "", {}},
                                 {"", PathKind::prefix, "/a/b/", "", {}},
                                 {"", PathKind::exact, "/a/b", "", {}},
                                 {"", PathKind::prefix, "/", "", {}}};
   const route::RouteTable t(r);
-  EXPECT_EQ(t.match(Asked("h", "/a")), 0U);
-  EXPECT_EQ(t.match(Asked("h", "/a/x")), 0U);
-  EXPECT_EQ(t.match(Asked("h", "/ab")), 3U);
-  EXPECT_EQ(t.match(Asked("h", "/a/b")), 2U);
-  EXPECT_EQ(t.match(Asked("h", "/a/b/")), 1U);
-  EXPECT_EQ(t.match(Asked("h", "/a/bc")), 0U);
+  EXPECT_EQ(t.match(TestRequest("h", "/a")), 0U);
+  EXPECT_EQ(t.match(TestRequest("h", "/a/x")), 0U);
+  EXPECT_EQ(t.match(TestRequest("h", "/ab")), 3U);
+  EXPECT_EQ(t.match(TestRequest("h", "/a/b")), 2U);
+  EXPECT_EQ(t.match(TestRequest("h", "/a/b/")), 1U);
+  EXPECT_EQ(t.match(TestRequest("h", "/a/bc")), 0U);
 }
 
-TEST(Routes, AHostWithoutAFittingPathGivesWayToTheNext) {
+TEST(Routes, AHostWithoutAMatchingPathFallsBackToTheNext) {
   const std::vector<Route> r = {{"a.org", PathKind::exact, "/x", "", {}},
                                 {"*.org", PathKind::any, "", "PUT", {}}};
   const route::RouteTable t(r);
-  EXPECT_EQ(t.match(Asked("a.org", "/x")), 0U);
-  EXPECT_EQ(t.match(Asked("a.org", "/y", "PUT")), 1U);
-  EXPECT_EQ(t.match(Asked("a.org", "/y", "GET")), none);
+  EXPECT_EQ(t.match(TestRequest("a.org", "/x")), 0U);
+  EXPECT_EQ(t.match(TestRequest("a.org", "/y", "PUT")), 1U);
+  EXPECT_EQ(t.match(TestRequest("a.org", "/y", "GET")), none);
 }
 
 TEST(Routes, MethodThenHeadersDecide) {
@@ -84,14 +84,14 @@
                                 {"", PathKind::any, "", "", {{"v", HeaderKind::present, ""}}},
                                 {"", PathKind::any, "", "", {}}};
   const route::RouteTable t(r);
-  EXPECT_EQ(t.match(Asked("h", "/", "GET", {{"v", "2"}})), 0U);
-  EXPECT_EQ(t.match(Asked("h", "/", "GET", {{"v", "21"}})), 2U);
-  EXPECT_EQ(t.match(Asked("h", "/", "GET", {{"v", "3"}})), 3U);
-  EXPECT_EQ(t.match(Asked("h", "/", "GET")), 4U);
-  EXPECT_EQ(t.match(Asked("h", "/", "POST", {{"v", "2"}})), 1U);
+  EXPECT_EQ(t.match(TestRequest("h", "/", "GET", {{"v", "2"}})), 0U);
+  EXPECT_EQ(t.match(TestRequest("h", "/", "GET", {{"v", "21"}})), 2U);
+  EXPECT_EQ(t.match(TestRequest("h", "/", "GET", {{"v", "3"}})), 3U);
+  EXPECT_EQ(t.match(TestRequest("h", "/", "GET")), 4U);
+  EXPECT_EQ(t.match(TestRequest("h", "/", "POST", {{"v", "2"}})), 1U);
 }
 
-TEST(Routes, TiesAreNamedAndWhatExcludesOneAnotherIsNone) {
+TEST(Routes, AmbiguousRoutesAreNamedAndExclusiveOnesAreAllowed) {
   const Route x{"", PathKind::any, "", "", {{"x", HeaderKind::exact, "1"}}};
   const Route other{"", PathKind::any, "", "", {{"x", HeaderKind::exact, "2"}}};
   const Route y{"", PathKind::any, "", "", {{"y", HeaderKind::exact, "1"}}};
@@ -99,7 +99,7 @@
   EXPECT_THROW(route::RouteTable(std::vector<Route>{x, x}), route::AmbiguousRouteError);
   try {
     const route::RouteTable t(std::vector<Route>{x, other, y});
-    FAIL() << "x and y can both be there";
+    FAIL() << "a request can have both headers";
   } catch (const route::AmbiguousRouteError& e) {
     EXPECT_EQ(e.first, 0U);
     EXPECT_EQ(e.second, 2U);
@@ -123,8 +123,8 @@
   return out;
 }
 
-// The compiled structure against the plain scan, on random tables.
-TEST(Routes, CompiledAndScannedAgree) {
+// Compares the compiled table with a linear scan, on random tables.
+TEST(Routes, TheCompiledTableAgreesWithALinearScan) {
   const bool held = rc::check([] {
     std::vector<Route> routes;
     for (int i = *rc::gen::inRange(1, 25); i > 0; --i) {
@@ -137,7 +137,7 @@
     }
     const route::RouteTable table(routes);
     for (int i = 0; i < 20; ++i) {
-      Asked asked(
+      TestRequest asked(
           *rc::gen::element<std::string>("a.org", "b.a.org", "c.org", "A.ORG:80", "x", ".a.org", "b.b.a.org"),
           *rc::gen::element<std::string>("/", "/a", "/a/", "/a/b", "/a/b/c", "/ab", "/a//b", "//", "/b/"),
           *rc::gen::element<std::string>("GET", "POST", "PUT"));
@@ -160,9 +160,9 @@
 
 std::string key(int i) { return "caller-" + std::to_string(i); }
 
-TEST(Split, FollowsTheWeightsAndKeepsACallerOnItsSide) {
-  const std::vector<pool::SplitTarget> sides = {{"old", 90}, {"new", 10}, {"none", 0}};
-  const pool::TrafficSplit split(sides);
+TEST(TrafficSplit, FollowsTheWeightsAndKeepsAClientAtItsTarget) {
+  const std::vector<pool::SplitTarget> targets = {{"old", 90}, {"new", 10}, {"none", 0}};
+  const pool::TrafficSplit split(targets);
   std::array<int, 3> count{};
   for (int i = 0; i < 20000; ++i) {
     ++count[split.choose(key(i))];
@@ -175,8 +175,8 @@
   EXPECT_EQ(split.choose(0.9999999), 1U);
 }
 
-// Only the share that must move moves, and only to where the weight rose; order and other sides don't matter.
-TEST(Split, AChangeMovesOnlyWhatItMust) {
+// Only the share that a target gains moves, and only to that target, whatever the order of the targets.
+TEST(TrafficSplit, AWeightChangeMovesTheMinimum) {
   const pool::TrafficSplit before(std::vector<pool::SplitTarget>{{"a", 80}, {"b", 10}, {"c", 10}});
   const pool::TrafficSplit after(
       std::vector<pool::SplitTarget>{{"c", 10}, {"a", 80}, {"b", 35}});  // b from 0.10 to 0.28
@@ -193,25 +193,27 @@
 
 // --- Failover --------------------------------------------------------------------------------------
 
-// Pools that carry so many calls a second and do the rest ill; steps of 10 ms.
+// Simulated pools with a capacity in calls/s; calls above it fail.
 struct FailoverBench {
-  explicit FailoverBench(std::vector<double> stated = {0, 0}, const pool::FailoverConfig& config = {})
-      : failover(config, stated, 7, at(0)), capacity(stated.size(), 1e9), sent(stated.size(), 0) {
-    for (std::size_t i = 0; i < stated.size(); ++i) failover.set_ready(i, 10, at(0));
+  explicit FailoverBench(std::vector<double> stated_rates = {0, 0}, const pool::FailoverConfig& config = {})
+      : failover(config, stated_rates, 7, at(0)),
+        capacity(stated_rates.size(), 1e9),
+        sent(stated_rates.size(), 0) {
+    for (std::size_t i = 0; i < stated_rates.size(); ++i) failover.set_ready(i, 10, at(0));
   }
-  // `rate` calls/s for so long; the share that each pool got.
-  void play(double ms, double rate = 200) {
+  // Sends `rate` calls/s for `ms` and counts the calls of each pool.
+  void run_for(double ms, double rate = 200) {
     std::fill(sent.begin(), sent.end(), 0);
     const double end = now + ms;
     for (; now < end; now += 1000.0 / rate) {
       const std::size_t p = failover.choose(at(now));
       ++sent[p];
-      // A pool does well what it has room for in the last 100 ms.
+      // A pool completes as many calls as its capacity allows per 100 ms.
       if (now - window > 100) window = now, in_window.assign(capacity.size(), 0);
       failover.record_end(p, ++in_window[p] <= capacity[p] / 10, at(now));
     }
   }
-  double part(std::size_t p) const {
+  double share_of_calls(std::size_t p) const {
     double all = 0;
     for (const double s : sent) all += s;
     return all > 0 ? sent[p] / all : 0;
@@ -221,130 +223,130 @@
   double now = 0, window = -1000;
 };
 
-TEST(Failover, AWholePoolKeepsEverything) {
+TEST(Failover, AHealthyPoolKeepsAllCalls) {
   FailoverBench b;
-  b.play(5000);
-  EXPECT_EQ(b.part(0), 1.0);
+  b.run_for(5000);
+  EXPECT_EQ(b.share_of_calls(0), 1.0);
   EXPECT_EQ(b.failover.health(0), 1.0);
 }
 
-TEST(Failover, SpareRoomIsUsedBeforeAnythingMoves) {
+TEST(Failover, SpareCapacityIsUsedBeforeCallsMove) {
   FailoverBench b;
-  b.play(1000);
-  b.failover.set_ready(0, 8, at(b.now));  // 80% are there: what whole_from says is enough
-  b.play(3000);
-  EXPECT_EQ(b.part(0), 1.0);
+  b.run_for(1000);
+  b.failover.set_ready(0, 8, at(b.now));  // 80% are ready: the value of whole_from
+  b.run_for(3000);
+  EXPECT_EQ(b.share_of_calls(0), 1.0);
 }
 
-TEST(Failover, TheShareRisesInStepWithWhatIsMissing) {
+TEST(Failover, TheNextPoolsShareRisesInProportionToTheLoss) {
   FailoverBench b({0, 1000});
-  b.play(1000);
+  b.run_for(1000);
   b.failover.set_ready(0, 4, at(b.now));  // 0.4 of 0.8: half is missing
-  b.play(1000);
-  b.play(2000);
-  EXPECT_NEAR(b.part(1), 0.5, 0.08);
+  b.run_for(1000);
+  b.run_for(2000);
+  EXPECT_NEAR(b.share_of_calls(1), 0.5, 0.08);
   EXPECT_NEAR(b.failover.share(1), 0.5, 0.01);
 }
 
-TEST(Failover, ALostPoolGivesAllAwayWithinASecond) {
+TEST(Failover, ALostPoolLosesAllCallsWithinASecond) {
   FailoverBench b({0, 1000});
-  b.play(2000);
+  b.run_for(2000);
   b.failover.set_ready(0, 0, at(b.now));
-  b.play(1000);
-  b.play(1000);
-  EXPECT_GT(b.part(1), 0.95);
+  b.run_for(1000);
+  b.run_for(1000);
+  EXPECT_GT(b.share_of_calls(1), 0.95);
 }
 
-TEST(Failover, ItReturnsSlowly) {
+TEST(Failover, CallsReturnSlowly) {
   FailoverBench b({0, 1000});
-  b.play(1000);
+  b.run_for(1000);
   b.failover.set_ready(0, 0, at(b.now));
-  b.play(3000);
+  b.run_for(3000);
   b.failover.set_ready(0, 10, at(b.now));
-  b.play(4000);  // 0.05 a second: a fifth is back
+  b.run_for(4000);  // 0.05 per second: a fifth has returned
   EXPECT_NEAR(b.failover.share(0), 0.2, 0.03);
-  b.play(20000);
+  b.run_for(20000);
   EXPECT_EQ(b.failover.share(0), 1.0);
 }
 
-// Guards against a silent pool that is taken for whole each time that its failures have faded.
-TEST(Failover, ASilentPoolCostsAFewProbesAndComesBack) {
+// A pool that fails silently must not count as healthy each time its recorded failures have decayed.
+TEST(Failover, AFailedPoolGetsAFewProbesAndRecovers) {
   FailoverBench b({0, 1000});
-  b.play(1000);
+  b.run_for(1000);
   b.capacity[0] = 0;
-  b.play(5000);
-  b.play(20000);
-  EXPECT_LT(b.sent[0], 60);  // two a second of 200
+  b.run_for(5000);
+  b.run_for(20000);
+  EXPECT_LT(b.sent[0], 60);  // two calls/s of 200
   EXPECT_GT(b.sent[0], 20);
   b.capacity[0] = 1e9;
-  b.play(3000);
-  EXPECT_GT(b.failover.share(0), 0.03);  // seen to be back, and returning slowly
-  b.play(25000);
+  b.run_for(3000);
+  EXPECT_GT(b.failover.share(0), 0.03);  // its recovery is detected, and calls return slowly
+  b.run_for(25000);
   EXPECT_EQ(b.failover.share(0), 1.0);
 }
 
-// Guards against failover that turns a lost pool into two.
-TEST(Failover, TheNextPoolIsGivenNoMoreThanItIsKnownToCarry) {
+// Failover must not turn the loss of one pool into the loss of two.
+TEST(Failover, TheNextPoolGetsNoMoreThanItIsKnownToSustain) {
   FailoverBench b({0, 80});
-  b.play(1000);
+  b.run_for(1000);
   b.failover.set_ready(0, 0, at(b.now));
-  b.play(2000);
-  b.play(2000);
-  EXPECT_NEAR(b.part(1), 0.4, 0.06);  // 80 of 200 calls/s; the rest the first pool refuses
+  b.run_for(2000);
+  b.run_for(2000);
+  EXPECT_NEAR(b.share_of_calls(1), 0.4, 0.06);  // 80 of 200 calls/s; the first pool rejects the rest
 }
 
-TEST(Failover, APoolOfWhichNothingIsKnownIsTriedWithMoreAndMore) {
+TEST(Failover, APoolOfUnknownCapacityGetsAGrowingShare) {
   FailoverBench b;
   b.capacity[1] = 150;
-  b.play(1000);
+  b.run_for(1000);
   b.failover.set_ready(0, 0, at(b.now));
-  b.play(1000);
+  b.run_for(1000);
   const double first = b.failover.share(1);
-  EXPECT_LT(first, 0.5);  // 5 calls/s for each of ten endpoints, of 200
-  b.play(20000);
+  EXPECT_LT(first, 0.5);  // 5 calls/s for each of ten endpoints, of 200 calls/s
+  b.run_for(20000);
   EXPECT_GT(b.failover.share(1), first + 0.1);
-  EXPECT_LT(b.failover.share(1), 0.95);  // it carries 0.75 of them
+  EXPECT_LT(b.failover.share(1), 0.95);  // its capacity is 0.75 of them
 }
 
 TEST(Failover, AFlappingPoolDoesNotMoveItsCallsEachTime) {
   FailoverBench b({0, 1000});
-  b.play(2000);
+  b.run_for(2000);
   double moved = 0.0, last = b.failover.share(0);
   for (int i = 0; i < 10; ++i) {
     b.failover.set_ready(0, i % 2 == 0 ? 0 : 10, at(b.now));
-    b.play(1000);
+    b.run_for(1000);
     moved += std::abs(b.failover.share(0) - last);
     last = b.failover.share(0);
   }
-  EXPECT_LT(moved, 1.6);  // once down, then no more than the slow return; without it ten times the whole
+  EXPECT_LT(moved, 1.6);  // once down, then only the slow return; otherwise it would be ten times all calls
   EXPECT_LT(b.failover.share(0), 0.1);
 }
 
-TEST(Failover, TwoHalfLostPoolsShareAndPanicSpreads) {
+TEST(Failover, TwoDegradedPoolsShareCallsAndPanicModeSpreadsThem) {
   FailoverBench b({0, 1000});
-  b.play(1000);
+  b.run_for(1000);
   b.failover.set_ready(0, 4, at(b.now));
   b.failover.set_ready(1, 4, at(b.now));
-  b.play(3000);
+  b.run_for(3000);
   EXPECT_FALSE(b.failover.panic());
-  EXPECT_GT(b.part(0), 0.45);
-  EXPECT_GT(b.part(1), 0.2);
+  EXPECT_GT(b.share_of_calls(0), 0.45);
+  EXPECT_GT(b.share_of_calls(1), 0.2);
   b.failover.set_ready(0, 1, at(b.now));
   b.failover.set_ready(1, 3, at(b.now));
-  b.play(500);
-  b.play(2000);
+  b.run_for(500);
+  b.run_for(2000);
   EXPECT_TRUE(b.failover.panic());
-  EXPECT_NEAR(b.part(1), 0.75, 0.06);
+  EXPECT_NEAR(b.share_of_calls(1), 0.75, 0.06);
 }
 
-TEST(Failover, SharesAlwaysComeToOne) {
+TEST(Failover, SharesAlwaysAddUpToOne) {
   const bool held = rc::check([] {
     FailoverBench b({0, 50, 0});
     for (int i = 0; i < 20; ++i) {
       const auto p = static_cast<std::size_t>(*rc::gen::inRange(0, 3));
       b.failover.set_ready(p, *rc::gen::inRange(0, 12), at(b.now));
       b.capacity[p] = *rc::gen::inRange(0, 300);
-      b.play(*rc::gen::inRange(50, 1500));
+      b.run_for(*rc::gen::inRange(50, 1500));
       double sum = 0;
       for (std::size_t k = 0; k < 3; ++k) {
         RC_ASSERT(b.failover.share(k) >= 0.0);
@@ -359,7 +361,7 @@
 
 // --- Retries in another pool --------------------------------------------------------------------------
 
-TEST(CrossPoolRetry, TheRulesOnRetriesHoldAcrossPools) {
+TEST(CrossPoolRetry, TheRetryRulesHoldAcrossPools) {
   using pool::Idempotency;
   using pool::RetryDenial;
   pool::CrossPoolRetry retry;
@@ -381,7 +383,7 @@
   EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::other_key_memory);
   retry.shares_key_memory = true;
   EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::none);
-  retry.key_retention = Span::ms(1050);  // the last moment at which the next pool may send is past it
+  retry.key_retention = Span::ms(1050);  // the next pool might send after it has ended
   EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::key_forgotten);
   retry.memory_spans_group = false;
   EXPECT_EQ(denial(Idempotency::keyed, ran), RetryDenial::other_key_memory);
@@ -395,7 +397,7 @@
 using limit::Limiter;
 using limit::Rejection;
 
-TEST(Limits, RatesRefuseAtOnceAndSayWhen) {
+TEST(Limits, RatesRejectAtOnceWithARetryDelay) {
   limit::LimitConfig config;
   config.client_rate = {10, 2};
   Limiter l(config, 1, at(0));
@@ -408,7 +410,7 @@
   EXPECT_EQ(l.admit("a", at(0) + no.retry_after).rejection, Rejection::none);
 }
 
-TEST(Limits, ARefusalCostsNothingOfTheOtherBucket) {
+TEST(Limits, ARejectionTakesNoTokenOfTheOtherBucket) {
   limit::LimitConfig config;
   config.rate = {1, 1};
   config.client_rate = {1, 1};
@@ -419,8 +421,8 @@
   EXPECT_EQ(l.admit("b", at(1001)).rejection, Rejection::none);  // its token was not taken
 }
 
-// One noisy client leaves the others their even shares, whatever it tries.
-TEST(Limits, ANoisyClientLeavesTheOthersTheirShares) {
+// A noisy client cannot take the even shares of the others.
+TEST(Limits, ANoisyClientCannotTakeTheSharesOfOthers) {
   limit::LimitConfig config;
   config.max_in_flight = 100;
   Limiter l(config, 1, at(0));
@@ -438,7 +440,7 @@
   const limit::Admission full = l.admit("third", at(1));
   EXPECT_EQ(full.rejection, Rejection::service_in_flight);
   EXPECT_EQ(full.retry_after, config.retry_after);
-  // As its calls end, the quiet ones come up to their even share before it gets any again.
+  // As the noisy client's calls end, the quiet client can grow to its even share first.
   for (int i = 0; i < 40; ++i) l.release(places[static_cast<std::size_t>(i)]);
   for (int i = 0; i < 200; ++i) static_cast<void>(l.admit("noisy", at(2)));
   int quiet = 20;
@@ -446,9 +448,8 @@
   EXPECT_GE(quiet, 40);
 }
 
-// Keys that are new with every call: the table stays as bounded as it is stated, and the service's limit
-// holds.
-TEST(Limits, NewKeysWithEveryCallStayBounded) {
+// With a new key for every call the table of clients stays bounded, and the service's limit holds.
+TEST(Limits, TheTableStaysBoundedWithANewKeyForEveryCall) {
   limit::LimitConfig config;
   config.max_in_flight = 50;
   config.client_rate = {1, 1};
@@ -469,7 +470,7 @@
   EXPECT_LT(l.bytes(), 250000U);
 }
 
-TEST(Limits, IdleClientsAreForgottenAndBusyOnesAreNot) {
+TEST(Limits, IdleClientsAreEvictedAndBusyOnesAreNot) {
   limit::LimitConfig config;
   config.max_client_in_flight = 1;
   config.max_clients = 2;
@@ -479,7 +480,7 @@
   static_cast<void>(l.admit("new", at(70000)));
   EXPECT_EQ(l.clients(), 2U);
   EXPECT_EQ(l.admit("busy", at(70001)).rejection, Rejection::client_in_flight);
-  // No place is left: the next one shares a place with all such, and is still bounded by it.
+  // The table is full: further clients share one entry, and are limited together.
   EXPECT_EQ(l.admit("x", at(70002)).rejection, Rejection::none);
   EXPECT_EQ(l.admit("y", at(70003)).rejection, Rejection::client_in_flight);
   l.release(busy.client_slot);
