--- a/src/control/acceptor.cpp
+++ b/src/control/acceptor.cpp
@@ -11,15 +11,15 @@
 using common::Prepare;
 using common::Promise;
 
-std::int64_t wire(AcceptorStatus status) { return static_cast<std::int64_t>(status); }
+std::int64_t to_wire(AcceptorStatus status) { return static_cast<std::int64_t>(status); }
 
 Promise promise_with(AcceptorStatus status) {
   Promise reply;
-  reply.verdict = wire(status);
+  reply.verdict = to_wire(status);
   return reply;
 }
 
-/// A log of changes is carried out one by one when it is read: it is kept short, so that a start is not late.
+/// A log of changes is replayed record by record, so it is kept shorter to bound the startup time.
 std::size_t max_log_bytes(AcceptorLogForm form) {
   constexpr std::size_t full_states = std::size_t{512} * 1024;
   constexpr std::size_t changes = std::size_t{64} * 1024;
@@ -38,7 +38,8 @@
   const auto recovered = storage_.recover();
   if (absl::IsNotFound(recovered.status())) return absl::OkStatus();
   if (!recovered.ok()) return recovered.status();
-  if (!common::decode(recovered->checkpoint, state_)) return absl::DataLossError("acceptor: slot not read");
+  if (!common::decode(recovered->checkpoint, state_))
+    return absl::DataLossError("acceptor: cannot decode the checkpoint");
   for (const std::string& change : recovered->changes) {
     if (absl::Status applied = apply_log_record(change); !applied.ok()) return applied;
   }
@@ -46,7 +47,7 @@
 }
 
 absl::Status DurableAcceptor::reset() {
-  const auto recovered = storage_.recover();  // so that the new checkpoint's number is above all on the disk
+  const auto recovered = storage_.recover();  // makes the new checkpoint's number higher than any on disk
   const bool is_readable_disk =
       recovered.ok() || absl::IsNotFound(recovered.status()) || absl::IsDataLoss(recovered.status());
   if (!is_readable_disk) return recovered.status();
@@ -55,7 +56,7 @@
 }
 
 absl::Status DurableAcceptor::apply_log_record(const std::string& record) {
-  absl::Status unreadable = absl::DataLossError("acceptor: log not read");
+  absl::Status unreadable = absl::DataLossError("acceptor: cannot decode a log record");
   if (log_form_ == AcceptorLogForm::full_state)
     return common::decode(record, state_) ? absl::OkStatus() : unreadable;
   common::AcceptorChange change;
@@ -69,7 +70,7 @@
   return absl::OkStatus();
 }
 
-/// `change`: what has led to the present state, for the log.
+/// Writes the current state to disk. `change`: the record that a log of changes gets for it.
 absl::Status DurableAcceptor::persist(const common::AcceptorChange& change, WriteForm form) {
   common::check_invariant(common::Invariant::accepted_not_above_promised,
                           !(state_.promised < state_.accepted), [&] {
@@ -83,7 +84,7 @@
   return storage_.append_change(as_change ? common::encoded(change) : common::encoded(state_));
 }
 
-/// Begins a later epoch, if this acceptor is a member of it. In memory: the caller persists it.
+/// Enters a later epoch if this acceptor is a member of it. Changes memory only; the caller persists it.
 bool DurableAcceptor::enter_epoch(std::int64_t epoch, const RegisterValue& epoch_value) {
   if (epoch != epoch_value.epoch || !contains_acceptor(epoch_value, identity_)) return false;
   state_ = {};
@@ -126,7 +127,7 @@
   return reply;
 }
 
-/// `full`, or the value that the difference makes of the accepted one.
+/// Returns the accepted value with the difference applied, or `full` if there is no difference.
 absl::StatusOr<RegisterValue> DurableAcceptor::value_after(const RegisterValue& full,
                                                            const common::ValueDifference& difference) const {
   if (!common::is_difference(difference)) return full;
@@ -139,19 +140,19 @@
   reply.promised = state_.promised;
   if (request.epoch != state_.epoch) {
     const bool has_ended = request.epoch < state_.epoch;
-    reply.verdict = wire(has_ended ? AcceptorStatus::epoch_ended : AcceptorStatus::not_a_member);
+    reply.verdict = to_wire(has_ended ? AcceptorStatus::epoch_ended : AcceptorStatus::not_a_member);
     return reply;
   }
   if (request.ballot < state_.promised) {
-    reply.verdict = wire(AcceptorStatus::ballot_outdated);
+    reply.verdict = to_wire(AcceptorStatus::ballot_outdated);
     return reply;
   }
-  reply.verdict = wire(AcceptorStatus::ok);
+  reply.verdict = to_wire(AcceptorStatus::ok);
   const bool is_repeat = request.ballot.round > 0 && request.ballot == state_.accepted;
-  if (is_repeat) return reply;  // it is on disk already
+  if (is_repeat) return reply;  // already on disk
   absl::StatusOr<RegisterValue> value = value_after(request.value, request.difference);
   if (!value.ok()) {
-    reply.verdict = wire(AcceptorStatus::full_value_required);
+    reply.verdict = to_wire(AcceptorStatus::full_value_required);
     return reply;
   }
   const common::AcceptorRecord before = state_;
--- a/src/control/acceptor.hpp
+++ b/src/control/acceptor.hpp
@@ -1,4 +1,4 @@
-/// The acceptor of the register: the voting role of a controller, on its disk. No network.
+/// The acceptor of the register: the voting role of a controller, with its state on disk. No network I/O.
 #pragma once
 
 #include <cstdint>
@@ -21,68 +21,72 @@
   ballot_outdated = 1,  ///< a later ballot has been promised
   epoch_ended = 2,      ///< the acceptor is in a later epoch; the reply carries that epoch's initial value
   not_a_member = 3,     ///< not an acceptor of the request's epoch
-  full_value_required = 4,  ///< the difference does not apply to what it has accepted: send the full value
+  full_value_required = 4,  ///< the difference does not apply to the accepted value: send the full value
 };
 
-/// What becomes of an acceptor whose state on disk can't be read.
+/// How to open an acceptor whose state on disk cannot be read.
 enum class Unreadable : std::uint8_t {
-  error,  ///< it is not opened: DataLoss
-  reset,  ///< it begins with an empty state, under a new identity of its disk
+  error,  ///< opening fails with DataLoss
+  reset,  ///< the acceptor starts with an empty state; its disk needs a new identity
 };
 
-/// What an acceptor writes to its log between two checkpoints. A log is read by the form it was written in.
+/// What an acceptor writes to its log between two checkpoints. A log must be read in the form in which it was
+/// written.
 enum class AcceptorLogForm : std::uint8_t {
-  full_state,  ///< the whole state, at each promise and each accepted value
-  changes,     ///< only what was promised or accepted: for values that change often
+  full_state,  ///< the full state, for each promise and each accepted value
+  changes,     ///< only the promise or the accepted value: for values that change often
 };
 
-/// Promises and accepts on disk before it replies.
+/// Handles prepare and accept requests. Each promise and each accepted value is on disk before the reply.
 ///
-/// An acceptor is identified by its address and the name of its disk. After its disk was replaced it is no
-/// member of the epoch any more and rejects requests until a later epoch names its new disk; so no promise
-/// that was lost with a disk can be broken.
+/// An acceptor is identified by its address and the name of its disk. After its disk is replaced it is no
+/// longer a member of the epoch and rejects requests until a later epoch names the new disk. So promises that
+/// are lost with a disk cannot be broken.
 ///
-/// If the disk fails, the request that met the failure gets no reply and the state in memory stays what was
-/// last on disk; read-only requests are still answered from it. Nothing more is promised or accepted until a
-/// full checkpoint has been written, by the next request or by retry_write().
+/// If a write fails, the request gets no reply and the state in memory remains what was last on disk;
+/// read-only requests are still answered from it. Nothing more is promised or accepted until a full
+/// checkpoint has been written, by the next request or by retry_write().
 class DurableAcceptor {
  public:
-  /// `identity`: this process's address and the name of `disk`, by which sets of acceptors name it.
-  /// `file_name`: begins the names of its files on `disk`.
+  /// `identity`: this process's address and the name of `disk`, which acceptor sets contain.
+  /// `file_name`: prefix of the names of its files on `disk`.
   DurableAcceptor(common::Disk& disk, AcceptorIdentity identity, std::string file_name = "acceptor",
                   AcceptorLogForm log_form = AcceptorLogForm::full_state);
 
-  /// Reads the state from disk; to be called once, before anything else. DataLoss: the state can't be read,
-  /// so the caller must treat the disk as a new one. Other errors are the disk's: this process cannot vote.
+  /// Reads the state from disk. Must be called once, before any other function. Returns DataLoss if the state
+  /// cannot be read; the caller must then treat the disk as a new one. After any other error, which comes
+  /// from the disk, this process cannot vote.
   [[nodiscard]] absl::Status open();
 
-  /// In place of open(), for a disk that has been given a new identity because its state can't be read:
-  /// begins with an empty state, which is written over whatever the disk has.
+  /// Replaces open() for a disk that has been given a new identity because its state cannot be read. Starts
+  /// with an empty state and writes it over whatever is on the disk.
   [[nodiscard]] absl::Status reset();
 
-  /// Called with the initial value of each epoch that this acceptor enters, once that is on disk. It may be
-  /// the only one left that knows of the epoch, so the proposer of its process has to learn of it.
+  /// Sets a callback that is called with the initial value of each epoch that this acceptor enters, once that
+  /// value is on disk. This acceptor may be the only one left in the epoch, so the proposer of the same
+  /// process must learn of it.
   void on_epoch_entered(std::function<void(const RegisterValue& epoch_value)> callback) {
     epoch_entered_callback_ = std::move(callback);
   }
 
-  /// Errors are the disk's. The caller must not reply then.
+  /// Processes a prepare request. Returns an error if the disk fails; the caller must then not reply.
   [[nodiscard]] absl::StatusOr<common::Promise> prepare(const common::Prepare& request);
+  /// Processes an accept request. Returns an error if the disk fails; the caller must then not reply.
   [[nodiscard]] absl::StatusOr<common::Accepted> accept(const common::Accept& request);
 
-  /// The disk has rejected a write and has taken none since.
+  /// Returns true if a write has failed and none has succeeded since.
   bool is_disk_failing() const { return storage_.needs_checkpoint(); }
-  /// Writes the current state again.
+  /// Writes the current state again, as a full checkpoint.
   [[nodiscard]] absl::Status retry_write() { return persist({}, WriteForm::checkpoint); }
 
   const AcceptorIdentity& identity() const { return identity_; }
 
-  /// 0: member of no epoch yet.
+  /// The epoch that this acceptor is in, or 0 before it has entered one.
   std::int64_t epoch() const { return state_.epoch; }
   bool is_voting() const { return state_.epoch > 0; }
   const RegisterValue& epoch_value() const { return state_.initial; }
-  /// The newest accepted value and the ballot under which it was accepted. Ballot round 0: the epoch's
-  /// initial value.
+  /// The newest accepted value, and the ballot under which it was accepted. The ballot's round is 0 if the
+  /// value is the epoch's initial value.
   const RegisterValue& accepted_value() const { return state_.value; }
   const Ballot& accepted_ballot() const { return state_.accepted; }
   std::int64_t accepted_number() const { return state_.value.number; }
--- a/src/control/acceptor_membership.hpp
+++ b/src/control/acceptor_membership.hpp
@@ -1,11 +1,12 @@
-/// Which controllers are members of a set of acceptors. No I/O.
+/// Decides which controllers are members of a set of acceptors. No I/O.
 ///
-/// The acceptor itself, the planner of sets and the proof of contact with a quorum all ask is_acceptor(): a
-/// controller that one of them counted and another did not would be an acceptor that never votes.
+/// The acceptor, the planner of acceptor sets and the proof of contact with a quorum all use is_acceptor().
+/// If they disagreed, a controller could be counted as an acceptor and never vote.
 ///
-/// A set names its acceptors by address and disk, so that one which has lost its disk is no member any more.
-/// Only the first set, which is made of settings before any disk is known, names them by address alone. It
-/// means the disks that were new when the system was first started. Every later set is a NamedAcceptorSet.
+/// A set names its acceptors by address and disk, so an acceptor that has lost its disk is no longer a
+/// member. Only the first set, which is built from the settings before any disk is known, names them by
+/// address alone. It stands for the disks that were new when the system was first started. Every later set is
+/// a NamedAcceptorSet.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +19,25 @@
 
 namespace chutevane::control {
 
-/// A controller as it may become an acceptor: its own view of itself, or what its gossip says.
+/// What identifies a controller as an acceptor: its own view, or what its gossip reports.
 struct AcceptorIdentity {
   std::string address;            // of its internal port
-  std::string disk;               // id; empty where a peer has not reported any
+  std::string disk;               // ID of its disk; empty if the peer has not reported one
   bool has_initial_disk = false;  // its disk was new when the whole system was first started
 };
 
-/// Whether `controller` is that member of the set of `epoch`. A member without a disk in a later epoch than
-/// the first is nobody: earlier versions have stored such sets.
+/// Returns true if `controller` is `member` of the acceptor set of `epoch`. After the first epoch, a member
+/// without a disk matches no controller; earlier versions have stored such sets.
 bool is_acceptor(const AcceptorIdentity& controller, const Acceptor& member, std::int64_t epoch);
 
-/// Whether `controller` is a member of the epoch's set.
+/// Returns true if `controller` is a member of the epoch's acceptor set.
 bool contains_acceptor(const RegisterValue& epoch_value, const AcceptorIdentity& controller);
 
 /// A set for an epoch after the first: each member with its disk, no address twice.
 class NamedAcceptorSet {
  public:
-  /// Nothing: a member has no address or no disk, an address stands twice, or there are no members.
+  /// Returns std::nullopt if a member lacks an address or a disk, an address occurs twice, or `members` is
+  /// empty.
   static std::optional<NamedAcceptorSet> make(std::vector<Acceptor> members);
   const std::vector<Acceptor>& members() const { return members_; }
 
@@ -44,7 +46,7 @@
   std::vector<Acceptor> members_;
 };
 
-/// The last value of its epoch: `value`, with the set of the next epoch.
+/// Returns `value` as the last value of its epoch, with the acceptor set of the next epoch.
 RegisterValue sealed_with(RegisterValue value, const NamedAcceptorSet& next);
 
 }  // namespace chutevane::control
--- a/src/control/acceptor_set_planner.cpp
+++ b/src/control/acceptor_set_planner.cpp
@@ -10,7 +10,7 @@
 
 using common::Acceptor;
 
-/// A set under construction: the current one, and the changes made to it so far.
+/// An acceptor set under construction: the current set with the changes made so far.
 class DraftSet {
  public:
   struct Slot {
@@ -33,7 +33,7 @@
     return std::any_of(slots_.begin(), slots_.end(), [](const Slot& slot) { return slot.is_new; });
   }
 
-  /// The controller that is this member. Null: it is not in contact.
+  /// Returns the live controller that is the member of this slot, or nullptr if it is out of contact.
   const LiveController* live_member(const Slot& slot) const {
     const auto found = std::find_if(live_.begin(), live_.end(), [&](const LiveController& controller) {
       return is_acceptor(controller.identity, slot.acceptor, epoch_);
@@ -41,19 +41,19 @@
     return found == live_.end() ? nullptr : &*found;
   }
 
-  /// Hands the slot to the free controller at the same address, if there is one.
+  /// Assigns the slot to the free controller at the same address, if there is one.
   void replace_by_own_address(Slot& slot) {
     const auto same_address = std::find_if(free_.begin(), free_.end(), [&](const LiveController& controller) {
       return controller.identity.address == slot.acceptor.address;
     });
     if (same_address != free_.end()) assign(slot, same_address);
   }
-  /// Hands the slot to a free controller, if there is one.
+  /// Assigns the slot to any free controller, if there is one.
   void replace_by_any(Slot& slot) {
     const auto candidate = find_candidate();
     if (candidate != free_.end()) assign(slot, candidate);
   }
-  /// False: no controller is free.
+  /// Adds a free controller as a new member. Returns false if no controller is free.
   bool add_member() {
     const auto candidate = find_candidate();
     if (candidate == free_.end()) return false;
@@ -62,14 +62,14 @@
     return true;
   }
   void drop_last_member() { slots_.pop_back(); }
-  /// Names the disks of members in contact that the first set knows by their addresses alone.
+  /// Fills in the disks of members in contact, which the first set names by address alone.
   void name_disks() {
     for (Slot& slot : slots_) {
       const LiveController* const controller = live_member(slot);
       if (controller != nullptr) slot.acceptor.disk = controller->identity.disk;
     }
   }
-  /// Leaves out members whose disks are not known.
+  /// Removes members whose disks are not known.
   void drop_unnamed() {
     std::erase_if(slots_, [](const Slot& slot) { return slot.acceptor.disk.empty(); });
   }
@@ -82,7 +82,7 @@
  private:
   using Candidate = std::vector<LiveController>::iterator;
 
-  /// A free controller whose address is not in the set: one address must not count as two members.
+  /// Returns a free controller whose address is not in the set, as one address must not count as two members.
   Candidate find_candidate() {
     return std::find_if(free_.begin(), free_.end(), [&](const LiveController& controller) {
       return std::none_of(slots_.begin(), slots_.end(), [&](const Slot& slot) {
@@ -95,7 +95,7 @@
     free_.erase(candidate);
   }
 
-  const std::int64_t epoch_;  // that the current set serves
+  const std::int64_t epoch_;  // of the current set
   std::vector<Slot> slots_;
   const std::vector<LiveController>& live_;
   std::vector<LiveController> free_;  // eligible and not in the set, in the order of `live_`
@@ -117,7 +117,7 @@
     const bool is_present = slot.is_new || member != nullptr;
     const bool is_lost = absence_.update("acceptor " + slot.acceptor.address + " " + slot.acceptor.disk,
                                          is_present, acceptor_absence_timeout, now);
-    // One that shuts down may take its disk with it: it is replaced before it goes, not after.
+    // A controller that shuts down may lose its disk with its machine, so it is replaced before it exits.
     const bool is_shutting_down = member != nullptr && !member->is_eligible;
     if (is_shutting_down || (is_lost && !is_present)) draft.replace_by_any(slot);
     is_awaiting_disk = is_awaiting_disk || (slot.acceptor.disk.empty() && !is_present && !is_lost);
@@ -127,7 +127,7 @@
   if (!draft.has_new_members() || is_awaiting_disk) return std::nullopt;
   draft.name_disks();
   draft.drop_unnamed();
-  // An even number of members bears no more losses than one fewer.
+  // An even number of members tolerates no more losses than one member fewer.
   if (draft.size() > 1 && draft.size() % 2 == 0 && draft.size() < target_size) draft.drop_last_member();
   if (!draft.has_new_members()) return std::nullopt;
   return NamedAcceptorSet::make(draft.members());
--- a/src/control/acceptor_transport.hpp
+++ b/src/control/acceptor_transport.hpp
@@ -1,4 +1,4 @@
-/// How a proposer reaches the acceptors.
+/// The interface through which a proposer sends requests to the acceptors.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace chutevane::control {
 
-/// Sends requests to acceptors by address. A callback may run before the call returns, later, or never; it
-/// runs at most once. An error says nothing about whether the acceptor has carried out the request.
+/// Sends requests to acceptors by address. A callback may run before the call returns, later, or never, and
+/// runs at most once. After an error, the acceptor may or may not have processed the request.
 class AcceptorTransport {
  public:
   using PromiseCallback = std::function<void(absl::StatusOr<common::Promise>)>;
--- a/src/control/configuration_submission.cpp
+++ b/src/control/configuration_submission.cpp
@@ -9,8 +9,8 @@
 
 using common::AppliedConfiguration;
 
-/// The status of a version that is not above the current one. Each configuration was accepted on the version
-/// before it, so the history holds the bases too.
+/// Returns the status of a submission whose version is not above the current one. Each configuration was
+/// accepted on the version before it, so the history also gives the base versions.
 SubmissionStatus evaluate_by_history(const std::vector<AppliedConfiguration>& history,
                                      const ConfigurationSubmission& submission, std::size_t history_limit) {
   const bool is_history_complete = history.size() < history_limit;
@@ -33,8 +33,9 @@
   if (submission.version <= current.config_version)
     return evaluate_by_history(current.applied_configurations, submission, history_limit);
   if (submission.base == current.config_version) return SubmissionStatus::applicable;
-  // A base that was passed never becomes current again. One that is still ahead may, and a retry of the same
-  // submission may meet it there: rejecting it now could reject a configuration that is in force later.
+  // A base below the current version never becomes current again. A base above it may become current later,
+  // and a retry of the same submission may then be applied. So a rejection now could reject a configuration
+  // that later takes effect.
   return submission.base < current.config_version ? SubmissionStatus::superseded
                                                   : SubmissionStatus::undetermined;
 }
--- a/src/control/knowledge_tracker.cpp
+++ b/src/control/knowledge_tracker.cpp
@@ -5,10 +5,10 @@
 namespace chutevane::control {
 namespace {
 
-constexpr Span catch_up_delay = Span::ms(150);  // a notification comes within some ms, or the value is read
+constexpr Span catch_up_delay = Span::ms(150);  // a notification normally arrives within a few ms
 constexpr Span read_timeout = Span::ms(1500);
-constexpr Span epoch_fetch_duration = Span::ms(60);  // for the replies of a later epoch's acceptors
-constexpr Span age_without_value = Span::ms(60000);  // claimed as long as no value is known
+constexpr Span epoch_fetch_duration = Span::ms(60);  // time for replies of a later epoch's acceptors
+constexpr Span age_without_value = Span::ms(60000);  // reported while no value is known
 
 }  // namespace
 
@@ -53,7 +53,7 @@
   if (confirmed) confirmed_at_ = std::max(confirmed_at_, *confirmed);
 }
 
-/// Whether anything tells of a value or an epoch that is newer than what is known here.
+/// Returns true if the local acceptor or a live peer reports a newer value or epoch than the known one.
 bool KnowledgeTracker::is_behind() const {
   if (!register_.known_value()) return true;
   const std::int64_t known = register_.known_value()->number;
@@ -66,8 +66,8 @@
   });
 }
 
-/// Asks the acceptors of a later epoch that a peer has reported for its initial value; gossip carries only
-/// its set of acceptors. False: nobody has reported one.
+/// If a peer has reported a later epoch, requests the epoch's initial value from its acceptors, as gossip
+/// carries only the acceptor set. Returns false if no peer has reported one.
 bool KnowledgeTracker::fetch_later_epoch() {
   const auto later = std::find_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
@@ -75,7 +75,7 @@
   });
   if (later == peers_.end()) return false;
   is_catching_up_ = true;
-  // A copy: a reply may come at once and change the table of peers.
+  // Copied because a reply may arrive during the call and change the table of peers.
   const std::vector<common::Acceptor> acceptors = later->second.last_gossip->initial.acceptors;
   fetch_epoch_from(acceptors);
   timers_.after(epoch_fetch_duration, [this] {
@@ -86,7 +86,7 @@
 }
 
 void KnowledgeTracker::fetch_epoch_from(const std::vector<common::Acceptor>& acceptors) {
-  common::Prepare request;  // of epoch 0, which all have left: the reply names the newest
+  common::Prepare request;  // for epoch 0, which all have left, so the reply carries the newest epoch
   request.read_only = true;
   for (const common::Acceptor& acceptor : acceptors) {
     transport_.prepare(acceptor.address, request, [this](absl::StatusOr<common::Promise> reply) {
@@ -101,7 +101,7 @@
   const TimePoint begin = timers_.now();
   register_.read(read_timeout, [this, begin](const absl::StatusOr<RegisterValue>& value) {
     is_catching_up_ = false;
-    // What it has found was chosen at some time after its begin.
+    // A read returns a value that was current at some time after the read began.
     if (value.ok()) confirmed_at_ = std::max(confirmed_at_, begin);
   });
 }
--- a/src/control/knowledge_tracker.hpp
+++ b/src/control/knowledge_tracker.hpp
@@ -1,4 +1,4 @@
-/// How current a controller's knowledge of the register is, and catching up when it is behind.
+/// Tracks how current a controller's knowledge of the register is, and catches up when it is behind.
 #pragma once
 
 #include <cstdint>
@@ -17,32 +17,35 @@
 
 namespace chutevane::control {
 
-/// What this controller's acceptor reports to others about that epoch: 0 accepted where it is in another one.
+/// Returns what this controller's acceptor reports to peers about `epoch`. The accepted number is 0 if the
+/// acceptor is in another epoch.
 AcceptorReport report_of(const DurableAcceptor& acceptor, std::int64_t epoch);
 
-/// Usually a controller learns of a chosen value from the one that changed it. Gossip tells how far the
-/// others are: a controller that stays behind for a moment reads the register itself. The age of its
-/// knowledge follows from reads and from the peers' proof of contact (quorum_contact.hpp).
+/// Usually a controller receives a chosen value from the controller that changed it. Gossip carries the
+/// numbers that the others know: a controller that stays behind for `catch_up_delay` reads the register
+/// itself. The age of its knowledge is derived from reads and from the proof of contact with a quorum
+/// (quorum_contact.hpp).
 class KnowledgeTracker {
  public:
   /// All arguments must outlive this object. `acceptor` must hold a value before any other call.
   KnowledgeTracker(net::TimerQueue& timers, Register& reg, const std::optional<DurableAcceptor>& acceptor,
                    const PeerTable& peers, AcceptorTransport& transport, std::int64_t incarnation);
 
-  /// Gossip of a peer has come.
+  /// Processes a gossip message of a peer.
   void on_gossip(const common::Gossip& gossip);
   void remove_peer(const std::string& address) { contact_.remove_peer(address); }
 
-  /// Updates the age of the knowledge. Where this controller has been behind for `catch_up_delay`, reads the
-  /// register. To be called with each tick and each gossip message.
+  /// Updates the age of the knowledge, and reads the register if this controller has been behind for
+  /// `catch_up_delay`. Must be called with each tick and each gossip message.
   void catch_up();
 
-  /// How long ago it was last proven that nothing newer than the known value had been chosen.
+  /// Returns the time since it was last proven that no value newer than the known one had been chosen.
   Span age() const;
-  /// Whether a quorum of acceptors has exchanged messages with this controller, the first of them sent less
-  /// than `within` ago.
+  /// Returns true if each acceptor of a quorum has echoed a message that this controller sent less than
+  /// `within` ago.
   bool has_quorum_contact(Span within) const;
-  /// Addresses of the acceptors with which it has exchanged messages in that time; its own if it is one.
+  /// Returns the addresses of the acceptors that have echoed a message sent within that time, with its own if
+  /// this controller is an acceptor.
   std::set<std::string> acceptors_in_contact(Span within) const;
 
  private:
@@ -59,9 +62,9 @@
   const PeerTable& peers_;
   AcceptorTransport& transport_;
   QuorumContact contact_;
-  TimePoint confirmed_at_;  // nothing that was chosen before is newer than the known value
+  TimePoint confirmed_at_;  // no value chosen before this time is newer than the known value
   std::optional<TimePoint> behind_since_;
-  bool is_catching_up_ = false;  // a read, or a request for a later epoch, is under way
+  bool is_catching_up_ = false;  // a read, or a request for a later epoch, is in progress
 };
 
 }  // namespace chutevane::control
--- a/src/control/quorum_contact.cpp
+++ b/src/control/quorum_contact.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 namespace chutevane::control {
+
 void QuorumContact::on_report(const AcceptorReport& report, std::int64_t echo_incarnation,
                               TimePoint echo_stamp) {
   if (echo_incarnation != incarnation_) return;
--- a/src/control/quorum_contact.hpp
+++ b/src/control/quorum_contact.hpp
@@ -2,19 +2,19 @@
 ///
 /// A controller sends each peer a message that carries a stamp: its own steady clock at sending. Each peer
 /// returns, with its next message, the newest stamp that it has received (an echo), and the number of the
-/// value that its disk has accepted. An echo proves two things, however long either message was under way:
-/// the peer received what was sent at that stamp, and what it reports was true at some time after it.
+/// value that its disk has accepted. However long either message was in transit, an echo proves two things:
+/// the peer received what was sent at that stamp, and what it reports was true at some time after the stamp.
 ///
-/// From echoes of a quorum follows the age of this controller's knowledge. Let T be a time such that a
+/// The age of this controller's knowledge follows from the echoes of a quorum. Let T be a time such that a
 /// quorum of the epoch's acceptors has echoed a stamp of T or later and reported an accepted number that is
 /// not above the known one. A value chosen before T was accepted by another quorum before T. The two share
 /// an acceptor, accepted numbers never fall, so that acceptor's report is at least that value's number:
 /// nothing chosen before T is newer than what is known. A sealed value, which ends an epoch, counts as any
 /// accepted value; an acceptor that has entered a later epoch reports that epoch and agrees to nothing here.
 ///
-/// It rests on: an acceptor's disk keeps what it accepted (docs/register.md); an acceptor whose disk was
-/// replaced has another disk name, and its reports count for nothing until an epoch names that disk; the
-/// steady clock of this process never goes back. Peers' clocks do not matter.
+/// This assumes that an acceptor's disk keeps what it accepted (docs/register.md); that an acceptor whose
+/// disk was replaced has another disk name, so that its reports are ignored until an epoch names that disk;
+/// and that the steady clock of this process never goes back. Peers' clocks do not matter.
 #pragma once
 
 #include <cstdint>
@@ -30,37 +30,39 @@
 
 namespace chutevane::control {
 
-/// What a peer's message says of its acceptor, and the stamp that it echoes.
+/// What a peer's message reports about its acceptor.
 struct AcceptorReport {
   AcceptorIdentity acceptor;
   std::int64_t epoch = 0;
-  std::int64_t accepted = 0;  // number of the value, 0: none in this epoch
+  std::int64_t accepted = 0;  // number of the accepted value; 0 if none in this epoch
 };
 
-/// Collects the echoes and reports of the peers and answers for what time they prove contact. To be called
-/// from one thread; times are of this process's steady clock.
+/// Collects the echoes and reports of the peers and computes the times for which they prove contact. Must be
+/// called from one thread. Times are from this process's steady clock.
 class QuorumContact {
  public:
-  /// `incarnation`: drawn anew at each start of the process, so that an echo of an earlier incarnation proves
-  /// nothing.
+  /// `incarnation`: random number drawn at each start of the process, so that an echo of a stamp of an
+  /// earlier incarnation proves nothing.
   explicit QuorumContact(std::int64_t incarnation) : incarnation_(incarnation) {}
   std::int64_t incarnation() const { return incarnation_; }
 
-  /// A peer's message has come. `echo_incarnation`, `echo_stamp`: what it returns of this controller's
-  /// messages.
+  /// Processes a peer's message. `echo_incarnation`, `echo_stamp`: the incarnation and the stamp of the
+  /// newest message of this controller that the peer had received.
   void on_report(const AcceptorReport& report, std::int64_t echo_incarnation, TimePoint echo_stamp);
-  /// Drops what that peer has proven.
+  /// Removes the report and the echo of that peer.
   void remove_peer(const std::string& address) { peers_.erase(address); }
 
-  /// The newest time since which a quorum has received from this controller and it from them, whatever they
-  /// have accepted: what a lease rests on. Nothing: there was none. `epoch_value` names the acceptors.
+  /// Returns the newest time T such that a quorum has echoed a stamp of T or later, whatever it has accepted.
+  /// Leader leases are based on it. Returns std::nullopt if no quorum has echoed a stamp. `epoch_value` names
+  /// the acceptors.
   std::optional<TimePoint> last_contact(const RegisterValue& epoch_value, const AcceptorReport& own,
                                         TimePoint now) const;
-  /// The newest time T such that no value chosen before T has a number above `known`.
+  /// Returns the newest time T for which it is proven that no value chosen before T has a number above
+  /// `known`, or std::nullopt if there is none.
   std::optional<TimePoint> confirmed_until(const RegisterValue& epoch_value, const AcceptorReport& own,
                                            std::int64_t known, TimePoint now) const;
-  /// Addresses of the acceptors that have received from this controller, and it from them, what was sent at
-  /// `since` or later; its own if it is one.
+  /// Returns the addresses of the acceptors that have echoed a stamp of `since` or later, with this
+  /// controller's own address if it is an acceptor.
   std::set<std::string> members_in_contact(const RegisterValue& epoch_value, const AcceptorReport& own,
                                            TimePoint since) const;
 
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -17,11 +17,11 @@
 using common::Promise;
 
 constexpr Span attempt_timeout = Span::ms(400);  // per phase: a round trip and a disk sync take a few ms
-constexpr Span min_backoff = Span::ms(8);        // before the next ballot: two round trips
-constexpr Span backoff_jitter = Span::ms(40);    // so that two proposers do not collide again
-constexpr int max_backoff_doublings = 3;         // of the jitter, one for each failed attempt
+constexpr Span min_backoff = Span::ms(8);        // about two round trips
+constexpr Span backoff_jitter = Span::ms(40);    // keeps two proposers from colliding again
+constexpr int max_backoff_doublings = 3;         // the jitter doubles with each failed attempt
 
-/// The promise with the newest accepted ballot; `promises` must not be empty.
+/// Returns the promise with the newest accepted ballot; `promises` must not be empty.
 const Promise& newest_promise(const std::vector<Promise>& promises) {
   return *std::max_element(promises.begin(), promises.end(),
                            [](const Promise& a, const Promise& b) { return a.accepted < b.accepted; });
@@ -41,26 +41,27 @@
   TimePoint deadline;
   net::TimerQueue::Handle timer;
   bool is_finished = false;
-  int failed_attempts = 0;  // that met a later ballot, or no majority
+  int failed_attempts = 0;  // attempts that met a later ballot or got no majority
 
-  // Of the attempt under way
-  std::int64_t attempt = 0;  // rises with each phase that is abandoned: late replies are recognized by it
-  bool is_read_only = true;  // the first attempt only looks
+  // State of the current attempt
+  std::int64_t attempt = 0;  // raised when a phase is abandoned, so that late replies are recognized
+  bool is_read_only = true;  // no ballot is prepared
   Ballot ballot;
-  RegisterValue epoch_value;                         // of the epoch that the attempt runs in
-  std::shared_ptr<const AcceptedValue> known_value;  // of this epoch: promises may leave its value out
+  RegisterValue epoch_value;                         // initial value of the epoch of the attempt
+  std::shared_ptr<const AcceptedValue> known_value;  // of this epoch; promises may omit its value
   std::vector<Promise> promises;
   std::size_t granted = 0;
   std::size_t rejected = 0;
   bool is_accepting = false;           // phase 2 has begun
-  RegisterValue value;                 // that is proposed
-  common::ValueDifference difference;  // of `value` from the value found; empty: it would not be shorter
+  RegisterValue value;                 // the proposed value
+  common::ValueDifference difference;  // from the value found to `value`; empty if not much shorter
 
   std::size_t acceptor_count() const { return epoch_value.acceptors.size(); }
   bool has_quorum() const { return granted >= quorum_size(epoch_value); }
   bool is_quorum_out_of_reach() const { return acceptor_count() - rejected < quorum_size(epoch_value); }
   bool is_current(std::int64_t of_attempt) const { return !is_finished && attempt == of_attempt; }
-  /// The value that a promise reports. It is left out where the acceptor knows that this process has it.
+  /// Returns the value that a promise reports. The acceptor omits it if the request named its ballot as
+  /// known.
   const RegisterValue& reported_value(const Promise& promise) const {
     return promise.value_known ? known_value->value : promise.value;
   }
@@ -69,7 +70,7 @@
 Register::Register(net::TimerQueue& timers, AcceptorTransport& transport, std::uint64_t proposer)
     : timers_(timers), transport_(transport), proposer_(proposer), random_state_(proposer) {}
 
-// ---- What is learnt
+// ---- Learning
 
 void Register::observe_epoch(const RegisterValue& epoch_value) {
   if (epoch_value.epoch <= epoch_value_.epoch) return;
@@ -115,7 +116,7 @@
   if (was_proposing) release_proposer();
 }
 
-/// Whether the operation may propose now. If not, it is queued until it may, or until its deadline.
+/// Returns true if the operation may propose now. If not, queues it until it may, or until its deadline.
 bool Register::acquire_proposer(const OperationPtr& operation) {
   if (!proposing_) proposing_ = operation;
   if (proposing_ == operation) return true;
@@ -123,7 +124,8 @@
   timers_.cancel(operation->timer);
   operation->timer = timers_.at(operation->deadline, [this, operation] {
     std::erase(waiting_, operation);
-    finish(operation, absl::DeadlineExceededError("others were before it"));
+    finish(operation,
+           absl::DeadlineExceededError("timed out while waiting for other proposals of this process"));
   });
   waiting_.push_back(operation);
   return false;
@@ -135,15 +137,16 @@
   const OperationPtr next = waiting_.front();
   waiting_.pop_front();
   proposing_ = next;
-  next->is_read_only = true;  // the change that it waited for may have made its own unnecessary
+  next->is_read_only = true;  // the change before it may have made this one unnecessary
   start_attempt(next);
 }
 
 void Register::start_attempt(const OperationPtr& operation) {
   if (operation->is_finished) return;
-  if (epoch_value_.epoch == 0) return finish(operation, absl::UnavailableError("no acceptors known yet"));
+  if (epoch_value_.epoch == 0) return finish(operation, absl::UnavailableError("no acceptors are known yet"));
   if (timers_.now() >= operation->deadline)
-    return finish(operation, absl::DeadlineExceededError("no majority in time"));
+    return finish(operation,
+                  absl::DeadlineExceededError("no majority of the acceptors replied before the deadline"));
   if (!operation->is_read_only && !acquire_proposer(operation)) return;
   ++operation->attempt;
   operation->epoch_value = epoch_value_;
@@ -181,7 +184,7 @@
   start_attempt(operation);
 }
 
-/// Abandons the attempt and starts another after a random pause that grows with each failure.
+/// Abandons the attempt and starts another one after a random backoff that grows with each failure.
 void Register::retry_later(const OperationPtr& operation) {
   if (operation->is_finished) return;
   ++operation->attempt;
@@ -206,7 +209,7 @@
     update_entered(operation->epoch_value, acceptor_index, *reply);
     status = static_cast<AcceptorStatus>(reply->verdict);
     const std::shared_ptr<const AcceptedValue>& known = operation->known_value;
-    // It leaves out a value that this request did not name: the answer to another request.
+    // The promise omits a value whose ballot this request did not name, so it answers another request.
     if (reply->value_known && (!known || known->ballot != reply->accepted))
       status = AcceptorStatus::not_a_member;
   }
@@ -228,8 +231,9 @@
   }
 }
 
-/// A majority has answered the read-only attempt. Its value is known to be chosen where a majority has
-/// accepted it under one ballot and none of those that answered has accepted under a later one.
+/// Called for each reply once a majority has replied to the read-only attempt. The newest value is known to
+/// be chosen if a majority has accepted it under one ballot and no acceptor that replied has accepted a later
+/// one.
 void Register::on_read_quorum(const OperationPtr& operation) {
   const Promise& newest = newest_promise(operation->promises);
   const auto accepted_newest = static_cast<std::size_t>(
@@ -263,12 +267,13 @@
   AcceptorReply outcome = AcceptorReply::none;
   if (reply.ok()) {
     const bool is_member = static_cast<AcceptorStatus>(reply->verdict) != AcceptorStatus::not_a_member;
-    outcome = is_member ? AcceptorReply::member : AcceptorReply::stranger;
+    outcome = is_member ? AcceptorReply::member : AcceptorReply::non_member;
   }
   reply_callback_(epoch, address, outcome);
 }
 
-/// An acceptor that has replied in an epoch has its initial value on disk: it need not be sent again.
+/// Records whether the acceptor has entered the epoch. If so, it has the initial value on disk, which need
+/// not be sent again.
 void Register::update_entered(const RegisterValue& epoch_value, std::size_t acceptor_index,
                               const Promise& reply) {
   const std::string& address = epoch_value.acceptors[acceptor_index].address;
@@ -291,14 +296,14 @@
       return send_accepts(operation, current, std::move(*next));
     }
   }
-  // The current value stands. It must be chosen before it is reported: a value that this one replaced, in the
-  // eyes of the caller, must not come back.
+  // The current value stays. It must be chosen before it is reported, or a later read could return an older
+  // value.
   send_accepts(operation, current, current);
 }
 
 // ---- Phase 2: accept
 
-/// `found`: the newest value that phase 1 has found accepted, so the one that most acceptors have.
+/// `found`: the newest accepted value found in phase 1, which most acceptors are likely to have.
 void Register::send_accepts(const OperationPtr& operation, const RegisterValue& found, RegisterValue value) {
   operation->value = std::move(value);
   operation->granted = operation->rejected = 0;
@@ -344,7 +349,7 @@
 }
 
 void Register::on_value_chosen(const OperationPtr& operation) {
-  // A sealed value ends the epoch: the operation goes on in the next one, which begins with what it held.
+  // A sealed value ends the epoch. The operation continues in the next one, which starts with its contents.
   if (is_sealed(operation->value))
     return restart_in_newer_epoch(operation, next_epoch_value(operation->value));
   const RegisterValue value = operation->value;
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -7,12 +7,12 @@
 /// numbered, and each change raises the number by one.
 ///
 /// A set of acceptors serves one epoch. To change the set, a value that names the next set (`next_acceptors`)
-/// is chosen like any other; it is sealed: the last of its epoch. The next epoch begins with what it held.
-/// Acceptors are named by address and disk, so an acceptor that has lost its disk belongs to no set until a
-/// later epoch names its new disk.
+/// is chosen like any other. This value is sealed: it is the last one of its epoch, and the next epoch starts
+/// with its contents. Acceptors are named by address and disk, so an acceptor that has lost its disk belongs
+/// to no set until a later epoch names its new disk.
 ///
-/// A read is a change that changes nothing. Its first attempt is read-only: where a majority reports the same
-/// accepted ballot, that value is chosen and the read ends after one round trip without a disk write.
+/// A read is a change that changes nothing. Its first attempt is read-only: if a majority reports the same
+/// accepted ballot, that value is chosen and the read completes after one round trip without a disk write.
 ///
 /// docs/register.md compares the alternatives; model/register.pml checks the protocol.
 #pragma once
@@ -35,26 +35,28 @@
 
 namespace chutevane::control {
 
-/// One process's access to the register: its proposer, and what it has learnt of the chosen values.
+/// One process's access to the register: its proposer, and the chosen values that it has learnt.
 ///
 /// Callbacks run from the event loop, or from within the call that caused them. The transport and the timers
 /// must outlive this object.
 class Register {
  public:
-  /// Makes the next value out of the current one; nothing: the current value stands. May be called several
-  /// times, with other values, before the change is decided.
+  /// Returns the next value for the current one, or std::nullopt to leave it as it is. May be called several
+  /// times, with different values, before the change is decided.
   using Change = std::function<std::optional<RegisterValue>(const RegisterValue& current)>;
-  /// The chosen value as of the end of the operation, or an error: DeadlineExceeded, or Unavailable where no
-  /// acceptors are known yet. After an error the change may still be chosen later, or never.
+  /// Receives the value that is chosen at the end of the operation, or an error: DeadlineExceeded, or
+  /// Unavailable if no acceptors are known yet. After an error the change may still be chosen later, or
+  /// never.
   using Callback = std::function<void(absl::StatusOr<RegisterValue>)>;
 
-  /// `proposer`: drawn anew at each start of the process; breaks ties between ballots of one round.
+  /// `proposer`: random number drawn at each start of the process, which breaks ties between ballots of the
+  /// same round.
   Register(net::TimerQueue& timers, AcceptorTransport& transport, std::uint64_t proposer);
 
-  /// What the first attempt of an operation does. The result is the same.
+  /// What the first attempt of an operation does. The result is the same in both cases.
   enum class FirstAttempt : std::uint8_t {
-    read_only,  ///< it only reads: where the current value stands, nothing is written
-    propose,    ///< it prepares a ballot: one round trip less where the value will be changed
+    read_only,  ///< it only reads: nothing is written if the value stays as it is
+    propose,    ///< it prepares a ballot: saves one round trip if the value is changed
   };
 
   /// Carries out a change; `callback` runs exactly once, within `timeout`.
@@ -65,36 +67,40 @@
     change([](const RegisterValue&) { return std::nullopt; }, timeout, std::move(callback));
   }
 
-  /// Learns of an epoch by its initial value; without effect unless it is newer than the newest known one.
+  /// Learns of an epoch from its initial value. Has no effect unless the epoch is newer than the known one.
   void observe_epoch(const RegisterValue& epoch_value);
   /// Learns that `value` was chosen in the epoch of `epoch_value`; older values are ignored.
   void observe_chosen(const RegisterValue& value, const RegisterValue& epoch_value);
-  /// Learns that `value` was accepted under that ballot: acceptors need not send it back.
+  /// Learns that `value` was accepted under that ballot, so that acceptors can omit it from promises.
   void observe_accepted(std::int64_t epoch, const Ballot& ballot, const RegisterValue& value);
-  /// Called with each value that this process learns to be chosen, numbers rising.
+  /// Sets a callback that is called with each chosen value that this process learns, in rising order of
+  /// numbers.
   void on_chosen(std::function<void(const RegisterValue&)> callback) {
     chosen_callback_ = std::move(callback);
   }
 
-  /// Asks one acceptor of the newest epoch, without a ballot, so that on_acceptor_reply() tells whether it
-  /// votes.
+  /// Sends a read-only prepare request to one acceptor of the newest epoch, so that the callback of
+  /// on_acceptor_reply() receives whether it votes.
   void probe_acceptor(const std::string& address);
-  /// Called when a prepare request of that epoch to the acceptor at that address has come to its end.
+  /// Called when a prepare request of that epoch to the acceptor at that address has been answered or has
+  /// failed.
   using ReplyCallback =
       std::function<void(std::int64_t epoch, const std::string& address, AcceptorReply reply)>;
   void on_acceptor_reply(ReplyCallback callback) { reply_callback_ = std::move(callback); }
 
-  /// The initial value of the newest known epoch: its number and its acceptors. Epoch 0: none is known.
+  /// The initial value of the newest known epoch, which names its acceptors. Its `epoch` is 0 if none is
+  /// known.
   const RegisterValue& epoch_value() const { return epoch_value_; }
-  /// The newest value that this process knows to be chosen.
+  /// The newest value that this process knows to be chosen, or std::nullopt if it knows none.
   const std::optional<RegisterValue>& known_value() const { return known_value_; }
-  /// The ballot under which known_value() was accepted in the newest epoch. Round 0: not known.
+  /// Returns the ballot under which known_value() was accepted in the newest epoch. Its round is 0 if not
+  /// known.
   Ballot known_ballot() const {
     const bool is_current = accepted_ && known_value_ && accepted_->value.number == known_value_->number;
     return is_current ? accepted_->ballot : Ballot{};
   }
-  /// Whether the machine at that address may be removed with its disk: a set of acceptors without it has the
-  /// value at a majority.
+  /// Returns true if the machine at that address may be removed with its disk, because a majority of an
+  /// acceptor set without it has the value.
   bool is_released(const std::string& address) const {
     return known_value_ && known_value_->epoch == epoch_value_.epoch &&
            !contains_address(known_value_->acceptors, address);
@@ -104,7 +110,7 @@
   /// A change or read in progress, over all its attempts.
   struct Operation;
   using OperationPtr = std::shared_ptr<Operation>;
-  /// A value and its ballot. A ballot has one proposer, which proposes one value under it, so the ballot
+  /// A value and its ballot. A ballot has one proposer, which proposes only one value under it, so the ballot
   /// identifies the value.
   struct AcceptedValue {
     std::int64_t epoch = 0;
@@ -136,7 +142,7 @@
                    const absl::StatusOr<common::Accepted>& reply);
   void on_value_chosen(const OperationPtr& operation);
 
-  // Turn to propose
+  // Serialization of proposals
   bool acquire_proposer(const OperationPtr& operation);
   void release_proposer();
 
@@ -144,15 +150,15 @@
   AcceptorTransport& transport_;
   const std::uint64_t proposer_;
   std::uint64_t random_state_;
-  std::int64_t highest_round_ = 0;  // of any ballot met so far
+  std::int64_t highest_round_ = 0;  // highest round of any ballot seen
   RegisterValue epoch_value_;
-  std::shared_ptr<const AcceptedValue> accepted_;  // the newest in this epoch that was seen or proposed
-  std::set<std::string> entered_;                  // addresses of acceptors known to be in the newest epoch
+  std::shared_ptr<const AcceptedValue> accepted_;  // newest one seen or proposed in this epoch
+  std::set<std::string> entered_;                  // addresses of acceptors known to have entered it
   std::optional<RegisterValue> known_value_;
   std::function<void(const RegisterValue&)> chosen_callback_;
   ReplyCallback reply_callback_;
-  // Only one operation of this process proposes at a time, or they would outbid each other. The others wait
-  // in the order in which they came. Read-only attempts do not wait.
+  // Only one operation of this process proposes at a time, since concurrent proposals would preempt each
+  // other. The others wait in order of arrival. Read-only attempts do not wait.
   OperationPtr proposing_;
   std::deque<OperationPtr> waiting_;
 };
--- a/src/control/value_notification.cpp
+++ b/src/control/value_notification.cpp
@@ -21,7 +21,7 @@
 
 bool apply_chosen_notification(Register& reg, const common::RecentValues& recent,
                                const common::Chosen& notification) {
-  // Without its epoch's initial value it is meant for those who are in that epoch.
+  // A notification without its epoch's initial value is for receivers that are in that epoch.
   const bool names_epoch = notification.initial.epoch != 0;
   if (!names_epoch && notification.epoch != reg.epoch_value().epoch) return false;
   const absl::StatusOr<RegisterValue> value =
--- a/src/control/value_notification.hpp
+++ b/src/control/value_notification.hpp
@@ -1,8 +1,8 @@
-/// How a controller notifies another one of a chosen value. No I/O.
+/// Creates and applies the notification of a chosen value from one controller to another. No I/O.
 ///
-/// The notification carries the difference from the receiver's value where that is known, or the full value.
-/// One that cannot be applied is dropped: its receiver finds out by gossip that it is behind, and reads the
-/// register.
+/// The notification carries the difference from the receiver's value if that is known, else the full value. A
+/// notification that cannot be applied is dropped: its receiver detects from gossip that it is behind, and
+/// reads the register.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,19 @@
 
 namespace chutevane::control {
 
-/// What is known of the receiver, by its gossip or by what it was sent.
+/// The position of a receiver, known from its gossip or from what it was sent.
 struct PeerPosition {
   std::int64_t epoch = 0;
-  std::int64_t number = 0;  // of its newest value; 0: not known
+  std::int64_t number = 0;  // of its newest value; 0 if not known
 };
 
-/// A notification of the newest value that `reg` knows; there must be one. `recent`: this controller's recent
-/// values, from which the difference is made.
+/// Returns a notification of the newest value that `reg` knows; there must be one. `recent`: this
+/// controller's recent values, from which the difference is computed.
 common::Chosen make_chosen_notification(common::RecentValues& recent, const Register& reg,
                                         const PeerPosition& receiver);
 
-/// Applies a notification to `reg`. `recent`: the receiver's recent values. False: it could not be applied.
+/// Applies a notification to `reg`. Returns false if it cannot be applied. `recent`: the receiver's recent
+/// values.
 bool apply_chosen_notification(Register& reg, const common::RecentValues& recent,
                                const common::Chosen& notification);
 
--- a/tests/control/voting_monitor_test.cpp
+++ b/tests/control/voting_monitor_test.cpp
@@ -1,4 +1,4 @@
-// Acceptors in contact that do not vote are found, and no others.
+// Tests of VotingMonitor: it finds the acceptors that are in contact and do not vote, and no others.
 #include "control/voting_monitor.hpp"
 
 #include <set>
@@ -23,7 +23,7 @@
   VotingMonitor monitor;
   TimePoint now = TimePoint::at_ms(1000);
 
-  // `a2` gets one reply of that kind and all others vote, once each 250 ms; true once it is found.
+  // Every 250 ms, `a1` votes and `a2` gives `reply`. Returns true if an acceptor was found not to vote.
   bool finds(AcceptorReply reply, Span span, const std::set<std::string>& in_contact) {
     bool found = false;
     for (const TimePoint end = now + span; now < end; now = now + Span::ms(250)) {
@@ -36,28 +36,29 @@
   }
 };
 
-TEST(VotingMonitoring, AStrangerInContactIsFoundAfterItsTime) {
-  CHECK_FALSE(finds(AcceptorReply::stranger, non_voting_delay, all));
-  CHECK_TRUE(finds(AcceptorReply::stranger, Span::ms(500), all));
+TEST(VotingMonitoring, NonMemberInContactIsFoundAfterTheDelay) {
+  CHECK_FALSE(finds(AcceptorReply::non_member, non_voting_delay, all));
+  CHECK_TRUE(finds(AcceptorReply::non_member, Span::ms(500), all));
   CHECK_TRUE(monitor.non_voting() == std::set<std::string>{"a2"});
 }
 
-TEST(VotingMonitoring, OneThatDoesNotAnswerIsFoundToo) {
+TEST(VotingMonitoring, AcceptorWithoutRepliesIsFound) {
   CHECK_TRUE(finds(AcceptorReply::none, non_voting_delay + Span::ms(500), all));
 }
 
-TEST(VotingMonitoring, OneThatVotesIsNotFound) {
+TEST(VotingMonitoring, VotingAcceptorIsNotFound) {
   CHECK_FALSE(finds(AcceptorReply::member, non_voting_delay * 5, all));
 }
 
-// Nobody expects the vote of one that is out of contact; the time begins anew when it is back.
-TEST(VotingMonitoring, OneOutOfContactIsNotFound) {
+// An acceptor that is out of contact is not expected to vote. The delay starts again when it is back in
+// contact.
+TEST(VotingMonitoring, AcceptorOutOfContactIsNotFound) {
   CHECK_FALSE(finds(AcceptorReply::none, non_voting_delay * 2, {"a1", "a3"}));
-  CHECK_FALSE(finds(AcceptorReply::stranger, non_voting_delay, all));
+  CHECK_FALSE(finds(AcceptorReply::non_member, non_voting_delay, all));
 }
 
-// One failure in quiet times: it is asked again, and its vote clears it.
-TEST(VotingMonitoring, ASuspectIsNamedUntilItVotesOrIsGone) {
+// After a single failure the acceptor is probed again, and its vote clears the suspicion.
+TEST(VotingMonitoring, SuspectIsListedUntilItVotesOrLosesContact) {
   CHECK_TRUE(monitor.suspects().empty());
   monitor.on_reply(epoch, "a2", AcceptorReply::none, now);
   monitor.on_reply(epoch, "a3", AcceptorReply::none, now);
@@ -68,20 +69,20 @@
   CHECK_TRUE(monitor.suspects().empty());
 }
 
-TEST(VotingMonitoring, AVoteEndsIt) {
-  CHECK_TRUE(finds(AcceptorReply::stranger, non_voting_delay * 2, all));
+TEST(VotingMonitoring, VoteClearsTheFinding) {
+  CHECK_TRUE(finds(AcceptorReply::non_member, non_voting_delay * 2, all));
   monitor.on_reply(epoch, "a2", AcceptorReply::member, now);
   CHECK_TRUE(monitor.update(epoch, all, now));
   CHECK_TRUE(monitor.non_voting().empty());
   CHECK_FALSE(monitor.update(epoch, all, now));
 }
 
-// The set has changed: what was refused in the epoch before counts no more, nor does a late reply of it.
-TEST(VotingMonitoring, ALaterEpochBeginsAnew) {
-  CHECK_TRUE(finds(AcceptorReply::stranger, non_voting_delay * 2, all));
+// After a change of the set, refusals and late replies of the former epoch no longer count.
+TEST(VotingMonitoring, LaterEpochDiscardsEarlierReplies) {
+  CHECK_TRUE(finds(AcceptorReply::non_member, non_voting_delay * 2, all));
   CHECK_TRUE(monitor.update(epoch + 1, all, now));
   CHECK_TRUE(monitor.non_voting().empty());
-  monitor.on_reply(epoch, "a2", AcceptorReply::stranger, now);
+  monitor.on_reply(epoch, "a2", AcceptorReply::non_member, now);
   now = now + non_voting_delay * 2;
   CHECK_FALSE(monitor.update(epoch + 1, all, now));
 }
