--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -1,4 +1,5 @@
-// The loop of a controller, its requests to acceptors, its disk, its members and its shutdown.
+// The periodic loop of a controller, its requests to acceptors, its disk, its member sessions and its
+// shutdown.
 #include "control/control_plane.hpp"
 
 #include <algorithm>
@@ -12,17 +13,17 @@
 namespace chutevane::control {
 namespace {
 
-constexpr Span acceptor_timeout = Span::ms(350);         // two round trips and a sync take some ms
-constexpr Span acknowledgement_timeout = Span::ms(300);  // an operator waits so long for edges
-// A full gossip message of each peer, and time for a member that lost its session to open another.
+constexpr Span acceptor_timeout = Span::ms(350);         // two round trips and a sync take a few ms
+constexpr Span acknowledgement_timeout = Span::ms(300);  // longest wait of an operator for edges
+// Time for a full gossip message of each peer, and for a member that lost its session to open another one.
 constexpr Span membership_settle_time = Span::ms(3000);
-constexpr Span min_shutdown_duration = Span::ms(400);  // between SIGTERM and the end: calls under way
-constexpr Span shutdown_poll_interval = Span::ms(50);  // whether the acceptor has been replaced
-constexpr Span shutdown_reserve = Span::ms(600);       // before the platform ends the process by force
+constexpr Span min_shutdown_duration = Span::ms(400);  // after SIGTERM, for requests in progress
+constexpr Span shutdown_poll_interval = Span::ms(50);  // for the replacement of the acceptor
+constexpr Span shutdown_reserve = Span::ms(600);       // before the platform kills the process
 
 }  // namespace
 
-// ---- Requests to acceptors, this process's own included
+// ---- Requests to acceptors, including this process's own
 
 absl::StatusOr<common::Promise> ControlPlane::prepare_locally(const common::Prepare& request) {
   auto reply = acceptor_->prepare(request);
@@ -32,7 +33,7 @@
 
 absl::StatusOr<common::Accepted> ControlPlane::accept_locally(const common::Accept& request) {
   auto reply = acceptor_->accept(request);
-  // The register here knows what its own acceptor has: others need not send it back.
+  // The register learns its own acceptor's value, so that other acceptors can omit it from promises.
   if (reply.ok() && static_cast<AcceptorStatus>(reply->verdict) == AcceptorStatus::ok)
     register_.observe_accepted(request.epoch, acceptor_->accepted_ballot(), acceptor_->accepted_value());
   record_disk_outcome(reply.status());
@@ -63,13 +64,13 @@
   if (record_.initial.epoch < register_.epoch_value().epoch) store_record();
 }
 
-/// Notifies the peers of the newest known value, which is the one given or a later one. Peers would also
-/// learn of it by gossip, but later.
+/// Notifies the peers of the newest known value, which is the given one or a later one. Without this, peers
+/// would learn of it from gossip, but later.
 void ControlPlane::announce(const common::RegisterValue&) {
   if (!register_.known_value()) return;
   const std::int64_t number = register_.known_value()->number;
   for (auto& [address, peer] : peers_) {
-    // A peer that does not read gets no more: it reads the register when it is back.
+    // Nothing is sent to a peer that does not drain its connection; it reads the register once it recovers.
     if (!peer.connection->up() || peer.connection->unsent() > common::PushCursor::max_unsent_bytes) continue;
     PeerPosition position;
     if (peer.last_gossip) position = {peer.last_gossip->epoch, peer.last_gossip->known_number};
@@ -82,8 +83,8 @@
 
 // ---- Disk
 
-/// Stores the newest epoch and the known controllers, so that this process finds the others again after a
-/// restart, whatever the seeds of its settings are by then.
+/// Stores the newest epoch and the known controllers, so that this process finds the others after a restart
+/// even if the seeds in its settings have changed.
 void ControlPlane::store_record() {
   record_.initial = register_.epoch_value();
   record_.controllers = controller_addresses();
@@ -91,7 +92,7 @@
 }
 
 void ControlPlane::record_disk_outcome(const absl::Status& outcome) {
-  // A request that had nothing to write succeeds on a failing disk, too.
+  // A request that writes nothing succeeds even on a failing disk.
   const bool has_failed_write = acceptor_->is_disk_failing() || record_storage_.needs_checkpoint();
   if (outcome.ok() && has_failed_write) return;
   disk_health_.record_outcome(outcome);
@@ -121,20 +122,21 @@
   timers_.after(tick_interval, [this] { tick(); });
 }
 
-/// Asks acceptors that seem not to vote again, and logs which do not, whenever that changes.
+/// Probes acceptors that are suspected of not voting, and logs the set of non-voting acceptors when it
+/// changes.
 void ControlPlane::watch_voting() {
   const RegisterValue& epoch_value = register_.epoch_value();
   const std::set<std::string> in_contact = knowledge_.acceptors_in_contact(peer_liveness_timeout);
   const TimePoint now = timers_.now();
-  if (now - suspects_asked_at_ >= suspect_interval) {
-    suspects_asked_at_ = now;
+  if (now - suspects_probed_at_ >= suspect_interval) {
+    suspects_probed_at_ = now;
     for (const std::string& address : voting_monitor_.suspects()) register_.probe_acceptor(address);
   }
   if (!voting_monitor_.update(epoch_value.epoch, in_contact, now)) return;
   const std::set<std::string>& non_voting = voting_monitor_.non_voting();
   std::string detail = std::to_string(in_contact.size()) + " of " +
                        std::to_string(epoch_value.acceptors.size()) + " acceptors of epoch " +
-                       std::to_string(epoch_value.epoch) + " in contact, of these do not vote: ";
+                       std::to_string(epoch_value.epoch) + " in contact; not voting: ";
   for (const std::string& address : non_voting) detail += address + " ";
   if (non_voting.empty()) {
     common::log_info("acceptors.voting", detail + "none");
@@ -159,7 +161,7 @@
   coordination_.align_acceptors(register_.epoch_value());
 }
 
-/// This controller and its live peers, without those whose disk fails: they can't vote and count as gone.
+/// Returns this controller and its live peers. Controllers whose disk fails cannot vote and count as absent.
 std::vector<LiveController> ControlPlane::live_controllers() const {
   std::vector<LiveController> out;
   if (!is_disk_failing()) out.push_back({acceptor_->identity(), !is_shutting_down_});
@@ -179,10 +181,10 @@
   endpoint_list_.on_member_token(heartbeat.list_term);
   const bool is_new = sessions_.on_heartbeat(connection, heartbeat);
   if (is_new) {
-    common::ControlHeartbeat greeting = make_heartbeat();
-    greeting.echo_stamp = heartbeat.stamp;
-    greeting.controllers = controller_addresses();
-    connection.send(greeting);
+    common::ControlHeartbeat first_heartbeat = make_heartbeat();
+    first_heartbeat.echo_stamp = heartbeat.stamp;
+    first_heartbeat.controllers = controller_addresses();
+    connection.send(first_heartbeat);
   }
   complete_acknowledged();
 }
@@ -207,7 +209,7 @@
       timers_.now(), [this](std::int64_t number) { return sessions_.have_edges_acknowledged(number); });
 }
 
-// ---- What the operators' API asks for
+// ---- Functions for the operators' API
 
 void ControlPlane::notify_when_acknowledged(std::int64_t number, std::function<void()> callback) {
   pending_acknowledgements_.add(number, timers_.now() + acknowledgement_timeout, std::move(callback));
@@ -215,8 +217,8 @@
   complete_acknowledged();
 }
 
-/// Of several reports about one node, the one counts that has the latest complete map; where the disk
-/// differs, the last report, and this controller's own sessions come last.
+/// If there are several reports about one node, uses the one with the latest complete map. If the disk
+/// differs, uses the last report; this controller's own sessions come last.
 std::vector<common::Member> ControlPlane::members() const {
   std::map<std::string, common::Member> by_node;
   const auto merge = [&](const common::Member& member) {
@@ -236,8 +238,8 @@
   return out;
 }
 
-/// A member's session is reported by a peer's next full gossip message; a member that had to look for another
-/// controller has found it by then too.
+/// A member's session is reported with the peer's next full gossip message. `membership_settle_time` also
+/// covers the time that a member needs to find another controller.
 bool ControlPlane::are_members_complete() const {
   return knowledge_.has_quorum_contact(peer_liveness_timeout) && peers_.are_all_live() &&
          timers_.now() - in_contact_since_ >= membership_settle_time;
@@ -266,14 +268,14 @@
   membership_election_.withdraw();
   coordination_api_.begin_shutdown();
   send_gossip();
-  // Operators' requests that are under way come to their end.
+  // Leaves time for operators' requests in progress.
   const TimePoint deadline = timers_.now() + settings_.grace - shutdown_reserve;
   timers_.after(min_shutdown_duration, [this, deadline] { exit_when_released(deadline); });
 }
 
-/// Whether the acceptor is not needed any more, or nobody is there to replace it. Its disk may go with it,
-/// and the machine that replaces it may have been there for long: the next loss would leave no majority. So
-/// it votes until another acceptor has its place.
+/// Returns true if the acceptor is no longer needed or if no controller can replace it. The disk may be lost
+/// with the machine, and another machine may then be lost at any time, since the replacement may have been
+/// running for long: no majority would be left. So the acceptor votes until another one has replaced it.
 bool ControlPlane::may_exit() const {
   const std::vector<common::Acceptor>& acceptors = register_.epoch_value().acceptors;
   if (!contains_address(acceptors, address_))
--- a/src/control/control_plane.hpp
+++ b/src/control/control_plane.hpp
@@ -1,14 +1,14 @@
 /// A controller: one process of the control plane.
 ///
-/// It votes in the replicated register (acceptor), changes and reads it (Register), holds the sessions of
-/// edges and storage nodes and pushes them what changes (MemberSessions), exchanges gossip with the other
-/// controllers (PeerTable), takes part in the election of leaders of singleton roles (RoleElection), and
-/// serves the operators' API. The wanted state is in the register; loops work out the difference from what is
-/// there.
+/// It votes in the replicated register (DurableAcceptor), changes and reads it (Register), holds the sessions
+/// of edges and storage nodes and pushes changes to them (MemberSessions), exchanges gossip with the other
+/// controllers (PeerTable), takes part in the elections of leaders of singleton roles (RoleElection), and
+/// serves the operators' API. The register holds the desired state; control loops reconcile it with the
+/// observed state.
 ///
-/// The sources: control_plane.cpp starts, runs and ends the process; control_plane_gossip.cpp makes and
-/// handles gossip; control_plane_metrics.cpp writes the metrics. Everything runs on the one event loop of
-/// `scheduler`.
+/// Sources: control_plane_startup.cpp starts the process and registers its handlers; control_plane.cpp
+/// contains its periodic loop and its shutdown; control_plane_gossip.cpp creates and handles gossip;
+/// control_plane_metrics.cpp writes the metrics. Everything runs on the single event loop of `scheduler`.
 #pragma once
 
 #include <cstdint>
@@ -44,24 +44,24 @@
 
 namespace chutevane::control {
 
-/// The process, as common::run_process() drives it.
+/// The controller process, driven by common::run_process().
 class ControlPlane final : public common::Plane, AcceptorTransport, OperatorApi::Host {
  public:
   ControlPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
                std::unique_ptr<common::Disk> disk);
 
-  /// Reads its disk and begins to listen. An error: the process cannot serve.
+  /// Reads the disk and starts to listen. Returns an error if the process cannot serve.
   absl::Status open() override;
-  /// Begins the graceful shutdown: gives up its roles, and ends once its acceptor is not needed any more or
+  /// Begins the graceful shutdown. Gives up the roles, and finishes once the acceptor is no longer needed or
   /// the grace period is nearly over.
   void begin_shutdown() override;
   bool finished() const override { return is_finished_; }
-  /// Adds the seeds of changed settings as peers; nothing else is taken from them.
+  /// Adds the seeds in changed settings as peers. All other settings are ignored.
   void reload(const common::ProcessSettings& settings) override;
   void write_metrics(common::MetricsWriter& out) override;
 
  private:
-  // Start
+  // Startup
   absl::Status load_record();
   absl::Status open_acceptors();
   absl::Status open_acceptors_as(const AcceptorIdentity& identity, Unreadable unreadable);
@@ -89,14 +89,14 @@
   void store_record();
   void record_disk_outcome(const absl::Status& outcome);
   void retry_failed_writes();
-  /// An acceptor of this process cannot write.
+  /// Returns true if an acceptor of this process cannot write to its disk.
   bool is_disk_failing() const { return acceptor_->is_disk_failing() || coordination_.is_disk_failing(); }
 
   // Gossip
   common::Gossip make_short_gossip();
   common::Gossip make_full_gossip();
   void send_gossip();
-  void greet_peer(Peer& peer);
+  void send_full_gossip(Peer& peer);
   void on_gossip(const common::Gossip& gossip);
   std::vector<std::string> controller_addresses() const;
 
@@ -128,17 +128,17 @@
   net::Scheduler& scheduler_;
   const common::ProcessSettings settings_;
   net::TimerQueue timers_;
-  const std::string address_;        // where other processes of the system reach this one
-  const std::uint64_t incarnation_;  // drawn at random at each start of the process
+  const std::string address_;        // of the internal port
+  const std::uint64_t incarnation_;  // random number drawn at each start of the process
 
   std::unique_ptr<common::Disk> disk_;
   common::DurableState record_storage_;
   common::ControllerRecord record_;
-  std::optional<DurableAcceptor> acceptor_;  // from open() on
+  std::optional<DurableAcceptor> acceptor_;  // set by open()
   common::DiskHealth disk_health_;
   Register register_;
   VotingMonitor voting_monitor_;
-  common::RecentValues recent_values_;  // known here: what peers are sent is the difference from one of them
+  common::RecentValues recent_values_;  // bases of the differences that are sent to peers
 
   common::RpcServer rpc_server_;
   OperatorApi operator_api_;
@@ -155,10 +155,10 @@
   MemberSessions sessions_;
   PendingAcknowledgements pending_acknowledgements_;
 
-  std::uint64_t full_gossip_digest_ = 0;  // of the long parts of the last full gossip message
+  std::uint64_t full_gossip_digest_ = 0;  // digest of the long parts of the last full gossip message
   TimePoint full_gossip_sent_at_;
-  TimePoint suspects_asked_at_;  // those of the voting monitor
-  TimePoint in_contact_since_;   // with a quorum and with all known peers, without a break
+  TimePoint suspects_probed_at_;  // when the suspects of the voting monitor were last probed
+  TimePoint in_contact_since_;    // start of uninterrupted contact with a quorum and all known peers
   bool is_shutting_down_ = false;
   bool is_finished_ = false;
 };
--- a/src/control/control_plane_gossip.cpp
+++ b/src/control/control_plane_gossip.cpp
@@ -9,11 +9,11 @@
 
 using common::Gossip;
 
-// A connection over which nothing has come either way for so long may be broken without a sign of it.
+// A connection that has been silent for longer than both of these may be broken without a visible error.
 constexpr Span connection_silence_timeout = Span::ms(3000);
 constexpr Span gossip_silence_timeout = Span::ms(1500);
 
-/// Of the parts that only a full message has.
+/// Returns a digest of the parts that only a full message contains.
 std::uint64_t digest_of_long_parts(const Gossip& gossip) {
   Gossip long_parts;
   long_parts.initial = gossip.initial;
@@ -23,7 +23,8 @@
   return XXH3_64bits(record.data(), record.size());
 }
 
-/// The message for this peer: with the stamp of the peer's last one, which it proves to have received.
+/// Returns the message for this peer, with the stamp of the peer's last message as proof that it was
+/// received.
 Gossip with_echo(Gossip gossip, const Peer& peer) {
   if (peer.last_gossip) {
     gossip.echo_incarnation = peer.last_gossip->incarnation;
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-/// Addresses of the controllers that members may open sessions with.
+/// Returns the addresses of the controllers with which members may open sessions.
 std::vector<std::string> ControlPlane::controller_addresses() const {
   std::vector<std::string> out;
   if (!is_shutting_down_) out.push_back(address_);
@@ -42,9 +43,9 @@
   return out;
 }
 
-/// What changes from message to message, and so is in each of them.
+/// Creates a message with the parts that change frequently, which every message contains.
 Gossip ControlPlane::make_short_gossip() {
-  // The acceptor may have entered an epoch that nobody has told this process's register of.
+  // The acceptor may have entered an epoch that this process's register does not know yet.
   register_.observe_epoch(acceptor_->epoch_value());
   const AcceptorReport report = report_of(*acceptor_, register_.epoch_value().epoch);
   const EndpointListPosition list_position = endpoint_list_.reported_position();
@@ -69,8 +70,8 @@
   return out;
 }
 
-/// With the long parts: the set of acceptors, the controllers and the members with a session here. What else
-/// the register holds is read from the acceptors.
+/// Creates a message that also contains the long parts: the set of acceptors, the controllers and the members
+/// with a session here. All other contents of the register are read from the acceptors.
 Gossip ControlPlane::make_full_gossip() {
   Gossip out = make_short_gossip();
   out.full = true;
@@ -82,7 +83,8 @@
 }
 
 void ControlPlane::send_gossip() {
-  // The long parts seldom change: they go when they do, and now and then for peers that missed them.
+  // The long parts seldom change. They are sent when they have changed, and periodically for peers that
+  // missed them.
   const TimePoint now = timers_.now();
   Gossip gossip = make_full_gossip();
   const std::uint64_t digest = digest_of_long_parts(gossip);
@@ -104,8 +106,10 @@
   }
 }
 
-/// The connection to the peer has come up: it may know nothing of this controller yet.
-void ControlPlane::greet_peer(Peer& peer) { peer.connection->send(with_echo(make_full_gossip(), peer)); }
+/// Sends a full message to a newly connected peer, which may not know this controller yet.
+void ControlPlane::send_full_gossip(Peer& peer) {
+  peer.connection->send(with_echo(make_full_gossip(), peer));
+}
 
 void ControlPlane::on_gossip(const Gossip& gossip) {
   if (gossip.address == address_) return;
--- a/src/control/control_plane_metrics.cpp
+++ b/src/control/control_plane_metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics of a controller.
+// The metrics of a controller.
 #include "common/storage_map.hpp"
 #include "control/control_plane.hpp"
 
--- a/src/control/control_plane_startup.cpp
+++ b/src/control/control_plane_startup.cpp
@@ -1,4 +1,4 @@
-// Start of a controller: what it reads from disk, and which messages it serves.
+// Startup of a controller: construction, recovery from disk, and registration of message handlers.
 #include <xxhash.h>
 
 #include <utility>
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::size_t max_configuration_bytes = 8U << 20U;
-/// History of keys is kept for so many times what watchers are promised: a controller that serves them may be
-/// behind by as much as that promise, and a put may be repeated later than that.
+/// The key history is kept for this multiple of the duration promised to watchers, since a controller that
+/// serves them may itself be behind by that duration, and a put may be retried even later.
 constexpr double history_retention_factor = 3;
 constexpr std::int64_t first_epoch = 1;
 
@@ -108,7 +108,7 @@
     voting_monitor_.on_reply(epoch, address, reply, timers_.now());
   });
   peers_.on_connected([this](Peer& peer) {
-    greet_peer(peer);
+    send_full_gossip(peer);
     coordination_.on_peer_connected(net::text_of(peer.connection->to()));
   });
   add_known_peers();
@@ -124,14 +124,14 @@
   return absl::OkStatus();
 }
 
-/// Reads who this disk is and which controllers it knew, or writes it for a new disk.
+/// Reads the identity of this disk and the known controllers. For a new disk, creates and writes them.
 absl::Status ControlPlane::load_record() {
   const auto recovered = record_storage_.recover();
   if (recovered.ok()) {
     const bool decoded = common::decode(recovered->checkpoint, record_);
-    return decoded ? absl::OkStatus() : absl::DataLossError("control: record not read");
+    return decoded ? absl::OkStatus() : absl::DataLossError("control: cannot decode the controller record");
   }
-  // A first write that was torn was reported to nobody: the disk is as good as new.
+  // A torn first write was never reported to anyone, so the disk counts as new.
   const bool is_new_disk = absl::IsNotFound(recovered.status()) || absl::IsDataLoss(recovered.status());
   if (!is_new_disk) return recovered.status();
   record_.disk = disk_->generate_id();
@@ -144,14 +144,14 @@
   return record_storage_.write_checkpoint(common::encoded(record_));
 }
 
-/// The acceptors of both registers, under the identity that the disk has now. DataLoss: the state of one of
-/// them cannot be read; with `Unreadable::reset` it begins anew.
+/// Opens the acceptors of both registers under the disk's current identity. If the state of one of them
+/// cannot be read, returns DataLoss, or starts it with an empty state if `unreadable` is `Unreadable::reset`.
 absl::Status ControlPlane::open_acceptors_as(const AcceptorIdentity& identity, Unreadable unreadable) {
   acceptor_.emplace(*disk_, identity);
   absl::Status opened = acceptor_->open();
   if (absl::IsDataLoss(opened) && unreadable == Unreadable::reset) opened = acceptor_->reset();
   if (!opened.ok()) return opened;
-  // The first set is the same for both registers, and known to this disk until it knows a later one.
+  // The first set is the same for both registers. The record holds it until a later epoch is known.
   const bool knows_first_set = record_.initial.epoch == first_epoch;
   return coordination_.open(identity, knows_first_set ? std::optional(record_.initial) : std::nullopt,
                             unreadable);
@@ -160,7 +160,8 @@
 absl::Status ControlPlane::open_acceptors() {
   absl::Status opened = open_acceptors_as({address_, record_.disk, record_.first}, Unreadable::error);
   if (!absl::IsDataLoss(opened)) return opened;
-  // What it promised cannot be read: it is another disk from here on, and votes in no epoch that named it.
+  // The promises on this disk cannot be read, so it gets a new identity and votes in no epoch that names the
+  // old one.
   common::log_warning("acceptor.lost", opened.ToString());
   record_.disk = disk_->generate_id();
   record_.first = false;
--- a/src/control/control_status.cpp
+++ b/src/control/control_status.cpp
@@ -7,7 +7,7 @@
 namespace chutevane::control {
 namespace {
 
-/// JSON numbers here are unsigned; a negative number, which none of these should be, shows as 0.
+/// The JSON writer takes unsigned numbers. No number here should be negative; a negative one is shown as 0.
 std::uint64_t unsigned_of(std::int64_t number) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(number, 0));
 }
--- a/src/control/control_status.hpp
+++ b/src/control/control_status.hpp
@@ -1,4 +1,4 @@
-/// What a controller knows of itself and of the system, as operators see it.
+/// Status of a controller and of the system as this controller knows it, for operators.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,18 @@
 
 namespace chutevane::control {
 
-/// State of this controller that it knows without asking any other.
+/// State that this controller knows without asking another one.
 struct ControlStatus {
   std::string node;
-  Span knowledge_age;  // since it was last proven that nothing newer had been chosen
+  Span knowledge_age;  // time since it was last proven that no newer value had been chosen
   std::vector<common::HeldRole> led_roles;
   std::size_t endpoint_count = 0;
   TimePoint now;                     // by its steady clock
   std::set<std::string> non_voting;  // addresses of acceptors (VotingMonitor)
 };
 
-/// The JSON body of `Status.Retrieve` (api/operators.yaml). `members`: all in contact with any controller.
+/// Returns the JSON body of `Status.Retrieve` (api/operators.yaml). `members`: all members in contact with
+/// any controller.
 std::string status_json(const ControlStatus& status, const Register& reg,
                         const std::vector<common::Member>& members);
 
--- a/src/control/control_timing.hpp
+++ b/src/control/control_timing.hpp
@@ -8,14 +8,16 @@
 
 namespace chutevane::control {
 
-/// The controller's loop: gossip, heartbeats, elections.
+/// Interval of the controller's loop, which sends gossip and heartbeats and runs elections.
 constexpr Span tick_interval = Span::ms(250);
-/// A peer that was heard of within this time is live: three gossip intervals and some.
+/// A peer whose last gossip message is more recent than this is live. Slightly more than three gossip
+/// intervals.
 constexpr Span peer_liveness_timeout = Span::ms(800);
-/// Long parts of periodic messages are repeated so often, for those that missed the last one.
+/// Interval at which the long parts of periodic messages are repeated, for receivers that missed the last
+/// one.
 constexpr Span full_message_interval = Span::ms(2000);
 
-/// A seed for random choices that differs by name and by time of start.
+/// Returns a seed for random choices that depends on `name` and on the time.
 std::uint64_t seed_of(const std::string& name, TimePoint now);
 
 }  // namespace chutevane::control
--- a/src/control/endpoint_list_publisher.cpp
+++ b/src/control/endpoint_list_publisher.cpp
@@ -9,9 +9,10 @@
 namespace chutevane::control {
 namespace {
 
-// A fifth of the time that an endpoint has to drain; each call of the platform has its price.
+// A fifth of the time that an endpoint has to drain. Not shorter, since each call of the platform has
+// a cost.
 constexpr Span poll_interval = Span::ms(600);
-// A peer's whole fetch: a page takes up to 0.8 s, and pages are spaced by the platform's rate.
+// Time for a complete fetch by a peer: a page takes up to 0.8 s, and pages are spaced by the rate limit.
 constexpr Span platform_check_timeout = Span::ms(2500);
 
 }  // namespace
@@ -56,7 +57,7 @@
   });
 }
 
-/// Asks the next peer whether it reaches the platform, which this controller, the leader, does not.
+/// Asks the next peer whether it can reach the platform, which this leader cannot reach.
 void EndpointListPublisher::ask_peer() {
   std::vector<const std::pair<const std::string, Peer>*> live;
   for (const auto& entry : peers_) {
@@ -73,16 +74,16 @@
 }
 
 void EndpointListPublisher::on_peer_reply(const std::string& address, bool is_reachable) {
-  const bool should_give_way = reachability_.on_reply(is_reachable, timers_.now());
-  if (!should_give_way || !election_.is_leader()) return;
-  common::log_warning("list.given_up", "the platform was not reached for " +
-                                           std::to_string(static_cast<long>(age().as_ms())) + " ms, by " +
-                                           address + " it is");
-  election_.abstain(list_abstention);
+  const bool should_step_down = reachability_.on_reply(is_reachable, timers_.now());
+  if (!should_step_down || !election_.is_leader()) return;
+  common::log_warning("list.given_up", "platform not reached for " +
+                                           std::to_string(static_cast<long>(age().as_ms())) +
+                                           " ms, but peer " + address + " reaches it");
+  election_.step_down_for(list_step_down_duration);
 }
 
 void EndpointListPublisher::publish(std::vector<common::EndpointEntry> entries) {
-  // The remaining time falls with each fetch, which alone is no change.
+  // Only whether slow start is active counts: the remaining time falls with each fetch.
   for (common::EndpointEntry& entry : entries) entry.slow_start_ms = entry.slow_start_ms > 0 ? 1 : 0;
   const EndpointListPosition before = position();
   if (!table_.update(election_.fencing_token(), entries)) return;
@@ -115,7 +116,7 @@
   return position();
 }
 
-/// A list that would be rejected by those who follow a later one need not be fetched.
+/// Steps down if this controller leads with a lower token, since receivers would reject its list.
 void EndpointListPublisher::step_down_if_overtaken(FencingToken token) {
   if (election_.is_leader()) election_.observe_fencing_token(token);
 }
--- a/src/control/endpoint_list_publisher.hpp
+++ b/src/control/endpoint_list_publisher.hpp
@@ -1,5 +1,5 @@
-/// The list of endpoints at a controller: fetched from the platform by the leader of the role `list`, passed
-/// on to the other controllers, and followed by those that do not lead.
+/// The list of endpoints at a controller. The leader of the role `list` fetches it from the platform and
+/// sends it to the other controllers, which keep a copy.
 #pragma once
 
 #include <cstddef>
@@ -18,50 +18,51 @@
 
 namespace chutevane::control {
 
-/// A place in the sequence of lists: fencing token of the leader that published it, and number of the change.
-/// Positions are ordered; whoever follows the list never goes back.
+/// A position in the sequence of lists: the fencing token of the leader that published it, and the number of
+/// the change. Positions are ordered, and the position of a copy never goes back.
 struct EndpointListPosition {
   FencingToken token = 0;
   std::int64_t number = 0;
   auto operator<=>(const EndpointListPosition&) const = default;
 };
 
-/// Owns this controller's copy of the list. A copy that is at a lower position than what arrives takes it
-/// over; whatever is at a lower position than the copy is ignored (common/endpoint_table.hpp).
+/// Owns this controller's copy of the list. Changes at a higher position than the copy are applied; changes
+/// at a lower position are ignored (common/endpoint_table.hpp).
 class EndpointListPublisher {
  public:
-  /// `on_changed`: called whenever the list has changed here. The references must outlive this object.
-  /// `node`: name of this controller.
+  /// `node`: name of this controller. `on_changed`: called whenever this controller's copy has changed. The
+  /// references must outlive this object.
   EndpointListPublisher(net::TimerQueue& timers, PlatformClient& platform, RoleElection& election,
                         PeerTable& peers, std::string node, std::function<void()> on_changed);
 
-  /// Begins to fetch the list at a fixed interval, whenever this controller leads.
+  /// Starts to fetch the list at a fixed interval while this controller is the leader.
   void start_polling();
-  /// This controller has become the leader: fetches now.
+  /// Fetches the list at once. Must be called when this controller has become the leader.
   void on_elected();
 
-  /// Fetches the list for another controller, which leads: whether that succeeded. Calls back at once, with
-  /// false, while a fetch is under way.
+  /// Fetches the list on behalf of the leader, which is another controller, and calls back with whether that
+  /// succeeded. Calls back at once with false while another fetch is in progress.
   void check_platform(const std::function<void(bool is_reachable)>& callback);
 
-  /// A leader's change of the list has come.
+  /// Processes a change of the list sent by a leader.
   void on_endpoint_list(const common::EndpointList& change);
-  /// A peer has the list up to that position: a leader sends it what it lacks.
+  /// Processes the position that a peer has reported. A leader sends the peer the changes that it lacks.
   void on_peer_position(Peer& peer, const EndpointListPosition& position);
-  /// A member with a session here follows the list of that leader.
+  /// Processes the token of the list that a member with a session here has.
   void on_member_token(FencingToken token);
 
   const common::EndpointTable& table() const { return table_; }
   EndpointListPosition position() const { return {table_.term(), table_.number()}; }
-  /// What to report to peers. Where a member here follows the list of a later leader than this controller
-  /// does, that leader's token with number 0: the leader has to learn that it is followed, and sends all.
+  /// Returns the position to report to peers. If a member here has the list of a later leader than this
+  /// controller, this is that leader's token with number 0, so that the leader learns of the token and sends
+  /// the full list.
   EndpointListPosition reported_position() const;
-  /// How old the list is, as its leader knows it: since its last complete fetch, or its election.
-  Span age() const { return reachability_.silence(timers_.now()); }
+  /// Returns the age of the list at its leader: the time since its last complete fetch or its election.
+  Span age() const { return reachability_.time_since_reached(timers_.now()); }
 
  private:
   void poll();
-  /// Where this controller leads and no fetch is under way.
+  /// Fetches the list if this controller is the leader and no fetch is in progress.
   void fetch();
   void publish(std::vector<common::EndpointEntry> entries);
   void ask_peer();
--- a/src/control/leader_election.cpp
+++ b/src/control/leader_election.cpp
@@ -7,8 +7,8 @@
 namespace chutevane::control {
 namespace {
 
-constexpr Span campaign_jitter = Span::ms(150);       // so that two seldom campaign at once
-constexpr Span min_campaign_backoff = Span::ms(100);  // after a campaign that nobody won
+constexpr Span campaign_jitter = Span::ms(150);       // makes simultaneous campaigns rare
+constexpr Span min_campaign_backoff = Span::ms(100);  // after a lost campaign
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     leader_ = node;
     last_leader_heartbeat_ = now;
   } else if (!leader_.empty() && leader_ == node && !is_leader_) {
-    last_leader_heartbeat_ = TimePoint();  // it has stepped down: the role is vacant without waiting
+    last_leader_heartbeat_ = TimePoint();  // the leader has stepped down: the role is vacant at once
     leader_.clear();
   }
 }
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,4 +1,4 @@
-/// chutevane-control: the program of a controller.
+/// Entry point of chutevane-control, the program of a controller.
 #include "common/posix_disk.hpp"
 #include "common/process.hpp"
 #include "control/control_plane.hpp"
--- a/src/control/member_sessions.cpp
+++ b/src/control/member_sessions.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Span session_timeout = Span::ms(1300);  // four heartbeats of a member
-// By then the primary session of a member has brought the full value.
+// Time for the full value to arrive over the member's primary session.
 constexpr Span primary_session_grace = Span::ms(600);
 
 }  // namespace
@@ -27,7 +27,7 @@
   session.stamp = heartbeat.stamp;
   session.is_primary = heartbeat.primary;
   session.values.acknowledged(heartbeat.member.number, heartbeat.rejected_push);
-  // What was sent after the member wrote this message stays sent.
+  // Changes sent after the member wrote this message still count as sent.
   const EndpointListPosition acknowledged{heartbeat.list_term, heartbeat.list_number};
   session.list_position = std::max(session.list_position, acknowledged);
   if (is_new || session.is_primary) push(connection.id(), session);
@@ -50,8 +50,8 @@
 void MemberSessions::push(std::uint64_t connection_id, Session& session) {
   common::RpcServer::Connection* const connection = server_.find(connection_id);
   if (connection == nullptr) return;
-  // A full value is large, and each member has several sessions: it goes down the primary one alone, unless
-  // that one does not bring it.
+  // A full value is large and each member has several sessions, so it is sent over the primary session alone,
+  // unless it does not arrive there in time.
   const bool leave_to_primary = !session.is_primary &&
                                 timers_.now() - session.opened_at < primary_session_grace &&
                                 session.values.needs_full_value(pushed_values_);
--- a/src/control/member_sessions.hpp
+++ b/src/control/member_sessions.hpp
@@ -1,5 +1,5 @@
-/// Sessions of members (edges and storage nodes) with a controller: what each has acknowledged, and what is
-/// pushed down to it.
+/// Sessions of members (edges and storage nodes) with a controller: what each member has acknowledged, and
+/// what is pushed to it.
 #pragma once
 
 #include <cstddef>
@@ -17,26 +17,26 @@
 namespace chutevane::control {
 
 /// A member keeps sessions with several controllers, one of which is its primary. Changes of the register and
-/// of the list of endpoints are pushed down primary sessions at once, and down the others with the next
-/// heartbeat where they are still needed.
+/// of the list of endpoints are pushed over primary sessions at once, and over the others with the next
+/// heartbeat if the member still lacks them.
 class MemberSessions {
  public:
-  /// The references must outlive this object. `endpoints`: this controller's list.
+  /// The references must outlive this object. `endpoints`: this controller's copy of the list.
   MemberSessions(net::TimerQueue& timers, common::RpcServer& server, const common::EndpointTable& endpoints);
 
-  /// A member's message has come; the first one opens the session. True: it was the first.
+  /// Processes a member's heartbeat. The first one opens the session; returns true if it did.
   bool on_heartbeat(common::RpcServer::Connection& connection, const common::MemberHeartbeat& heartbeat);
   void close(std::uint64_t connection_id) { sessions_.erase(connection_id); }
 
-  /// A value was chosen: pushes it. Members have no use for the history of configurations, which is left out.
+  /// Pushes a chosen value, without the history of configurations, which members do not need.
   void on_value(const common::RegisterValue& value);
   void on_endpoint_list_changed() { push_to_primary_sessions(); }
-  /// Pushes what is missing and sends a heartbeat down each session. Sessions whose member has not been heard
-  /// of for too long are closed. `heartbeat`: without the parts that differ by session. `controllers`: are
-  /// included when they have changed, and now and then. True: sessions were closed.
+  /// Pushes what is missing and sends a heartbeat over each session, and closes sessions whose last message
+  /// is too old. Returns true if any were closed. `heartbeat`: without the fields that differ by session.
+  /// `controllers`: included when they have changed, and every `full_message_interval`.
   bool send_heartbeats(common::ControlHeartbeat heartbeat, const std::vector<std::string>& controllers);
 
-  /// Whether all edges with a session have that value of the register, or a later one.
+  /// Returns true if all edges with a session have the value of that number or a later one.
   bool have_edges_acknowledged(std::int64_t number) const;
   std::vector<common::Member> members() const;
   std::size_t size() const { return sessions_.size(); }
@@ -46,9 +46,9 @@
   struct Session {
     common::Member member;
     TimePoint opened_at;
-    TimePoint received_at;               // when the last message came
-    std::int64_t stamp = 0;              // of that message: returned with each heartbeat
-    EndpointListPosition list_position;  // that the member has, or that was sent
+    TimePoint received_at;               // when the last message arrived
+    std::int64_t stamp = 0;              // of that message, echoed with each heartbeat
+    EndpointListPosition list_position;  // newest position that the member has or was sent
     common::PushCursor values;
     bool is_primary = false;
   };
@@ -58,7 +58,7 @@
   net::TimerQueue& timers_;
   common::RpcServer& server_;
   const common::EndpointTable& endpoints_;
-  std::map<std::uint64_t, Session> sessions_;  // by number of the connection
+  std::map<std::uint64_t, Session> sessions_;  // by connection ID
   common::RecentValues pushed_values_;
   std::vector<std::string> sent_controllers_;
   TimePoint controllers_sent_at_;
--- a/src/control/membership_controller.cpp
+++ b/src/control/membership_controller.cpp
@@ -13,7 +13,7 @@
 
 constexpr Span change_timeout = Span::ms(1500);
 
-/// Whether the planner may need to know for how long an absent disk is waited for.
+/// Returns true if the planner may need to know how long to wait for an absent disk.
 bool may_replicas_expire(const RegisterValue& value, const std::vector<common::Member>& members) {
   const auto is_absent = [&](const common::StorageNode& node) {
     return std::none_of(members.begin(), members.end(),
@@ -39,7 +39,7 @@
   is_leading_ = is_leading;
 }
 
-/// By the chosen configuration, which is read once for each version.
+/// Returns the longest retention in the chosen configuration, which is parsed once per version.
 Span MembershipController::longest_retention(const RegisterValue& value) {
   if (retention_version_ == value.config_version) return longest_retention_;
   common::Findings findings;
@@ -71,8 +71,8 @@
   submit(value.number, replace, false);
 }
 
-/// `planned_on`: number of the value that the plan was made for. Where another value is current by then, the
-/// change is dropped, and the next tick plans anew.
+/// Submits a planned change. `planned_on`: number of the value that the plan was based on. If another value
+/// is current by then, the change is dropped and the next tick makes a new plan.
 void MembershipController::submit(std::int64_t planned_on, Register::Change change, bool acceptors_changed) {
   is_change_pending_ = true;
   register_.change(
--- a/src/control/membership_controller.hpp
+++ b/src/control/membership_controller.hpp
@@ -1,5 +1,5 @@
-/// Keeps the membership in the register in line with the machines that are there: the set of acceptors and
-/// the map of storage nodes. Runs while this controller leads the role `roster`.
+/// Reconciles the membership in the register (the set of acceptors and the map of storage nodes) with the
+/// machines that are present. Active while this controller is the leader of the role `roster`.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,22 @@
 
 namespace chutevane::control {
 
-/// Plans with AcceptorSetPlanner and StorageMapPlanner and submits what they plan to the register, one change
-/// at a time: the acceptors first.
+/// Plans with AcceptorSetPlanner and StorageMapPlanner and submits the results to the register, one change at
+/// a time. A change of the acceptor set takes precedence.
 class MembershipController {
  public:
-  /// Called when a change has been chosen. `acceptors_changed`: of the set of acceptors, not of the map.
+  /// Called when a change has been chosen. `acceptors_changed`: true if it changed the set of acceptors,
+  /// false if it changed the map of storage nodes.
   using ChangedCallback = std::function<void(const RegisterValue& chosen, bool acceptors_changed)>;
 
-  /// `losses`: machines that may be lost at once. `reg` must outlive this object.
+  /// `losses`: number of machines that may be lost at the same time. `reg` must outlive this object.
   MembershipController(Register& reg, std::size_t losses, ChangedCallback on_changed);
 
-  /// To be called with each tick, before reconcile(). A new leader starts to watch anew.
+  /// Must be called with each tick, before reconcile(). A new leader discards the absences recorded before.
   void set_leading(bool is_leading);
 
-  /// Submits at most one change, where one is needed and none is under way. `controllers`: live ones whose
-  /// disk works, this one included. `members`: all members in contact with any controller.
+  /// Submits at most one change, if one is needed and none is pending. `controllers`: live controllers whose
+  /// disks work, including this one. `members`: all members in contact with any controller.
   void reconcile(const std::vector<LiveController>& controllers, const std::vector<common::Member>& members,
                  TimePoint now);
 
@@ -42,7 +43,7 @@
   StorageMapPlanner storage_planner_;
   bool is_leading_ = false;
   bool is_change_pending_ = false;
-  std::int64_t retention_version_ = -1;  // of the configuration that longest_retention_ was read from
+  std::int64_t retention_version_ = -1;  // version of the configuration that longest_retention_ comes from
   Span longest_retention_;
 };
 
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -18,7 +18,7 @@
 using common::HttpServer;
 using common::RegisterValue;
 
-// Both end well before a caller gives up (`ackMs`), so that it gets 503 and not a timeout.
+// Both are well below the callers' timeout (`ackMs`), so that a caller gets 503 instead of a timeout.
 constexpr Span submission_timeout = Span::ms(3000);
 constexpr Span operation_timeout = Span::ms(2500);
 
@@ -36,7 +36,7 @@
   return out;
 }
 
-/// All findings, each with its place in the configuration.
+/// Returns a response with all findings and their places in the configuration.
 HttpResponse invalid_response(const common::Findings& findings) {
   json::Writer out;
   out.open('{').key("cause").text(findings.text()).key("findings").open('[');
@@ -60,14 +60,15 @@
   out.key("taken").open('[');
   for (const common::AppliedConfiguration& applied : value.applied_configurations) {
     out.open('{').key("version").number(static_cast<std::uint64_t>(applied.version));
-    // As text: a number in JSON may lose the last digits of a hash.
+    // As a string, since JSON numbers may lose the last digits of a hash.
     out.key("hash").text(common::hash_text(static_cast<std::uint64_t>(applied.hash))).close('}');
   }
   out.close(']').close('}');
   return out.result();
 }
 
-/// The base version that the request names; nothing, and a finding, where that is missing or malformed.
+/// Returns the base version that the request names. If it is missing or malformed, adds a finding and returns
+/// std::nullopt.
 std::optional<std::int64_t> parse_base_version(const http::Parser& request, common::Findings& findings) {
   const auto text = request.find(base_version_field);
   if (!text) {
@@ -213,7 +214,7 @@
       operation_timeout,
       [this, reply, node](absl::StatusOr<RegisterValue> value) {
         if (!value.ok()) return reply(undetermined_response());
-        // An accepted request stays in the value for good, whatever was decided after it.
+        // An accepted request remains in the value, whatever is decided after it.
         if (find_retirement(*value, node) != nullptr) {
           host_.announce(*value);
           return reply(retirement_response(false));
@@ -236,7 +237,8 @@
   });
 }
 
-/// For a node that the map does not name: it may be in contact and not have joined the map yet.
+/// Returns the response for a node that is not in the map. The node may be in contact and not have joined
+/// yet.
 HttpResponse OperatorApi::unknown_node_response(const std::string& node) const {
   if (!host_.are_members_complete()) return undetermined_response();
   const std::vector<common::Member> members = host_.members();
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -1,7 +1,7 @@
 /// The operators' HTTP API of a controller (api/operators.yaml): configurations, retirements, status.
 ///
-/// A rejection (4xx) rests on a value that a majority has chosen, or on the request alone. Whatever else
-/// cannot be decided is answered with 503 and Retry-After: the caller sends the same request again.
+/// A rejection (4xx) is based on a value that a majority has chosen, or on the request alone. A request whose
+/// outcome is undetermined is answered with 503 and Retry-After; the caller then sends it again unchanged.
 #pragma once
 
 #include <array>
@@ -23,20 +23,22 @@
 
 namespace chutevane::control {
 
-/// Reads and changes the register, and asks its host for the rest. Everything runs on the event loop.
+/// Serves the calls by reading and changing the register; its host provides the rest. Everything runs on the
+/// event loop.
 class OperatorApi {
  public:
-  /// What this API needs of the controller around it.
+  /// The functions that this API needs from its controller.
   class Host {
    public:
     /// Notifies the other controllers of a value that was chosen here.
     virtual void announce(const common::RegisterValue& chosen) = 0;
-    /// Calls back once the edges with a session here have the value of that number, or after a timeout.
+    /// Calls back once the edges with a session here have acknowledged the value of that number, or after a
+    /// timeout.
     virtual void notify_when_acknowledged(std::int64_t number, std::function<void()> callback) = 0;
-    /// Edges and storage nodes with a session at this or another controller.
+    /// Returns the edges and storage nodes with a session at this or another controller.
     virtual std::vector<common::Member> members() const = 0;
-    /// Whether members() holds all that are in contact: false after a start and while a peer is out of
-    /// contact.
+    /// Returns true if members() contains all members in contact; false after a start and while a peer is out
+    /// of contact.
     virtual bool are_members_complete() const = 0;
     virtual ControlStatus status() const = 0;
 
@@ -44,23 +46,23 @@
     ~Host() = default;
   };
 
-  /// `losses`: storage nodes that may be lost at once. `history_limit`: accepted configurations whose retries
-  /// are recognized; it must be the same at all controllers.
+  /// `losses`: number of storage nodes that may be lost at the same time. `history_limit`: maximum number of
+  /// accepted configurations in the history; it must be the same at all controllers.
   OperatorApi(Register& reg, Host& host, std::size_t losses,
               std::size_t history_limit = configuration_history_limit);
 
-  /// Answers one request: at once or later, exactly once.
+  /// Handles one request. Replies exactly once, from within this call or later.
   void serve(const http::Parser& request, common::HttpServer::Reply reply);
   void write_metrics(common::MetricsWriter& out) const;
 
  private:
-  /// Of a submission or a read; the labels of the metric `chutevane_control_orders`.
+  /// Outcome of a submission or a read. label_of() gives its label of the metric `chutevane_control_orders`.
   enum class Outcome : std::uint8_t { accepted, invalid, superseded, undetermined, read, read_undetermined };
   static constexpr std::size_t outcome_count = static_cast<std::size_t>(Outcome::read_undetermined) + 1;
   static std::string_view label_of(Outcome outcome);
-  /// Counts the outcome. Rejections and undetermined outcomes are logged with all that the decision rests on.
+  /// Counts the outcome. Logs rejections and undetermined outcomes with the state on which they are based.
   void record(Outcome outcome, const ConfigurationSubmission& submission, std::string_view cause);
-  /// Counts and logs a call that this API does not have, and answers it with 404.
+  /// Counts and logs a call that this API does not have, and replies with 404.
   void reject_unknown_call(const http::Parser& request, const common::HttpServer::Reply& reply);
 
   void replace_configuration(const http::Parser& request, common::HttpServer::Reply reply);
--- a/src/control/peer_table.cpp
+++ b/src/control/peer_table.cpp
@@ -8,7 +8,7 @@
 namespace chutevane::control {
 namespace {
 
-constexpr Span expiry_timeout = Span::ms(15000);  // a machine that was replaced does not come back
+constexpr Span expiry_timeout = Span::ms(15000);  // a replaced machine does not return
 constexpr int running_timeout_factor = 4;         // of peer_liveness_timeout
 
 }  // namespace
--- a/src/control/platform_client.cpp
+++ b/src/control/platform_client.cpp
@@ -8,12 +8,12 @@
 namespace chutevane::control {
 namespace {
 
-constexpr Span page_timeout = Span::ms(800);  // a page is small, and the next fetch is due by then
-// Of the rate limit: for a moment another controller may fetch too, while the leader changes.
+constexpr Span page_timeout = Span::ms(800);  // a page is small, and the next poll is due by then
+// Share of the rate limit to use, since two controllers may fetch for a moment while the leader changes.
 constexpr double rate_fraction = 0.6;
 constexpr http::Limits page_limits{.head = 16 * 1024, .body = 8U << 20U, .fields = 100};
 
-/// Nothing where a required field is missing or of another type.
+/// Returns std::nullopt if a required field is missing or has the wrong type.
 std::optional<common::EndpointEntry> parse_instance(const simdjson::dom::element& instance) {
   std::string_view id, service, address, state;
   if (instance["id"].get(id) != simdjson::SUCCESS || instance["service"].get(service) != simdjson::SUCCESS ||
@@ -122,7 +122,7 @@
   const bool keep_alive = parser_.keep_alive();
   channel.in().consume(parser_.size());
   if (!page) {
-    common::log_warning("list.unreadable", "a page of the platform's list could not be read");
+    common::log_warning("list.unreadable", "cannot parse a page of the platform's list of instances");
     return finish(false);
   }
   for (common::EndpointEntry& entry : page->entries) entries_.push_back(std::move(entry));
--- a/src/control/platform_reachability.cpp
+++ b/src/control/platform_reachability.cpp
@@ -17,7 +17,8 @@
 }
 
 bool PlatformReachability::should_ask_peer(bool is_leader, TimePoint now) const {
-  return is_leader && !is_asking_ && silence(now) >= platform_silence_limit && now >= next_question_at_;
+  return is_leader && !is_asking_ && time_since_reached(now) >= platform_unreached_limit &&
+         now >= next_question_at_;
 }
 
 std::size_t PlatformReachability::next_peer(std::size_t peer_count, TimePoint now) {
@@ -31,8 +32,8 @@
 
 bool PlatformReachability::on_reply(bool peer_reaches_platform, TimePoint now) {
   is_asking_ = false;
-  // Its own fetches may have succeeded meanwhile.
-  if (peer_reaches_platform) return silence(now) >= platform_silence_limit;
+  // This controller's own fetches may have succeeded in the meantime.
+  if (peer_reaches_platform) return time_since_reached(now) >= platform_unreached_limit;
   if (peers_in_round_ > 0 && --peers_in_round_ == 0) {
     next_question_at_ = now + pause_;
     pause_ = std::min(max_pause, pause_ * 2);
--- a/src/control/platform_reachability.hpp
+++ b/src/control/platform_reachability.hpp
@@ -1,9 +1,11 @@
-/// When the leader of the role `list` should give way to a controller that reaches the platform. No I/O.
+/// Decides when the leader of the role `list` should step down in favor of a controller that can reach the
+/// platform. No I/O.
 ///
-/// A leader may be in contact with a quorum and cut off from the platform. While its fetches fail it asks one
-/// peer after the other whether that one can fetch the list. If one can, the leader gives up the role for a
-/// while, so that another is elected. If none can, it stays: a change of the leader would help nobody, and is
-/// asked for ever less often. Until then all serve on with the list that they have.
+/// A leader may be in contact with a quorum but cut off from the platform. While its fetches fail, it asks
+/// its peers one after the other whether they can fetch the list. If one can, the leader gives up the role
+/// for a while, so that another controller is elected. If none can, it remains the leader, since a change
+/// would not help, and asks again after growing pauses. Meanwhile all controllers keep using the list that
+/// they have.
 #pragma once
 
 #include <cstddef>
@@ -13,32 +15,34 @@
 
 namespace chutevane::control {
 
-/// A leader whose fetches have failed for so long asks its peers: two fetches in a row have timed out.
-constexpr Span platform_silence_limit = Span::ms(2000);
-/// After it has given up the role a controller does not stand for it for so long: the fault may last.
-constexpr Span list_abstention = Span::ms(10000);
+/// A leader whose fetches have failed for this long asks its peers. Two fetches in a row have then timed out.
+constexpr Span platform_unreached_limit = Span::ms(2000);
+/// Time for which a controller does not campaign for the role after giving it up, since the fault may
+/// persist.
+constexpr Span list_step_down_duration = Span::ms(10000);
 
-/// To be used by one controller, from its event loop. Times are of its steady clock.
+/// Used by one controller from its event loop. Times are from its steady clock.
 class PlatformReachability {
  public:
-  /// A fetch of this controller, as the leader, has succeeded; or it has just become the leader.
+  /// Reports that a fetch as the leader has succeeded, or that this controller has become the leader.
   void on_reached(TimePoint now);
-  /// Whether to ask a peer now. `is_leader`: of the role `list`.
+  /// Returns true if a peer should be asked now. `is_leader`: true if this controller leads the role `list`.
   bool should_ask_peer(bool is_leader, TimePoint now) const;
-  /// Which of `peer_count` peers to ask; to be called where should_ask_peer(). Its answer is due by
-  /// on_reply().
+  /// Returns the index of the peer to ask, below `peer_count`. Must only be called if should_ask_peer(), and
+  /// must be followed by a call of on_reply().
   std::size_t next_peer(std::size_t peer_count, TimePoint now);
-  /// The peer's answer; false where none came. True: this controller should give up the role.
+  /// Processes the peer's reply, or false if there was none. Returns true if this controller should give up
+  /// the role.
   [[nodiscard]] bool on_reply(bool peer_reaches_platform, TimePoint now);
-  /// Since the last success as a leader.
-  Span silence(TimePoint now) const { return now - last_reached_at_; }
+  /// Returns the time since the last successful fetch as the leader, or since the election.
+  Span time_since_reached(TimePoint now) const { return now - last_reached_at_; }
 
  private:
   TimePoint last_reached_at_;
   TimePoint next_question_at_;
-  Span pause_;                      // after a round of all peers of which none reaches the platform
-  std::size_t next_peer_ = 0;       // in their order
-  std::size_t peers_in_round_ = 0;  // that are still to be asked in this round
+  Span pause_;                      // after a round in which no peer could reach the platform
+  std::size_t next_peer_ = 0;       // taken modulo the number of peers
+  std::size_t peers_in_round_ = 0;  // peers still to be asked in this round
   bool is_asking_ = false;
 };
 
--- a/src/control/retirement.cpp
+++ b/src/control/retirement.cpp
@@ -16,7 +16,7 @@
   return found == value.retired_nodes.end() ? nullptr : &*found;
 }
 
-std::size_t staying_without(const RegisterValue& value, const std::string& node) {
+std::size_t staying_node_count(const RegisterValue& value, const std::string& node) {
   return static_cast<std::size_t>(
       std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                     [&](const StorageNode& other) { return !other.draining && other.node != node; }));
@@ -27,7 +27,7 @@
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                                   [&](const StorageNode& other) { return other.node == node; });
   if (found == value.storage_nodes.end()) return RetirementOutcome::unknown_node;
-  if (staying_without(value, node) < replicas_for(losses)) return RetirementOutcome::too_few_left;
+  if (staying_node_count(value, node) < replicas_for(losses)) return RetirementOutcome::too_few_left;
   found->draining = true;
   value.retired_nodes.push_back({node, false});
   ++value.map_version;
--- a/src/control/role_election.cpp
+++ b/src/control/role_election.cpp
@@ -33,7 +33,7 @@
 void RoleElection::tick(bool has_quorum_contact) {
   if (is_withdrawn_) return;
   const TimePoint now = timers_.now();
-  // Until the first echoes come the votes themselves prove contact.
+  // Until the first echoes arrive, the votes themselves prove contact.
   const bool is_newly_elected = now - election_.elected_at() < leader_lease_duration;
   if (election_.is_leader() && !is_newly_elected && !has_quorum_contact) election_.step_down(now);
   campaign();
@@ -54,8 +54,8 @@
   return reply;
 }
 
-void RoleElection::abstain(Span duration) {
-  abstains_until_ = timers_.now() + duration;
+void RoleElection::step_down_for(Span duration) {
+  no_campaign_until_ = timers_.now() + duration;
   election_.step_down(timers_.now());
 }
 
@@ -67,12 +67,12 @@
 void RoleElection::campaign() {
   if (is_withdrawn_ || register_.epoch_value().epoch == 0) return;
   const TimePoint now = timers_.now();
-  if (now < abstains_until_) return;
+  if (now < no_campaign_until_) return;
   if (const std::optional<Term> term = election_.start_campaign(now)) return request_votes(*term);
   const std::optional<TimePoint> next = election_.next_campaign_at();
   if (!next || *next <= now) return;
-  // Not with the next tick: controllers that noticed the vacancy with one tick would all campaign with
-  // another.
+  // Uses a timer instead of the next tick, since controllers that noticed the vacancy in the same tick would
+  // otherwise all campaign in the same later tick.
   timers_.at(*next, [this, next] {
     if (election_.next_campaign_at() == next) campaign();
   });
--- a/src/control/role_election.hpp
+++ b/src/control/role_election.hpp
@@ -15,40 +15,42 @@
 
 namespace chutevane::control {
 
-/// This controller, as a candidate and a voter.
+/// Identity of this controller as a candidate and a voter.
 struct Candidate {
   std::string node;
   std::string address;
-  std::uint64_t incarnation = 0;  // drawn at random at each start of the process
+  std::uint64_t incarnation = 0;  // random number drawn at each start of the process
 };
 
-/// Voters are the controllers whose acceptors serve the register's newest known epoch.
+/// Election of one role at this controller. The voters are the controllers whose acceptors serve the
+/// register's newest known epoch.
 class RoleElection {
  public:
-  /// `seed`: of the random delays. The references must outlive this object. `on_elected` is called when this
-  /// controller has become the leader.
+  /// `seed`: seed of the random delays. `on_elected`: called when this controller has become the leader. The
+  /// references must outlive this object.
   RoleElection(std::string role, std::uint64_t seed, net::TimerQueue& timers, const Register& reg,
                PeerTable& peers, Candidate candidate, std::function<void()> on_elected);
 
   const std::string& role() const { return election_.role(); }
   bool is_leader() const { return election_.is_leader(); }
   Term term() const { return election_.term(); }
-  /// Under which this controller publishes results of the role while it leads.
+  /// The token under which this controller publishes results of the role while it is the leader.
   FencingToken fencing_token() const { return make_fencing_token(election_.term(), candidate_.incarnation); }
 
-  /// To be called with each tick: a leader without proof of contact with a quorum steps down, and a campaign
-  /// is started where one is due.
+  /// Must be called with each tick. Steps down if this controller leads without proof of contact with a
+  /// quorum, and starts a campaign if one is due.
   void tick(bool has_quorum_contact);
-  /// Gossip of a peer has come.
+  /// Processes a gossip message of a peer.
   void on_gossip(const common::Gossip& gossip);
   common::VoteReply on_vote_request(const common::VoteRequest& request);
-  /// Some receiver has accepted results under that token (LeaderElection::observe_fencing_token).
+  /// Processes a token under which some receiver has accepted results
+  /// (LeaderElection::observe_fencing_token).
   void observe_fencing_token(FencingToken token) {
     election_.observe_fencing_token(token, candidate_.incarnation);
   }
-  /// Gives up leadership, if any, and does not campaign for this long. It votes on.
-  void abstain(Span duration);
-  /// The process shuts down: gives up leadership, and neither campaigns nor votes any more.
+  /// Gives up leadership, if any, and does not campaign for `duration`. Still votes.
+  void step_down_for(Span duration);
+  /// Gives up leadership, if any, and stops campaigning and voting. Called at shutdown.
   void withdraw();
 
  private:
@@ -63,7 +65,7 @@
   PeerTable& peers_;
   const Candidate candidate_;
   const std::function<void()> on_elected_;
-  TimePoint abstains_until_;
+  TimePoint no_campaign_until_;
   bool is_withdrawn_ = false;
 };
 
--- a/src/control/storage_map_planner.cpp
+++ b/src/control/storage_map_planner.cpp
@@ -25,9 +25,9 @@
 
 std::string key_of(const char* what, const StorageNode& node) { return what + node.node + " " + node.disk; }
 
-/// Adds a member that the map does not name. A request to retire it stands, also where it was gone in
-/// between. Where it was absent while its replicas were needed, it brings them back, or its disk counts as
-/// replaced.
+/// Adds a member that is not in the map. An earlier request to retire it remains in force, even if the node
+/// was gone in between. If the node is on the list of absent nodes, it returns with its replicas, or its disk
+/// counts as replaced. Returns true if the member was added.
 bool add_node(RegisterValue& value, const Member& member) {
   const RetiredNode* const retirement = find_retirement(value, member.node);
   if (member.draining || (retirement != nullptr && retirement->completed)) return false;
@@ -48,10 +48,10 @@
   return true;
 }
 
-/// Takes over another disk or address of a node that the map names.
+/// Updates the disk and the address of a node in the map. Returns true if they have changed.
 bool update_identity(StorageNode& node, const Member& member) {
   if (node.disk == member.disk && node.address == member.address) return false;
-  // Its replicas went with the former disk: whoever takes over has to know of that loss.
+  // The replicas were lost with the former disk, and the nodes that take over must know of that loss.
   node.disk_replaced = node.disk_replaced || node.disk != member.disk;
   node.disk = member.disk;
   node.address = member.address;
@@ -59,34 +59,37 @@
   return true;
 }
 
-/// Marks a node as draining that is to be retired, or that got SIGTERM and may take its disk with it: the
-/// others take over while it is there. Clears the mark where it was only restarted.
+/// Marks a node as draining if it is to be retired, or if it got SIGTERM and its disk may be lost with it, so
+/// that the others take over before it exits. Clears the mark if the node was only restarted. Returns true if
+/// the mark has changed.
 bool update_draining(RegisterValue& value, StorageNode& node, const Member& member, std::size_t losses) {
   const bool is_retiring = find_retirement(value, node.node) != nullptr;
-  const bool enough_stay = staying_without(value, node.node) >= replicas_for(losses);
+  const bool enough_stay = staying_node_count(value, node.node) >= replicas_for(losses);
   const bool draining = is_retiring || (member.draining && enough_stay);
   if (draining == node.draining) return false;
   node.draining = draining;
   return true;
 }
 
-/// Whether the node has taken over all that is its own by this map, on the disk that the map names.
+/// Returns true if the node has taken over all replicas that this map assigns to it, on the disk that the map
+/// names.
 bool is_complete(const RegisterValue& value, const StorageNode& node, const std::vector<Member>& live) {
   const Member* const member = find_storage_member(live, node.node);
   return member != nullptr && member->disk == node.disk && member->complete_map_version >= value.map_version;
 }
 
-/// Whether all staying nodes are complete. They have then all that the draining ones hold.
+/// Returns true if all nodes that are not draining are complete. They then have all that the draining ones
+/// hold.
 bool are_staying_complete(const RegisterValue& value, const std::vector<Member>& live) {
   return std::all_of(value.storage_nodes.begin(), value.storage_nodes.end(), [&](const StorageNode& node) {
     return node.draining || is_complete(value, node, live);
   });
 }
 
-/// Clears marks and absent nodes whose replicas have been made up for. Once all staying nodes are complete,
-/// every replica group has all of its turns. before that a replaced disk is made up for by its own node
-/// alone, and only where no absent node's replicas are needed and no node is bootstrapping or draining. True:
-/// the change is worth a new map.
+/// Clears marks and absent nodes whose replicas have been rebuilt. Once all staying nodes are complete, every
+/// replica group has all of its turns. Before that, a replaced disk counts as rebuilt once its own node is
+/// complete, and only if no absent node's replicas are needed and no node is bootstrapping or draining.
+/// Returns true if the change warrants a new map.
 bool clear_repaired(RegisterValue& value, const std::vector<Member>& live) {
   const std::size_t missing_before = common::missing_replicas(value);
   if (are_staying_complete(value, live)) {
@@ -106,7 +109,8 @@
   return common::missing_replicas(value) < missing_before;
 }
 
-/// Removes the first draining node; a request to retire it is completed.
+/// Removes the first draining node, and marks a request to retire it as completed. Returns false if no node
+/// is draining.
 bool remove_drained_node(RegisterValue& value) {
   const auto found = std::find_if(value.storage_nodes.begin(), value.storage_nodes.end(),
                                   [](const StorageNode& node) { return node.draining; });
@@ -117,7 +121,7 @@
   return true;
 }
 
-/// Members in contact whose disk works. One whose disk fails stores nothing: it counts as absent.
+/// Returns the members whose disk works. A member whose disk fails stores nothing and counts as absent.
 std::vector<Member> with_working_disk(const std::vector<Member>& members) {
   std::vector<Member> out;
   std::copy_if(members.begin(), members.end(), std::back_inserter(out),
@@ -127,13 +131,14 @@
 
 }  // namespace
 
-/// Shorter where the node is not needed: groups that it belongs to have one reply less in the meantime.
+/// Returns the timeout for an absent node. It is shorter if the node is not needed, since its replica groups
+/// get one reply fewer until it is removed.
 Span StorageMapPlanner::absence_timeout(std::size_t staying, TimePoint now) const {
   if (last_join_ && now - *last_join_ < successor_window) return succeeded_node_absence_timeout;
   return staying > replicas_for(losses_) ? surplus_node_absence_timeout : storage_node_absence_timeout;
 }
 
-/// Adds new members and takes over what has changed of known ones.
+/// Adds new members and updates known ones. Returns true if the map has changed.
 bool StorageMapPlanner::update_nodes(RegisterValue& value, const std::vector<Member>& live, TimePoint now) {
   bool has_changed = false;
   for (const Member& member : live) {
@@ -152,12 +157,13 @@
   return has_changed;
 }
 
-/// Moves nodes that were out of contact for their timeout to the absent ones.
+/// Moves nodes that were out of contact for longer than their timeout to the list of absent nodes. Returns
+/// true if the map has changed.
 ///
-/// An absent node may come back with the only replicas that are left, or never. It is removed only where the
-/// staying ones can make up for it without it: while fewer disks are lost, absent or out of contact than may
-/// be. It is remembered as absent until they have, as it may have to bring its replicas back if another disk
-/// is lost meanwhile.
+/// An absent node may return with the only replicas that are left, or never return. It is removed only if the
+/// other nodes can rebuild its replicas without it, that is, if no more disks are lost, absent or out of
+/// contact than `losses`. It stays on the list until they have done so, as its replicas may be needed if
+/// another disk is lost in the meantime.
 bool StorageMapPlanner::remove_absent_nodes(RegisterValue& value, const std::vector<Member>& live,
                                             TimePoint now) {
   const auto is_silent = [&](const StorageNode& node) {
@@ -165,7 +171,7 @@
   };
   std::vector<StorageNode> overdue;
   for (const StorageNode& node : value.storage_nodes) {
-    const Span timeout = absence_timeout(staying_without(value, node.node), now);
+    const Span timeout = absence_timeout(staying_node_count(value, node.node), now);
     if (absence_.update(key_of("storage_node ", node), !is_silent(node), timeout, now))
       overdue.push_back(node);
   }
@@ -174,7 +180,7 @@
     const auto silent_count = static_cast<std::size_t>(
         std::count_if(value.storage_nodes.begin(), value.storage_nodes.end(), is_silent));
     if (common::missing_replicas(value) + silent_count > losses_) break;
-    if (staying_without(value, node.node) < replicas_for(losses_)) continue;
+    if (staying_node_count(value, node.node) < replicas_for(losses_)) continue;
     std::erase_if(value.storage_nodes, [&](const StorageNode& other) { return other.node == node.node; });
     value.absent_nodes.push_back(node);
     has_changed = true;
@@ -187,8 +193,8 @@
   return absence_.update(key_of(what, node), is_present, replica_expiry_, now);
 }
 
-/// Stops waiting for replicas that have expired by now: of absent nodes, of replaced disks, and of nodes that
-/// were out of contact for as long.
+/// Stops waiting for replicas that have expired: those of absent nodes, of replaced disks, and of nodes that
+/// have been out of contact for that long. Returns true if the map has changed.
 bool StorageMapPlanner::drop_expired_replicas(RegisterValue& value, const std::vector<Member>& live,
                                               TimePoint now) {
   bool has_changed = std::erase_if(value.absent_nodes, [&](const StorageNode& node) {
@@ -201,7 +207,7 @@
     has_changed |= was_replaced != node.disk_replaced;
     const bool is_present = find_storage_member(live, node.node) != nullptr;
     const bool is_overdue = has_expired("away ", node, is_present, now);
-    if (is_overdue && staying_without(value, node.node) >= replicas_for(losses_)) {
+    if (is_overdue && staying_node_count(value, node.node) >= replicas_for(losses_)) {
       value.storage_nodes.erase(value.storage_nodes.begin() + static_cast<std::ptrdiff_t>(i));
       has_changed = true;
     } else {
