--- a/tests/control/absence_tracker_test.cpp
+++ b/tests/control/absence_tracker_test.cpp
@@ -1,4 +1,4 @@
-// How long something has been absent, by its key.
+// Tests of AbsenceTracker: how long each key has been absent.
 #include "control/absence_tracker.hpp"
 
 #include "unit.hpp"
@@ -13,27 +13,27 @@
   AbsenceTracker absence;
 };
 
-TEST(Absence, WhatIsMetFirstCountsAsPresentUntilThen) {
+TEST(Absence, NewKeyCountsAsPresentUntilNow) {
   CHECK_FALSE(absence.update("a", false, timeout, start));
   CHECK_FALSE(absence.update("a", false, timeout, start + timeout));
   CHECK_TRUE(absence.update("a", false, timeout, start + timeout + Span::ms(1)));
 }
 
-TEST(Absence, PresenceBeginsTheTimeAnew) {
+TEST(Absence, PresenceRestartsTheTimeout) {
   absence.update("a", true, timeout, start);
   absence.update("a", true, timeout, start + Span::ms(900));
   CHECK_FALSE(absence.update("a", false, timeout, start + Span::ms(1800)));
   CHECK_TRUE(absence.update("a", false, timeout, start + Span::ms(1901)));
 }
 
-TEST(Absence, KeysAreApart) {
+TEST(Absence, KeysAreIndependent) {
   absence.update("a", true, timeout, start);
   absence.update("b", true, timeout, start + Span::ms(900));
   CHECK_TRUE(absence.update("a", false, timeout, start + Span::ms(1500)));
   CHECK_FALSE(absence.update("b", false, timeout, start + Span::ms(1500)));
 }
 
-TEST(Absence, ForgottenAfterClear) {
+TEST(Absence, ClearRemovesEarlierAbsences) {
   absence.update("a", true, timeout, start);
   absence.clear();
   CHECK_FALSE(absence.update("a", false, timeout, start + Span::ms(5000)));
--- a/tests/control/acceptor_log_form_test.cpp
+++ b/tests/control/acceptor_log_form_test.cpp
@@ -1,5 +1,5 @@
-// An acceptor whose log has changes only: the same answers as one that logs its whole state, and the same
-// state after each loss of power.
+// Tests of an acceptor whose log contains changes only. It must reply the same as an acceptor that logs its
+// full state, and must recover the same state after each power loss.
 #include <memory>
 #include <string>
 #include <vector>
@@ -27,7 +27,7 @@
   return std::make_unique<DurableAcceptor>(disk, identity, "acceptor", form);
 }
 
-// All that an acceptor holds, to be compared.
+// The state of an acceptor, encoded for comparison.
 std::string state_of(const DurableAcceptor& acceptor) {
   common::AcceptorRecord out;
   out.epoch = acceptor.epoch();
@@ -46,14 +46,14 @@
   return out;
 }
 
-// A request to an acceptor: exactly one of the two is sent.
+// A request to an acceptor, of which exactly one of the two messages is sent.
 struct Request {
   bool is_accept = false;
   common::Prepare prepare;
   common::Accept accept;
 };
 
-// Its answer as bytes. Nothing: the disk failed.
+// Returns the encoded reply, or std::nullopt if the disk failed.
 std::optional<std::string> answer_of(DurableAcceptor& acceptor, const Request& request) {
   if (request.is_accept) {
     const auto reply = acceptor.accept(request.accept);
@@ -63,8 +63,8 @@
   return reply.ok() ? std::optional(common::encoded(*reply)) : std::nullopt;
 }
 
-// What proposers send, by a seed: ballots that rise, repeat and fall, values in full and as differences from
-// what the acceptor has, or has not, epochs that begin.
+// Random requests of proposers: ballots that rise, repeat and fall, full values and differences from values
+// that the acceptor has or lacks, and new epochs.
 class RequestSource {
  public:
   explicit RequestSource(std::uint64_t seed) : random_(seed) {}
@@ -117,7 +117,7 @@
   std::int64_t round_ = 1;
 };
 
-// A value of one size, as there is always one to change.
+// Returns the value to change next; all values have the same size.
 RegisterValue value_to_change(const DurableAcceptor& acceptor) {
   return acceptor.is_voting() ? acceptor.accepted_value() : initial_of(1);
 }
@@ -126,8 +126,8 @@
 
 TEST_GROUP(AcceptorLogOfChanges){};
 
-// Both forms answer alike, request by request, whatever was reopened in between.
-TEST(AcceptorLogOfChanges, AnswersAsOneThatLogsItsState) {
+// Both log forms give the same reply to each request, with restarts in between.
+TEST(AcceptorLogOfChanges, RepliesEqualThoseOfFullStateLog) {
   std::size_t accepted = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     RandomSource random(seed);
@@ -154,8 +154,8 @@
 
 namespace {
 
-// Runs the requests of a seed until the disk fails, loses power there and reopens: nothing that was answered
-// is taken back, and there is one of the two states that the request under way was between.
+// Runs the requests of a seed until the disk fails, loses power at that step and reopens the acceptor. No
+// reply may be lost, and the state must be the one before or the one after the request in progress.
 void lose_power_at(std::uint64_t seed, std::size_t step) {
   const std::string where = numbered("seed ", seed) + numbered(", step ", step);
   MemoryDisk disk;
@@ -174,7 +174,7 @@
     copy.power_cycle(100 * seed + cycle);
     auto reopened = acceptor_on(copy, AcceptorLogForm::changes);
     const absl::Status opened = reopened->open();
-    // Of a first checkpoint that is torn nobody has been told: the disk counts as another one.
+    // A torn first checkpoint was never reported in a reply, so the disk counts as a new one.
     if (absl::IsDataLoss(opened) && !acceptor->is_voting()) continue;
     CHECK_WHERE(opened.ok(), where);
     const std::string found = state_of(*reopened);
@@ -182,21 +182,21 @@
       CHECK_WHERE(answer_of(*reopened, under_way).has_value(), where);
       continue;
     }
-    // The request was on disk before its answer: it is a repeat now.
+    // The request was on disk before the reply, so sending it again is a repeat.
     CHECK_WHERE(answer_of(*reopened, under_way).has_value() && state_of(*reopened) == found, where);
   }
 }
 
 }  // namespace
 
-TEST(AcceptorLogOfChanges, LossOfPowerAtEachStep) {
+TEST(AcceptorLogOfChanges, PowerLossAtEachStep) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     for (std::size_t step = 0; step < 70; ++step) lose_power_at(seed, step);
   }
 }
 
-// A disk that fails for a while: no answer, and the next write is a checkpoint in full.
-TEST(AcceptorLogOfChanges, FailingDiskKeepsWhatWasAnswered) {
+// While the disk fails there is no reply, and the next write is a full checkpoint.
+TEST(AcceptorLogOfChanges, RepliesSurviveFailingDisk) {
   for (const common::DiskFault fault : {common::DiskFault::full, common::DiskFault::sync_drops_writes,
                                         common::DiskFault::sync_outcome_unknown}) {
     for (std::size_t first = 4; first < 40; ++first) {
@@ -214,7 +214,7 @@
   }
 }
 
-// The log is longer than its bound: checkpoints come in between.
+// A log that reaches its maximum size is replaced by a checkpoint.
 TEST(AcceptorLogOfChanges, LongLogsAreReplacedByCheckpoints) {
   MemoryDisk disk;
   auto acceptor = acceptor_on(disk, AcceptorLogForm::changes);
@@ -239,9 +239,9 @@
   CHECK_TRUE(reopened->open().ok() && state_of(*reopened) == state_of(*acceptor));
 }
 
-// After its state can't be read, an acceptor under a new identity begins empty, and stays so when reopened:
-// no older slot comes back.
-TEST(AcceptorLogOfChanges, ResetIsAboveAllOldSlots) {
+// An acceptor whose state cannot be read starts empty under a new identity, and is still empty when reopened:
+// no older slot is recovered.
+TEST(AcceptorLogOfChanges, ResetSupersedesAllOldSlots) {
   for (const char* const file : {"slot0", "slot1", "both", "log"}) {
     MemoryDisk disk;
     auto acceptor = acceptor_on(disk, AcceptorLogForm::changes);
--- a/tests/control/acceptor_membership_test.cpp
+++ b/tests/control/acceptor_membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership of a set of acceptors: the acceptor, the planner and the contact with a quorum agree on it, also
-// where a set is planned before all of the first controllers have opened.
+// Tests of the membership of acceptor sets. The acceptor, the planner and the proof of contact with a quorum
+// must agree on it, even if a set is planned before all of the first controllers have started.
 #include "control/acceptor_membership.hpp"
 
 #include <optional>
@@ -33,8 +33,9 @@
   return {machine.address, machine.disk_id, machine.first};
 }
 
-// Five controllers that bear two losses, three of them the seeds. Each of `late` opens for the first time
-// before the request of that number arrives at anybody; all the while the planner runs as the leader does.
+// Five controllers that tolerate two losses, three of which are the seeds. Those in `late` start for the
+// first time just before request number `opens_at_request` arrives. Meanwhile the planner runs as at a
+// leader.
 class GrowingFleet {
  public:
   GrowingFleet(std::vector<std::size_t> late, std::size_t opens_at_request)
@@ -47,7 +48,7 @@
     proposer_.reg.observe_epoch(cluster_.first_epoch_of(seed_count));
   }
 
-  // Ticks of the leader.
+  // Runs that number of ticks of the leader.
   void play(int ticks) {
     for (int i = 0; i < ticks; ++i) {
       tick();
@@ -71,7 +72,7 @@
     return ok;
   }
 
-  // Members of the set, by what the acceptors answer to a prepare of its epoch.
+  // Number of members of the set that reply to a prepare request of its epoch as members.
   std::size_t voting() {
     std::size_t out = 0;
     for (Machine& machine : cluster_.all) {
@@ -85,7 +86,7 @@
     }
     return out;
   }
-  // And by what gossip tells of the controllers, as the planner and the contact with a quorum take it.
+  // Number of members by the identities in gossip, which the planner and QuorumContact use.
   std::size_t in_contact() const {
     std::size_t out = 0;
     for (const Acceptor& member : epoch_value().acceptors) {
@@ -125,21 +126,21 @@
 
 TEST_GROUP(AcceptorMembership) { const Acceptor named{"m1", "d1"}, unnamed{"m1", ""}; };
 
-TEST(AcceptorMembership, ADiskIsNamedAndNoOtherCounts) {
+TEST(AcceptorMembership, OnlyTheNamedDiskIsAMember) {
   CHECK_TRUE(control::is_acceptor({"m1", "d1", false}, named, 1));
   CHECK_TRUE(control::is_acceptor({"m1", "d1", false}, named, 5));
   CHECK_FALSE(control::is_acceptor({"m1", "d2", true}, named, 1));
   CHECK_FALSE(control::is_acceptor({"m2", "d1", true}, named, 1));
 }
 
-TEST(AcceptorMembership, OnlyTheFirstSetMeansDisksThatItDoesNotName) {
+TEST(AcceptorMembership, OnlyTheFirstSetIncludesUnnamedDisks) {
   CHECK_TRUE(control::is_acceptor({"m1", "d1", true}, unnamed, 1));
   CHECK_FALSE(control::is_acceptor({"m1", "d1", false}, unnamed, 1));
   CHECK_FALSE(control::is_acceptor({"m1", "d1", true}, unnamed, 2));
   CHECK_FALSE(control::is_acceptor({"m1", "", true}, unnamed, 2));
 }
 
-TEST(AcceptorMembership, ALaterSetNamesEachDiskAndEachAddressOnce) {
+TEST(AcceptorMembership, LaterSetNamesAllDisksAndHasNoDuplicateAddress) {
   CHECK_TRUE(NamedAcceptorSet::make({{"m1", "d1"}, {"m2", "d2"}}).has_value());
   CHECK_FALSE(NamedAcceptorSet::make({{"m1", "d1"}, {"m2", ""}}).has_value());
   CHECK_FALSE(NamedAcceptorSet::make({{"", "d1"}}).has_value());
@@ -147,7 +148,7 @@
   CHECK_FALSE(NamedAcceptorSet::make({}).has_value());
 }
 
-TEST(AcceptorMembership, ASealedValueKeepsAllElse) {
+TEST(AcceptorMembership, SealingChangesOnlyTheNextAcceptors) {
   RegisterValue value;
   value.number = 7;
   value.acceptors = {{"m1", ""}};
@@ -156,9 +157,9 @@
   CHECK_TRUE(sealed.number == 7 && sealed.acceptors == value.acceptors);
 }
 
-// The set grows while a seed opens for the first time, at every message. Each member of
-// the set that comes of it votes, and it bears the two losses that it is planned for.
-TEST(AcceptorMembership, ASetPlannedBeforeAFirstStartBearsItsLosses) {
+// The set grows while a seed starts for the first time, at each possible message. Each member of the
+// resulting set must vote, and the set must tolerate the two losses for which it is planned.
+TEST(AcceptorMembership, SetPlannedBeforeAFirstStartToleratesItsLosses) {
   constexpr std::size_t never = 100000;
   GrowingFleet calm({}, never);
   calm.play(4);
@@ -169,7 +170,7 @@
       const std::string where = numbered("seed ", late) + numbered(", request ", point);
       GrowingFleet fleet({late}, point);
       fleet.play(4);
-      fleet.open_late();  // where so many requests were not made
+      fleet.open_late();  // in case fewer requests were sent
       fleet.play(4);
       CHECK_WHERE(fleet.epoch_value().acceptors.size() == machine_count, where);
       CHECK_WHERE(fleet.voting() == machine_count && fleet.in_contact() == machine_count, where);
@@ -180,8 +181,8 @@
   }
 }
 
-// It opens long after the set has grown without it.
-TEST(AcceptorMembership, OneThatOpensLateIsAddedWithItsDisk) {
+// A seed that starts long after the set has grown without it is added.
+TEST(AcceptorMembership, LateControllerIsAddedWithItsDisk) {
   GrowingFleet fleet({1}, 100000);
   fleet.play(20);
   const std::size_t without = fleet.epoch_value().acceptors.size();
@@ -192,9 +193,9 @@
   CHECK_EQUAL(machine_count, fleet.voting());
 }
 
-// What an earlier version has stored: the fleet has served for long on a set of five of which one never
-// votes. The leader's first tick names it, before any disk is lost.
-TEST(AcceptorMembership, AStoredSetWithAMemberThatNeverVotesIsHealed) {
+// An earlier version could store a set of five in which one member has no disk and never votes. The leader's
+// first tick must fill in that disk, before any disk is lost.
+TEST(AcceptorMembership, StoredSetWithANonVotingMemberIsRepaired) {
   AcceptorCluster cluster(machine_count, 3);
   Proposer proposer(cluster, 9);
   RegisterValue stored;
--- a/tests/control/acceptor_set_planner_test.cpp
+++ b/tests/control/acceptor_set_planner_test.cpp
@@ -1,4 +1,4 @@
-// The set of acceptors: members are replaced after their time and not sooner.
+// Tests of AcceptorSetPlanner: members are replaced after their timeout and not sooner.
 #include "control/acceptor_set_planner.hpp"
 
 #include <algorithm>
@@ -52,11 +52,12 @@
   return next ? std::optional(next->members()) : std::nullopt;
 }
 
-// Looks again and again; when the set changes, how long that took.
+// The first changed set, and the time until it was planned.
 struct Watched {
   std::optional<std::vector<Acceptor>> next;
   Span after;
 };
+// Calls plan() with each tick until the set changes, for up to `most`.
 Watched watch(AcceptorSetPlanner& planner, const RegisterValue& value,
               const std::vector<LiveController>& live, TimePoint& now, Span most) {
   const TimePoint start = now;
@@ -74,20 +75,20 @@
   TimePoint now = TimePoint::at_ms(1e6);
 };
 
-TEST(AcceptorSetPlanning, CopiesBearTheLosses) {
+TEST(AcceptorSetPlanning, ReplicaCountToleratesTheLosses) {
   CHECK_EQUAL(static_cast<std::size_t>(1), replicas_for(0));
   CHECK_EQUAL(static_cast<std::size_t>(3), replicas_for(1));
   CHECK_EQUAL(static_cast<std::size_t>(5), replicas_for(2));
 }
 
-TEST(AcceptorSetPlanning, NothingChangesWhileAllAreThere) {
+TEST(AcceptorSetPlanning, NoChangeWhileAllArePresent) {
   const auto got =
       watch(planner, with_acceptors({1, 2, 3}), controllers({1, 2, 3, 4, 5}), now, Span::ms(60000));
   CHECK_FALSE(got.next.has_value());
 }
 
-// Not sooner than its time: a process that is started again comes back with its disk.
-TEST(AcceptorSetPlanning, LostOneIsReplacedAfterItsTime) {
+// Not before the timeout, since a restarted process returns with its disk.
+TEST(AcceptorSetPlanning, LostAcceptorIsReplacedAfterTheTimeout) {
   const RegisterValue value = with_acceptors({1, 2, 3});
   CHECK_FALSE(planner.plan(value, controllers({1, 2, 3, 4}), now).has_value());
   const Watched got = watch(planner, value, controllers({1, 2, 4}), now, Span::ms(20000));
@@ -98,17 +99,17 @@
   CHECK_TRUE(has(*got.next, "c4", "d4") && !has(*got.next, "c3", "d3"));
 }
 
-// Its successor began when it went: the next loss may come `catchUpS` later, also where
-// the leader went with it.
-TEST(AcceptorSetPlanning, ItsPlaceIsAnothersBeforeTheNextLoss) {
-  constexpr Span catch_up = Span::ms(4000), duty_won = Span::ms(1300), change = Span::ms(200);
+// The next loss may follow `catchUpS` after the successor of the lost machine started, even if the leader was
+// lost with that machine. The acceptor must have been replaced by then.
+TEST(AcceptorSetPlanning, LostAcceptorIsReplacedBeforeTheNextLoss) {
+  constexpr Span catch_up = Span::ms(4000), election = Span::ms(1300), change = Span::ms(200);
   planner.restart();
   const Watched got = watch(planner, with_acceptors({1, 2, 3}), controllers({1, 2, 4}), now, Span::ms(20000));
   CHECK_TRUE(got.next.has_value());
-  CHECK_TRUE(duty_won + got.after + tick_interval + change < catch_up);
+  CHECK_TRUE(election + got.after + tick_interval + change < catch_up);
 }
 
-TEST(AcceptorSetPlanning, OneThatComesBackInTimeStays) {
+TEST(AcceptorSetPlanning, AcceptorThatReturnsInTimeStays) {
   const RegisterValue value = with_acceptors({1, 2, 3});
   for (int round = 0; round < 10; ++round) {
     CHECK_FALSE(watch(planner, value, controllers({1, 2, 4}), now, acceptor_absence_timeout - tick_interval)
@@ -117,35 +118,36 @@
   }
 }
 
-TEST(AcceptorSetPlanning, WithoutAnotherTheLostOneStays) {
+TEST(AcceptorSetPlanning, LostAcceptorStaysWithoutAFreeController) {
   CHECK_FALSE(
       watch(planner, with_acceptors({1, 2, 3}), controllers({1, 2}), now, Span::ms(30000)).next.has_value());
 }
 
-TEST(AcceptorSetPlanning, OneThatLeavesTakesNoPlace) {
+TEST(AcceptorSetPlanning, ControllerThatShutsDownIsNotAdded) {
   std::vector<LiveController> live = controllers({1, 2, 4});
   live[2].is_eligible = false;
   CHECK_FALSE(watch(planner, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
 }
 
-// Its successor may have been there for long: once it is gone the next loss comes at any moment.
-TEST(AcceptorSetPlanning, OneThatLeavesIsReplacedBeforeItGoes) {
+// The replacing controller may have been running for long, so another loss may follow at any time once the
+// member has exited.
+TEST(AcceptorSetPlanning, MemberThatShutsDownIsReplacedBeforeItExits) {
   std::vector<LiveController> live = controllers({1, 2, 3, 4});
   live[2].is_eligible = false;
   const auto next = members_of(planner.plan(with_acceptors({1, 2, 3}), live, now));
   CHECK_TRUE(next.has_value());
   CHECK_TRUE(next->size() == 3 && has(*next, "c4", "d4") && !has(*next, "c3", "d3"));
-  // Nobody is there in its stead: it votes on.
+  // Without a free controller the member keeps voting.
   live.pop_back();
   CHECK_FALSE(watch(planner, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
-  // Nor one that leaves as well.
+  // A controller that is shutting down as well is not a replacement.
   live = controllers({1, 2, 3, 4});
   live[2].is_eligible = live[3].is_eligible = false;
   CHECK_FALSE(watch(planner, with_acceptors({1, 2, 3}), live, now, Span::ms(30000)).next.has_value());
 }
 
-// Its disk is gone for good, and with it what it promised: there is nothing to wait for.
-TEST(AcceptorSetPlanning, SameAddressWithAnotherDiskAtOnce) {
+// The old disk and its promises are lost for good, so there is nothing to wait for.
+TEST(AcceptorSetPlanning, NewDiskAtTheSameAddressReplacesAtOnce) {
   std::vector<LiveController> live = controllers({1, 2});
   live.push_back({{"c3", "new", false}, true});
   live.push_back(controller(4));
@@ -155,8 +157,8 @@
   CHECK_FALSE(has(*next, "c3", "d3") || has(*next, "c4", "d4"));
 }
 
-// A new leader counts against nobody what it has not seen.
-TEST(AcceptorSetPlanning, WatchedAnew) {
+// A new leader does not count absences from before its election.
+TEST(AcceptorSetPlanning, RestartDiscardsAbsences) {
   const RegisterValue value = with_acceptors({1, 2, 3});
   CHECK_FALSE(planner.plan(value, controllers({1, 2, 3, 4}), now).has_value());
   now = now + Span::ms(60000);
@@ -165,17 +167,17 @@
   CHECK_TRUE(got.next.has_value() && got.after > acceptor_absence_timeout);
 }
 
-TEST(AcceptorSetPlanning, SmallSetGrowsToBearTheLosses) {
+TEST(AcceptorSetPlanning, SmallSetGrowsToTolerateTheLosses) {
   AcceptorSetPlanner of_two(2);
   const auto next = members_of(of_two.plan(with_acceptors({1, 2, 3}), controllers({1, 2, 3, 4, 5, 6}), now));
   CHECK_TRUE(next.has_value());
   CHECK_EQUAL(static_cast<std::size_t>(5), next->size());
-  // One more alone bears no more: the set stays.
+  // A fourth member alone would not tolerate more losses, so the set stays.
   CHECK_FALSE(of_two.plan(with_acceptors({1, 2, 3}), controllers({1, 2, 3, 4}), now).has_value());
 }
 
-// The first set is known by its addresses alone; the next names each disk that is there.
-TEST(AcceptorSetPlanning, FirstSetIsNamedWithItsDisks) {
+// The first set has only addresses; the next set names the disk of each member.
+TEST(AcceptorSetPlanning, SetAfterTheFirstNamesAllDisks) {
   RegisterValue value;
   value.epoch = 1;
   value.acceptors = {{"c1", ""}, {"c2", ""}, {"c3", ""}};
@@ -184,15 +186,15 @@
   const Watched got = watch(planner, value, controllers({1, 2, 4}), now, Span::ms(10000));
   CHECK_TRUE(got.next.has_value());
   for (const Acceptor& a : *got.next) CHECK_FALSE(a.disk.empty());
-  // One at a known address, whose disk is not of the first start, is another disk.
+  // A controller at a known address whose disk was not new at the first start has another disk.
   std::vector<LiveController> wiped = controllers({1, 2});
   wiped.push_back({{"c3", "new", false}, true});
   const auto next = members_of(planner.plan(value, wiped, now));
   CHECK_TRUE(next.has_value() && has(*next, "c3", "new") && has(*next, "c1", "d1") && has(*next, "c2", "d2"));
 }
 
-// The first set, grown while some of its controllers have yet to open for the first time.
-TEST(AcceptorSetPlanning, AChangeWaitsForTheDisksOfTheFirstSet) {
+// The first set grows while one of its controllers has not started yet.
+TEST(AcceptorSetPlanning, ChangeWaitsForTheDisksOfTheFirstSet) {
   AcceptorSetPlanner of_two(2);
   RegisterValue first;
   first.epoch = 1;
@@ -203,8 +205,8 @@
   CHECK_TRUE(next.has_value() && next->size() == 5 && has(*next, "c2", "d2"));
 }
 
-// Waiting ends: the set grows without those that are still missing, and to an odd number.
-TEST(AcceptorSetPlanning, OneThatNeverOpensIsLeftOutAfterItsTime) {
+// After the timeout the set changes without the members that are still missing, to an odd number.
+TEST(AcceptorSetPlanning, MemberThatNeverStartsIsLeftOutAfterTheTimeout) {
   for (const bool second_is_missing : {false, true}) {
     AcceptorSetPlanner of_two(2);
     RegisterValue first;
@@ -212,13 +214,13 @@
     for (int n = 1; n <= 5; ++n) first.acceptors.push_back({numbered("c", n), ""});
     std::vector<LiveController> live = controllers({1, 2, 3});
     if (!second_is_missing) live.push_back(controller(4));
-    live[0] = {{"c1", "new", false}, true};  // the change that cannot wait for ever
+    live[0] = {{"c1", "new", false}, true};  // requires a change
     const Watched got = watch(of_two, first, live, now, Span::ms(20000));
     CHECK_TRUE(got.next.has_value() && got.after > acceptor_absence_timeout);
     CHECK_EQUAL(static_cast<std::size_t>(3), got.next->size());
     CHECK_TRUE(has(*got.next, "c1", "new") && !has(*got.next, "c1", "d1"));
     for (const Acceptor& member : *got.next) CHECK_FALSE(member.disk.empty());
-    // It comes after all, and the set grows again as soon as that makes it odd.
+    // The missing member arrives after all, and the set grows again if that makes it odd.
     RegisterValue second;
     second.epoch = 2;
     second.acceptors = *got.next;
@@ -228,30 +230,30 @@
   }
 }
 
-// As earlier versions have stored it: a later set that names a member by its address alone.
-TEST(AcceptorSetPlanning, AMemberWithoutADiskInALaterSetIsNamedAtOnce) {
+// Earlier versions could store a later set that names a member by its address alone.
+TEST(AcceptorSetPlanning, MemberWithoutADiskInALaterSetIsRepairedAtOnce) {
   AcceptorSetPlanner of_two(2);
   RegisterValue stored = with_acceptors({1, 2, 3, 4, 5});
   stored.acceptors[1].disk.clear();
-  const auto healed = members_of(of_two.plan(stored, controllers({1, 2, 3, 4, 5}), now));
-  CHECK_TRUE(healed.has_value() && *healed == with_acceptors({1, 2, 3, 4, 5}).acceptors);
-  // Where its controller is not there, a free one takes its place after its time.
+  const auto repaired = members_of(of_two.plan(stored, controllers({1, 2, 3, 4, 5}), now));
+  CHECK_TRUE(repaired.has_value() && *repaired == with_acceptors({1, 2, 3, 4, 5}).acceptors);
+  // If that controller is absent, a free one replaces it after the timeout.
   const Watched got = watch(of_two, stored, controllers({1, 3, 4, 5, 6}), now, Span::ms(20000));
   CHECK_TRUE(got.next.has_value() && has(*got.next, "c6", "d6") && !has(*got.next, "c2", ""));
 }
 
-// A peer that reports no disk becomes no acceptor.
-TEST(AcceptorSetPlanning, AControllerWithoutADiskIsNotFree) {
+// A peer that reports no disk cannot become an acceptor.
+TEST(AcceptorSetPlanning, ControllerWithoutADiskIsNotFree) {
   std::vector<LiveController> live = controllers({1, 2});
   live.push_back({{"c4", "", true}, true});
   CHECK_FALSE(watch(planner, with_acceptors({1, 2, 3}), live, now, Span::ms(20000)).next.has_value());
 }
 
-// Days of comings and goings: a set never shrinks, never names one twice, and changes a place only for a
-// cause.
-TEST(AcceptorSetPlanning, ComingsAndGoings) {
+// Controllers leave, return and lose disks at random. A set must never shrink, never name a controller twice,
+// and replace a member only for a valid reason.
+TEST(AcceptorSetPlanning, RandomAbsences) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
-    chutevane::simulated::RandomSource luck(seed);
+    chutevane::simulated::RandomSource random(seed);
     AcceptorSetPlanner r(1);
     RegisterValue value = with_acceptors({0, 1, 2});
     std::vector<int> disks(6, 0);
@@ -259,9 +261,9 @@
     std::vector<bool> up(6, true);
     for (int step = 0; step < 400; ++step) {
       now = now + tick_interval;
-      const std::size_t one = luck.below(6);
-      if (luck.chance(0.06)) up[one] = !up[one];
-      if (luck.chance(0.01)) ++disks[one];
+      const std::size_t one = random.below(6);
+      if (random.chance(0.06)) up[one] = !up[one];
+      if (random.chance(0.01)) ++disks[one];
       std::vector<LiveController> live;
       for (std::size_t i = 0; i < 6; ++i) {
         if (!up[i]) continue;
@@ -289,8 +291,8 @@
   }
 }
 
-// A controller with a new disk gets its own place back, and never another's beside it: one address would vote
-// as two.
+// A controller with a new disk replaces its own former membership and never also that of another member, or
+// one address would have two votes.
 TEST(AcceptorSetPlanning, NoAddressIsNamedTwice) {
   for (int order = 0; order < 2; ++order) {
     AcceptorSetPlanner watching(1);
@@ -300,7 +302,7 @@
       value.acceptors.push_back({std::string("a") + n, std::string("d") + n});
     std::vector<LiveController> live{{{"a2", "other", false}, true}, {{"a3", "d3", false}, true}};
     if (order == 1) std::swap(live[0], live[1]);
-    // Both others are gone for longer than their time, and none is free; then one comes back with a new disk.
+    // Both others are absent for longer than the timeout and none is free; then one returns with a new disk.
     const std::vector<LiveController> alone{{{"a3", "d3", false}, true}};
     for (int i = 0; i < 50; ++i, now = now + Span::ms(100))
       CHECK_FALSE(members_of(watching.plan(value, alone, now)).has_value());
--- a/tests/control/changes_test.cpp
+++ b/tests/control/changes_test.cpp
@@ -1,7 +1,8 @@
-// Hundreds of changes of the register, twenty a second, while its members restart, freeze, lose power in the
-// middle of a write, are cut off, lose their disks and are replaced. Guards: each member is caught up within
-// a bound, with the newest whole; nobody is told an older value after a newer one; no acceptor takes back
-// what it answered (simulated_register.hpp); disks stay bounded. Bytes between machines are counted.
+// Tests of hundreds of changes of the register, twenty a second, while its members restart, freeze, lose
+// power in the middle of a write, are cut off, lose their disks and are replaced. Checks that each member
+// catches up with the full newest value within a bound, that no process reports an older value after a newer
+// one, that no acceptor contradicts an earlier reply (simulated_register.hpp), and that disk usage stays
+// bounded. Counts the bytes between machines.
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
@@ -28,11 +29,10 @@
 namespace {
 
 constexpr Span change_interval = Span::ms(50);
-constexpr Span gossip_interval = Span::ms(250);  // as control_plane.cpp's tick
-constexpr Span catch_up_delay = Span::ms(150);   // as there: then it reads
-constexpr Span change_timeout = Span::ms(3000);  // an operator's order, as there
-constexpr Span max_catch_up_duration =
-    Span::ms(1500);  // after the last trouble of any kind, two lost rounds and a read
+constexpr Span gossip_interval = Span::ms(250);         // tick_interval in control_timing.hpp
+constexpr Span catch_up_delay = Span::ms(150);          // as in knowledge_tracker.cpp
+constexpr Span change_timeout = Span::ms(3000);         // submission_timeout in operator_api.cpp
+constexpr Span max_catch_up_duration = Span::ms(1500);  // after the last fault: two lost rounds and a read
 
 std::size_t disk_bytes(common::MemoryDisk& disk) {
   std::size_t out = 0;
@@ -40,17 +40,18 @@
   return out;
 }
 
-// A control machine: its acceptor, and what of it proposes and hears of values.
+// A controller: its acceptor, its proposer and the values that it has learnt.
 struct Member {
   Machine* machine = nullptr;
   std::unique_ptr<Proposer> proposer;
   std::int64_t newest_reported = -1;               // the newest number that this process reported
-  bool up = false, away = false, reading = false;  // away: it comes back by itself
+  bool up = false, away = false, reading = false;  // away: restarts by itself later
   TimePoint behind_since;
   common::RecentValues recent;
   std::map<const Member*, control::PeerPosition> reported_by;
 };
 
+// The controllers, the changes and the faults of one simulation.
 struct ChangeSimulation {
   ChangeSimulation(std::uint64_t seed, std::size_t config_bytes)
       : cluster(5, seed), changes(seed, config_bytes) {
@@ -68,7 +69,7 @@
       members.back().machine = &m;
     }
     for (std::size_t i = 0; i < 3; ++i) start(members[i], true);
-    for (std::size_t i = 3; i < 5; ++i) cluster.all[i].up = false;  // they are new, later
+    for (std::size_t i = 3; i < 5; ++i) cluster.all[i].up = false;  // they join later
   }
 
   TimePoint now() const { return cluster.clock.system.now(); }
@@ -82,26 +83,26 @@
     member.up = true;
     member.recent = {};
     member.reported_by.clear();
-    for (Member& other : members) other.reported_by[&member].number = 0;  // the connections are new
+    for (Member& other : members) other.reported_by[&member].number = 0;  // connections are new
     member.reading = false;
     if (first) p.reg.observe_epoch(cluster.first_epoch_of(3));
     p.reg.observe_epoch(member.machine->acceptor->epoch_value());
     p.reg.on_chosen([this, &member, &p](const RegisterValue& v) {
-      if (member.proposer.get() != &p) return;  // it has ended
-      check(v.number > member.newest_reported, "told an older value after a newer one");
+      if (member.proposer.get() != &p) return;  // the process has ended
+      check(v.number > member.newest_reported, "reported an older value after a newer one");
       member.newest_reported = v.number;
       member.recent.add(v);
-      saw(v);
+      on_value(v);
     });
   }
-  // Its process ends, and another begins on the same disk, after a loss of power or without one.
+  // Ends the process; another one starts on the same disk later, after a power loss if `power`.
   void stop(Member& member, Span away, bool power = true) {
     if (!member.up) return;
     member.up = member.machine->up = false;
     member.away = true;
     member.proposer->transport.cut_off = true;
     ended.push_back(std::move(member.proposer));
-    calm_from(now() + away);
+    fault_ends_at(now() + away);
     cluster.clock.later.after(away, [this, &member, power] {
       Machine& m = *member.machine;
       m.acceptor.reset();
@@ -112,28 +113,29 @@
       start(member, false);
     });
   }
-  void calm_from(TimePoint at) { calm_since = std::max(calm_since, at); }
+  void fault_ends_at(TimePoint at) { last_fault_end = std::max(last_fault_end, at); }
 
-  void saw(const RegisterValue& v) {
+  void on_value(const RegisterValue& v) {
     const std::string record = common::encoded(v);
-    const auto [at, fresh] = hashes.emplace(v.number, common::content_hash(record));
-    check(fresh || at->second == common::content_hash(record), numbered("two values of number ", v.number));
+    const auto [at, is_new] = hashes.emplace(v.number, common::content_hash(record));
+    check(is_new || at->second == common::content_hash(record),
+          numbered("two values with number ", v.number));
     largest = std::max(largest, record.size());
   }
 
-  // An operator's order at some member that is up.
-  void order() {
+  // Submits an operator's change at a random member that is up.
+  void submit() {
     Member& member = members[cluster.random.below(members.size())];
     if (!member.up || frozen(member)) return;
     const std::string config = changes.next({}).config.data;
-    const std::int64_t hash = ++orders;
-    const auto had = [hash](const RegisterValue& v) {
+    const std::int64_t hash = ++submissions;
+    const auto contains_change = [hash](const RegisterValue& v) {
       return std::any_of(v.applied_configurations.begin(), v.applied_configurations.end(),
                          [&](const common::AppliedConfiguration& t) { return t.hash == hash; });
     };
     member.proposer->reg.change(
         [=](const RegisterValue& current) -> std::optional<RegisterValue> {
-          if (had(current)) return std::nullopt;
+          if (contains_change(current)) return std::nullopt;
           RegisterValue out = current;
           ++out.config_version;
           out.config.data = config;
@@ -143,17 +145,17 @@
           return out;
         },
         change_timeout,
-        [this, &member, p = member.proposer.get(), had](absl::StatusOr<RegisterValue> got) {
+        [this, &member, p = member.proposer.get(), contains_change](absl::StatusOr<RegisterValue> got) {
           if (!got.ok() || member.proposer.get() != p) return;
-          check(had(*got), "taken, and not in the value that it was answered with");
-          saw(*got);
+          check(contains_change(*got), "accepted, but not in the returned value");
+          on_value(*got);
           ++acknowledged;
           newest = std::max(newest, got->number);
           notify_peers(member);
         });
   }
-  // The others are notified of it, as by ControlPlane::announce(); it is lost where one of the two is not
-  // there.
+  // Notifies the other members, as ControlPlane::announce() does. A notification is lost if either side is
+  // down.
   void notify_peers(Member& from) {
     const Register& reg = from.proposer->reg;
     if (!reg.known_value() || cut(from)) return;
@@ -163,7 +165,7 @@
       if (state.number >= reg.known_value()->number) continue;
       const common::Chosen notification = control::make_chosen_notification(from.recent, reg, state);
       from.reported_by[&to].number = reg.known_value()->number;
-      if (cluster.counting) bytes_chosen += common::encoded(notification).size();
+      if (cluster.is_counting_bytes) bytes_chosen += common::encoded(notification).size();
       cluster.clock.later.after(cluster.delay(), [this, &to, p = to.proposer.get(), notification] {
         if (to.proposer.get() != p || !to.up) return;
         ++notifications;
@@ -175,7 +177,8 @@
   bool frozen(const Member& m) const { return m.machine->frozen_until > now(); }
   bool cut(const Member& m) const { return !m.up || m.proposer->transport.cut_off || frozen(m); }
 
-  // What gossip and catch_up do: who hears of a later epoch or number asks for it.
+  // Simulates gossip and KnowledgeTracker::catch_up(): a member that learns of a later epoch or number reads
+  // it.
   void gossip() {
     for (Member& to : members) {
       if (cut(to)) continue;
@@ -206,12 +209,13 @@
       });
     }
   }
-  // With no trouble for so long, all have what was acknowledged before it.
-  void look() {
+  // Checks later that all members have the newest acknowledged value, unless there is a fault in the
+  // meantime.
+  void check_caught_up_later() {
     const std::int64_t wanted = newest;
     cluster.clock.later.after(max_catch_up_duration, [this, wanted] {
-      if (calm_since > now() - max_catch_up_duration) return;
-      ++calm_looks;
+      if (last_fault_end > now() - max_catch_up_duration) return;
+      ++caught_up_checks;
       for (const Member& m : members) {
         if (m.up)
           check(m.newest_reported >= wanted, m.machine->address +
@@ -221,7 +225,7 @@
     });
   }
 
-  // Of the newest set each disk is there: one may be lost.
+  // Returns true if all disks of the newest set are present, so that one may be lost.
   bool are_all_disks_present() const {
     const RegisterValue* newest_set = nullptr;
     for (const Member& m : members) {
@@ -238,7 +242,7 @@
            });
   }
 
-  // As the roster does: places of those that are gone go to those that are there.
+  // Replaces absent acceptors by members that are present, as MembershipController does.
   void change_set() {
     for (Member& by : members) {
       if (cut(by) || !by.proposer->reg.known_value()) continue;
@@ -263,17 +267,17 @@
   }
 
   void inject_fault() {
-    if (std::fmod((now() - begun).as_ms(), 12000) > 5000) return;  // then all have time to catch up
-    // One at a time, as is borne: the next begins when the one before is made up for.
-    if (calm_since + Span::ms(400) > now()) return;
+    if (std::fmod((now() - start_time).as_ms(), 12000) > 5000) return;  // leaves time to catch up
+    // One fault at a time: the next one starts after recovery from the one before.
+    if (last_fault_end + Span::ms(400) > now()) return;
     Member& member = members[cluster.random.below(members.size())];
     Machine& m = *member.machine;
     const Span most = Span::ms(200 + 1200 * cluster.random.unit());
     ++fault_count;
     switch (cluster.random.below(6)) {
-      case 0:  // power is lost at a numbered step of what it writes next
+      case 0:  // power loss at one of the next steps of the disk
         m.disk->lose_power_at(m.disk->step_count() + cluster.random.below(12));
-        calm_from(now() + Span::ms(1000));
+        fault_ends_at(now() + Span::ms(1000));
         cluster.clock.later.after(Span::ms(1000),
                                   [&m] { m.disk->lose_power_at(common::MemoryDisk::no_step); });
         break;
@@ -282,20 +286,20 @@
       case 3:
         if (!member.up) break;
         m.frozen_until = now() + most;
-        calm_from(m.frozen_until);
+        fault_ends_at(m.frozen_until);
         break;
-      case 4:  // cut off: it asks nobody, and nobody asks it
+      case 4:  // cut off in both directions
         if (!member.up) break;
         member.proposer->transport.cut_off = true;
         m.frozen_until = now() + most;
-        calm_from(m.frozen_until);
+        fault_ends_at(m.frozen_until);
         cluster.clock.later.after(most, [&member, p = member.proposer.get()] {
           if (member.proposer.get() == p) p->transport.cut_off = false;
         });
         break;
-      default:  // another disk, and soon another set
+      default:  // the disk is replaced, and soon the set is changed
         if (member.away) break;
-        if (!member.up) {  // new
+        if (!member.up) {  // has not joined yet
           m.start();
           start(member, false);
         } else {
@@ -303,7 +307,7 @@
           stop(member, most, false);
           m.wipe();
         }
-        calm_from(now() + most + Span::ms(1200));
+        fault_ends_at(now() + most + Span::ms(1200));
         for (const double ms : {300.0, 600.0, 900.0})
           cluster.clock.later.after(most + Span::ms(ms), [this] { change_set(); });
     }
@@ -312,8 +316,8 @@
   void run(std::size_t count, bool faults) {
     for (std::size_t i = 0; i < count; ++i) {
       const Span at = change_interval * static_cast<double>(i);
-      cluster.clock.later.after(at, [this] { order(); });
-      if (i % 10 == 0) cluster.clock.later.after(at, [this] { look(); });
+      cluster.clock.later.after(at, [this] { submit(); });
+      if (i % 10 == 0) cluster.clock.later.after(at, [this] { check_caught_up_later(); });
       if (faults && i + 60 < count) cluster.clock.later.after(at, [this] { inject_fault(); });
     }
     const Span all = change_interval * static_cast<double>(count) + Span::ms(6000);
@@ -325,11 +329,11 @@
       check(m.newest_reported >= newest,
             m.machine->address + numbered(" not caught up at the end: ", m.newest_reported));
     }
-    // A record holds two values: the accepted one and the epoch's first.
+    // A record contains two values: the accepted one and the epoch's initial one.
     const std::size_t record = 2 * (largest + 200);
     for (const Machine& m : cluster.all)
       check(disk_bytes(*m.disk) <= common::DurableState::max_disk_bytes(record, record),
-            m.address + ": its disk is not bounded");
+            m.address + ": too many bytes on its disk");
   }
 
   void check(bool good, const std::string& what) {
@@ -339,14 +343,14 @@
   AcceptorCluster cluster;
   ChangingValue changes;
   std::vector<Member> members;
-  std::vector<std::unique_ptr<Proposer>> ended;  // what was on its way to them may still come
+  std::vector<std::unique_ptr<Proposer>> ended;  // late messages may still arrive
   std::map<std::int64_t, std::uint64_t> hashes;  // of the value of each number
   std::uint64_t proposers = 0;
-  std::int64_t orders = 0, newest = 0;
-  std::size_t acknowledged = 0, sets = 0, fault_count = 0, calm_looks = 0, largest = 0, bytes_chosen = 0,
-              notifications = 0, unused = 0;
-  const TimePoint begun = cluster.clock.system.now();
-  TimePoint calm_since;
+  std::int64_t submissions = 0, newest = 0;
+  std::size_t acknowledged = 0, sets = 0, fault_count = 0, caught_up_checks = 0, largest = 0,
+              bytes_chosen = 0, notifications = 0, unused = 0;
+  const TimePoint start_time = cluster.clock.system.now();
+  TimePoint last_fault_end;
   std::string broken;
 };
 
@@ -354,27 +358,28 @@
 
 TEST_GROUP(Changes){};
 
-TEST(Changes, BytesBetweenControlMachines) {
+TEST(Changes, BytesBetweenControllers) {
   for (const std::size_t bytes : {1024U, 16U << 10U, 64U << 10U}) {
     ChangeSimulation simulation(3, bytes);
-    simulation.cluster.counting = true;
+    simulation.cluster.is_counting_bytes = true;
     simulation.run(bytes > (16U << 10U) ? 300 : 1000, false);
     CHECK_TEXT(simulation.broken.empty(), simulation.broken.c_str());
     CHECK_TRUE(simulation.acknowledged > 100);
     const auto each = [&](std::size_t all) { return static_cast<long long>(all / simulation.acknowledged); };
-    const std::string where = numbered("bytes ", static_cast<long long>(bytes)) +
-                              numbered(": changes ", static_cast<long long>(simulation.acknowledged)) +
-                              numbered(", asked a change ", each(simulation.cluster.bytes_asked)) +
-                              numbered(", answered ", each(simulation.cluster.bytes_answered)) +
-                              numbered(", Chosen ", each(simulation.bytes_chosen)) +
-                              numbered(", words ", static_cast<long long>(simulation.notifications)) +
-                              numbered(", of no use ", static_cast<long long>(simulation.unused));
+    const std::string where =
+        numbered("bytes ", static_cast<long long>(bytes)) +
+        numbered(": changes ", static_cast<long long>(simulation.acknowledged)) +
+        numbered(", request bytes per change ", each(simulation.cluster.request_bytes)) +
+        numbered(", reply bytes ", each(simulation.cluster.reply_bytes)) +
+        numbered(", notification bytes ", each(simulation.bytes_chosen)) +
+        numbered(", notifications ", static_cast<long long>(simulation.notifications)) +
+        numbered(", of these unused ", static_cast<long long>(simulation.unused));
     if (std::getenv("CHUTEVANE_TELL_BYTES") != nullptr) UT_PRINT(where.c_str());
   }
 }
 
-TEST(Changes, EveryTroubleOnSmallValues) {
-  std::size_t sets = 0, fault_count = 0, acknowledged = 0, looks = 0;
+TEST(Changes, AllFaultsWithSmallValues) {
+  std::size_t sets = 0, fault_count = 0, acknowledged = 0, checks = 0;
   for (std::uint64_t seed = 0; seed < 5; ++seed) {
     ChangeSimulation simulation(seed, 1024);
     simulation.run(1000, true);
@@ -383,18 +388,18 @@
     sets += simulation.sets;
     fault_count += simulation.fault_count;
     acknowledged += simulation.acknowledged;
-    looks += simulation.calm_looks;
+    checks += simulation.caught_up_checks;
   }
-  const std::string came = numbered("sets ", static_cast<long long>(sets)) +
-                           numbered(", troubles ", static_cast<long long>(fault_count)) +
-                           numbered(", taken ", static_cast<long long>(acknowledged)) +
-                           numbered(", looks ", static_cast<long long>(looks));
-  if (std::getenv("CHUTEVANE_TELL_BYTES") != nullptr) UT_PRINT(came.c_str());
-  CHECK_WHERE(sets > 5 && fault_count > 60 && acknowledged > 1500 && looks > 50, came);
+  const std::string summary = numbered("set changes ", static_cast<long long>(sets)) +
+                              numbered(", faults ", static_cast<long long>(fault_count)) +
+                              numbered(", accepted ", static_cast<long long>(acknowledged)) +
+                              numbered(", checks ", static_cast<long long>(checks));
+  if (std::getenv("CHUTEVANE_TELL_BYTES") != nullptr) UT_PRINT(summary.c_str());
+  CHECK_WHERE(sets > 5 && fault_count > 60 && acknowledged > 1500 && checks > 50, summary);
 }
 
-// Each change of these switches the slot of each acceptor, or nearly so.
-TEST(Changes, EveryTroubleOnLargeValues) {
+// Almost every change of this size makes each acceptor write a checkpoint.
+TEST(Changes, AllFaultsWithLargeValues) {
   for (std::uint64_t seed = 100; seed < 103; ++seed) {
     ChangeSimulation simulation(seed, 96U << 10U);
     simulation.run(280, true);
@@ -410,10 +415,10 @@
   CHECK_TRUE(simulation.acknowledged > 2);
 }
 
-TEST_GROUP(ChosenWord){};
+TEST_GROUP(ValueNotification){};
 
-// Without its epoch's first value a word is for those who are in that epoch.
-TEST(ChosenWord, OfAnotherEpochIsDropped) {
+// A notification without its epoch's initial value is only for receivers in that epoch.
+TEST(ValueNotification, OfAnotherEpochIsDropped) {
   AcceptorCluster cluster(3, 1);
   Proposer from(cluster, 1), to(cluster, 2);
   const RegisterValue first = cluster.first_epoch_of(3);
--- a/tests/control/election_cluster.hpp
+++ b/tests/control/election_cluster.hpp
@@ -1,7 +1,7 @@
-/// Controllers that elect the leader of one role among themselves, on a simulated clock: heartbeats and votes
-/// are lost and delayed, controllers freeze, restart and lose contact, all by a seed.
+/// Controllers that elect the leader of one role among themselves on a simulated clock. Heartbeats and votes
+/// are lost and delayed, and controllers freeze, restart and lose contact, as determined by a seed.
 ///
-/// Guards, whatever a test does: no process votes twice in one term.
+/// In every test it checks that no process votes twice in one term.
 #pragma once
 
 #include <cstdint>
@@ -21,18 +21,19 @@
 
 namespace chutevane::simulated {
 
+/// The simulated controllers and the network between them.
 class ElectionCluster {
  public:
   struct Controller {
     std::string name;
     std::unique_ptr<control::LeaderElection> election;
-    std::uint64_t incarnation = 0;  // of its process
+    std::uint64_t incarnation = 0;  // of the process
     std::uint64_t restarts = 0;
-    bool is_frozen = false;              // it does and hears nothing, and goes on as it was later
-    std::set<std::size_t> cut_off_from;  // controllers that its messages do not reach, nor theirs it
+    bool is_frozen = false;              // neither acts nor receives, and later resumes with its state
+    std::set<std::size_t> cut_off_from;  // controllers with which no messages are exchanged
   };
 
-  /// `loss_rate`: of the heartbeats and vote requests.
+  /// `loss_rate`: fraction of the heartbeats and vote requests that is lost.
   ElectionCluster(std::size_t size, std::uint64_t seed, double loss_rate)
       : random(seed), loss_rate_(loss_rate), controllers(size) {
     for (std::size_t i = 0; i < size; ++i) {
@@ -57,7 +58,7 @@
     return count;
   }
 
-  /// The process is killed and starts anew: it knows nothing of its votes.
+  /// Kills the process and starts a new one, which does not know the votes of the former one.
   virtual void restart(std::size_t i) {
     ++controllers[i].restarts;
     start_process(i);
@@ -80,12 +81,12 @@
  public:
   std::vector<Controller> controllers;
   std::map<control::Term, std::set<std::string>> winners;  // by term
-  std::string broken;                                      // the first thing that must not be; empty: none
+  std::string broken;                                      // the first violated invariant, or empty
 
  protected:
   bool is_lost() { return random.chance(loss_rate_); }
   Span delay() { return Span::ms(1 + 30 * random.unit()); }
-  /// What goes with a heartbeat: the function is called when it arrives, after the election has learnt of it.
+  /// Returns a function that is called when a heartbeat arrives, after the election has processed it.
   virtual std::function<void()> attachment(std::size_t /*from*/, std::size_t /*to*/) { return nullptr; }
 
  private:
@@ -102,7 +103,7 @@
     controllers[i].incarnation = random.next();
   }
 
-  // As the control plane's loop does it.
+  // Corresponds to the control plane's loop.
   void tick(std::size_t i) {
     clock.later.after(tick_interval, [this, i] { tick(i); });
     if (controllers[i].is_frozen) return;
@@ -168,7 +169,8 @@
     }
   }
 
-  std::map<std::tuple<std::size_t, std::uint64_t, control::Term>, std::size_t> votes_;  // to their candidates
+  std::map<std::tuple<std::size_t, std::uint64_t, control::Term>, std::size_t>
+      votes_;  // candidate by voter, restarts and term
 };
 
 }  // namespace chutevane::simulated
--- a/tests/control/fencing_token_test.cpp
+++ b/tests/control/fencing_token_test.cpp
@@ -1,6 +1,6 @@
-// The list of endpoints under a role whose terms are kept in memory only: controllers restart, freeze and are
-// cut off, so two may lead at the same time, also in one term. Whoever follows the list never goes back, and
-// once all is well again follows what is fetched now.
+// Tests of fencing tokens with the list of endpoints. Terms are kept in memory only, and controllers restart,
+// freeze and lose contact, so two may lead at the same time, even in one term. A follower of the list must
+// never go back to an older list, and must have a current one once the faults have ended.
 #include "control/fencing_token.hpp"
 
 #include <algorithm>
@@ -29,9 +29,9 @@
 
 constexpr Span fetch_interval = Span::ms(600);
 constexpr Span member_heartbeat_interval = Span::ms(300);
-constexpr double max_list_age_ms = 2000;  // at a follower, once all has been well for some seconds
+constexpr double max_list_age_ms = 2000;  // at a follower, some seconds after the last fault
 
-// The platform's list as of a time: one endpoint whose capacity is the time.
+// The platform's list at a time: one endpoint whose capacity is that time.
 std::vector<common::EndpointEntry> platform_list(TimePoint now) {
   common::EndpointEntry one;
   one.id = "e";
@@ -42,8 +42,7 @@
   return table.entries().empty() ? 0 : table.entries().begin()->second.capacity;
 }
 
-// Controllers that fetch, publish and follow the list, as the control plane does it, and members that follow
-// it.
+// Controllers that fetch, publish and follow the list as the control plane does, and members that follow it.
 class PublishingCluster : public ElectionCluster {
  public:
   PublishingCluster(std::uint64_t seed, std::size_t size, double loss_rate)
@@ -57,7 +56,7 @@
     }
   }
 
-  // What was wrong; empty: nothing.
+  // Runs with faults, then without. Returns the first violation, or an empty string.
   std::string run(Span with_faults, Span calm) {
     for (int n = 0; n < 16; ++n) clock.later.after(with_faults * random.unit(), [this] { inject_fault(); });
     clock.play(with_faults);
@@ -74,7 +73,7 @@
     }
     return "";
   }
-  // Terms in which two processes have published.
+  // Number of terms in which two processes have published.
   std::size_t terms_of_two_leaders() const {
     std::map<Term, std::set<FencingToken>> tokens;
     for (const auto& [position, fetched_at] : contents_)
@@ -90,14 +89,14 @@
  private:
   struct List {
     common::EndpointTable table;
-    FencingToken newest_member_token = 0;  // that a member with a session has reported
+    FencingToken newest_member_token = 0;  // highest one that a member with a session has reported
   };
   struct Follower {
     common::EndpointTable table;
     std::vector<std::size_t> sessions;  // with these controllers
   };
 
-  // The position in the list that goes with a heartbeat; a leader answers with what the sender lacks.
+  // Sends the list position with a heartbeat; a leader replies with the changes that the sender lacks.
   std::function<void()> attachment(std::size_t from, std::size_t to) override {
     const List& list = lists_[from];
     const bool is_overtaken = list.newest_member_token > list.table.term();
@@ -137,7 +136,7 @@
       if (to != i && !is_lost()) send_changes(i, to, token, number);
     }
   }
-  // A member's heartbeat, and what the controller pushes down the session.
+  // Processes a member's heartbeat, and pushes changes over the session.
   void send_member_heartbeat(std::size_t which) {
     clock.later.after(member_heartbeat_interval, [this, which] { send_member_heartbeat(which); });
     Follower& follower = followers_[which];
@@ -156,7 +155,7 @@
       }
     }
   }
-  // One content for each position.
+  // Checks that each position has a single content.
   void check_content(const common::EndpointTable& table) {
     if (table.empty()) return;
     const std::pair position{table.term(), table.number()};
@@ -184,7 +183,7 @@
 
 TEST_GROUP(FencingTokens){};
 
-TEST(FencingTokens, FollowersNeverGoBackAndAreNeverLeftBehind) {
+TEST(FencingTokens, FollowersNeverGoBackAndCatchUp) {
   std::size_t terms_of_two_leaders = 0;
   for (std::uint64_t seed = 0; seed < 3000; ++seed) {
     PublishingCluster one(seed, seed % 4 == 0 ? 5 : 3, seed % 3 == 0 ? 0.1 : 0);
@@ -196,9 +195,9 @@
               numbered("terms of two leaders: ", static_cast<long long>(terms_of_two_leaders)));
 }
 
-// Two won one term; the list of the one that is gone has the higher token. The other steps down when it
-// learns of it, and what it publishes next has a higher token still.
-TEST(FencingTokens, OvertakenWithinItsTerm) {
+// Two controllers won one term, and the list of the one that is gone has the higher token. The other one
+// steps down when it learns of that token, and publishes next under an even higher one.
+TEST(FencingTokens, HigherTokenOfTheSameTermForcesStepDown) {
   const TimePoint start = TimePoint::at_ms(1e6);
   constexpr std::uint64_t low = 0x1000, high = 0x2000;
   LeaderElection election("list", 1);
@@ -216,8 +215,8 @@
   CHECK_TRUE(make_fencing_token(6, low) > make_fencing_token(5, high));
 }
 
-// All controllers that knew the term were restarted: it is learnt from those who follow the list.
-TEST(FencingTokens, TheTermIsLearntFromFollowers) {
+// All controllers that knew the term have restarted, so it is learnt from followers of the list.
+TEST(FencingTokens, TermIsLearntFromFollowers) {
   const TimePoint start = TimePoint::at_ms(1e6);
   LeaderElection election("list", 1);
   election.on_heartbeat("k1", 1, start);
--- a/tests/control/leader_election_test.cpp
+++ b/tests/control/leader_election_test.cpp
@@ -1,4 +1,4 @@
-// The election of a leader: by a majority, once in each term, and again when the role falls vacant.
+// Tests of leader election: by a majority, at most once in each term, and again when the role becomes vacant.
 #include "control/leader_election.hpp"
 
 #include <optional>
@@ -28,7 +28,7 @@
 
 TEST_GROUP(LeaderElectionCluster){};
 
-TEST(LeaderElectionCluster, OneLeadsSoonAndStays) {
+TEST(LeaderElectionCluster, OneLeaderIsElectedSoonAndStays) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     ElectionCluster cluster(3 + 2 * (seed % 2), seed, 0);
     const std::string where = numbered("seed ", seed);
@@ -41,7 +41,8 @@
   }
 }
 
-// Partitions, freezes and lost messages: never two winners of a term; once it is calm, one leader.
+// With partitions, freezes and lost messages there are never two winners of a term. After the faults there is
+// one leader.
 TEST(LeaderElectionCluster, OneWinnerOfEachTermUnderFaults) {
   std::size_t terms = 0;
   for (std::uint64_t seed = 0; seed < 120; ++seed) {
@@ -68,7 +69,7 @@
   CHECK_TRUE(terms > 300);
 }
 
-// A leader that is gone is followed by another within two seconds.
+// A leader that is gone is replaced within 2.5 s.
 TEST(LeaderElectionCluster, VacancyIsFilled) {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     ElectionCluster cluster(3, seed, 0);
@@ -82,9 +83,9 @@
   }
 }
 
-// Cut off from the majority it steps down, and the others have a leader of their own; no message of the
-// former one unseats that later.
-TEST(LeaderElectionCluster, TheFormerLeaderDoesNotUnseatTheNext) {
+// A leader that is cut off from the majority steps down, and the others elect a new one. Later messages of
+// the former leader must not make the new one step down.
+TEST(LeaderElectionCluster, FormerLeaderDoesNotDisplaceTheNext) {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     ElectionCluster cluster(3, seed, 0);
     cluster.clock.play(Span::ms(4000));
@@ -108,7 +109,7 @@
 TEST_GROUP(LeaderElectionAlone) {
   LeaderElection election{"list", 1};
   TimePoint now = TimePoint::at_ms(1e6);
-  // The term of the next campaign; `at` becomes the time at which it starts.
+  // Returns the term of the next campaign, and sets `at` to the time at which it starts.
   Term campaign(TimePoint & at) {
     while (true) {
       if (const std::optional<Term> term = election.start_campaign(at)) return *term;
@@ -117,27 +118,27 @@
   }
 };
 
-TEST(LeaderElectionAlone, NoVoteTwiceInATerm) {
+TEST(LeaderElectionAlone, NoSecondVoteInATerm) {
   CHECK_TRUE(election.grant_vote(3, now));
   CHECK_FALSE(election.grant_vote(3, now));
   CHECK_FALSE(election.grant_vote(2, now));
   CHECK_TRUE(election.grant_vote(4, now));
 }
 
-TEST(LeaderElectionAlone, NoVoteWhileTheLeaderIsHeardOf) {
+TEST(LeaderElectionAlone, NoVoteWhileTheLeaderSendsHeartbeats) {
   election.on_heartbeat("k1", 5, now);
   CHECK_FALSE(election.grant_vote(6, now + leader_lease_duration));
   CHECK_TRUE(election.grant_vote(6, now + leader_lease_duration + Span::ms(1)));
 }
 
-TEST(LeaderElectionAlone, NoVoteForATermThatIsOver) {
+TEST(LeaderElectionAlone, NoVoteForAPastTerm) {
   election.on_heartbeat("k1", 5, now);
   now = now + leader_lease_duration * 2;
   CHECK_FALSE(election.grant_vote(5, now));
   CHECK_FALSE(election.grant_vote(4, now));
 }
 
-TEST(LeaderElectionAlone, NoVoteWhileItLeads) {
+TEST(LeaderElectionAlone, NoVoteWhileLeading) {
   election.on_elected(3, now);
   CHECK_FALSE(election.grant_vote(9, now + Span::ms(60000)));
   election.step_down(now);
@@ -145,7 +146,7 @@
   CHECK_TRUE(election.grant_vote(9, now + Span::ms(60000)));
 }
 
-TEST(LeaderElectionAlone, TheLeaderReportsThatItSteppedDown) {
+TEST(LeaderElectionAlone, LeaderReportsStepDown) {
   election.on_heartbeat("k1", 5, now);
   election.on_heartbeat("k2", std::nullopt, now);  // not the leader's message
   CHECK_FALSE(election.grant_vote(6, now));
@@ -162,8 +163,8 @@
   CHECK_EQUAL(6, static_cast<int>(election.term()));
 }
 
-// A campaign that is won late, when a later term has begun, is not won.
-TEST(LeaderElectionAlone, LateWinIsNone) {
+// A win has no effect if the same or a later term has become known in the meantime.
+TEST(LeaderElectionAlone, LateWinHasNoEffect) {
   election.on_heartbeat("k1", 6, now);
   election.on_elected(5, now);
   CHECK_FALSE(election.is_leader());
@@ -184,7 +185,7 @@
   CHECK_TRUE(election.start_campaign(at).has_value());
 }
 
-// Never for a term that it has voted in, or that had a leader.
+// It never campaigns for a term in which it has voted or that had a leader.
 TEST(LeaderElectionAlone, CampaignsForANewTerm) {
   CHECK_TRUE(election.grant_vote(7, now));
   TimePoint at = now;
@@ -193,8 +194,8 @@
 
 TEST_GROUP(LeaderElectionRestarted) { TimePoint now = TimePoint::at_ms(1e6); };
 
-// A voter's process restarts and knows nothing of its vote: two may win one term. Their fencing tokens
-// differ, the higher one counts for all, and each steps down when it learns of the other.
+// A voter that restarts does not know its former vote, so two controllers may win one term. Their fencing
+// tokens differ, receivers follow the higher one, and each leader steps down when it learns of the other.
 TEST(LeaderElectionRestarted, TwoLeadersOfOneTermHaveDifferentTokens) {
   LeaderElection one("list", 1), two("list", 2);
   one.on_elected(5, now);
@@ -206,7 +207,7 @@
   one.on_heartbeat("b", 5, now);
   two.on_heartbeat("a", 5, now);
   CHECK_TRUE(!one.is_leader() && !two.is_leader());
-  // The next is won under a later term.
+  // The next campaign is for a later term.
   std::optional<Term> term;
   for (int i = 0; i < 200 && !term; ++i, now = now + Span::ms(10)) term = one.start_campaign(now);
   CHECK_EQUAL(6, static_cast<int>(term.value_or(0)));
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -1,5 +1,4 @@
-// The operators' API over a real register: what an order is answered, on its first try and when it is sent
-// again.
+// Tests of the operators' API over a real register: the responses to submissions and to their retries.
 #include "control/operator_api.hpp"
 
 #include <algorithm>
@@ -25,9 +24,9 @@
 
 namespace {
 
-// Three acceptors and two control machines that reach them.
-struct Pair {
-  explicit Pair(std::size_t history_limit = configuration_history_limit)
+// Three acceptors and two controllers.
+struct TwoControllers {
+  explicit TwoControllers(std::size_t history_limit = configuration_history_limit)
       : cluster(3, 5), a(cluster, 1, history_limit), b(cluster, 2, history_limit) {
     a.reg.observe_epoch(cluster.first_epoch_of(3));
     b.reg.observe_epoch(cluster.first_epoch_of(3));
@@ -47,7 +46,7 @@
     cluster.clock.play(Span::ms(4000), [&] { return status != 0; });
     return status;
   }
-  // Puts storage machines into the map.
+  // Puts `n` storage nodes into the map.
   void storage_nodes(std::size_t n) {
     bool done = false;
     a.reg.change(
@@ -64,7 +63,7 @@
     cluster.clock.play(Span::ms(1000), [&] { return done; });
     CHECK_TRUE(done);
   }
-  // As the roster does it when all that stay are whole.
+  // Completes a retirement, as MembershipController does once all staying nodes are complete.
   void complete(const std::string& node) {
     bool done = false;
     a.reg.change(
@@ -83,9 +82,9 @@
   std::string body;
 };
 
-RegisterValue with_record(std::size_t taken, std::int64_t step = 1) {
+RegisterValue with_history(std::size_t count, std::int64_t step = 1) {
   RegisterValue out;
-  for (std::size_t i = 1; i <= taken; ++i) {
+  for (std::size_t i = 1; i <= count; ++i) {
     const auto version = static_cast<std::int64_t>(i) * step;
     out.applied_configurations.push_back({version, version * 7});
     out.config_version = version;
@@ -93,86 +92,87 @@
   return out;
 }
 
-ConfigurationSubmission order(std::int64_t base, std::int64_t version, std::int64_t hash) {
+ConfigurationSubmission submission(std::int64_t base, std::int64_t version, std::int64_t hash) {
   return {base, version, hash, ""};
 }
 
 }  // namespace
 
-TEST_GROUP(OrderJudged){};
+TEST_GROUP(SubmissionEvaluation){};
 
-TEST(OrderJudged, OnItsBaseIsApplicable) {
-  CHECK_TRUE(evaluate(RegisterValue(), order(0, 3, 9)) == SubmissionStatus::applicable);
-  CHECK_TRUE(evaluate(with_record(4), order(4, 5, 9)) == SubmissionStatus::applicable);
+TEST(SubmissionEvaluation, ApplicableOnItsBase) {
+  CHECK_TRUE(evaluate(RegisterValue(), submission(0, 3, 9)) == SubmissionStatus::applicable);
+  CHECK_TRUE(evaluate(with_history(4), submission(4, 5, 9)) == SubmissionStatus::applicable);
 }
 
-TEST(OrderJudged, ARepeatHasTheSameBaseVersionAndBytes) {
-  const RegisterValue value = with_record(5, 2);  // 2, 4, 6, 8, 10
-  CHECK_TRUE(evaluate(value, order(0, 2, 14)) == SubmissionStatus::accepted);
-  CHECK_TRUE(evaluate(value, order(4, 6, 42)) == SubmissionStatus::accepted);
-  CHECK_TRUE(evaluate(value, order(8, 10, 70)) == SubmissionStatus::accepted);
-  CHECK_TRUE(evaluate(value, order(4, 6, 43)) ==
-             SubmissionStatus::superseded);  // the same number, another body
-  CHECK_TRUE(evaluate(value, order(2, 6, 42)) ==
-             SubmissionStatus::superseded);  // the same body, another base
-  CHECK_TRUE(evaluate(value, order(5, 6, 42)) == SubmissionStatus::superseded);
-  CHECK_TRUE(evaluate(value, order(4, 7, 42)) == SubmissionStatus::superseded);  // a number that was left out
+TEST(SubmissionEvaluation, RetryHasTheSameBaseVersionAndBytes) {
+  const RegisterValue value = with_history(5, 2);  // 2, 4, 6, 8, 10
+  CHECK_TRUE(evaluate(value, submission(0, 2, 14)) == SubmissionStatus::accepted);
+  CHECK_TRUE(evaluate(value, submission(4, 6, 42)) == SubmissionStatus::accepted);
+  CHECK_TRUE(evaluate(value, submission(8, 10, 70)) == SubmissionStatus::accepted);
+  CHECK_TRUE(evaluate(value, submission(4, 6, 43)) ==
+             SubmissionStatus::superseded);  // same version, another body
+  CHECK_TRUE(evaluate(value, submission(2, 6, 42)) ==
+             SubmissionStatus::superseded);  // same body, another base
+  CHECK_TRUE(evaluate(value, submission(5, 6, 42)) == SubmissionStatus::superseded);
+  CHECK_TRUE(evaluate(value, submission(4, 7, 42)) ==
+             SubmissionStatus::superseded);  // a version that was skipped
 }
 
-TEST(OrderJudged, NotAboveItsBaseIsInvalidWhateverIsCurrent) {
-  CHECK_TRUE(evaluate(RegisterValue(), order(3, 3, 1)) == SubmissionStatus::not_above_base);
-  CHECK_TRUE(evaluate(with_record(5), order(5, 4, 28)) == SubmissionStatus::not_above_base);
-  CHECK_TRUE(evaluate(with_record(5), order(9, 8, 1)) == SubmissionStatus::not_above_base);
+TEST(SubmissionEvaluation, VersionNotAboveItsBaseIsAlwaysInvalid) {
+  CHECK_TRUE(evaluate(RegisterValue(), submission(3, 3, 1)) == SubmissionStatus::not_above_base);
+  CHECK_TRUE(evaluate(with_history(5), submission(5, 4, 28)) == SubmissionStatus::not_above_base);
+  CHECK_TRUE(evaluate(with_history(5), submission(9, 8, 1)) == SubmissionStatus::not_above_base);
 }
 
-TEST(OrderJudged, ABaseThatMayStillComeIsUnclear) {
-  CHECK_TRUE(evaluate(with_record(5), order(6, 7, 1)) == SubmissionStatus::undetermined);
-  CHECK_TRUE(evaluate(with_record(7), order(6, 8, 1)) == SubmissionStatus::superseded);
+TEST(SubmissionEvaluation, BaseThatMayBecomeCurrentIsUndetermined) {
+  CHECK_TRUE(evaluate(with_history(5), submission(6, 7, 1)) == SubmissionStatus::undetermined);
+  CHECK_TRUE(evaluate(with_history(7), submission(6, 8, 1)) == SubmissionStatus::superseded);
 }
 
-// At each length of the record: what it reaches is known, what it does not reach is never refused.
-TEST(OrderJudged, WhatTheRecordDoesNotReachIsUnclear) {
-  for (std::size_t taken = 1; taken < 40; ++taken) {
+// For each length of the history: submissions within its reach are decided, older ones are never rejected.
+TEST(SubmissionEvaluation, OlderThanTheHistoryIsUndetermined) {
+  for (std::size_t accepted = 1; accepted < 40; ++accepted) {
     RegisterValue value;
-    for (std::size_t i = 1; i <= taken; ++i) {
+    for (std::size_t i = 1; i <= accepted; ++i) {
       const auto version = static_cast<std::int64_t>(i);
-      value = control::apply_submission(value, order(version - 1, version, version), 8);
+      value = control::apply_submission(value, submission(version - 1, version, version), 8);
     }
     CHECK_TRUE(value.applied_configurations.size() <= 8);
-    for (std::size_t i = 1; i <= taken; ++i) {
+    for (std::size_t i = 1; i <= accepted; ++i) {
       const auto version = static_cast<std::int64_t>(i);
-      const SubmissionStatus again = evaluate(value, order(version - 1, version, version), 8);
-      const bool reached = taken < 8 || taken - i < 7;
+      const SubmissionStatus again = evaluate(value, submission(version - 1, version, version), 8);
+      const bool reached = accepted < 8 || accepted - i < 7;
       const std::string where =
-          numbered("taken ", static_cast<long long>(taken)) + numbered(", version ", version);
+          numbered("accepted ", static_cast<long long>(accepted)) + numbered(", version ", version);
       CHECK_WHERE(again == (reached ? SubmissionStatus::accepted : SubmissionStatus::undetermined), where);
-      const SubmissionStatus other = evaluate(value, order(version - 1, version, -version), 8);
+      const SubmissionStatus other = evaluate(value, submission(version - 1, version, -version), 8);
       CHECK_WHERE(other == (reached ? SubmissionStatus::superseded : SubmissionStatus::undetermined), where);
     }
   }
 }
 
-// It is in each value that acceptors keep: 64 KiB at most.
-TEST(OrderJudged, AFullRecordIsSmall) {
+// The history is part of each value that acceptors store, so it must be below 64 KiB.
+TEST(SubmissionEvaluation, FullHistoryIsSmall) {
   RegisterValue value;
   std::int64_t version = 0;
   for (std::size_t i = 0; i < configuration_history_limit + 100; ++i) {
     const std::int64_t base = version;
     version += 1 + static_cast<std::int64_t>(i % 3);
     const std::string body = numbered("body ", version);
-    value = control::apply_submission(value,
-                                      order(base, version, static_cast<std::int64_t>(common::hash_of(body))));
+    value = control::apply_submission(
+        value, submission(base, version, static_cast<std::int64_t>(common::hash_of(body))));
   }
   CHECK_EQUAL(configuration_history_limit, value.applied_configurations.size());
   const std::size_t bytes = common::encoded(value).size();
   CHECK_WHERE(bytes < 64 * 1024, numbered("bytes: ", static_cast<long long>(bytes)));
 }
 
-TEST_GROUP(OperatorOrders) { Pair pair; };
+TEST_GROUP(OperatorSubmissions) { TwoControllers pair; };
 
-// The record is longer than the 64 that it once was: an order whose answer was lost may be sent again
-// hundreds of changes later.
-TEST(OperatorOrders, ARepeatIsKnownHundredsOfChangesLater) {
+// A submission whose response was lost may be retried hundreds of changes later. A history of 64 entries, as
+// in earlier versions, would be too short.
+TEST(OperatorSubmissions, RetryIsRecognizedHundredsOfChangesLater) {
   for (std::int64_t version = 1; version <= 300; ++version)
     LONGS_EQUAL(200, pair.replace(pair.a, version - 1, configuration(version, "r")));
   for (const std::int64_t version : {1, 2, 100, 236, 299, 300})
@@ -180,8 +180,8 @@
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(1, "other")));
 }
 
-TEST(OperatorOrders, ARepeatBeyondTheRecordIsUnclear) {
-  Pair small(16);
+TEST(OperatorSubmissions, RetryBeyondTheHistoryIsUndetermined) {
+  TwoControllers small(16);
   for (std::int64_t version = 1; version <= 40; ++version)
     LONGS_EQUAL(200, small.replace(small.a, version - 1, configuration(version, "r")));
   LONGS_EQUAL(503, small.replace(small.b, 0, configuration(1, "r")));
@@ -189,36 +189,37 @@
   LONGS_EQUAL(200, small.replace(small.b, 25, configuration(26, "r")));
 }
 
-TEST(OperatorOrders, OfOneNumberOnOneBaseTheSecondLoses) {
+TEST(OperatorSubmissions, SecondSubmissionOfTheSameVersionIsRejected) {
   LONGS_EQUAL(200, pair.replace(pair.a, 0, configuration(5, "first")));
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "second")));
   LONGS_EQUAL(412, pair.replace(pair.a, 0, configuration(5, "second")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "first")));
 }
 
-// Two operators that send the very same bytes on one base are not told apart from one who sends twice.
-TEST(OperatorOrders, EqualBytesAreARepeatOnTheirBaseOnly) {
+// Two operators that send the same bytes on the same base cannot be distinguished from one that retries.
+TEST(OperatorSubmissions, EqualBytesAreARetryOnTheSameBaseOnly) {
   LONGS_EQUAL(200, pair.replace(pair.a, 0, configuration(5, "r")));
   LONGS_EQUAL(200, pair.replace(pair.b, 5, configuration(9, "r")));
   LONGS_EQUAL(200, pair.replace(pair.a, 5, configuration(9, "r")));
   LONGS_EQUAL(412, pair.replace(pair.a, 0, configuration(9, "r")));
 }
 
-TEST(OperatorOrders, NotAboveItsBaseIsInvalid) {
+TEST(OperatorSubmissions, VersionNotAboveItsBaseIsInvalid) {
   LONGS_EQUAL(200, pair.replace(pair.a, 0, configuration(5, "r")));
   LONGS_EQUAL(400, pair.replace(pair.a, 5, configuration(5, "other")));
   LONGS_EQUAL(400, pair.replace(pair.a, 5, configuration(4, "other")));
 }
 
-// An order may overtake the one that it builds on.
-TEST(OperatorOrders, OneThatOvertookItsBaseIsTakenLater) {
+// A submission may overtake the one on which it is based.
+TEST(OperatorSubmissions, SubmissionThatOvertookItsBaseIsAcceptedLater) {
   LONGS_EQUAL(503, pair.replace(pair.a, 5, configuration(6, "second")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "first")));
   LONGS_EQUAL(200, pair.replace(pair.a, 5, configuration(6, "second")));
 }
 
-// Eight orders at once, through two machines: one is taken on each base, and each caller hears of his own.
-TEST(OperatorOrders, EightAtOnceAreAnsweredEach) {
+// Of eight concurrent submissions through two controllers one is accepted, and each caller gets its own
+// response.
+TEST(OperatorSubmissions, EachOfEightConcurrentSubmissionsGetsAResponse) {
   std::vector<int> status(8, 0);
   for (std::size_t i = 0; i < 8; ++i) {
     ControlProcess& at = i % 2 == 0 ? pair.a : pair.b;
@@ -233,30 +234,32 @@
   STRCMP_EQUAL(configuration(5, numbered("r", winner)).c_str(), pair.body.c_str());
 }
 
-TEST_GROUP(OrderHalfDone) {
-  Pair pair;
-  // The first try reaches a majority's promises and then `accepts` acceptors: its proposer ends.
-  void half_done(std::int64_t base, const std::string& body, std::size_t accepts) {
-    pair.a.transport.sends_left = 3 + 3 + accepts;  // it looks, prepares, and then its accepts go out
+TEST_GROUP(PartiallyAcceptedSubmission) {
+  TwoControllers pair;
+  // Submits at a proposer that gets the promises, sends accept requests to `accepts` acceptors, and then
+  // ends.
+  void submit_partially(std::int64_t base, const std::string& body, std::size_t accepts) {
+    pair.a.transport.sends_left = 3 + 3 + accepts;  // read, prepare, then accept requests
     bool answered = false;
     pair.a.replace(base, body, [&](const common::HttpResponse&) { answered = true; });
     pair.cluster.clock.play(Span::ms(1000));
     CHECK_TRUE(pair.a.transport.ended && !answered);
   }
   void down(std::size_t i) { pair.cluster.all[i].up = false; }
-  std::size_t holding(std::int64_t version) {
+  std::size_t count_accepted(std::int64_t version) {
     return static_cast<std::size_t>(std::count_if(
         pair.cluster.all.begin(), pair.cluster.all.end(), [&](chutevane::simulated::Machine& m) {
-          const common::Prepare look{1, {}, pair.cluster.first_epoch_of(3), true};
-          return m.acceptor->prepare(look)->value.config_version == version;
+          const common::Prepare request{1, {}, pair.cluster.first_epoch_of(3), true};
+          return m.acceptor->prepare(request)->value.config_version == version;
         }));
   }
 };
 
-// It lies at one acceptor that answers: whoever meets it there finishes it, and the repeat is acknowledged.
-TEST(OrderHalfDone, AReadFinishesIt) {
-  half_done(0, configuration(5, "r"), 1);
-  CHECK_EQUAL(static_cast<std::size_t>(1), holding(5));
+// One available acceptor has accepted it: a read that finds it there completes it, and the retry is
+// acknowledged.
+TEST(PartiallyAcceptedSubmission, ReadCompletesIt) {
+  submit_partially(0, configuration(5, "r"), 1);
+  CHECK_EQUAL(static_cast<std::size_t>(1), count_accepted(5));
   down(2);
   LONGS_EQUAL(200, pair.call(pair.b, "GET", "/v1/Configuration.Retrieve"));
   STRCMP_EQUAL(configuration(5, "r").c_str(), pair.body.c_str());
@@ -264,11 +267,11 @@
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "other")));
 }
 
-// It lies at one acceptor that is away; another operator wins its base. Its repeat is refused, and when the
-// one acceptor is back it is not chosen after all.
-TEST(OrderHalfDone, RefusedIsNeverChosenLater) {
-  half_done(0, configuration(5, "r"), 1);
-  CHECK_EQUAL(static_cast<std::size_t>(1), holding(5));
+// One acceptor, which is down, has accepted it, and another submission is accepted on its base. The retry is
+// rejected, and the first value must not be chosen when that acceptor is back.
+TEST(PartiallyAcceptedSubmission, RejectedIsNeverChosenLater) {
+  submit_partially(0, configuration(5, "r"), 1);
+  CHECK_EQUAL(static_cast<std::size_t>(1), count_accepted(5));
   down(0);
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(6, "other")));
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "r")));
@@ -282,9 +285,9 @@
   }
 }
 
-// Half done at one that is away, and sent again: taken anew, once.
-TEST(OrderHalfDone, TheRepeatIsTakenInItsPlace) {
-  half_done(0, configuration(5, "r"), 1);
+// One acceptor, which is down, has accepted it. The retry is accepted, exactly once.
+TEST(PartiallyAcceptedSubmission, RetryIsAcceptedInstead) {
+  submit_partially(0, configuration(5, "r"), 1);
   down(0);
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
   pair.cluster.all[0].up = true;
@@ -294,15 +297,15 @@
   CHECK_EQUAL(static_cast<std::size_t>(2), pair.b.reg.known_value()->applied_configurations.size());
 }
 
-// Chosen, but its proposer ended before it said so.
-TEST(OrderHalfDone, ChosenAndNotAnswered) {
-  half_done(0, configuration(5, "r"), 2);
+// Chosen, but the proposer ended before it responded.
+TEST(PartiallyAcceptedSubmission, ChosenWithoutAResponse) {
+  submit_partially(0, configuration(5, "r"), 2);
   LONGS_EQUAL(412, pair.replace(pair.b, 0, configuration(5, "other")));
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
 }
 
-// No majority: unclear, and decided as soon as there is one.
-TEST(OrderHalfDone, WithoutAMajorityItIsNeitherTakenNorRefused) {
+// Without a majority the outcome is undetermined; it is decided once there is a majority.
+TEST(PartiallyAcceptedSubmission, UndeterminedWithoutAMajority) {
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
   down(0);
   down(1);
@@ -315,8 +318,8 @@
   LONGS_EQUAL(200, pair.replace(pair.b, 0, configuration(5, "r")));
 }
 
-TEST_GROUP(RetireOrders) {
-  Pair pair;
+TEST_GROUP(RetirementRequests) {
+  TwoControllers pair;
   int initiate(ControlProcess & at, const std::string& node) {
     return pair.call(at, "POST", "/v1/Retire.Initiate/" + node);
   }
@@ -325,8 +328,9 @@
   }
 };
 
-// Once taken it is never refused: not when too few would be left for another, nor once the machine is gone.
-TEST(RetireOrders, ARepeatIsAcknowledgedAtEachStep) {
+// An accepted request is never rejected later, even if too few nodes would be left for another one or the
+// node is gone.
+TEST(RetirementRequests, RetryIsAcknowledgedAtEachStep) {
   pair.storage_nodes(4);
   LONGS_EQUAL(200, initiate(pair.a, "s1"));
   LONGS_EQUAL(200, initiate(pair.b, "s1"));
@@ -338,7 +342,7 @@
   STRCMP_EQUAL("{\"state\":\"completed\"}", pair.body.c_str());
 }
 
-TEST(RetireOrders, TwoAtOnceWhereOneMayGo) {
+TEST(RetirementRequests, OneOfTwoConcurrentRequestsIsAccepted) {
   pair.storage_nodes(4);
   int first = 0, second = 0;
   pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "",
@@ -349,8 +353,8 @@
   CHECK_TRUE((first == 200 && second == 409) || (first == 409 && second == 200));
 }
 
-// A control machine that has just started knows no members: it does not say that there is no such machine.
-TEST(RetireOrders, NoSuchMachineIsSaidOnlyWhereAllAreKnown) {
+// A controller that has just started knows no members, so it must not report a node as unknown.
+TEST(RetirementRequests, UnknownNodeIsReportedOnlyIfAllMembersAreKnown) {
   pair.storage_nodes(4);
   LONGS_EQUAL(404, initiate(pair.a, "s9"));
   LONGS_EQUAL(404, retrieve(pair.a, "s9"));
@@ -367,8 +371,8 @@
   LONGS_EQUAL(503, retrieve(pair.a, "s9"));
 }
 
-// The first try lies at one acceptor; the repeat decides, and what it decides stands.
-TEST(RetireOrders, HalfDoneAndSentAgain) {
+// One acceptor has accepted the first attempt. The later requests decide, and their outcome is final.
+TEST(RetirementRequests, RetryAfterAPartialAttempt) {
   pair.storage_nodes(4);
   pair.a.transport.sends_left = 3 + 3 + 1;
   pair.a.call("POST", "/v1/Retire.Initiate/s1", "", "", [](const common::HttpResponse&) {});
--- a/tests/control/order_history.hpp
+++ b/tests/control/order_history.hpp
@@ -1,6 +1,6 @@
-// What operators saw of their orders, and whether it can be: a checker for configurations that are replaced
-// on an expected version, where versions rise. It knows calls, their times and their answers, and nothing of
-// how these came about. An answer that was lost on its way counts too: it might have come.
+// Checks the history of operators' submissions for consistency. A configuration is replaced on an expected
+// base version, and versions rise. The checker knows only the calls, their times and their responses. A
+// response that was lost on its way counts too, since it might have arrived.
 #pragma once
 
 #include <cstdint>
@@ -13,50 +13,51 @@
 
 namespace chutevane::simulated {
 
-// All that makes an order the same when it is sent again.
-struct OrderKey {
+// Identity of a submission; a retry has the same one.
+struct SubmissionKey {
   std::int64_t base = 0, version = 0;
   std::string body;
-  auto operator<=>(const OrderKey&) const = default;
+  auto operator<=>(const SubmissionKey&) const = default;
 };
 
-class OrderHistory {
+// Records calls and responses, and finds contradictions between them.
+class SubmissionHistory {
  public:
-  void sent(const OrderKey& order, TimePoint at);
-  void answered(const OrderKey& order, TimePoint sent, TimePoint at, int status);
-  // A configuration that was read back; version 0: none was taken yet.
+  void sent(const SubmissionKey& submission, TimePoint at);
+  void answered(const SubmissionKey& submission, TimePoint sent, TimePoint at, int status);
+  // Records a configuration that was read. Version 0 means that none has_response been accepted yet.
   void read(TimePoint sent, TimePoint at, std::int64_t version, const std::string& body);
-  // The first thing that cannot be; empty: all can.
+  // Returns the first contradiction, or an empty string if there is none.
   std::string fault() const;
-  // Orders, and not tries.
+  // Numbers of submissions; retries are not counted.
   std::size_t acknowledged() const { return count(200); }
-  std::size_t refused() const { return count(412); }
+  std::size_t rejected() const { return count(412); }
 
  private:
-  struct Try {
+  struct Attempt {
     TimePoint sent, at;
     int status = 0;
   };
-  struct Order {
+  struct Submission {
     TimePoint first_sent;
-    std::vector<Try> answers;
-    bool had(int status) const;
-    bool was_refused() const { return had(400) || had(412); }
+    std::vector<Attempt> answers;
+    bool has_response(int status) const;
+    bool was_rejected() const { return has_response(400) || has_response(412); }
   };
-  // A version that was in force at some time in between: acknowledged, or read.
+  // A version that was current at some time between `sent` and `at`, as it was acknowledged or read.
   struct Seen {
     TimePoint sent, at;
     std::int64_t version = 0;
-    const std::string* body = nullptr;  // none: nothing was in force
-    const OrderKey* order = nullptr;    // none: it was read
+    const std::string* body = nullptr;          // nullptr if there was no configuration
+    const SubmissionKey* submission = nullptr;  // nullptr if the version was read
   };
   std::size_t count(int status) const;
   std::vector<Seen> all_seen() const;
-  std::string fault_of_orders() const;
-  std::string fault_of_times(const std::vector<Seen>& seen) const;
-  std::string fault_of_refusals(const std::vector<Seen>& seen) const;
+  std::string find_submission_fault() const;
+  std::string find_real_time_fault(const std::vector<Seen>& seen) const;
+  std::string find_rejection_fault(const std::vector<Seen>& seen) const;
 
-  std::map<OrderKey, Order> orders_;
+  std::map<SubmissionKey, Submission> submissions_;
   struct Read {
     TimePoint sent, at;
     std::int64_t version = 0;
--- a/tests/control/orders_test.cpp
+++ b/tests/control/orders_test.cpp
@@ -1,7 +1,7 @@
-// Two to four operators give orders to three control machines, by seeds: they pick the same numbers, send
-// again after a lost answer to any machine, also long after, and send an order before its base is current.
-// Control machines end at any message and start anew, acceptors lose power and a disk. A checker judges what
-// the operators saw; order_history.hpp.
+// Simulates two to four operators that submit configurations to three controllers, as determined by a seed.
+// They choose the same versions, retry after lost responses at any controller, even long after, and submit
+// before the base is current. Controllers end at any message and restart; acceptors lose power and one loses
+// its disk. SubmissionHistory (order_history.hpp) checks what the operators observed.
 #include <algorithm>
 #include <cstdlib>
 #include <memory>
@@ -23,75 +23,78 @@
 using chutevane::simulated::ControlProcess;
 using chutevane::simulated::Machine;
 using chutevane::simulated::NetworkConditions;
-using chutevane::simulated::OrderHistory;
-using chutevane::simulated::OrderKey;
+using chutevane::simulated::SubmissionHistory;
+using chutevane::simulated::SubmissionKey;
 using common::RegisterValue;
 
 namespace {
 
-constexpr Span day = Span::ms(5000);
-constexpr Span response_timeout = Span::ms(1000);  // an operator goes on to another machine then
+constexpr Span fault_duration = Span::ms(5000);
+constexpr Span response_timeout = Span::ms(1000);  // then an operator retries
 
+// What happens in a simulation.
 struct Plan {
   NetworkConditions network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05};
-  std::size_t orders = 14;
+  std::size_t submissions = 14;
   std::size_t history_limit = configuration_history_limit;
-  bool ends = true, losses_of_power = true, wipe = false;
+  bool ends = true, power_losses = true, wipe = false;
 };
 
-// What a search has come to: one that never meets a case proves nothing of it.
-struct Came {
-  std::size_t acknowledged = 0, refused = 0, unclear = 0, repeats = 0, ends = 0, wipes = 0;
+// How often each case has occurred, since a run without a case proves nothing about it.
+struct Counts {
+  std::size_t acknowledged = 0, rejected = 0, undetermined = 0, retries = 0, ends = 0, wipes = 0;
 };
 
+// The operators, controllers and acceptors of one simulation.
 class OperatorSimulation {
  public:
   OperatorSimulation(std::uint64_t seed, const Plan& plan)
       : plan_(plan), cluster_(5, seed), first_(cluster_.first_epoch_of(3)) {
     cluster_.network = plan.network;
-    cluster_.on_machine_failed = [this](Machine& m) { back_later(m); };
+    cluster_.on_machine_failed = [this](Machine& m) { restart_later(m); };
     for (std::size_t i = 0; i < 3; ++i) start_process(i);
     operators_.resize(2 + cluster_.random.below(3));
   }
 
-  // What was wrong; empty: nothing.
+  // Returns the first fault found, or an empty string.
   std::string run() {
-    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { submit_new(); });
-    for (std::size_t i = 0; i < plan_.orders; ++i) some_time([this] { read_back(random_process()); });
-    for (int i = 0; i < 20; ++i) some_time([this] { inject_fault(); });
-    if (plan_.wipe) some_time([this] { wipe_one(); });
-    cluster_.clock.play(day + Span::ms(4000));
-    calm();
+    for (std::size_t i = 0; i < plan_.submissions; ++i) at_random_time([this] { submit_new(); });
+    for (std::size_t i = 0; i < plan_.submissions; ++i)
+      at_random_time([this] { read_back(random_process()); });
+    for (int i = 0; i < 20; ++i) at_random_time([this] { inject_fault(); });
+    if (plan_.wipe) at_random_time([this] { wipe_one(); });
+    cluster_.clock.play(fault_duration + Span::ms(4000));
+    check_without_faults();
     std::string fault = history_.fault();
     return fault.empty() ? unfinished_ : fault;
   }
-  Came came() const {
-    Came out = came_;
+  Counts counts() const {
+    Counts out = counts_;
     out.acknowledged = history_.acknowledged();
-    out.refused = history_.refused();
+    out.rejected = history_.rejected();
     return out;
   }
 
  private:
   struct Operator {
-    std::int64_t known = 0;               // newest version that it has heard of
-    std::vector<std::int64_t> under_way;  // versions of its own that were not answered yet
+    std::int64_t known = 0;               // newest version that it has observed
+    std::vector<std::int64_t> under_way;  // own versions without a final response
   };
   struct Sending {
-    OrderKey key;
+    SubmissionKey key;
     Operator* by = nullptr;
     int tries = 0;
-    bool over = false;  // a clear answer has come
+    bool is_finished = false;  // a final response has arrived
   };
   using SendingPtr = std::shared_ptr<Sending>;
 
-  void some_time(std::function<void()> what) {
-    cluster_.clock.later.after(day * cluster_.random.unit(), std::move(what));
+  void at_random_time(std::function<void()> what) {
+    cluster_.clock.later.after(fault_duration * cluster_.random.unit(), std::move(what));
   }
   TimePoint now() { return cluster_.clock.system.now(); }
-  bool lost() { return cluster_.random.chance(cluster_.network.loss_rate * 2); }
+  bool is_lost() { return cluster_.random.chance(cluster_.network.loss_rate * 2); }
 
-  // ---- control machines
+  // ---- Controllers
 
   void start_process(std::size_t i) {
     if (processes_.size() <= i) processes_.resize(i + 1);
@@ -110,12 +113,12 @@
     return *newest;
   }
   ControlProcess& random_process() { return *processes_[cluster_.random.below(processes_.size())]; }
-  // It ends at one of the messages that it sends next, or at once.
+  // Ends a process at one of its next messages, or at once.
   void end_process() {
     const std::size_t i = cluster_.random.below(processes_.size());
     ControlProcess& p = *processes_[i];
     if (p.transport.ended || p.transport.sends_left) return;
-    ++came_.ends;
+    ++counts_.ends;
     p.transport.on_end = [this, i, ended = &p] {
       cluster_.clock.later.after(Span::ms(50 + 400 * cluster_.random.unit()), [this, i, ended] {
         if (processes_[i].get() == ended) start_process(i);
@@ -124,9 +127,9 @@
     p.transport.sends_left = cluster_.random.below(14);
   }
 
-  // ---- acceptors
+  // ---- Acceptors
 
-  void back_later(Machine& m) {
+  void restart_later(Machine& m) {
     cluster_.clock.later.after(Span::ms(100 + 700 * cluster_.random.unit()), [this, &m] {
       if (m.up) return;
       m.lose_power(cluster_.random.next());
@@ -137,9 +140,9 @@
     const double kind = cluster_.random.unit();
     Machine& m = cluster_.all[cluster_.random.below(cluster_.all.size())];
     if (plan_.ends && kind < 0.4) return end_process();
-    if (plan_.losses_of_power && kind < 0.6 && m.up)
+    if (plan_.power_losses && kind < 0.6 && m.up)
       return m.disk->lose_power_at(m.disk->step_count() + cluster_.random.below(9));
-    if (plan_.losses_of_power && kind < 0.65) {  // all at once
+    if (plan_.power_losses && kind < 0.65) {  // all at the same time
       for (Machine& one : cluster_.all) {
         if (one.up) cluster_.fail(one);
       }
@@ -150,12 +153,13 @@
                                  [&p] { p.transport.cut_off = false; });
     }
   }
-  // One disk of the set, while all others are there: as much as is borne until another set is in force.
+  // Wipes one disk of the set while all machines are up, as no further loss is tolerated until the set is
+  // changed.
   void wipe_one() {
     for (const Machine& m : cluster_.all) {
       if (!m.up) return;
     }
-    ++came_.wipes;
+    ++counts_.wipes;
     Machine& m = cluster_.all[cluster_.random.below(3)];
     m.up = false;
     m.acceptor.reset();
@@ -179,7 +183,7 @@
         Span::ms(1500), [](const absl::StatusOr<RegisterValue>&) {});
   }
 
-  // ---- operators
+  // ---- Operators
 
   void submit_new() {
     Operator& by = operators_[cluster_.random.below(operators_.size())];
@@ -187,60 +191,62 @@
     sending->by = &by;
     const double kind = cluster_.random.unit();
     std::int64_t base = by.known;
-    if (kind < 0.15 && !by.under_way.empty()) base = by.under_way.back();  // ahead of what it builds on
-    if (kind > 0.95) base = std::max<std::int64_t>(0, base - 1);           // behind
-    // Few numbers: two pick the same one at times, and at times with the same bytes.
+    if (kind < 0.15 && !by.under_way.empty()) base = by.under_way.back();  // its base is not current yet
+    if (kind > 0.95) base = std::max<std::int64_t>(0, base - 1);           // its base was replaced
+    // Few versions to choose from, so that operators sometimes choose the same one, sometimes with the same
+    // bytes.
     const std::int64_t version = base + 1 + static_cast<std::int64_t>(cluster_.random.below(2));
     const std::string name = cluster_.random.chance(0.15) ? "same" : numbered("o", ++names_);
     sending->key = {base, version, configuration(version, name)};
     by.under_way.push_back(version);
-    all_.push_back(sending);
+    sendings_.push_back(sending);
     send(sending);
   }
 
   void send(const SendingPtr& sending) {
-    if (sending->over) return;
+    if (sending->is_finished) return;
     ++sending->tries;
     const TimePoint sent = now();
     history_.sent(sending->key, sent);
-    auto heard = std::make_shared<bool>(false);
-    if (!lost()) cluster_.clock.later.after(cluster_.delay(), [=, this] { arrive(sending, sent, heard); });
+    auto is_answered = std::make_shared<bool>(false);
+    if (!is_lost())
+      cluster_.clock.later.after(cluster_.delay(), [=, this] { arrive(sending, sent, is_answered); });
     cluster_.clock.later.after(response_timeout, [=, this] {
-      if (!std::exchange(*heard, true)) again(sending);
+      if (!std::exchange(*is_answered, true)) retry(sending);
     });
   }
-  void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& heard) {
+  void arrive(const SendingPtr& sending, TimePoint sent, const std::shared_ptr<bool>& is_answered) {
     ControlProcess& at = random_process();
     if (at.transport.ended) return;
     at.replace(sending->key.base, sending->key.body, [=, this](const common::HttpResponse& answer) {
       history_.answered(sending->key, sent, now(), answer.status);
-      if (lost()) return;
+      if (is_lost()) return;
       cluster_.clock.later.after(cluster_.delay(), [=, this, status = answer.status] {
-        if (!std::exchange(*heard, true)) hear(sending, status);
+        if (!std::exchange(*is_answered, true)) on_response(sending, status);
       });
     });
   }
-  void hear(const SendingPtr& sending, int status) {
-    if (sending->over) return;
+  void on_response(const SendingPtr& sending, int status) {
+    if (sending->is_finished) return;
     if (status == 503) {
-      ++came_.unclear;
-      return again(sending);
+      ++counts_.undetermined;
+      return retry(sending);
     }
-    sending->over = true;
+    sending->is_finished = true;
     std::erase(sending->by->under_way, sending->key.version);
     if (status == 200) sending->by->known = std::max(sending->by->known, sending->key.version);
-    if (sending->tries > 1 && status == 200) ++came_.repeats;
+    if (sending->tries > 1 && status == 200) ++counts_.retries;
     if (status == 412) read_back(random_process(), sending->by);
-    // And once more, long after it was answered.
-    if (cluster_.random.chance(0.3)) some_time([=, this] { once_more(sending); });
+    // Sometimes sends it once more, long after the response.
+    if (cluster_.random.chance(0.3)) at_random_time([=, this] { send_again(sending); });
   }
-  void again(const SendingPtr& sending) {
+  void retry(const SendingPtr& sending) {
     if (sending->tries > 12) return;
     cluster_.clock.later.after(Span::ms(40.0 * sending->tries * cluster_.random.unit()),
                                [=, this] { send(sending); });
   }
-  void once_more(const SendingPtr& sending) {
-    sending->over = false;
+  void send_again(const SendingPtr& sending) {
+    sending->is_finished = false;
     sending->tries = 12;
     send(sending);
   }
@@ -260,9 +266,9 @@
             });
   }
 
-  // ---- the end: all is well again, and every order is sent once more
+  // ---- The end: no more faults, and each submission is sent once more
 
-  void calm() {
+  void check_without_faults() {
     cluster_.network = {};
     for (Machine& m : cluster_.all) {
       m.disk->lose_power_at(common::MemoryDisk::no_step);
@@ -272,17 +278,18 @@
     }
     for (std::size_t i = 0; i < processes_.size(); ++i) start_process(i);
     ControlProcess& last = *processes_.back();
-    for (const SendingPtr& sending : all_) {
+    for (const SendingPtr& sending : sendings_) {
       int status = 0;
       last.replace(sending->key.base, sending->key.body, [&](const common::HttpResponse& answer) {
         history_.answered(sending->key, now(), now(), answer.status);
         status = answer.status;
       });
       cluster_.clock.play(Span::ms(4000), [&] { return status != 0; });
-      const bool record_is_whole = plan_.history_limit == configuration_history_limit;
-      const bool ahead = sending->key.base > newest_read_ && status == 503;
-      if (status == 0) unfinished_ = "an order was not answered once it was calm";
-      if (status == 503 && record_is_whole && !ahead) unfinished_ = "an order was unclear once it was calm";
+      const bool is_history_complete = plan_.history_limit == configuration_history_limit;
+      const bool is_ahead = sending->key.base > newest_read_ && status == 503;
+      if (status == 0) unfinished_ = "a submission got no response without faults";
+      if (status == 503 && is_history_complete && !is_ahead)
+        unfinished_ = "a submission was undetermined without faults";
       read_and_wait(last);
     }
   }
@@ -291,7 +298,7 @@
     newest_read_ = -1;
     read_back(at);
     cluster_.clock.play(Span::ms(4000), [&] { return newest_read_ >= 0; });
-    if (newest_read_ < 0) unfinished_ = "a read was not answered once it was calm";
+    if (newest_read_ < 0) unfinished_ = "a read got no response without faults";
     newest_read_ = std::max(newest_read_, before);
   }
 
@@ -301,63 +308,64 @@
   std::vector<std::unique_ptr<ControlProcess>> processes_, ended_;
   std::uint64_t proposers_ = 100;
   std::vector<Operator> operators_;
-  std::vector<SendingPtr> all_;
+  std::vector<SendingPtr> sendings_;
   long long names_ = 0;
   std::int64_t newest_read_ = 0;
-  OrderHistory history_;
-  Came came_;
+  SubmissionHistory history_;
+  Counts counts_;
   std::string unfinished_;
 };
 
-// CHUTEVANE_TIMES_SEEDS: as many times the seeds, for a longer search by hand.
-std::uint64_t times() {
+// Returns the factor for the number of seeds, which CHUTEVANE_TIMES_SEEDS sets for longer manual runs.
+std::uint64_t seed_factor() {
   const char* const text = std::getenv("CHUTEVANE_TIMES_SEEDS");
   return text == nullptr ? 1 : std::strtoull(text, nullptr, 10);
 }
 
-void search(std::uint64_t first, std::uint64_t seeds, const Plan& plan) {
-  Came all;
-  seeds *= times();
+// Runs simulations of one plan, and checks that each case has occurred often enough.
+void run_seeds(std::uint64_t first, std::uint64_t seeds, const Plan& plan) {
+  Counts all;
+  seeds *= seed_factor();
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
     OperatorSimulation one(seed, plan);
     const std::string fault = one.run();
     CHECK_WHERE(fault.empty(), numbered("seed ", static_cast<long long>(seed)) + ": " + fault);
-    const Came came = one.came();
-    all.acknowledged += came.acknowledged;
-    all.refused += came.refused;
-    all.unclear += came.unclear;
-    all.repeats += came.repeats;
-    all.ends += came.ends;
-    all.wipes += came.wipes;
+    const Counts counts = one.counts();
+    all.acknowledged += counts.acknowledged;
+    all.rejected += counts.rejected;
+    all.undetermined += counts.undetermined;
+    all.retries += counts.retries;
+    all.ends += counts.ends;
+    all.wipes += counts.wipes;
   }
-  const std::string came = std::to_string(all.acknowledged) + " acknowledged, " +
-                           std::to_string(all.refused) + " refused, " + std::to_string(all.unclear) +
-                           " unclear, " + std::to_string(all.repeats) + " repeats acknowledged, " +
-                           std::to_string(all.ends) + " ends, " + std::to_string(all.wipes) + " wipes";
-  if (times() > 1) UT_PRINT(came.c_str());
-  CHECK_WHERE(all.acknowledged > seeds * 2 && all.refused > seeds && all.repeats > seeds / 4, came);
-  if (plan.ends) CHECK_WHERE(all.ends > seeds, came);
-  if (plan.wipe) CHECK_WHERE(all.wipes > seeds / 3, came);
+  const std::string summary =
+      std::to_string(all.acknowledged) + " acknowledged, " + std::to_string(all.rejected) + " rejected, " +
+      std::to_string(all.undetermined) + " undetermined, " + std::to_string(all.retries) +
+      " retries acknowledged, " + std::to_string(all.ends) + " ends, " + std::to_string(all.wipes) + " wipes";
+  if (seed_factor() > 1) UT_PRINT(summary.c_str());
+  CHECK_WHERE(all.acknowledged > seeds * 2 && all.rejected > seeds && all.retries > seeds / 4, summary);
+  if (plan.ends) CHECK_WHERE(all.ends > seeds, summary);
+  if (plan.wipe) CHECK_WHERE(all.wipes > seeds / 3, summary);
 }
 
 }  // namespace
 
-TEST_GROUP(OrdersOfOperators){};
+TEST_GROUP(SubmissionsOfOperators){};
 
-TEST(OrdersOfOperators, LostAnswersAndLostProposers) { search(1, 600, {.losses_of_power = false}); }
+TEST(SubmissionsOfOperators, LostResponsesAndLostProposers) { run_seeds(1, 600, {.power_losses = false}); }
 
-TEST(OrdersOfOperators, LossesOfPower) { search(1000000, 400, {}); }
+TEST(SubmissionsOfOperators, PowerLosses) { run_seeds(1000000, 400, {}); }
 
-TEST(OrdersOfOperators, ALostDisk) {
-  search(2000000, 400,
-         {.network = {.loss_rate = 0.02, .duplicate_rate = 0.1}, .losses_of_power = false, .wipe = true});
+TEST(SubmissionsOfOperators, LostDisk) {
+  run_seeds(2000000, 400,
+            {.network = {.loss_rate = 0.02, .duplicate_rate = 0.1}, .power_losses = false, .wipe = true});
 }
 
-TEST(OrdersOfOperators, HarshWays) {
-  search(3000000, 200, {.network = {.loss_rate = 0.2, .duplicate_rate = 0.2, .slow_rate = 0.2}});
+TEST(SubmissionsOfOperators, UnreliableNetwork) {
+  run_seeds(3000000, 200, {.network = {.loss_rate = 0.2, .duplicate_rate = 0.2, .slow_rate = 0.2}});
 }
 
-// The record reaches back four configurations: what it does not reach is unclear, and never refused.
-TEST(OrdersOfOperators, AShortRecord) {
-  search(4000000, 300, {.orders = 30, .history_limit = 4, .losses_of_power = false});
+// With a history of four configurations, older submissions are undetermined and never rejected.
+TEST(SubmissionsOfOperators, ShortHistory) {
+  run_seeds(4000000, 300, {.submissions = 30, .history_limit = 4, .power_losses = false});
 }
--- a/tests/control/pending_acknowledgements_test.cpp
+++ b/tests/control/pending_acknowledgements_test.cpp
@@ -1,4 +1,4 @@
-// Operators' changes that wait for the members: in order, at the acknowledgement or the deadline.
+// Tests of PendingAcknowledgements: changes are reported in order, when acknowledged or at the deadline.
 #include "control/pending_acknowledgements.hpp"
 
 #include <vector>
@@ -22,7 +22,7 @@
   }
 };
 
-TEST(PendingChanges, NothingIsReportedBeforeItsTime) {
+TEST(PendingChanges, NotReportedBeforeAcknowledgement) {
   add(5);
   CHECK_TRUE(reported.empty());
   complete(start, 4);
@@ -36,7 +36,7 @@
   CHECK_TRUE(reported == std::vector<int>{5});
 }
 
-TEST(PendingChanges, AnAcknowledgementReportsAllUpToIt) {
+TEST(PendingChanges, AcknowledgementReportsAllEarlierChanges) {
   add(5);
   add(6);
   add(7);
@@ -53,7 +53,7 @@
 }
 
 // A callback may submit the next change.
-TEST(PendingChanges, ACallbackMayAddAnother) {
+TEST(PendingChanges, CallbackMayAddAnotherChange) {
   pending.add(5, deadline, [this] {
     reported.push_back(5);
     add(6);
--- a/tests/control/quorum_contact_test.cpp
+++ b/tests/control/quorum_contact_test.cpp
@@ -1,5 +1,5 @@
-// Proof of recent contact with a quorum: never claimed for a time before which something newer was chosen,
-// however messages are delayed, lost or overtaken, and whatever is cut off, frozen, restarted or wiped.
+// Tests of QuorumContact. It must never confirm the known value for a time before which a newer value was
+// chosen, even if messages are delayed, lost or overtaken, processes restart or disks are replaced.
 #include "control/quorum_contact.hpp"
 
 #include <algorithm>
@@ -49,7 +49,7 @@
   CHECK(!contact.last_contact(acceptors, report(0, 5), at(1000)));
 }
 
-TEST(quorum_contact, time_of_the_echoed_stamp_counts_and_not_that_of_arrival) {
+TEST(quorum_contact, uses_the_echoed_stamp_and_not_the_time_of_arrival) {
   contact.on_report(report(1, 5), incarnation, at(400));
   CHECK(*contact.confirmed_until(acceptors, report(0, 5), 5, at(20400)) == at(400));
   CHECK(*contact.last_contact(acceptors, report(0, 5), at(20400)) == at(400));
@@ -73,12 +73,12 @@
   CHECK(*contact.confirmed_until(acceptors, report(0, 6), 6, at(1000)) == at(900));
 }
 
-TEST(quorum_contact, another_epoch_does_not_agree) {
+TEST(quorum_contact, an_acceptor_in_another_epoch_does_not_agree) {
   contact.on_report(report(1, 5, 3), incarnation, at(900));
   CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
 }
 
-TEST(quorum_contact, a_replaced_disk_is_no_acceptor) {
+TEST(quorum_contact, a_replaced_disk_is_not_an_acceptor) {
   AcceptorReport wiped = report(1, 0);
   wiped.acceptor.disk = "new";
   contact.on_report(wiped, incarnation, at(900));
@@ -89,7 +89,7 @@
   CHECK(!contact.confirmed_until(acceptors, own, 5, at(1000)));
 }
 
-TEST(quorum_contact, the_first_set_means_disks_that_were_new_with_the_system) {
+TEST(quorum_contact, the_first_set_consists_of_disks_that_were_new_at_the_first_start) {
   RegisterValue first = acceptors;
   first.epoch = 1;
   for (Acceptor& a : first.acceptors) a.disk.clear();
@@ -107,7 +107,7 @@
   CHECK(!contact.confirmed_until(acceptors, report(0, 5), 5, at(1000)));
 }
 
-TEST(quorum_contact, a_quorum_of_five_is_as_old_as_its_third) {
+TEST(quorum_contact, a_quorum_of_five_uses_the_third_newest_stamp) {
   const RegisterValue five = set_of(5);
   contact.on_report(report(1, 5), incarnation, at(900));
   CHECK(!contact.confirmed_until(five, report(0, 5), 5, at(1000)));
@@ -116,15 +116,15 @@
   CHECK(*contact.confirmed_until(five, report(0, 5), 5, at(1000)) == at(800));
 }
 
-// A register reduced to numbers: each change is accepted by some, and chosen once a majority has it. Whoever
-// watches gets messages late, in order on each way or lost with their connection, is cut off both ways or one
-// way, and learns values late. Whatever it claims is checked against what was chosen.
-TEST(quorum_contact, never_claims_what_a_quorum_has_replaced) {
+// A model of the register in which values are only numbers: a change is chosen once a majority has accepted
+// it. The observer receives messages late, in order on each link or lost with their connection, is cut off in
+// one or both directions, and learns values late. Every confirmed time is checked against the chosen values.
+TEST(quorum_contact, never_confirms_a_value_that_was_replaced) {
   constexpr int runs = 3000, steps = 400;
   std::size_t claims = 0;
   for (int run = 0; run < runs; ++run) {
-    RandomSource luck(static_cast<std::uint64_t>(run) + 1);
-    const int count = luck.chance(0.5) ? 3 : 5;
+    RandomSource random(static_cast<std::uint64_t>(run) + 1);
+    const int count = random.chance(0.5) ? 3 : 5;
     const RegisterValue set = set_of(count);
     QuorumContact checker(incarnation);
     struct Message {
@@ -132,45 +132,46 @@
       TimePoint stamp;
       std::int64_t accepted;
     };
-    struct Way {
+    struct Link {
       std::deque<Message> out, in;
       TimePoint newest_stamp;
       bool blocked_out = false, blocked_in = false;
     };
     std::vector<std::int64_t> accepted(static_cast<std::size_t>(count), 1);
-    std::vector<Way> ways(static_cast<std::size_t>(count));
+    std::vector<Link> links(static_cast<std::size_t>(count));
     std::vector<std::pair<TimePoint, std::int64_t>> chosen{{TimePoint(), 1}};
     std::int64_t known = 1, newest = 1;
     TimePoint now = at(1000);
     for (int step = 0; step < steps; ++step) {
-      now = now + Span::ms(1 + 30 * luck.unit());
-      const auto peer = 1 + luck.below(static_cast<std::size_t>(count) - 1);
-      Way& way = ways[peer];
-      switch (luck.below(8)) {
-        case 0:  // another acceptor accepts the value under way
+      now = now + Span::ms(1 + 30 * random.unit());
+      const auto peer = 1 + random.below(static_cast<std::size_t>(count) - 1);
+      Link& link = links[peer];
+      switch (random.below(8)) {
+        case 0:  // another acceptor accepts the proposed value, or a new one is proposed
           if (newest > chosen.back().second) {
-            accepted[luck.below(static_cast<std::size_t>(count))] = newest;
+            accepted[random.below(static_cast<std::size_t>(count))] = newest;
             const auto have = std::count(accepted.begin(), accepted.end(), newest);
             if (have > count / 2) chosen.emplace_back(now, newest);
           } else {
             ++newest;
           }
           break;
-        case 1: way.out.push_back({now + Span::ms(200 * luck.unit()), now, 0}); break;
+        case 1: link.out.push_back({now + Span::ms(200 * random.unit()), now, 0}); break;
         case 2:
-          way.in.push_back({now + Span::ms(200 * luck.unit()), way.newest_stamp, accepted[peer]});
+          link.in.push_back({now + Span::ms(200 * random.unit()), link.newest_stamp, accepted[peer]});
           break;
-        case 3: (luck.chance(0.5) ? way.blocked_out : way.blocked_in) = luck.chance(0.4); break;
+        case 3: (random.chance(0.5) ? link.blocked_out : link.blocked_in) = random.chance(0.4); break;
         case 4:
-          if (luck.chance(0.2)) (luck.chance(0.5) ? way.out : way.in).clear();  // lost with the connection
+          if (random.chance(0.2))
+            (random.chance(0.5) ? link.out : link.in).clear();  // lost with the connection
           break;
         case 5:
-          if (luck.chance(0.3)) known = std::max(known, chosen.back().second);
+          if (random.chance(0.3)) known = std::max(known, chosen.back().second);
           break;
         default: break;
       }
-      for (std::size_t p = 1; p < ways.size(); ++p) {
-        Way& each = ways[p];
+      for (std::size_t p = 1; p < links.size(); ++p) {
+        Link& each = links[p];
         while (!each.blocked_out && !each.out.empty() && each.out.front().arrives <= now) {
           each.newest_stamp = each.out.front().stamp;
           each.out.pop_front();
@@ -190,7 +191,7 @@
                     "run " + std::to_string(run) + ", step " + std::to_string(step));
     }
   }
-  CHECK(claims > 100000);  // it is no proof that claims nothing
+  CHECK(claims > 100000);  // guards against a test that confirms nothing
 }
 
 TEST(quorum_contact, members_in_contact_are_those_of_the_set_with_a_new_echo) {
@@ -198,7 +199,7 @@
   wiped.acceptor.disk = "new";
   contact.on_report(report(1, 5), incarnation, at(900));
   contact.on_report(wiped, incarnation, at(950));
-  contact.on_report(report(7, 5), incarnation, at(950));  // of no member
+  contact.on_report(report(7, 5), incarnation, at(950));  // not a member
   const auto in_contact = contact.members_in_contact(acceptors, report(0, 5), at(900));
   CHECK(in_contact == (std::set<std::string>{"a0", "a1"}));
   CHECK(contact.members_in_contact(acceptors, report(0, 5), at(901)) == std::set<std::string>{"a0"});
--- a/tests/control/register_test.cpp
+++ b/tests/control/register_test.cpp
@@ -1,6 +1,7 @@
-// The register of control state, with its acceptors on disks in memory and its messages lost, late, repeated
-// and out of order, by seeds. Guards: one value for each number, reads that never go back, one winner of two
-// changes on the same version, and nothing in force that was answered as refused.
+// Tests of the register of control state with simulated disks and a network that loses, delays, duplicates
+// and reorders messages, as determined by a seed. Checks that each number has one value, that reads never go
+// back, that of two changes on the same version only one is accepted, and that no rejected change takes
+// effect.
 #include "control/register.hpp"
 
 #include <algorithm>
@@ -41,41 +42,41 @@
 
 namespace {
 
-// What must hold whatever happens, told of every chosen value and of every order's start and end.
+// Checks the invariants for every chosen value and for the start and end of every operation.
 class InvariantChecker {
  public:
   explicit InvariantChecker(std::string where) : where_(std::move(where)) {}
   std::int64_t floor() const { return floor_; }
-  void saw(const RegisterValue& v) {
+  void on_value(const RegisterValue& v) {
     const auto [at, fresh] = values_.emplace(v.number, v);
-    check(fresh || at->second == v, numbered("two values of number ", v.number));
-    check(v.next_acceptors.empty(), "a sealed value is told of");
+    check(fresh || at->second == v, numbered("two values with number ", v.number));
+    check(v.next_acceptors.empty(), "a sealed value was reported");
     for (const common::AppliedConfiguration& t : v.applied_configurations) {
-      check(!refused_.contains(t.hash), numbered("refused, and in force: ", t.hash));
-      in_force_.insert(t.hash);
+      check(!rejected_.contains(t.hash), numbered("rejected and later in a value: ", t.hash));
+      seen_.insert(t.hash);
     }
   }
-  void ended(const RegisterValue& v, std::int64_t floor_at_start) {
-    saw(v);
+  void on_operation_ended(const RegisterValue& v, std::int64_t floor_at_start) {
+    on_value(v);
     check(v.number >= floor_at_start,
-          numbered("went back from ", floor_at_start) + numbered(" to ", v.number));
+          numbered("number fell from ", floor_at_start) + numbered(" to ", v.number));
     floor_ = std::max(floor_, v.number);
   }
-  void taken(std::int64_t base, std::int64_t hash) {
+  void on_accepted(std::int64_t base, std::int64_t hash) {
     const auto [at, fresh] = winners_.emplace(base, hash);
-    check(fresh || at->second == hash, numbered("two changes won on version ", base));
+    check(fresh || at->second == hash, numbered("two changes accepted on version ", base));
     acknowledged_.insert(hash);
   }
-  void refused(std::int64_t hash) {
-    refused_.insert(hash);
-    check(!in_force_.contains(hash), numbered("in force, and refused: ", hash));
+  void on_rejected(std::int64_t hash) {
+    rejected_.insert(hash);
+    check(!seen_.contains(hash), numbered("in a value and later rejected: ", hash));
   }
-  // The last word: all that was acknowledged is there, versions rise, nothing refused is.
-  void close(const RegisterValue& last) {
+  // Final check: all acknowledged changes are in the last value, and versions and epochs never fall.
+  void check_final(const RegisterValue& last) {
     for (const std::int64_t hash : acknowledged_)
       check(std::any_of(last.applied_configurations.begin(), last.applied_configurations.end(),
                         [&](const common::AppliedConfiguration& t) { return t.hash == hash; }),
-            numbered("acknowledged, and gone: ", hash));
+            numbered("acknowledged but missing: ", hash));
     const RegisterValue* before = nullptr;
     for (const auto& [number, v] : values_) {
       if (before != nullptr) {
@@ -84,7 +85,7 @@
         check(v.applied_configurations.size() >= before->applied_configurations.size() &&
                   std::equal(before->applied_configurations.begin(), before->applied_configurations.end(),
                              v.applied_configurations.begin()),
-              "what was taken is not what was taken before and more");
+              "the history is not an extension of the one before");
       }
       before = &v;
     }
@@ -92,27 +93,27 @@
   void check(bool good, const std::string& what) {
     if (!good) broken = broken.empty() ? where_ + ": " + what : broken;
   }
-  std::size_t taken_count() const { return acknowledged_.size(); }
-  std::size_t refused_count() const { return refused_.size(); }
-  std::string broken;  // the first thing; not failed at once: callbacks stand above
+  std::size_t accepted_count() const { return acknowledged_.size(); }
+  std::size_t rejected_count() const { return rejected_.size(); }
+  std::string broken;  // the first violation, which is reported later, as checks run within callbacks
 
  private:
   const std::string where_;
   std::int64_t floor_ = 0;
   std::map<std::int64_t, RegisterValue> values_;
   std::map<std::int64_t, std::int64_t> winners_;
-  std::set<std::int64_t> refused_, in_force_, acknowledged_;
+  std::set<std::int64_t> rejected_, seen_, acknowledged_;
 };
 
-bool had(const RegisterValue& v, std::int64_t hash) {
+bool contains_change(const RegisterValue& v, std::int64_t hash) {
   return std::any_of(v.applied_configurations.begin(), v.applied_configurations.end(),
                      [&](const common::AppliedConfiguration& t) { return t.hash == hash; });
 }
 
-// As the operator's order does it.
+// Returns the change that an operator's submission makes.
 Register::Change replacing(std::int64_t base, std::int64_t version, std::int64_t hash) {
   return [=](const RegisterValue& current) -> std::optional<RegisterValue> {
-    if (had(current, hash) || base != current.config_version || version <= current.config_version)
+    if (contains_change(current, hash) || base != current.config_version || version <= current.config_version)
       return std::nullopt;
     RegisterValue out = current;
     out.config_version = version;
@@ -122,35 +123,35 @@
   };
 }
 
-enum class Came : std::uint8_t { nothing, taken, refused, unclear };
+enum class Outcome : std::uint8_t { pending, accepted, rejected, undetermined };
 
-// Days of a register: what may go wrong goes wrong, by a seed.
+// Simulates a register with faults that are determined by a seed.
 struct RegisterSimulation {
   struct Plan {
     NetworkConditions network;
-    bool losses_of_power = false, wipes = false, other_sets = false, words = false;
-    bool proposes_first = false;  // half of the orders do, without a read before
+    bool power_losses = false, wipes = false, set_changes = false, notifications = false;
+    bool proposes_first = false;  // half of the changes propose without a read first
   };
   RegisterSimulation(std::uint64_t seed, const Plan& wanted)
       : plan(wanted),
         cluster(5, seed),
         checker(numbered("seed ", seed)),
-        value_of_first(cluster.first_epoch_of(3)) {
+        first_epoch(cluster.first_epoch_of(3)) {
     cluster.network = plan.network;
-    cluster.on_machine_failed = [this](Machine& m) { back_later(m); };
+    cluster.on_machine_failed = [this](Machine& m) { restart_later(m); };
     for (std::uint64_t i = 0; i < 3; ++i) {
       proposers.push_back(std::make_unique<Proposer>(cluster, 100 + i));
       Proposer& p = *proposers.back();
-      p.reg.observe_epoch(value_of_first);
+      p.reg.observe_epoch(first_epoch);
       p.reg.on_chosen([this, last = std::int64_t{-1}](const RegisterValue& v) mutable {
-        checker.check(v.number > last, "numbers told do not rise");
+        checker.check(v.number > last, "reported numbers do not rise");
         last = v.number;
-        checker.saw(v);
+        checker.on_value(v);
       });
     }
   }
 
-  void back_later(Machine& m) {
+  void restart_later(Machine& m) {
     cluster.clock.later.after(Span::ms(100 + 900 * cluster.random.unit()), [this, &m] {
       if (m.up) return;
       m.lose_power(cluster.random.next());
@@ -158,18 +159,18 @@
     });
   }
 
-  void order(Proposer& p) {
-    ++asked;
+  void start_operation(Proposer& p) {
+    ++started;
     const std::int64_t floor = checker.floor();
     const double kind = cluster.random.unit();
     const auto done = [this, floor](absl::StatusOr<RegisterValue> got) {
-      ++answered;
-      if (got.ok()) checker.ended(*got, floor);
+      ++finished;
+      if (got.ok()) checker.on_operation_ended(*got, floor);
     };
     if (kind < 0.35) return p.reg.read(Span::ms(1500), done);
-    if (plan.other_sets && kind < 0.45) return change_set(p, done);
+    if (plan.set_changes && kind < 0.45) return change_set(p, done);
     const std::int64_t base = p.reg.known_value() ? p.reg.known_value()->config_version : 0;
-    const std::int64_t hash = ++hashes,
+    const std::int64_t hash = ++last_hash,
                        version = base + 1 + static_cast<std::int64_t>(cluster.random.below(3));
     const bool proposes = plan.proposes_first && cluster.random.chance(0.5);
     p.reg.change(
@@ -177,19 +178,19 @@
         [this, floor, base, hash, done](absl::StatusOr<RegisterValue> got) {
           done(got);
           if (!got.ok()) return;
-          if (had(*got, hash)) {
-            checker.taken(base, hash);
+          if (contains_change(*got, hash)) {
+            checker.on_accepted(base, hash);
           } else {
-            checker.refused(hash);
+            checker.on_rejected(hash);
           }
         },
         proposes ? Register::FirstAttempt::propose : Register::FirstAttempt::read_only);
   }
 
-  // As the roster does it: decided on one value, and not taken on another.
+  // As MembershipController does it: the change is planned on one value and dropped on any other.
   void change_set(Proposer& p, const Register::Callback& done) {
     const std::int64_t number = p.reg.known_value() ? p.reg.known_value()->number : 0;
-    const std::vector<Acceptor> next = some_set();
+    const std::vector<Acceptor> next = random_set();
     p.reg.change(
         [number, next](const RegisterValue& current) -> std::optional<RegisterValue> {
           if (current.number != number || current.acceptors == next) return std::nullopt;
@@ -200,7 +201,7 @@
         Span::ms(1500), done);
   }
 
-  std::vector<Acceptor> some_set() {
+  std::vector<Acceptor> random_set() {
     std::vector<Acceptor> out;
     std::vector<std::size_t> order = {0, 1, 2, 3, 4};
     for (std::size_t i = order.size(); i-- > 1;) std::swap(order[i], order[cluster.random.below(i + 1)]);
@@ -211,7 +212,7 @@
     return out;
   }
 
-  // Of the newest set, so many disks are lost at most as leave a majority.
+  // Wipes the disk of one machine, at most once per epoch, so that the newest set keeps a majority.
   void wipe_one() {
     const RegisterValue* newest = nullptr;
     for (const auto& p : proposers) {
@@ -227,7 +228,7 @@
     m.acceptor.reset();
     m.wipe();
     cluster.clock.later.after(Span::ms(50), [&m] { m.start(); });
-    for (const double ms : {200.0, 500.0, 900.0})  // somebody names another set soon
+    for (const double ms : {200.0, 500.0, 900.0})  // another set is proposed soon
       cluster.clock.later.after(Span::ms(ms), [this] {
         change_set(*proposers[cluster.random.below(proposers.size())],
                    [](const absl::StatusOr<RegisterValue>&) {});
@@ -237,17 +238,16 @@
   void inject_fault() {
     const double kind = cluster.random.unit();
     Machine& m = cluster.all[cluster.random.below(cluster.all.size())];
-    if (plan.losses_of_power && kind < 0.3 && m.up) {
-      m.disk->lose_power_at(m.disk->step_count() +
-                            cluster.random.below(9));  // at a numbered point of what it does next
-    } else if (plan.losses_of_power && kind < 0.4 && m.up) {
+    if (plan.power_losses && kind < 0.3 && m.up) {
+      m.disk->lose_power_at(m.disk->step_count() + cluster.random.below(9));  // at one of its next steps
+    } else if (plan.power_losses && kind < 0.4 && m.up) {
       m.up = false;
-      back_later(m);
-    } else if (plan.losses_of_power && kind < 0.43) {  // all at once
+      restart_later(m);
+    } else if (plan.power_losses && kind < 0.43) {  // all machines at the same time
       for (Machine& one : cluster.all) {
         if (!one.up) continue;
         one.up = false;
-        back_later(one);
+        restart_later(one);
       }
     } else if (plan.wipes && kind < 0.5) {
       wipe_one();
@@ -256,7 +256,7 @@
       p.transport.cut_off = true;
       cluster.clock.later.after(Span::ms(400 * cluster.random.unit()), [&p] { p.transport.cut_off = false; });
     }
-    if (plan.words) {  // what is chosen goes round by word too, late or never
+    if (plan.notifications) {  // chosen values are also spread by notifications, late or never
       Proposer& from = *proposers[cluster.random.below(proposers.size())];
       Proposer& to = *proposers[cluster.random.below(proposers.size())];
       if (from.reg.known_value()) {
@@ -267,28 +267,30 @@
     }
   }
 
-  // An epoch begins with one value, whoever opened it, and wherever.
-  void look_at_epochs() {
+  // Checks that all acceptors in an epoch have the same initial value.
+  void check_epoch_values() {
     for (const Machine& m : cluster.all) {
       if (!m.up || !m.acceptor->is_voting()) continue;
-      const auto [at, fresh] = opened_with.emplace(m.acceptor->epoch(), m.acceptor->epoch_value());
+      const auto [at, fresh] = epoch_values.emplace(m.acceptor->epoch(), m.acceptor->epoch_value());
       checker.check(fresh || at->second == m.acceptor->epoch_value(),
-                    numbered("epoch ", m.acceptor->epoch()) + " was opened with two values");
+                    numbered("epoch ", m.acceptor->epoch()) + " has two initial values");
     }
   }
 
-  void run(std::size_t orders) {
-    for (int i = 0; i < 700; ++i) cluster.clock.later.after(Span::ms(i * 10.0), [this] { look_at_epochs(); });
-    for (std::size_t i = 0; i < orders; ++i) {
-      cluster.clock.later.after(Span::ms(4000 * cluster.random.unit()),
-                                [this] { order(*proposers[cluster.random.below(proposers.size())]); });
+  void run(std::size_t operations) {
+    for (int i = 0; i < 700; ++i)
+      cluster.clock.later.after(Span::ms(i * 10.0), [this] { check_epoch_values(); });
+    for (std::size_t i = 0; i < operations; ++i) {
+      cluster.clock.later.after(Span::ms(4000 * cluster.random.unit()), [this] {
+        start_operation(*proposers[cluster.random.below(proposers.size())]);
+      });
     }
     for (int i = 0; i < 60; ++i)
       cluster.clock.later.after(Span::ms(4000 * cluster.random.unit()), [this] { inject_fault(); });
     cluster.clock.play(Span::ms(7000));
-    checker.check(answered == asked, "an order was not answered, or twice");
+    checker.check(finished == started, "an operation did not finish exactly once");
     checker.check(cluster.broken.empty(), cluster.broken);
-    // Calm again: a read comes to its end within the time that an order has.
+    // Without faults a read completes within the timeout of an operation.
     cluster.network = {};
     for (Machine& m : cluster.all) {
       m.disk->lose_power_at(common::MemoryDisk::no_step);
@@ -297,7 +299,7 @@
         m.start();
       }
     }
-    // The newest set goes round by gossip.
+    // Gossip spreads the newest set.
     const RegisterValue* newest = &proposers[0]->reg.epoch_value();
     for (const auto& p : proposers) {
       if (newest->epoch < p->reg.epoch_value().epoch) newest = &p->reg.epoch_value();
@@ -310,128 +312,132 @@
       const std::int64_t floor = checker.floor();
       p->reg.read(Span::ms(3000), [&, floor](absl::StatusOr<RegisterValue> got) {
         ++ends;
-        checker.check(got.ok(), "no read once it is calm");
+        checker.check(got.ok(), "a read failed without faults");
         if (!got.ok()) return;
-        checker.ended(*got, floor);
+        checker.on_operation_ended(*got, floor);
         last = *got;
       });
     }
     cluster.clock.play(Span::ms(4000), [&] { return ends == proposers.size(); });
-    checker.check(ends == proposers.size(), "a last read was not answered");
-    // And a change is taken at once.
-    const std::int64_t hash = ++hashes, base = last.config_version, floor = checker.floor();
-    proposers[1]->reg.change(replacing(base, base + 1, hash), Span::ms(3000),
-                             [&](absl::StatusOr<RegisterValue> got) {
-                               checker.check(got.ok() && had(*got, hash), "no change once it is calm");
-                               if (!got.ok()) return;
-                               checker.ended(*got, floor);
-                               checker.taken(base, hash);
-                               last = *got;
-                             });
+    checker.check(ends == proposers.size(), "a final read did not finish");
+    // A change is accepted without a retry.
+    const std::int64_t hash = ++last_hash, base = last.config_version, floor = checker.floor();
+    proposers[1]->reg.change(
+        replacing(base, base + 1, hash), Span::ms(3000), [&](absl::StatusOr<RegisterValue> got) {
+          checker.check(got.ok() && contains_change(*got, hash), "a change failed without faults");
+          if (!got.ok()) return;
+          checker.on_operation_ended(*got, floor);
+          checker.on_accepted(base, hash);
+          last = *got;
+        });
     cluster.clock.play(Span::ms(4000), [&] { return last.config_version != base; });
-    checker.close(last);
+    checker.check_final(last);
   }
 
   const Plan plan;
   AcceptorCluster cluster;
   InvariantChecker checker;
-  const RegisterValue value_of_first;
+  const RegisterValue first_epoch;
   std::vector<std::unique_ptr<Proposer>> proposers;
-  std::size_t asked = 0, answered = 0;
-  std::map<std::int64_t, RegisterValue> opened_with;  // by epoch
-  std::int64_t hashes = 0, wiped_in = 0;
+  std::size_t started = 0, finished = 0;
+  std::map<std::int64_t, RegisterValue> epoch_values;  // by epoch
+  std::int64_t last_hash = 0, wiped_in = 0;
   RegisterValue last;
 };
 
-// Days of one plan; what they came to is looked at too: a search that never refuses proves nothing of
-// refusals.
-void search(std::uint64_t first, std::uint64_t seeds, const RegisterSimulation::Plan& plan) {
-  std::size_t taken = 0, refused = 0;
+// Runs simulations of one plan. Also checks how many changes were accepted and rejected, since runs without
+// rejections would prove nothing about rejections.
+void run_seeds(std::uint64_t first, std::uint64_t seeds, const RegisterSimulation::Plan& plan) {
+  std::size_t accepted = 0, rejected = 0;
   std::int64_t epochs = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-    RegisterSimulation day(seed, plan);
-    day.run(36);
-    CHECK_WHERE(day.checker.broken.empty(), day.checker.broken);
-    taken += day.checker.taken_count();
-    refused += day.checker.refused_count();
-    epochs += day.last.epoch - 1;
+    RegisterSimulation simulation(seed, plan);
+    simulation.run(36);
+    CHECK_WHERE(simulation.checker.broken.empty(), simulation.checker.broken);
+    accepted += simulation.checker.accepted_count();
+    rejected += simulation.checker.rejected_count();
+    epochs += simulation.last.epoch - 1;
   }
-  const std::string came =
-      std::to_string(taken) + numbered(" taken, ", refused) + numbered(" refused, ", epochs) + " epochs";
-  CHECK_WHERE(taken > seeds * 2, came);
-  CHECK_WHERE(refused > seeds, came);
-  if (plan.other_sets) CHECK_WHERE(epochs > static_cast<std::int64_t>(seeds / 4), came);
+  const std::string summary = std::to_string(accepted) + numbered(" accepted, ", rejected) +
+                              numbered(" rejected, ", epochs) + " epochs";
+  CHECK_WHERE(accepted > seeds * 2, summary);
+  CHECK_WHERE(rejected > seeds, summary);
+  if (plan.set_changes) CHECK_WHERE(epochs > static_cast<std::int64_t>(seeds / 4), summary);
 }
 
 }  // namespace
 
-TEST_GROUP(RegisterDays){};
+TEST_GROUP(RegisterSimulations){};
 
-TEST(RegisterDays, CalmWays) { search(1, 60, {}); }
+TEST(RegisterSimulations, ReliableNetwork) { run_seeds(1, 60, {}); }
 
-TEST(RegisterDays, LossDelayRepeatsReordering) {
-  search(1000, 120, {.network = {.loss_rate = 0.15, .duplicate_rate = 0.2, .slow_rate = 0.1}, .words = true});
+TEST(RegisterSimulations, LossDelayRepeatsReordering) {
+  run_seeds(1000, 120,
+            {.network = {.loss_rate = 0.15, .duplicate_rate = 0.2, .slow_rate = 0.1}, .notifications = true});
 }
 
-// Acceptors lose power at numbered points of what they write, one, several or all at once.
-TEST(RegisterDays, LossesOfPower) {
-  search(2000, 120,
-         {.network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05},
-          .losses_of_power = true,
-          .words = true});
+// Acceptors lose power at any step of their writes: one, several or all at the same time.
+TEST(RegisterSimulations, PowerLosses) {
+  run_seeds(2000, 120,
+            {.network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05},
+             .power_losses = true,
+             .notifications = true});
 }
 
-TEST(RegisterDays, OtherSetsOfAcceptors) {
-  search(3000, 120,
-         {.network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05},
-          .other_sets = true,
-          .words = true});
+TEST(RegisterSimulations, AcceptorSetChanges) {
+  run_seeds(3000, 120,
+            {.network = {.loss_rate = 0.05, .duplicate_rate = 0.1, .slow_rate = 0.05},
+             .set_changes = true,
+             .notifications = true});
 }
 
-TEST(RegisterDays, AllAtOnce) {
-  search(4000, 160,
-         {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
-          .losses_of_power = true,
-          .wipes = true,
-          .other_sets = true,
-          .words = true});
+TEST(RegisterSimulations, AllFaults) {
+  run_seeds(4000, 160,
+            {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
+             .power_losses = true,
+             .wipes = true,
+             .set_changes = true,
+             .notifications = true});
 }
 
-TEST(RegisterDays, OrdersThatProposeAtOnceAndLossesOfPower) {
-  search(5000, 120,
-         {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
-          .losses_of_power = true,
-          .words = true,
-          .proposes_first = true});
+TEST(RegisterSimulations, ProposalsWithoutReadAndPowerLosses) {
+  run_seeds(5000, 120,
+            {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
+             .power_losses = true,
+             .notifications = true,
+             .proposes_first = true});
 }
 
-TEST(RegisterDays, OrdersThatProposeAtOnceAndOtherSets) {
-  search(6000, 120,
-         {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
-          .other_sets = true,
-          .words = true,
-          .proposes_first = true});
+TEST(RegisterSimulations, ProposalsWithoutReadAndSetChanges) {
+  run_seeds(6000, 120,
+            {.network = {.loss_rate = 0.08, .duplicate_rate = 0.15, .slow_rate = 0.08},
+             .set_changes = true,
+             .notifications = true,
+             .proposes_first = true});
 }
 
 TEST_GROUP(RegisterRaces){
-    // Two orders on the same version; what each came to.
-    static std::pair<Came, Came> race(std::uint64_t seed, const NetworkConditions& network, Span apart,
-                                      RegisterValue* last){AcceptorCluster cluster(3, seed);
+    // Runs two changes on the same version and returns the outcome of each.
+    static std::pair<Outcome, Outcome> race(std::uint64_t seed, const NetworkConditions& network, Span apart,
+                                            RegisterValue* last){AcceptorCluster cluster(3, seed);
 cluster.network = network;
 Proposer a(cluster, 1), b(cluster, 2);
 const RegisterValue first = cluster.first_epoch_of(3);
 a.reg.observe_epoch(first);
 b.reg.observe_epoch(first);
-Came came[2] = {Came::nothing, Came::nothing};
-const auto order = [&](Proposer& p, int which) {
-  p.reg.change(
-      replacing(0, 5, 10 + which), Span::ms(3000), [&came, which](absl::StatusOr<RegisterValue> got) {
-        came[which] = !got.ok() ? Came::unclear : had(*got, 10 + which) ? Came::taken : Came::refused;
-      });
+Outcome outcomes[2] = {Outcome::pending, Outcome::pending};
+const auto submit = [&](Proposer& p, int which) {
+  p.reg.change(replacing(0, 5, 10 + which), Span::ms(3000),
+               [&outcomes, which](absl::StatusOr<RegisterValue> got) {
+                 outcomes[which] = !got.ok()                           ? Outcome::undetermined
+                                   : contains_change(*got, 10 + which) ? Outcome::accepted
+                                                                       : Outcome::rejected;
+               });
 };
-order(a, 0);
-cluster.clock.later.after(apart, [&] { order(b, 1); });
-cluster.clock.play(Span::ms(8000), [&] { return came[0] != Came::nothing && came[1] != Came::nothing; });
+submit(a, 0);
+cluster.clock.later.after(apart, [&] { submit(b, 1); });
+cluster.clock.play(Span::ms(8000),
+                   [&] { return outcomes[0] != Outcome::pending && outcomes[1] != Outcome::pending; });
 cluster.network = {};
 bool read = false;
 a.reg.read(Span::ms(3000), [&](absl::StatusOr<RegisterValue> got) {
@@ -439,63 +445,65 @@
   if (got.ok()) *last = *got;
 });
 cluster.clock.play(Span::ms(4000), [&] { return read; });
-return {came[0], came[1]};
+return {outcomes[0], outcomes[1]};
 }
 }
 ;
 
-// Two orders at the same moment, or up to 60 ms apart: exactly one wins, the other is refused.
+// Of two changes that start up to 60 ms apart, exactly one is accepted and the other is rejected.
 TEST(RegisterRaces, ExactlyOneWins) {
   std::size_t first_won = 0;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
     RegisterValue last;
     const auto [a, b] = race(seed, {}, Span::ms(static_cast<double>(seed % 61)), &last);
     const std::string where = numbered("seed ", seed);
-    CHECK_WHERE((a == Came::taken && b == Came::refused) || (a == Came::refused && b == Came::taken), where);
+    CHECK_WHERE((a == Outcome::accepted && b == Outcome::rejected) ||
+                    (a == Outcome::rejected && b == Outcome::accepted),
+                where);
     CHECK_WHERE(last.applied_configurations.size() == 1, where);
-    CHECK_WHERE(had(last, a == Came::taken ? 10 : 11), where);
-    first_won += a == Came::taken ? 1 : 0;
+    CHECK_WHERE(contains_change(last, a == Outcome::accepted ? 10 : 11), where);
+    first_won += a == Outcome::accepted ? 1 : 0;
   }
   CHECK_TRUE(first_won > 100 && first_won < 400);
 }
 
-// Where messages are lost an order may end unclear, but never are both taken, and who is refused never is in
-// force.
-TEST(RegisterRaces, NeverBoth) {
+// If messages are lost, a change may end undetermined. Both are never accepted, and a rejected one never
+// takes effect.
+TEST(RegisterRaces, NeverBothAccepted) {
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
     RegisterValue last;
     const auto [a, b] = race(seed, {.loss_rate = 0.3, .duplicate_rate = 0.2, .slow_rate = 0.2},
                              Span::ms(static_cast<double>(seed % 31)), &last);
     const std::string where = numbered("seed ", seed);
-    CHECK_WHERE(a != Came::nothing && b != Came::nothing, where);
-    CHECK_WHERE(!(a == Came::taken && b == Came::taken), where);
+    CHECK_WHERE(a != Outcome::pending && b != Outcome::pending, where);
+    CHECK_WHERE(!(a == Outcome::accepted && b == Outcome::accepted), where);
     CHECK_WHERE(last.applied_configurations.size() <= 1, where);
-    if (a == Came::taken) CHECK_WHERE(had(last, 10), where);
-    if (b == Came::taken) CHECK_WHERE(had(last, 11), where);
-    if (a == Came::refused) CHECK_WHERE(!had(last, 10), where);
-    if (b == Came::refused) CHECK_WHERE(!had(last, 11), where);
+    if (a == Outcome::accepted) CHECK_WHERE(contains_change(last, 10), where);
+    if (b == Outcome::accepted) CHECK_WHERE(contains_change(last, 11), where);
+    if (a == Outcome::rejected) CHECK_WHERE(!contains_change(last, 10), where);
+    if (b == Outcome::rejected) CHECK_WHERE(!contains_change(last, 11), where);
   }
 }
 
-TEST_GROUP(RegisterOrders) {
+TEST_GROUP(RegisterOperations) {
   AcceptorCluster cluster{3, 7};
   Proposer p{cluster, 1};
 };
 
-TEST(RegisterOrders, NothingKnownIsToldAtOnce) {
-  bool told = false;
+TEST(RegisterOperations, UnavailableIsReportedAtOnce) {
+  bool is_unavailable = false;
   p.reg.read(Span::ms(1000),
-             [&](absl::StatusOr<RegisterValue> got) { told = absl::IsUnavailable(got.status()); });
-  CHECK_TRUE(told);
+             [&](absl::StatusOr<RegisterValue> got) { is_unavailable = absl::IsUnavailable(got.status()); });
+  CHECK_TRUE(is_unavailable);
 }
 
-// A repeat of an order that is in force changes nothing.
-TEST(RegisterOrders, RepeatIsKnown) {
+// A retry of an accepted change changes nothing.
+TEST(RegisterOperations, RetryIsRecognized) {
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   std::vector<std::int64_t> numbers;
   for (int n = 0; n < 3; ++n) {
     p.reg.change(replacing(0, 4, 9), Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
-      CHECK_TRUE(got.ok() && had(*got, 9));
+      CHECK_TRUE(got.ok() && contains_change(*got, 9));
       numbers.push_back(got->number);
     });
     cluster.clock.play(Span::ms(1000));
@@ -504,37 +512,38 @@
   CHECK_TRUE(numbers[0] == 1 && numbers[1] == 1 && numbers[2] == 1);
 }
 
-TEST(RegisterOrders, OneOfThreeIsGone) {
+TEST(RegisterOperations, SucceedsWithOneOfThreeAcceptorsDown) {
   cluster.all[1].up = false;
   p.reg.observe_epoch(cluster.first_epoch_of(3));
-  bool taken = false;
-  p.reg.change(replacing(0, 4, 9), Span::ms(2000),
-               [&](absl::StatusOr<RegisterValue> got) { taken = got.ok() && had(*got, 9); });
+  bool is_accepted = false;
+  p.reg.change(replacing(0, 4, 9), Span::ms(2000), [&](absl::StatusOr<RegisterValue> got) {
+    is_accepted = got.ok() && contains_change(*got, 9);
+  });
   cluster.clock.play(Span::ms(2100));
-  CHECK_TRUE(taken);
+  CHECK_TRUE(is_accepted);
 }
 
-// One round trip less than with a read before: six requests in place of nine.
-TEST(RegisterOrders, ChangeThatProposesAtOnceAsksEachAcceptorTwice) {
-  std::map<Register::FirstAttempt, std::size_t> asked;
+// Saves one round trip compared with a read first: six requests instead of nine.
+TEST(RegisterOperations, ProposalWithoutReadSendsTwoRequestsToEachAcceptor) {
+  std::map<Register::FirstAttempt, std::size_t> request_counts;
   for (const auto first_attempt : {Register::FirstAttempt::read_only, Register::FirstAttempt::propose}) {
     AcceptorCluster fresh(3, 5);
     Proposer proposer(fresh, 1);
     proposer.reg.observe_epoch(fresh.first_epoch_of(3));
-    fresh.on_asked = [&] { ++asked[first_attempt]; };
+    fresh.on_asked = [&] { ++request_counts[first_attempt]; };
     std::optional<RegisterValue> chosen;
     proposer.reg.change(
         replacing(0, 5, 10), Span::ms(1500), [&](absl::StatusOr<RegisterValue> got) { chosen = *got; },
         first_attempt);
     fresh.clock.play(Span::ms(1500));
-    CHECK_TRUE(chosen && had(*chosen, 10));
+    CHECK_TRUE(chosen && contains_change(*chosen, 10));
   }
-  CHECK_EQUAL(9U, asked[Register::FirstAttempt::read_only]);
-  CHECK_EQUAL(6U, asked[Register::FirstAttempt::propose]);
+  CHECK_EQUAL(9U, request_counts[Register::FirstAttempt::read_only]);
+  CHECK_EQUAL(6U, request_counts[Register::FirstAttempt::propose]);
 }
 
-// Its change finds nothing to do: the value stands, and is chosen before it is reported.
-TEST(RegisterOrders, ProposalWithoutAChangeReportsTheChosenValue) {
+// A change function that returns std::nullopt leaves the value, which must be chosen before it is reported.
+TEST(RegisterOperations, ProposalWithoutAChangeReportsTheChosenValue) {
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   std::vector<RegisterValue> chosen;
   const auto take = [&](absl::StatusOr<RegisterValue> got) { chosen.push_back(*got); };
@@ -544,14 +553,14 @@
   p.reg.change(replacing(0, 6, 11), Span::ms(1500), take, proposes);
   cluster.clock.play(Span::ms(1500));
   CHECK_EQUAL(2U, chosen.size());
-  CHECK_TRUE(chosen[0] == chosen[1] && !had(chosen[1], 11));
+  CHECK_TRUE(chosen[0] == chosen[1] && !contains_change(chosen[1], 11));
   std::size_t accepted = 0;
   for (const Machine& m : cluster.all) accepted += m.acceptor->accepted_value() == chosen[0] ? 1 : 0;
   CHECK_TRUE(accepted >= 2);
 }
 
-// No promise of a majority: nothing was proposed, and the order ends within its time.
-TEST(RegisterOrders, ProposalWithoutAMajorityEndsInTime) {
+// Without promises of a majority nothing is proposed, and the operation ends within its timeout.
+TEST(RegisterOperations, ProposalWithoutAMajorityEndsInTime) {
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   cluster.all[0].up = cluster.all[1].up = false;
   std::optional<absl::StatusCode> code;
@@ -563,40 +572,41 @@
   CHECK_TRUE(code == absl::StatusCode::kDeadlineExceeded);
 }
 
-// Without a majority an order ends by its time, once.
-TEST(RegisterOrders, NoMajorityEndsInTime) {
+// Without a majority an operation ends within its timeout, exactly once.
+TEST(RegisterOperations, NoMajorityEndsInTime) {
   cluster.all[0].up = cluster.all[1].up = false;
   p.reg.observe_epoch(cluster.first_epoch_of(3));
-  int told = 0;
+  int calls = 0;
   const TimePoint start = cluster.clock.system.now();
   TimePoint end;
   p.reg.change(replacing(0, 4, 9), Span::ms(1500), [&](absl::StatusOr<RegisterValue> got) {
-    ++told;
+    ++calls;
     end = cluster.clock.system.now();
     CHECK_FALSE(got.ok());
   });
   cluster.clock.play(Span::ms(5000));
-  CHECK_EQUAL(1, told);
+  CHECK_EQUAL(1, calls);
   CHECK_TRUE(end - start <= Span::ms(1550));
 }
 
-// A read alone writes nothing: it is asked for several times a second.
-TEST(RegisterOrders, ReadOfAChosenValueWritesNothing) {
+// A read of a chosen value writes nothing to disk, since reads are made several times a second.
+TEST(RegisterOperations, ReadOfAChosenValueWritesNothing) {
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   p.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   cluster.clock.play(Span::ms(1000));
   std::vector<std::size_t> before;
   for (const Machine& m : cluster.all) before.push_back(m.disk->step_count());
   bool read = false;
-  p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) { read = got.ok() && had(*got, 9); });
+  p.reg.read(Span::ms(1000),
+             [&](absl::StatusOr<RegisterValue> got) { read = got.ok() && contains_change(*got, 9); });
   cluster.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
   for (std::size_t i = 0; i < 3; ++i) CHECK_EQUAL(before[i], cluster.all[i].disk->step_count());
 }
 
-// Values go over the ways only to who does not have them.
-TEST(RegisterOrders, SecondReadBringsNoValues) {
-  cluster.counting = true;
+// Values are sent only to receivers that do not have them.
+TEST(RegisterOperations, SecondReadTransfersNoValues) {
+  cluster.is_counting_bytes = true;
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   p.reg.change(
       [](const RegisterValue& current) -> std::optional<RegisterValue> {
@@ -606,37 +616,39 @@
       },
       Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   cluster.clock.play(Span::ms(1000));
-  cluster.bytes_asked = cluster.bytes_answered = 0;
+  cluster.request_bytes = cluster.reply_bytes = 0;
   bool read = false;
   p.reg.read(Span::ms(1000), [&](absl::StatusOr<RegisterValue> got) {
     read = got.ok() && got->config.data.size() == 100000;
   });
   cluster.clock.play(Span::ms(1000));
   CHECK_TRUE(read);
-  CHECK_TRUE(cluster.bytes_asked + cluster.bytes_answered < 500);
+  CHECK_TRUE(cluster.request_bytes + cluster.reply_bytes < 500);
 }
 
-// Orders of one process do not outbid one another: all that come at once are taken, each in its turn.
-TEST(RegisterOrders, ManyAtOnceAreTakenOneAfterAnother) {
+// Changes of one process do not preempt each other: concurrent ones are all accepted, one after the other.
+TEST(RegisterOperations, ConcurrentChangesAreAcceptedInSequence) {
   p.reg.observe_epoch(cluster.first_epoch_of(3));
-  std::size_t taken = 0;
-  for (std::int64_t order = 1; order <= 20; ++order) {
+  std::size_t accepted_count = 0;
+  for (std::int64_t id = 1; id <= 20; ++id) {
     p.reg.change(
-        [order](const RegisterValue& current) -> std::optional<RegisterValue> {
-          if (had(current, order)) return std::nullopt;
+        [id](const RegisterValue& current) -> std::optional<RegisterValue> {
+          if (contains_change(current, id)) return std::nullopt;
           RegisterValue out = current;
-          out.applied_configurations.push_back({order, order});
+          out.applied_configurations.push_back({id, id});
           return out;
         },
         Span::ms(3000),
-        [&taken, order](absl::StatusOr<RegisterValue> got) { taken += got.ok() && had(*got, order); });
+        [&accepted_count, id](absl::StatusOr<RegisterValue> got) {
+          accepted_count += got.ok() && contains_change(*got, id);
+        });
   }
   cluster.clock.play(Span::ms(3100));
-  CHECK_EQUAL(static_cast<std::size_t>(20), taken);
+  CHECK_EQUAL(static_cast<std::size_t>(20), accepted_count);
 }
 
-// One that waits for others of its process ends by its own time.
-TEST(RegisterOrders, OneThatWaitsEndsInTime) {
+// A change that waits for others of its process ends within its own timeout.
+TEST(RegisterOperations, WaitingChangeEndsInTime) {
   cluster.all[0].up = cluster.all[1].up = false;
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   const TimePoint start = cluster.clock.system.now();
@@ -652,8 +664,8 @@
   CHECK_TRUE(ends[0] <= Span::ms(501) && ends[1] <= Span::ms(1001) && ends[2] <= Span::ms(2001));
 }
 
-// An acceptor with another value than the difference rests on asks for the whole.
-TEST(RegisterOrders, AcceptorWithAnotherValueGetsTheWhole) {
+// An acceptor whose value is not the base of the difference requests the full value.
+TEST(RegisterOperations, AcceptorWithAnotherValueGetsTheFullValue) {
   const auto store = [](std::size_t size, char c) {
     return [=](const RegisterValue& current) -> std::optional<RegisterValue> {
       RegisterValue out = current;
@@ -665,28 +677,28 @@
   p.reg.observe_epoch(cluster.first_epoch_of(3));
   p.reg.change(store(50000, 'a'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   cluster.clock.play(Span::ms(1000));
-  cluster.all[2].up = false;  // it misses one
+  cluster.all[2].up = false;  // it misses one change
   p.reg.change(store(50000, 'b'), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   cluster.clock.play(Span::ms(1000));
   cluster.all[2].up = true;
   cluster.all[0].up = false;  // now it is needed
-  bool taken = false;
+  bool is_accepted = false;
   p.reg.change(store(50000, 'c'), Span::ms(1000),
-               [&](absl::StatusOr<RegisterValue> got) { taken = got.ok(); });
+               [&](absl::StatusOr<RegisterValue> got) { is_accepted = got.ok(); });
   cluster.clock.play(Span::ms(1100));
-  CHECK_TRUE(taken);
+  CHECK_TRUE(is_accepted);
   CHECK_TRUE(cluster.all[2].acceptor->accepted_value().config.data.back() == 'c');
   CHECK_TRUE(cluster.all[2].acceptor->accepted_value() == cluster.all[1].acceptor->accepted_value());
 }
 
-// The set is changed by a sealed value, which nobody is told of: the next epoch begins with what it held.
-TEST(RegisterOrders, SealedAndOpened) {
+// The set is changed by a sealed value, which is never reported. The next epoch starts with its contents.
+TEST(RegisterOperations, SealedValueStartsTheNextEpoch) {
   AcceptorCluster five(5, 3);
   Proposer q(five, 1), late(five, 2);
   q.reg.observe_epoch(five.first_epoch_of(3));
   late.reg.observe_epoch(five.first_epoch_of(3));
-  std::vector<RegisterValue> told;
-  q.reg.on_chosen([&](const RegisterValue& v) { told.push_back(v); });
+  std::vector<RegisterValue> reported;
+  q.reg.on_chosen([&](const RegisterValue& v) { reported.push_back(v); });
   q.reg.change(replacing(0, 4, 9), Span::ms(1000), [](absl::StatusOr<RegisterValue>) {});
   five.clock.play(Span::ms(1000));
   const std::vector<Acceptor> next = {{"m2", "d2"}, {"m3", "d3"}, {"m4", "d4"}};
@@ -699,16 +711,19 @@
         return out;
       },
       Span::ms(1000),
-      [&](absl::StatusOr<RegisterValue> got) { done = got.ok() && got->epoch == 2 && had(*got, 9); });
+      [&](absl::StatusOr<RegisterValue> got) {
+        done = got.ok() && got->epoch == 2 && contains_change(*got, 9);
+      });
   five.clock.play(Span::ms(1000));
   CHECK_TRUE(done);
-  for (const RegisterValue& v : told) CHECK_TRUE(v.next_acceptors.empty());
-  CHECK_TRUE(told.back().acceptors == next);
-  // The old set is of no use any more; who knows only it comes over by any one of it.
+  for (const RegisterValue& v : reported) CHECK_TRUE(v.next_acceptors.empty());
+  CHECK_TRUE(reported.back().acceptors == next);
+  // The old set is no longer needed. A process that knows only the old set moves on through any one of its
+  // members.
   five.all[0].up = five.all[1].up = false;
   bool read = false;
   late.reg.read(Span::ms(2000), [&](absl::StatusOr<RegisterValue> got) {
-    read = got.ok() && got->epoch == 2 && had(*got, 9);
+    read = got.ok() && got->epoch == 2 && contains_change(*got, 9);
   });
   five.clock.play(Span::ms(2500));
   CHECK_TRUE(read);
@@ -716,8 +731,8 @@
 
 TEST_GROUP(RegisterAcceptor) {
   static Prepare prepare(const RegisterValue& initial, std::int64_t round, std::int64_t proposer = 1,
-                         bool look = false) {
-    return {initial.epoch, {round, proposer}, initial, look};
+                         bool read_only = false) {
+    return {initial.epoch, {round, proposer}, initial, read_only};
   }
   static Accept accept(const RegisterValue& initial, std::int64_t round, const std::string& config,
                        std::int64_t proposer = 1) {
@@ -729,9 +744,9 @@
   const RegisterValue initial = first_epoch_value({{"m0", ""}, {"m1", ""}, {"m2", ""}});
 };
 
-// Guards every promise and every accepted value that was told, at each step of the disk.
-TEST(RegisterAcceptor, WhatItSaidStandsAfterLossOfPowerAtEveryStep) {
-  const auto speak = [&](DurableAcceptor& a, Ballot& promised, Ballot& accepted, std::string& value) {
+// Every promise and every accepted value in a reply must survive a power loss at each step of the disk.
+TEST(RegisterAcceptor, RepliesSurvivePowerLossAtEveryStep) {
+  const auto send_requests = [&](DurableAcceptor& a, Ballot& promised, Ballot& accepted, std::string& value) {
     for (std::int64_t round = 1; round < 12; ++round) {
       if (round % 3 != 0) {
         const auto got = a.prepare(prepare(initial, round));
@@ -748,28 +763,28 @@
       }
     }
   };
-  common::MemoryDisk whole;
-  DurableAcceptor counted(whole, {"m0", "d0", true});
+  common::MemoryDisk reference_disk;
+  DurableAcceptor counted(reference_disk, {"m0", "d0", true});
   CHECK_TRUE(counted.open().ok());
   Ballot promised, accepted;
   std::string value;
-  speak(counted, promised, accepted, value);
-  const std::size_t points = whole.step_count();
+  send_requests(counted, promised, accepted, value);
+  const std::size_t points = reference_disk.step_count();
   CHECK_TRUE(points > 20);
   for (std::size_t point = 0; point <= points; ++point) {
     for (std::uint64_t seed = 0; seed < 30; ++seed) {
-      const std::string where = numbered("point ", point) + numbered(", luck ", seed);
+      const std::string where = numbered("point ", point) + numbered(", seed ", seed);
       common::MemoryDisk disk;
       DurableAcceptor a(disk, {"m0", "d0", true});
       CHECK_TRUE(a.open().ok());
       disk.lose_power_at(point);
       promised = accepted = {};
       value.clear();
-      speak(a, promised, accepted, value);
+      send_requests(a, promised, accepted, value);
       disk.power_cycle(seed);
       DurableAcceptor again(disk, {"m0", "d0", true});
       const absl::Status opened = again.open();
-      if (promised == Ballot{} && !opened.ok()) continue;  // it had said nothing yet
+      if (promised == Ballot{} && !opened.ok()) continue;  // it contains_change not replied yet
       CHECK_WHERE(opened.ok(), where);
       const auto got = again.prepare(prepare(initial, 0, 0, true));
       CHECK_WHERE(got.ok(), where);
@@ -781,9 +796,9 @@
   }
 }
 
-// The disk is full, or syncs fail, at each step in turn and for some steps. It goes on in memory: what it
-// told, before and between and after, stands whenever power is lost.
-TEST(RegisterAcceptor, WhatItSaidStandsThroughFaultsAtEveryStep) {
+// The disk is full or syncs fail, from each step in turn and for some steps. All replies before, during and
+// after the fault must survive a power loss at any time.
+TEST(RegisterAcceptor, RepliesSurviveDiskFaultsAtEveryStep) {
   for (const common::DiskFault fault : {common::DiskFault::full, common::DiskFault::sync_drops_writes,
                                         common::DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from < 30; ++from) {
@@ -795,8 +810,8 @@
         CHECK_TRUE(a.open().ok());
         disk.inject_fault(fault, from, from + length);
         Ballot promised, accepted;
-        std::size_t refused = 0;
-        // After a loss of power it has promised and accepted no less than was told.
+        std::size_t failures = 0;
+        // After a power loss it must have at least the ballots that it has promised and accepted in replies.
         const auto check = [&] {
           for (std::uint64_t seed = 0; seed < 6; ++seed) {
             common::MemoryDisk dark = disk;
@@ -815,20 +830,21 @@
         for (std::int64_t round = 1; round < 14; ++round) {
           const auto got = a.prepare(prepare(initial, round));
           if (got.ok()) promised = {round, 1};
-          refused += got.ok() ? 0 : 1;
+          failures += got.ok() ? 0 : 1;
           check();
           const auto voted = a.accept(accept(initial, round, numbered("v", round)));
-          // A first promise that the disk refused has not opened the epoch: that is told, and is no vote.
+          // If the first promise could not be written, the epoch was not entered, and the reply is not a
+          // vote.
           const bool yes = voted.ok() && status_of(voted->verdict) == AcceptorStatus::ok;
           if (yes) promised = accepted = {round, 1};
-          refused += voted.ok() ? 0 : 1;
+          failures += voted.ok() ? 0 : 1;
           check();
-          // Who only looks is told what is on disk, also meanwhile.
-          const auto look = a.prepare(prepare(initial, 0, 0, true));
-          if (look.ok() && status_of(look->verdict) == AcceptorStatus::ok)
-            CHECK_WHERE(look->accepted == accepted && look->promised == promised, where);
+          // A read-only request returns what is on disk, even while the disk fails.
+          const auto current = a.prepare(prepare(initial, 0, 0, true));
+          if (current.ok() && status_of(current->verdict) == AcceptorStatus::ok)
+            CHECK_WHERE(current->accepted == accepted && current->promised == promised, where);
         }
-        if (from < 12 && length > 1) CHECK_WHERE(refused > 0, where);
+        if (from < 12 && length > 1) CHECK_WHERE(failures > 0, where);
         CHECK_WHERE(promised == (Ballot{13, 1}) && accepted == (Ballot{13, 1}),
                     where + ": the disk works again");
         CHECK_FALSE(a.is_disk_failing());
@@ -837,15 +853,15 @@
   }
 }
 
-// The log is long, and the next answer switches the slot: power is lost, or one step fails, at each step of
-// the switch and of what follows it. From 1 KB to 8 MB the state is what was answered last, or what was under
-// way.
+// The log is full, so the next reply requires a checkpoint in the other slot. Power is lost or a step fails
+// at each step of the checkpoint and of what follows. For values from 1 KB to 8 MB the recovered state must
+// be that of the last reply or of the request in progress.
 TEST(RegisterAcceptor, SlotSwitchAtEveryStepAndSize) {
   for (const std::size_t size :
        {std::size_t{1} << 10U, std::size_t{64} << 10U, std::size_t{1} << 20U, std::size_t{8} << 20U}) {
     const std::string text(size, 'c');
-    const std::uint64_t lucks = size > (1U << 20U) ? 2 : size > (1U << 16U) ? 6 : 30;
-    // So many rounds that the log is at the switch.
+    const std::uint64_t seeds = size > (1U << 20U) ? 2 : size > (1U << 16U) ? 6 : 30;
+    // Enough rounds to fill the log.
     const std::int64_t rounds = 2 + static_cast<std::int64_t>((512U << 10U) / size);
     const auto fill = [&](DurableAcceptor& a) {
       for (std::int64_t round = 1; round <= rounds; ++round)
@@ -857,10 +873,10 @@
     CHECK_TRUE(before.open().ok());
     fill(before);
     for (std::size_t point = 0; point < 14; ++point) {
-      for (std::uint64_t seed = 0; seed < lucks; ++seed) {
+      for (std::uint64_t seed = 0; seed < seeds; ++seed) {
         const std::string where = numbered("size ", static_cast<long long>(size)) +
                                   numbered(", step ", static_cast<long long>(point)) +
-                                  numbered(", luck ", static_cast<long long>(seed));
+                                  numbered(", seed ", static_cast<long long>(seed));
         common::MemoryDisk disk = filled;
         DurableAcceptor a(disk, {"m0", "d0", true});
         CHECK_TRUE(a.open().ok());
@@ -889,7 +905,7 @@
   }
 }
 
-// Without a request it takes up again what it has as soon as the disk does.
+// retry_write() writes the current state without a request once the disk works again.
 TEST(RegisterAcceptor, WritesAgainOnceTheDiskWorks) {
   common::MemoryDisk disk;
   DurableAcceptor a(disk, {"m0", "d0", true});
@@ -908,7 +924,7 @@
   CHECK_TRUE(got->promised == (Ballot{1, 1}) && got->value.config.data == "x");
 }
 
-TEST(RegisterAcceptor, EarlierBallotsAreTurnedAway) {
+TEST(RegisterAcceptor, EarlierBallotsAreRejected) {
   common::MemoryDisk disk;
   DurableAcceptor a(disk, {"m0", "d0", true});
   CHECK_TRUE(a.open().ok());
@@ -919,12 +935,12 @@
   CHECK_TRUE(status_of(a.accept(accept(initial, 4, "x"))->verdict) == AcceptorStatus::ballot_outdated);
   CHECK_TRUE(status_of(a.accept(accept(initial, 5, "x"))->verdict) == AcceptorStatus::ok);
   CHECK_TRUE(status_of(a.accept(accept(initial, 5, "x"))->verdict) == AcceptorStatus::ok);  // repeated
-  const auto look = a.prepare(prepare(initial, 0, 0, true));
-  CHECK_TRUE(look->value.config.data == "x" && look->accepted == (Ballot{5, 1}));
+  const auto current = a.prepare(prepare(initial, 0, 0, true));
+  CHECK_TRUE(current->value.config.data == "x" && current->accepted == (Ballot{5, 1}));
 }
 
-// Guards the asker's own copy: it stands in for the value of the ballot that it names, and of no other.
-TEST(RegisterAcceptor, ValueIsLeftOutOnlyForTheBallotThatWasNamed) {
+// The value is omitted only if it was accepted under the ballot that the request names as known.
+TEST(RegisterAcceptor, ValueIsOmittedOnlyForTheNamedBallot) {
   common::MemoryDisk disk;
   DurableAcceptor a(disk, {"m0", "d0", true});
   CHECK_TRUE(a.open().ok());
@@ -942,9 +958,8 @@
   }
 }
 
-// Guards the accepted value: a difference from another base than it has, or that makes another value, is no
-// vote.
-TEST(RegisterAcceptor, DifferenceCountsOnItsOwnBaseOnly) {
+// A difference from a base that the acceptor does not have, or with corrupt content, is not accepted.
+TEST(RegisterAcceptor, DifferenceAppliesToItsOwnBaseOnly) {
   RegisterValue base = initial, next = initial, other = initial;
   base.number = other.number = 1;
   base.config.data = std::string(3000, 'a') + "base";
@@ -968,14 +983,15 @@
       CHECK_TRUE(a.accepted_value() == (good ? next : first.value));
       CHECK_TRUE(a.accepted_ballot() == (good ? ask.ballot : first.ballot));
       CHECK_TRUE(status_of(a.accept({1, {2, 1}, next, {}})->verdict) == AcceptorStatus::ok);
-      CHECK_TRUE(status_of(a.accept(ask)->verdict) == AcceptorStatus::ok);  // repeated: it has that value
+      CHECK_TRUE(status_of(a.accept(ask)->verdict) == AcceptorStatus::ok);  // repeated
       CHECK_TRUE(a.accepted_value() == next);
     }
   }
 }
 
-// A disk that was lost: the machine has its address and not its promises.
-TEST(RegisterAcceptor, WipedDiskVotesForNothingOfThatEpoch) {
+// A machine whose disk was lost still has its address but not its promises, so it must not vote in that
+// epoch.
+TEST(RegisterAcceptor, WipedDiskDoesNotVoteInThatEpoch) {
   const RegisterValue named = [&] {
     RegisterValue v = initial;
     v.epoch = 2;
@@ -999,7 +1015,7 @@
   }
 }
 
-// The first set is known by addresses alone: only a disk of the first start may stand for one.
+// The first set has only addresses, so only a disk that was new at the first start is a member.
 TEST(RegisterAcceptor, AddressAloneCountsInTheFirstEpochOnly) {
   RegisterValue second = initial;
   second.epoch = 2;
@@ -1010,7 +1026,7 @@
   CHECK_TRUE(status_of(a.prepare(prepare(initial, 1))->verdict) == AcceptorStatus::ok);
 }
 
-TEST(RegisterAcceptor, EarlierEpochsAreToldOfTheLater) {
+TEST(RegisterAcceptor, RequestsOfEarlierEpochsGetTheLaterEpoch) {
   common::MemoryDisk disk;
   DurableAcceptor a(disk, {"m0", "d0", true});
   CHECK_TRUE(a.open().ok());
@@ -1028,16 +1044,16 @@
   CHECK_EQUAL(2, static_cast<int>(again.epoch()));
 }
 
-// An accept that comes before anybody has prepared this acceptor for the epoch is no vote of that epoch.
-TEST(RegisterAcceptor, AcceptAloneDoesNotOpenAnEpoch) {
+// An accept request that arrives before any prepare request of the epoch is rejected.
+TEST(RegisterAcceptor, AcceptAloneDoesNotEnterAnEpoch) {
   common::MemoryDisk disk;
   DurableAcceptor a(disk, {"m0", "d0", true});
   CHECK_TRUE(a.open().ok());
   CHECK_TRUE(status_of(a.accept(accept(initial, 1, "x"))->verdict) == AcceptorStatus::not_a_member);
 }
 
-// Its log is long and is folded into a slot: nothing is lost on the way.
-TEST(RegisterAcceptor, LongLogIsFolded) {
+// A full log is replaced by a checkpoint without losing state.
+TEST(RegisterAcceptor, FullLogIsReplacedByACheckpoint) {
   common::MemoryDisk disk;
   DurableAcceptor a(disk, {"m0", "d0", true});
   CHECK_TRUE(a.open().ok());
--- a/tests/control/simulated_control.hpp
+++ b/tests/control/simulated_control.hpp
@@ -1,5 +1,5 @@
-// A control machine's operators' API over a register whose acceptors and ways are played, without sockets: a
-// call goes in as the bytes of a request, its answer comes back as a status and a body.
+// The operators' API of a controller, over a register with a simulated network and without sockets. A call is
+// passed as the bytes of a request; its reply is a status and a body.
 #pragma once
 
 #include <functional>
@@ -12,29 +12,30 @@
 
 namespace chutevane::simulated {
 
+// A controller process with a register and the operators' API.
 class ControlProcess final : control::OperatorApi::Host {
  public:
-  using Answered = std::function<void(common::HttpResponse)>;
+  using ResponseCallback = std::function<void(common::HttpResponse)>;
 
   ControlProcess(AcceptorCluster& cluster, std::uint64_t proposer, std::size_t history_limit)
       : transport(cluster),
         reg(cluster.clock.later, transport, proposer),
         api_(reg, *this, 1, history_limit) {}
 
-  // Nothing is answered by a process that has ended.
+  // Sends a call. `callback` is not called if the process has ended by then.
   void call(const std::string& method, const std::string& target, const std::string& fields,
-            const std::string& body, Answered answered) {
+            const std::string& body, ResponseCallback callback) {
     std::string bytes = method + " " + target + " HTTP/1.1\r\nHost: control\r\n" + fields +
                         "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     http::Parser parser(http::Side::request, {.head = 16 * 1024, .body = 8U << 20U, .fields = 100});
     parser.feed(bytes);
-    api_.serve(parser, [this, answered = std::move(answered)](common::HttpResponse answer) {
-      if (!transport.ended) answered(std::move(answer));
+    api_.serve(parser, [this, callback = std::move(callback)](common::HttpResponse response) {
+      if (!transport.ended) callback(std::move(response));
     });
   }
-  void replace(std::int64_t base, const std::string& body, Answered answered) {
+  void replace(std::int64_t base, const std::string& body, ResponseCallback callback) {
     call("POST", "/v1/Configuration.Replace", "X-Chutevane-Base-Version: " + std::to_string(base) + "\r\n",
-         body, std::move(answered));
+         body, std::move(callback));
   }
 
   SimulatedTransport transport;
@@ -44,7 +45,7 @@
 
  private:
   void announce(const common::RegisterValue&) override {}
-  void notify_when_acknowledged(std::int64_t, std::function<void()> then) override { then(); }
+  void notify_when_acknowledged(std::int64_t, std::function<void()> callback) override { callback(); }
   std::vector<common::Member> members() const override { return known_members; }
   bool are_members_complete() const override { return all_members_known; }
   control::ControlStatus status() const override { return {}; }
@@ -52,7 +53,7 @@
   control::OperatorApi api_;
 };
 
-// A small valid configuration; those of different names differ.
+// Returns a small valid configuration. Different names give different bytes.
 inline std::string configuration(std::int64_t version, const std::string& name) {
   return R"({"version":)" + std::to_string(version) + R"(,"routes":[{"name":")" + name +
          R"(","host":"h","pathPrefix":"/a/","routeType":"idempotent","timeoutMs":1000,"targetMs":100,)" +
--- a/tests/control/storage_map_planner_test.cpp
+++ b/tests/control/storage_map_planner_test.cpp
@@ -1,5 +1,5 @@
-// The map of storage nodes: nodes are removed after their time and not sooner, retired only when all that
-// stay are complete, and remembered while their replicas are needed.
+// Tests of StorageMapPlanner: nodes are removed after their timeout and not sooner, retired only when all
+// staying nodes are complete, and kept on the list of absent nodes while their replicas are needed.
 #include "control/storage_map_planner.hpp"
 
 #include <algorithm>
@@ -42,7 +42,7 @@
   return out;
 }
 
-Member member(int n, std::int64_t whole) {
+Member member(int n, std::int64_t complete) {
   const std::string s = std::to_string(n);
   Member out;
   out.node = "n" + s;
@@ -50,17 +50,17 @@
   out.disk = "d" + s;
   out.address = "a" + s;
   out.zone = "z";
-  out.complete_map_version = whole;
+  out.complete_map_version = complete;
   return out;
 }
 
-std::vector<Member> members(std::initializer_list<int> numbers, std::int64_t whole) {
+std::vector<Member> members(std::initializer_list<int> numbers, std::int64_t complete) {
   std::vector<Member> out;
-  for (const int n : numbers) out.push_back(member(n, whole));
+  for (const int n : numbers) out.push_back(member(n, complete));
   return out;
 }
 
-bool lists(const RegisterValue& value, const std::string& node) {
+bool contains_node(const RegisterValue& value, const std::string& node) {
   return std::any_of(value.storage_nodes.begin(), value.storage_nodes.end(),
                      [&](const StorageNode& c) { return c.node == node; });
 }
@@ -70,6 +70,7 @@
 TEST_GROUP(StorageMapPlanning) {
   StorageMapPlanner planner{1};
   TimePoint now = TimePoint::at_ms(1e6);
+  // Calls plan() with each tick until the map changes, for up to `most`; sets `took` to the time until then.
   std::optional<RegisterValue> watched(const RegisterValue& value, const std::vector<Member>& live, Span most,
                                        Span* took) {
     const TimePoint start = now;
@@ -85,15 +86,15 @@
   Span after;
 };
 
-TEST(StorageMapPlanning, NothingChangesWhileAllAreThere) {
+TEST(StorageMapPlanning, NoChangeWhileAllArePresent) {
   CHECK_FALSE(
       watched(with_storage_nodes({1, 2, 3}), members({1, 2, 3}, 7), Span::ms(30000), &after).has_value());
 }
 
-TEST(StorageMapPlanning, ANewOneJoinsAtOnce) {
+TEST(StorageMapPlanning, NewNodeJoinsAtOnce) {
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   Member other = member(9, 0);
-  other.plane = "edge";  // of another plane
+  other.plane = "edge";  // not a storage node
   live.push_back(other);
   const auto next = planner.plan(with_storage_nodes({1, 2, 3}), live, now);
   CHECK_TRUE(next.has_value() && next->map_version == 8 && next->storage_nodes.size() == 4);
@@ -102,8 +103,8 @@
   CHECK_TRUE(next->storage_nodes.back() == newcomer);
 }
 
-// The same node with an empty disk: the map tells, so that it takes over anew what is its own.
-TEST(StorageMapPlanning, AWipedOneIsNamedAtOnceWithItsNewDisk) {
+// A node that returns with an empty disk is updated in the map, so that it rebuilds its replicas.
+TEST(StorageMapPlanning, WipedNodeGetsItsNewDiskAtOnce) {
   std::vector<Member> live = members({1, 2, 3}, 7);
   live[1].disk = "new";
   const auto next = planner.plan(with_storage_nodes({1, 2, 3}), live, now);
@@ -111,19 +112,19 @@
   CHECK_TRUE(next->storage_nodes[1].disk == "new" && next->storage_nodes[1].node == "n2");
 }
 
-TEST(StorageMapPlanning, GoneAfterItsTimeAndNotSooner) {
+TEST(StorageMapPlanning, RemovedAfterTheTimeoutAndNotSooner) {
   const RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_FALSE(planner.plan(value, members({1, 2, 3, 4}, 7), now).has_value());
   const auto next = watched(value, members({1, 2, 4}, 7), Span::ms(30000), &after);
   CHECK_TRUE(next.has_value());
   CHECK_TRUE(after > storage_node_absence_timeout && after <= storage_node_absence_timeout + tick_interval);
-  CHECK_TRUE(!lists(*next, "n3") && next->storage_nodes.size() == 3 && next->map_version == 8);
+  CHECK_TRUE(!contains_node(*next, "n3") && next->storage_nodes.size() == 3 && next->map_version == 8);
 }
 
-// Two of three copies lie on machines of which one is gone and replaced: the next loss may come `catchUpS`
-// after the successor began. What is noticed after 1.3 s without a session, and taken over in some hundred
-// ms, has to be given up well before.
-TEST(StorageMapPlanning, OneThatWasReplacedIsGivenUpSoon) {
+// One of the machines with replicas is lost and replaced, and the next loss may follow `catchUpS` after the
+// successor started. The loss is detected after 1.3 s without a session, and the takeover lasts some hundred
+// ms, so the node must be removed well before.
+TEST(StorageMapPlanning, ReplacedNodeIsRemovedSoon) {
   constexpr Span catch_up = Span::ms(4100), noticed = Span::ms(1300), take_over = Span::ms(800);
   for (const bool newcomer_first : {false, true}) {
     StorageMapPlanner watching(1);
@@ -141,108 +142,108 @@
       now = now + tick_interval;
       next = watching.plan(value, members({1, 2, 4}, value.map_version), now);
     }
-    CHECK_TRUE(next.has_value() && !lists(*next, "n3") && next->storage_nodes.size() == 3);
+    CHECK_TRUE(next.has_value() && !contains_node(*next, "n3") && next->storage_nodes.size() == 3);
     CHECK_TRUE(noticed + (now - start) + tick_interval + take_over < catch_up);
   }
 }
 
-// The copies lie there: fewer than bear the losses are not left in the map.
-// One whose disk takes nothing is there and keeps nothing: another takes its part, and it comes back with its
-// disk.
-TEST(StorageMapPlanning, OneWhoseDiskFailsCountsAsGone) {
+// A node whose disk fails stores nothing and counts as absent. Other nodes take over, and it rejoins once its
+// disk works.
+TEST(StorageMapPlanning, NodeWithAFailingDiskCountsAsAbsent) {
   const RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   CHECK_FALSE(planner.plan(value, live, now).has_value());
   live[2].disk_failing = true;
   const auto next = watched(value, live, Span::ms(30000), &after);
-  CHECK_TRUE(next.has_value() && !lists(*next, "n3"));
+  CHECK_TRUE(next.has_value() && !contains_node(*next, "n3"));
   CHECK_TRUE(after > storage_node_absence_timeout && after <= storage_node_absence_timeout + tick_interval);
   CHECK_FALSE(watched(*next, live, Span::ms(5000), &after).has_value());
   live[2].disk_failing = false;
   const auto again = planner.plan(*next, live, now);
-  CHECK_TRUE(again.has_value() && lists(*again, "n3"));
+  CHECK_TRUE(again.has_value() && contains_node(*again, "n3"));
 }
 
-TEST(StorageMapPlanning, TheLastCopiesStayInTheMap) {
+// No node is removed if fewer nodes than needed to tolerate the losses would be left.
+TEST(StorageMapPlanning, LastReplicasStayInTheMap) {
   CHECK_FALSE(
       watched(with_storage_nodes({1, 2, 3}), members({1, 2}, 7), Span::ms(30000), &after).has_value());
   CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), {}, Span::ms(30000), &after).has_value());
 }
 
-// Emptied only when each that stays has what lay there, by this map and on this disk.
-TEST(StorageMapPlanning, RetiredOnlyWhenAllThatStayAreWhole) {
+// A node is retired only when each staying node is complete by the current map and on its current disk.
+TEST(StorageMapPlanning, RetiredOnlyWhenAllStayingNodesAreComplete) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted);
   CHECK_EQUAL(8, static_cast<int>(value.map_version));
   CHECK_TRUE(value.storage_nodes[3].draining && !value.retired_nodes[0].completed);
-  for (int behind = 1; behind <= 3; ++behind) {  // one is not whole by the newest map
+  for (int behind = 1; behind <= 3; ++behind) {  // one is not complete by the newest map
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live[static_cast<std::size_t>(behind - 1)].complete_map_version = 7;
     CHECK_FALSE(watched(value, live, Span::ms(10000), &after).has_value());
   }
-  for (int gone = 1; gone <= 3; ++gone) {  // one is not heard of
+  for (int gone = 1; gone <= 3; ++gone) {  // one is out of contact
     StorageMapPlanner fresh(1);
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live.erase(live.begin() + gone - 1);
     CHECK_FALSE(fresh.plan(value, live, now).has_value());
   }
-  for (int wiped = 1; wiped <= 3; ++wiped) {  // one has another disk: the map is told of it first
+  for (int wiped = 1; wiped <= 3; ++wiped) {  // one has another disk, which the map records first
     StorageMapPlanner fresh(1);
     std::vector<Member> live = members({1, 2, 3, 4}, 8);
     live[static_cast<std::size_t>(wiped - 1)].disk = "new";
     const auto next = fresh.plan(value, live, now);
-    CHECK_TRUE(next.has_value() && lists(*next, "n4") && !next->retired_nodes[0].completed &&
+    CHECK_TRUE(next.has_value() && contains_node(*next, "n4") && !next->retired_nodes[0].completed &&
                next->map_version == 9);
-    CHECK_FALSE(fresh.plan(*next, live, now).has_value());  // it was whole by the map before
+    CHECK_FALSE(fresh.plan(*next, live, now).has_value());  // it is complete only by the previous map
   }
   const auto next = planner.plan(value, members({1, 2, 3, 4}, 8), now);
-  CHECK_TRUE(next.has_value() && !lists(*next, "n4"));
+  CHECK_TRUE(next.has_value() && !contains_node(*next, "n4"));
   CHECK_TRUE(next->retired_nodes[0].completed && next->map_version == 9);
-  // Its machine is not taken in again.
+  // The retired node is not added again.
   CHECK_FALSE(planner.plan(*next, members({1, 2, 3, 4}, 9), now).has_value());
 }
 
-// The one that leaves need not be whole, nor be there.
-TEST(StorageMapPlanning, TheLeavingOneItselfIsNotWaitedFor) {
+// The retiring node itself need not be complete or present.
+TEST(StorageMapPlanning, RetiringNodeItselfIsNotWaitedFor) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted);
   const auto next = planner.plan(value, members({1, 2, 3}, 8), now);
-  CHECK_TRUE(next.has_value() && !lists(*next, "n4") && next->retired_nodes[0].completed);
+  CHECK_TRUE(next.has_value() && !contains_node(*next, "n4") && next->retired_nodes[0].completed);
 }
 
-// A machine that got SIGTERM may hold one of the last copies: it is emptied first, where enough stay.
-TEST(StorageMapPlanning, OneThatGotSigtermIsEmptiedFirst) {
+// A node that got SIGTERM may hold one of the last replicas, so it is drained first if enough nodes stay.
+TEST(StorageMapPlanning, NodeThatGotSigtermIsDrainedFirst) {
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   live[3].draining = true;
   const auto marked = planner.plan(with_storage_nodes({1, 2, 3, 4}), live, now);
   CHECK_TRUE(marked.has_value() && marked->map_version == 8 && marked->storage_nodes.size() == 4);
   CHECK_TRUE(marked->storage_nodes[3].draining && marked->retired_nodes.empty());
-  CHECK_FALSE(watched(*marked, live, Span::ms(10000), &after).has_value());  // nobody has taken over yet
+  CHECK_FALSE(watched(*marked, live, Span::ms(10000), &after).has_value());  // no node has taken over yet
   for (int behind = 0; behind < 3; ++behind) {
     for (Member& m : live) m.complete_map_version = 8;
     live[static_cast<std::size_t>(behind)].complete_map_version = 7;
     CHECK_FALSE(planner.plan(*marked, live, now).has_value());
   }
   for (Member& m : live) m.complete_map_version = 8;
-  const auto given_up = planner.plan(*marked, live, now);
-  CHECK_TRUE(given_up.has_value() && !lists(*given_up, "n4") && given_up->retired_nodes.empty());
-  // While its process comes to its end it is not taken in again; its next one is.
+  const auto removed = planner.plan(*marked, live, now);
+  CHECK_TRUE(removed.has_value() && !contains_node(*removed, "n4") && removed->retired_nodes.empty());
+  // It is not added again while its process shuts down, but is added once it has restarted.
   for (Member& m : live) m.complete_map_version = 9;
-  CHECK_FALSE(planner.plan(*given_up, live, now).has_value());
+  CHECK_FALSE(planner.plan(*removed, live, now).has_value());
   live[3].draining = false;
-  const auto back = planner.plan(*given_up, live, now);
-  CHECK_TRUE(back.has_value() && lists(*back, "n4") && !back->storage_nodes.back().draining);
+  const auto back = planner.plan(*removed, live, now);
+  CHECK_TRUE(back.has_value() && contains_node(*back, "n4") && !back->storage_nodes.back().draining);
 }
 
-// With just enough it keeps its place: it is lost while it is away, and comes back with its disk.
-TEST(StorageMapPlanning, SigtermWithoutAnotherChangesNothing) {
+// If there are just enough nodes, it stays in the map: it is absent for a while and returns with its disk.
+TEST(StorageMapPlanning, SigtermWithoutASpareNodeChangesNothing) {
   std::vector<Member> live = members({1, 2, 3}, 7);
   live[2].draining = true;
   CHECK_FALSE(watched(with_storage_nodes({1, 2, 3}), live, Span::ms(10000), &after).has_value());
 }
 
-// It ended before it was emptied, and is started again: it has its place. An order to empty it would stand.
-TEST(StorageMapPlanning, StartedAgainItHasItsPlace) {
+// A node that restarts before it was drained stays in the map. A request to retire it would remain in force.
+TEST(StorageMapPlanning, RestartedNodeStaysInTheMap) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   value.storage_nodes[3].draining = true;
   const auto next = planner.plan(value, members({1, 2, 3, 4}, 6), now);
@@ -251,7 +252,7 @@
   CHECK_FALSE(planner.plan(value, members({1, 2, 3, 4}, 6), now).has_value());
 }
 
-TEST(StorageMapPlanning, TwoLeaveOneAfterTheOther) {
+TEST(StorageMapPlanning, TwoNodesAreRetiredInSequence) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4, 5});
   CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted &&
              request_retirement(value, "n5", 1) == RetirementOutcome::accepted);
@@ -263,7 +264,7 @@
   CHECK_TRUE(then->retired_nodes[0].completed && then->retired_nodes[1].completed);
 }
 
-TEST(StorageMapPlanning, TooFewAreRefused) {
+TEST(StorageMapPlanning, RetirementIsRejectedIfTooFewWouldBeLeft) {
   for (const std::size_t losses : {0U, 1U, 2U}) {
     RegisterValue value;
     for (int n = 0; n < static_cast<int>(replicas_for(losses)); ++n)
@@ -273,14 +274,14 @@
     CHECK_TRUE(value == before);
     value.storage_nodes.push_back(storage_node(90));
     CHECK_TRUE(request_retirement(value, "n0", losses) == RetirementOutcome::accepted);
-    // The one that leaves does not count for the next.
+    // A retiring node does not count for the next request.
     const RegisterValue left = value;
     CHECK_TRUE(request_retirement(value, "n90", losses) == RetirementOutcome::too_few_left);
     CHECK_TRUE(value == left);
   }
 }
 
-TEST(StorageMapPlanning, UnknownAndRepeatedOrders) {
+TEST(StorageMapPlanning, UnknownAndRepeatedRequests) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(request_retirement(value, "n8", 1) == RetirementOutcome::unknown_node);
   CHECK_TRUE(request_retirement(value, "n1", 1) == RetirementOutcome::accepted);
@@ -291,87 +292,89 @@
 
 TEST_GROUP(StorageMapRetiringAndLost) { TimePoint now = TimePoint::at_ms(1e6); };
 
-// A machine that is to be emptied is gone for longer than its time, and comes back: the order stands, it gets
-// nothing new, and it comes to its end.
-TEST(StorageMapRetiringAndLost, TheOrderStands) {
+// A retiring node is absent for longer than its timeout and returns. The request remains in force, the node
+// gets no new turns, and the retirement completes.
+TEST(StorageMapRetiringAndLost, RequestRemainsInForce) {
   StorageMapPlanner planner(1);
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   CHECK_TRUE(request_retirement(value, "n4", 1) == RetirementOutcome::accepted);
-  std::vector<Member> three = members({1, 2, 3}, 0);  // not whole yet: it is not emptied
+  std::vector<Member> three = members({1, 2, 3}, 0);  // not complete yet, so it is not drained
   for (int i = 0; i < 40; ++i) {
     if (auto next = planner.plan(value, three, now)) value = *next;
     now = now + tick_interval;
   }
   if (auto next = planner.plan(value, members({1, 2, 3, 4}, 0), now)) value = *next;
   for (const StorageNode& c : value.storage_nodes)
-    CHECK_WHERE(c.node != "n4" || c.draining, "it gets turns again");
+    CHECK_WHERE(c.node != "n4" || c.draining, "the node gets turns again");
   for (int i = 0; i < 40 && !value.retired_nodes[0].completed; ++i) {
     if (auto next = planner.plan(value, members({1, 2, 3, 4}, value.map_version), now)) value = *next;
     now = now + tick_interval;
   }
-  CHECK_WHERE(value.retired_nodes[0].completed, "the order never ends");
+  CHECK_WHERE(value.retired_nodes[0].completed, "the retirement never completes");
 }
 
-// Copies that are missing: of lost disks, and of nodes that were given up while silent. Guards turns whose
-// only copies left are away.
+// Tests of missing replicas, which are those of lost disks and of nodes that were removed while absent.
+// Guards against the loss of turns whose only remaining replicas are on absent nodes.
 TEST_GROUP(StorageMapAbsent) {
   TimePoint now = TimePoint::at_ms(1e6);
   StorageMapPlanner planner{1};
-  // What the map becomes while these are there and whole by the newest map; it has not changed for so long.
-  RegisterValue simulated(RegisterValue value, const std::vector<int>& present, const std::vector<int>& whole,
-                          Span most) {
+  // Runs the planner for `most` while the nodes `present` are in contact and the nodes `complete` are
+  // complete by the newest map. Returns the resulting value.
+  RegisterValue simulated(RegisterValue value, const std::vector<int>& present,
+                          const std::vector<int>& complete, Span most) {
     const TimePoint end = now + most;
     while (now < end) {
-      if (const auto next = planner.plan(value, live(value, present, whole), now)) value = *next;
+      if (const auto next = planner.plan(value, live(value, present, complete), now)) value = *next;
       now = now + tick_interval;
     }
     return value;
   }
   std::vector<Member> live(const RegisterValue& value, const std::vector<int>& present,
-                           const std::vector<int>& whole) const {
+                           const std::vector<int>& complete) const {
     std::vector<Member> out;
     for (const int n : present) {
-      const bool is_whole = std::find(whole.begin(), whole.end(), n) != whole.end();
-      out.push_back(member(n, is_whole ? value.map_version : 0));
+      const bool is_complete = std::find(complete.begin(), complete.end(), n) != complete.end();
+      out.push_back(member(n, is_complete ? value.map_version : 0));
       const auto disk = disks.find(n);
       if (disk != disks.end()) out.back().disk = disk->second;
     }
     return out;
   }
-  std::map<int, std::string> disks;  // other than the first ones
+  std::map<int, std::string> disks;  // replaced disks, by node
 };
 
-TEST(StorageMapAbsent, ASilentOneIsNotGivenUpBesideALostDisk) {
+TEST(StorageMapAbsent, AbsentNodeStaysWhileADiskIsLost) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   disks[2] = "new";
-  value = simulated(value, {1, 2, 3}, {1, 3}, Span::ms(60000));  // 2 needs what 4 has
-  CHECK_TRUE(lists(value, "n4") && value.absent_nodes.empty());
+  value = simulated(value, {1, 2, 3}, {1, 3}, Span::ms(60000));  // 2 needs the replicas of 4
+  CHECK_TRUE(contains_node(value, "n4") && value.absent_nodes.empty());
   LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
-  // It is back, and 2 is whole: made up for.
+  // Node 4 is back and node 2 is complete, so nothing is missing.
   value = simulated(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
   LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
-  // From here on it may be given up.
+  // Now node 4 may be removed.
   value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(10000));
-  CHECK_FALSE(lists(value, "n4"));
+  CHECK_FALSE(contains_node(value, "n4"));
 }
 
-TEST(StorageMapAbsent, GivenUpItIsRememberedUntilTheOthersAreWhole) {
+TEST(StorageMapAbsent, RemovedNodeIsListedUntilTheOthersAreComplete) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   value = simulated(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
-  CHECK_TRUE(!lists(value, "n4") && value.absent_nodes.size() == 1 && value.absent_nodes[0].disk == "d4");
-  // A disk is lost meanwhile: both are missing.
+  CHECK_TRUE(!contains_node(value, "n4") && value.absent_nodes.size() == 1 &&
+             value.absent_nodes[0].disk == "d4");
+  // A disk is lost in the meantime, so both are missing.
   disks[2] = "new";
   value = simulated(value, {1, 2, 3}, {1}, Span::ms(10000));
   LONGS_EQUAL(2, chutevane::common::missing_replicas(value));
-  // The silent one brings its copies back: only the lost disk is missing.
+  // The absent node returns with its replicas, so only the lost disk is missing.
   value = simulated(value, {1, 2, 3, 4}, {1}, Span::ms(1000));
-  CHECK_TRUE(lists(value, "n4") && value.absent_nodes.empty());
+  CHECK_TRUE(contains_node(value, "n4") && value.absent_nodes.empty());
   LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
   value = simulated(value, {1, 2, 3, 4}, {1, 2, 3, 4}, Span::ms(1000));
   LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
 }
 
-TEST(StorageMapAbsent, OneThatComesBackWithoutItsDiskHasLostIt) {
+TEST(StorageMapAbsent, NodeThatReturnsWithANewDiskCountsAsReplaced) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   value = simulated(value, {1, 2, 3}, {1, 2}, Span::ms(10000));
   LONGS_EQUAL(1, value.absent_nodes.size());
@@ -380,38 +383,40 @@
   CHECK_TRUE(value.absent_nodes.empty() && value.storage_nodes.back().disk_replaced);
 }
 
-TEST(StorageMapAbsent, OfTwoSilentOnesNeitherIsGivenUp) {
+TEST(StorageMapAbsent, NeitherOfTwoAbsentNodesIsRemoved) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4, 5});
   value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(60000));
   LONGS_EQUAL(5, value.storage_nodes.size());
-  // Where two may be lost both are.
-  StorageMapPlanner bears_two(2);
+  // If two losses are tolerated, both are removed.
+  StorageMapPlanner tolerates_two(2);
   RegisterValue larger = with_storage_nodes({1, 2, 3, 4, 5, 6, 7});
   for (int i = 0; i < 80; ++i, now = now + tick_interval) {
-    const auto next = bears_two.plan(larger, live(larger, {1, 2, 3, 4, 5}, {1, 2, 3}), now);
+    const auto next = tolerates_two.plan(larger, live(larger, {1, 2, 3, 4, 5}, {1, 2, 3}), now);
     if (next) larger = *next;
   }
   LONGS_EQUAL(5, larger.storage_nodes.size());
   LONGS_EQUAL(2, larger.absent_nodes.size());
 }
 
-// One node alone makes up for its lost disk, also while another stands still: a second loss may come then.
-TEST(StorageMapAbsent, ALostDiskIsMadeUpForByItsOwnNode) {
+// A node alone rebuilds its lost disk, even while another node is out of contact, so that a second loss is
+// tolerated.
+TEST(StorageMapAbsent, LostDiskIsRebuiltByItsOwnNode) {
   RegisterValue value = with_storage_nodes({1, 2, 3, 4});
   disks[2] = "new";
   value = simulated(value, {1, 2, 3, 4}, {1, 3, 4}, Span::ms(1000));
   LONGS_EQUAL(1, chutevane::common::missing_replicas(value));
-  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(600));  // 4 has just fallen silent
+  value = simulated(value, {1, 2, 3}, {1, 2, 3}, Span::ms(600));  // 4 has just lost contact
   LONGS_EQUAL(0, chutevane::common::missing_replicas(value));
-  // Not where one has come that is not whole yet: its part may lie at the lost disk's node no more.
+  // Not if a new node is not complete yet, since its replicas may no longer be on the node with the lost
+  // disk.
   RegisterValue other = with_storage_nodes({1, 2, 3, 4});
   disks[2] = "newer";
   other = simulated(other, {1, 2, 3, 4, 5}, {1, 2, 3, 4}, Span::ms(1000));
   LONGS_EQUAL(1, chutevane::common::missing_replicas(other));
 }
 
-// What a disk that never comes back holds is past its time some day: nothing waits for ever.
-TEST(StorageMapAbsent, WhatIsPastItsTimeIsNotWaitedFor) {
+// The replicas on a disk that never returns expire, so the planner must not wait for them forever.
+TEST(StorageMapAbsent, ExpiredReplicasAreNotWaitedFor) {
   using chutevane::control::min_replica_expiry;
   for (const bool longer : {false, true}) {
     StorageMapPlanner watching(1);
@@ -422,21 +427,22 @@
     disks[2] = "new";
     TimePoint at = now;
     const TimePoint begin = at;
-    std::optional<Span> given_up;
-    while (!given_up && at - begin < needed * 2) {
+    std::optional<Span> removed;
+    while (!removed && at - begin < needed * 2) {
       if (const auto next = watching.plan(value, live(value, {1, 2, 3}, {1, 3}), at)) value = *next;
-      if (chutevane::common::missing_replicas(value) == 0 && at > begin) given_up = at - begin;
+      if (chutevane::common::missing_replicas(value) == 0 && at > begin) removed = at - begin;
       at = at + tick_interval;
     }
-    CHECK_TRUE(given_up.has_value());
-    CHECK_TRUE(*given_up > needed && *given_up < needed + Span::ms(2000));
+    CHECK_TRUE(removed.has_value());
+    CHECK_TRUE(*removed > needed && *removed < needed + Span::ms(2000));
   }
 }
 
 TEST_GROUP(StorageMapSurplus) { TimePoint now = TimePoint::at_ms(1e6); };
 
-// With one more than is needed a silent one is not waited for; with just enough it has its longer time.
-TEST(StorageMapSurplus, ASilentOneGoesSoonerWhereOneIsToSpare) {
+// With a spare node an absent one is removed after the shorter timeout; with just enough, after the longer
+// one.
+TEST(StorageMapSurplus, AbsentNodeIsRemovedSoonerIfThereIsASpare) {
   using chutevane::control::surplus_node_absence_timeout;
   for (const bool spare : {true, false}) {
     StorageMapPlanner planner(1);
@@ -453,8 +459,9 @@
   }
 }
 
-// The map says which disk took the place of a lost one, and keeps saying so; one that is new is no loss.
-TEST(StorageMapSurplus, ALostDiskIsMarked) {
+// A disk that replaced a lost one is marked in the map and stays marked. The disk of a new node is not
+// marked.
+TEST(StorageMapSurplus, ReplacedDiskIsMarked) {
   StorageMapPlanner planner(1);
   std::vector<Member> live = members({1, 2, 3, 4}, 7);
   live[0].disk = "another";
