--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -1,3 +1,4 @@
+/// HTTP/1.1 parser: head, framing and body.
 #include "http/parser.hpp"
 
 #include <algorithm>
@@ -8,11 +9,11 @@
 namespace {
 
 constexpr std::string_view scheme = "http://";
-constexpr std::size_t max_chunk_line = 256;  // bytes: a size, and extensions that are ignored
+constexpr std::size_t max_chunk_line = 256;  // bytes; the size and ignored extensions
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
 
-/// RFC 9110, 5.6.2
+/// A character of a token (RFC 9110, 5.6.2).
 bool is_token_char(char c) {
   if ((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z')) return true;
   return c != '\0' && std::strchr("!#$%&'*+-.^_`|~", c) != nullptr;
@@ -22,7 +23,7 @@
   return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
 
-/// A tab is white space in a field's value and in a chunk's extension.
+/// A tab is not a control character here: it is white space in field values and chunk extensions.
 bool has_control_char(std::string_view text) {
   return std::any_of(text.begin(), text.end(),
                      [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; });
@@ -34,7 +35,7 @@
   return text;
 }
 
-/// Digits alone: no sign, no white space.
+/// Parses digits only: a sign or white space is an error.
 template <class T>
 [[nodiscard]] bool parse_digits(std::string_view text, T& out, int base = 10) {
   const char* end = text.data() + text.size();
@@ -43,8 +44,7 @@
   return parsed.ec == std::errc() && parsed.ptr == end;
 }
 
-/// The line at the front of the bytes, without its end; nothing while its end has not come within `max`
-/// bytes.
+/// Returns the first line without its line end, or std::nullopt if no line end is found within `max` bytes.
 std::optional<std::string_view> first_line(std::string_view bytes, std::size_t max) {
   const std::size_t end = bytes.substr(0, max + 2).find("\r\n");
   if (end == std::string_view::npos) return std::nullopt;
@@ -97,7 +97,7 @@
                     [&](const FieldSlices& field) { return same_name(view(field.name), name); }));
 }
 
-// --- Feeding
+// --- Input
 
 Progress Parser::feed(std::span<char> bytes) {
   bytes_ = bytes.data();
@@ -158,8 +158,8 @@
 
 // --- The head
 
-/// Empty lines before a message are ignored (RFC 9112, 2.2). Returns whether there was one, or the head
-/// begins; false: more bytes are needed, or it has failed.
+/// Skips empty lines before a message (RFC 9112, 2.2). Returns true if it skipped one or the head begins, and
+/// false if more bytes are needed or parsing has failed.
 bool Parser::skip_empty_lines() {
   const std::size_t available = fed_ - position_;
   if (available >= 2 && bytes_[position_] == '\r' && bytes_[position_ + 1] == '\n') {
@@ -173,7 +173,7 @@
   return true;
 }
 
-/// Parses the head once all of it is there: `complete` then.
+/// Looks for the end of the head. Parses the head and returns `complete` once all of it has arrived.
 Progress Parser::find_head_end() {
   constexpr std::string_view head_end = "\r\n\r\n";
   const std::string_view fed(bytes_, fed_);
@@ -217,7 +217,8 @@
   return parse_version(line.substr(two + 1));
 }
 
-/// Of a target in absolute form, the path goes on and the authority stands for the Host field.
+/// For a target in absolute form, stores the path as the target, and the authority, which replaces the Host
+/// field.
 bool Parser::parse_target(std::string_view target) {
   has_empty_path_ = false;
   authority_ = {};
@@ -267,7 +268,7 @@
 
 // --- The body
 
-/// How the body is framed, by RFC 9112, 6.3.
+/// Determines the framing of the body (RFC 9112, 6.3).
 bool Parser::determine_framing() {
   body_start_ = position_;
   body_size_ = 0;
@@ -316,7 +317,7 @@
   return true;
 }
 
-/// One step behind the head; see more().
+/// Performs one parsing step after the head; see more().
 Progress Parser::step(std::string_view bytes, std::size_t& taken, std::string_view& piece) {
   taken = 0;
   piece = {};
@@ -354,7 +355,7 @@
   return stage_ == Stage::complete ? Progress::complete : Progress::more;
 }
 
-/// `complete`: a whole line has been taken.
+/// Returns `complete` once a whole line has been consumed.
 Progress Parser::take_chunk_size(std::string_view bytes, std::size_t& taken) {
   const auto line = first_line(bytes, max_chunk_line);
   if (!line) return bytes.size() > max_chunk_line ? fail(400, "chunk line too long") : Progress::more;
@@ -363,7 +364,7 @@
   return Progress::complete;
 }
 
-/// The same; an empty line ends the message. Trailers are dropped.
+/// Consumes one trailer line, which is dropped. An empty line ends the message.
 Progress Parser::take_trailer(std::string_view bytes, std::size_t& taken) {
   const auto line = first_line(bytes, limits_.head);
   if (!line) return bytes.size() > limits_.head ? fail(431, "trailer too long") : Progress::more;
@@ -374,7 +375,7 @@
 }
 
 bool Parser::parse_chunk_size(std::string_view line) {
-  // Another reader could take a control character for the line's end.
+  // Another parser could interpret a control character as the end of the line.
   if (has_control_char(line)) return fail(400, "control character in a chunk line"), false;
   const std::string_view digits = trim(line.substr(0, line.find(';')));
   if (!parse_digits(digits, remaining_, 16)) return fail(400, "malformed chunk size"), false;
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -1,16 +1,16 @@
-/// An HTTP/1.1 parser (RFC 9112) without I/O: a state machine that is fed the bytes of one message, as many
-/// as have come so far.
+/// An incremental HTTP/1.1 parser (RFC 9112) without I/O.
 ///
-/// Feed it the same bytes again, with more behind them, until it returns `complete` or `failed`; it goes on
-/// where it stopped. A chunked body is put together in place. What it has found are views of the bytes that
-/// were fed last, valid until these move.
+/// The caller passes all the bytes of a message that have arrived so far to feed(), and calls it again with
+/// the same bytes and more after them until it returns `complete` or `failed`. Parsing continues where it
+/// stopped. A chunked body is decoded in place. Results are views of the bytes that were passed last, valid
+/// until these move.
 ///
-/// A body that is too large to be held is received in pieces: once the head is complete, detach() the parser
-/// from the bytes and call more() with what has not been taken yet. Whichever way a message is cut, its
-/// pieces put together are the same.
+/// A body that is too large to be buffered is received in pieces: once the head is complete, the caller
+/// detaches the parser from the bytes with detach() and passes the bytes that have not been consumed yet to
+/// more(). The concatenated pieces do not depend on how the message was split.
 ///
-/// What two readers could understand in two ways (request smuggling) is an error: conflicting lengths, stray
-/// control characters, transfer codings other than chunked.
+/// Messages that two parsers could interpret differently (request smuggling) are errors: conflicting lengths,
+/// stray control characters, and transfer codings other than chunked.
 #pragma once
 
 #include <cstdint>
@@ -21,49 +21,49 @@
 
 namespace chutevane::http {
 
-/// The most that a message may have; more is an error.
+/// Size limits of a message. Exceeding one is an error.
 struct Limits {
-  std::size_t head = 16 * 1024;  // bytes; also of trailers
+  std::size_t head = 16 * 1024;  // bytes; also the limit for trailers
   std::size_t body = 64 * 1024;  // bytes
   std::size_t fields = 100;
 };
 
-/// Which start line a message has, and how its body is framed without a length.
+/// Kind of message. Determines the start line, and the framing of a body without a length.
 enum class Side : std::uint8_t { request, response };
-/// `more`: the bytes so far are fine, and not the whole message.
+/// Result of parsing. `more` means that the bytes so far are valid, but the message is incomplete.
 enum class Progress : std::uint8_t { more, complete, failed };
 
 struct Field {
   std::string_view name, value;
 };
 
-/// Compares names of header fields, whose case does not matter.
+/// Compares names of header fields, ignoring case.
 bool same_name(std::string_view a, std::string_view b);
-/// Whether a comma-separated list has a member, in any case.
+/// Returns true if a comma-separated list contains the token, ignoring case.
 bool has_token(std::string_view list, std::string_view token);
 
 class Parser {
  public:
   explicit Parser(Side side, const Limits& limits = {}) : side_(side), limits_(limits) {}
-  /// For the next message; not while one is being parsed.
+  /// Sets the limits for the next message. Must not be called while a message is being parsed.
   void set_limits(const Limits& limits) { limits_ = limits; }
-  /// Begins the next message. `bodiless`: the response to a HEAD, whose length is not that of its body.
+  /// Prepares for the next message. `bodiless` is true if it responds to a HEAD request and has no body.
   void reset(bool bodiless = false);
 
-  /// Takes all bytes of the message that have come so far. To be called after every read, also one that
-  /// brought nothing, since it may have moved the bytes. `is_end`: no more will come.
+  /// Parses all bytes of the message that have arrived so far. Must be called after every read, even an empty
+  /// one, because the read may have moved the bytes. `is_end` is true if no more bytes will arrive.
   Progress feed(std::span<char> bytes, bool is_end);
   Progress feed(std::span<char> bytes);
-  /// No more bytes will come; `bytes` are the ones that were fed last, wherever they are held by now.
+  /// Handles the end of the connection. `bytes` are the bytes passed last, at their current address.
   Progress ended(std::span<char> bytes);
 
-  /// From here on the body comes through more(). The head is read from `head`, a copy of its first
-  /// head_size() bytes, or null if nobody will ask for it. Of the bytes that were fed, those beyond size()
-  /// have not been taken.
+  /// Detaches the parser from the bytes; from then on the body is passed to more(). `head` is a copy of the
+  /// first head_size() bytes, from which the head is read, or null if the head is no longer needed. Bytes
+  /// beyond size() that were passed to feed() have not been consumed.
   void detach(char* head);
-  /// One step in a detached body: `taken` bytes at the front are done with, and `piece`, perhaps empty, is
-  /// the part of the body among them. `Progress::more` with nothing taken: a step needs more bytes than
-  /// these.
+  /// Performs one parsing step in the body of a detached parser. Sets `taken` to the number of bytes consumed
+  /// from the front, and `piece` to the part of the body among them, which may be empty. If it returns
+  /// `Progress::more` and `taken` is 0, it needs more bytes than were passed.
   Progress more(std::span<char> bytes, std::size_t& taken, std::string_view& piece);
 
   // Progress
@@ -71,36 +71,36 @@
   bool head_done() const { return stage_ > Stage::head; }
   std::size_t head_size() const { return body_start_; }
   std::size_t body_received() const { return body_received_; }  // bytes
-  /// Bytes of the message at the front of what was fed.
+  /// Returns the number of bytes of the message that feed() has consumed.
   std::size_t size() const { return position_; }
-  /// Of a failure: the status to answer with, and the reason.
+  /// Returns the status to respond with after a failure. error() returns the reason.
   int status_of_error() const { return error_status_; }
   std::string_view error() const { return error_; }
 
   // The head
   std::string_view method() const { return view(method_); }
-  /// In origin form, also where the request has an absolute one.
+  /// Returns the target in origin form, even if the request has one in absolute form.
   std::string_view target() const { return has_empty_path_ ? std::string_view("/") : view(target_); }
-  /// Of a target in absolute form: it overrides the Host field. Empty otherwise.
+  /// Returns the authority of a target in absolute form, which overrides the Host field. Empty otherwise.
   std::string_view authority() const { return view(authority_); }
   int status() const { return status_; }
   bool http_1_0() const { return minor_version_ == 0; }
   bool keep_alive() const { return keep_alive_; }
   std::size_t fields() const { return fields_.size(); }
   Field field(std::size_t i) const { return {view(fields_[i].name), view(fields_[i].value)}; }
-  /// The first field of that name.
+  /// Returns the value of the first field with that name, or std::nullopt if there is none.
   std::optional<std::string_view> find(std::string_view name) const;
   std::size_t count(std::string_view name) const;
 
   // The body
   bool has_body() const { return has_body_; }
-  /// As the head states it; none: chunked, or up to the connection's end.
+  /// Returns the Content-Length, or std::nullopt if the body is chunked or ends with the connection.
   std::optional<std::size_t> length() const { return length_; }
-  /// What has been received of it, while the parser is not detached.
+  /// Returns the part of the body received so far. Only valid while the parser is not detached.
   std::string_view body() const { return {bytes_ + body_start_, body_size_}; }
 
  private:
-  /// What comes next in the bytes.
+  /// The part of the message that is parsed next.
   enum class Stage : std::uint8_t {
     start,
     head,
@@ -109,11 +109,11 @@
     chunk,
     chunk_end,
     trailer,
-    until_close,  // a response whose body ends with the connection
+    until_close,  // the body of a response that ends with the connection
     complete,
     failed
   };
-  /// Offsets, since the bytes may move.
+  /// Offset and size instead of a view, because the bytes may move.
   struct Slice {
     std::uint32_t at = 0, size = 0;
   };
@@ -144,11 +144,11 @@
   Limits limits_;
   Stage stage_ = Stage::start;
   char* bytes_ = nullptr;
-  std::size_t fed_ = 0;       // of `bytes_`
-  std::size_t position_ = 0;  // up to here they are parsed
-  std::size_t scanned_ = 0;   // up to here the head's end has been looked for
+  std::size_t fed_ = 0;       // number of bytes at `bytes_`
+  std::size_t position_ = 0;  // number of bytes parsed
+  std::size_t scanned_ = 0;   // number of bytes searched for the end of the head
   std::size_t head_start_ = 0, body_start_ = 0, body_size_ = 0;
-  std::size_t remaining_ = 0;  // of a body of stated length, or of a chunk
+  std::size_t remaining_ = 0;  // remaining bytes of a body with stated length, or of a chunk
   std::size_t trailer_size_ = 0;
   std::size_t body_received_ = 0;
   Slice method_, target_, authority_;
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -1,3 +1,4 @@
+/// Formatting of HTTP/1.1 messages.
 #include "http/writer.hpp"
 
 #include <array>
--- a/src/http/writer.hpp
+++ b/src/http/writer.hpp
@@ -1,5 +1,5 @@
-/// Appends HTTP/1.1 messages to a buffer. Values are written as given: the caller sees to it that they hold
-/// no line ends.
+/// Appends HTTP/1.1 messages to a buffer. Values are written verbatim; the caller must ensure that they
+/// contain no line ends.
 #pragma once
 
 #include <string_view>
@@ -8,19 +8,19 @@
 
 namespace chutevane::http {
 
-/// "Status" for a code that this project does not send.
+/// Returns the reason phrase for a status code, or "Status" for a code that this project does not send.
 std::string_view reason_of(int status);
 
-/// A start line first, then fields, then body() or no_body(), which end the head.
+/// Writes one message: first a start line, then fields, then body() or no_body(), which ends the head.
 class Writer {
  public:
   explicit Writer(net::Buffer& out) : out_(out) {}
   Writer& request_line(std::string_view method, std::string_view target);
   Writer& status_line(int status);
   Writer& field(std::string_view name, std::string_view value);
-  /// With its Content-Length.
+  /// Writes the Content-Length and the body.
   void body(std::string_view body);
-  /// The head alone: for messages without a body, or whose framing is written as fields.
+  /// Ends the head without a body. For messages that have no body, or whose framing was written with field().
   void no_body();
 
  private:
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,3 +1,4 @@
+/// HTTP/1.1 parser and writer, and the buffer that they use.
 #include "../fuzz/http.hpp"
 
 #include "base/pcg.hpp"
@@ -8,17 +9,17 @@
 namespace chutevane::http {
 namespace {
 
-// Feeds one message byte by byte, as the slowest peer would send it.
-Progress drip(Parser& parser, std::string& bytes) {
+// Feeds one message byte by byte.
+Progress feed_byte_by_byte(Parser& parser, std::string& bytes) {
   Progress p = Progress::more;
   for (std::size_t n = 1; n <= bytes.size() && p == Progress::more; ++n) p = parser.feed({bytes.data(), n});
   return p;
 }
 
-int refusal(std::string text, Side side = Side::request) {
+int error_status_of(std::string text, Side side = Side::request) {
   Parser parser(side);
   std::string whole = text;
-  EXPECT_EQ(drip(parser, text), Progress::failed) << text;
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::failed) << text;
   Parser again(side);
   EXPECT_EQ(again.feed({whole.data(), whole.size()}), Progress::failed);
   EXPECT_EQ(parser.status_of_error(), again.status_of_error());
@@ -29,7 +30,7 @@
   std::string text =
       "\r\nPOST /api?x=1 HTTP/1.1\r\nHost: h\r\nx-request-id:  ab \r\nContent-Length: 3\r\n\r\nabcNEXT";
   Parser parser(Side::request);
-  EXPECT_EQ(drip(parser, text), Progress::complete);
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::complete);
   EXPECT_EQ(parser.method(), "POST");
   EXPECT_EQ(parser.target(), "/api?x=1");
   EXPECT_EQ(parser.find("X-Request-ID"), "ab");
@@ -38,20 +39,20 @@
   EXPECT_TRUE(parser.keep_alive());
 }
 
-TEST(Parser, ChunkedBodyIsPutTogether) {
+TEST(Parser, ChunkedBodyIsDecoded) {
   std::string text =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: "
       "1\r\n\r\nrest";
   std::string whole = text;
-  Parser dripped(Side::response), at_once(Side::response);
-  EXPECT_EQ(drip(dripped, text), Progress::complete);
-  EXPECT_EQ(dripped.body(), "abc0123456789");
+  Parser byte_by_byte(Side::response), at_once(Side::response);
+  EXPECT_EQ(feed_byte_by_byte(byte_by_byte, text), Progress::complete);
+  EXPECT_EQ(byte_by_byte.body(), "abc0123456789");
   EXPECT_EQ(at_once.feed({whole.data(), whole.size()}), Progress::complete);
   EXPECT_EQ(at_once.body(), "abc0123456789");
   EXPECT_EQ(at_once.size(), whole.size() - 4);
 }
 
-TEST(Parser, PiecesAreTheSameHoweverAMessageIsCut) {
+TEST(Parser, PiecesDoNotDependOnHowAMessageIsSplit) {
   const std::string body = "0123456789abcdefghij0123456789", head = "POST / HTTP/1.1\r\nHost: h\r\n";
   const std::string sized = head + "Content-Length: 30\r\n\r\n" + body;
   const std::string chunked = head + "Transfer-Encoding: chunked\r\n\r\n14;x=\"y\"\r\n" + body.substr(0, 20) +
@@ -62,24 +63,25 @@
   }
 }
 
-TEST(Parser, AnAbsoluteFormNamesItsHost) {
+TEST(Parser, AbsoluteFormProvidesTheAuthority) {
   std::string text = "GET http://example:81/a?b HTTP/1.1\r\nHost: h\r\n\r\n",
               bare = "GET HTTP://x HTTP/1.1\r\n\r\n";
   Parser parser(Side::request), rooted(Side::request);
-  EXPECT_EQ(drip(parser, text), Progress::complete);
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::complete);
   EXPECT_EQ(parser.target(), "/a?b");
   EXPECT_EQ(parser.authority(), "example:81");
-  EXPECT_EQ(drip(rooted, bare), Progress::complete);
+  EXPECT_EQ(feed_byte_by_byte(rooted, bare), Progress::complete);
   EXPECT_EQ(rooted.target(), "/");
-  EXPECT_EQ(refusal("GET http:///a HTTP/1.1\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;a\nb\r\nx"), 400);
+  EXPECT_EQ(error_status_of("GET http:///a HTTP/1.1\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;a\nb\r\nx"), 400);
 }
 
-// Guards against views of bytes that have moved: the read that meets the end may have moved them.
-TEST(Parser, TheEndIsReadWhereTheBytesAreNow) {
+// Guards against views of bytes that have moved: the read that detects the end of the connection may move
+// them.
+TEST(Parser, EndUsesTheCurrentAddressOfTheBytes) {
   std::string text = "HTTP/1.1 200 OK\r\nA: b\r\n\r\nabc", moved = text;
   Parser parser(Side::response);
-  EXPECT_EQ(drip(parser, text), Progress::more);
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::more);
   std::fill(text.begin(), text.end(), '?');
   EXPECT_EQ(parser.ended({moved.data(), moved.size()}), Progress::complete);
   EXPECT_EQ(parser.find("A"), "b");
@@ -89,72 +91,74 @@
 TEST(Parser, BodyThatEndsWithTheConnection) {
   std::string text = "HTTP/1.0 200 OK\r\n\r\nabc";
   Parser parser(Side::response);
-  EXPECT_EQ(drip(parser, text), Progress::more);
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::more);
   EXPECT_EQ(parser.ended({text.data(), text.size()}), Progress::complete);
   EXPECT_EQ(parser.body(), "abc");
   EXPECT_FALSE(parser.keep_alive());
 }
 
-// Guards against taking half an answer for a whole one.
-TEST(Parser, EndInTheMiddleIsNoAnswer) {
+// Guards against accepting a truncated response as complete.
+TEST(Parser, TruncatedBodyIsAnError) {
   std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc";
   Parser parser(Side::response);
-  EXPECT_EQ(drip(parser, text), Progress::more);
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::more);
   EXPECT_EQ(parser.ended({text.data(), text.size()}), Progress::failed);
 }
 
-TEST(Parser, AnswerToAHeadHasNoBody) {
+TEST(Parser, ResponseToHeadHasNoBody) {
   std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
   Parser parser(Side::response);
   parser.reset(true);
-  EXPECT_EQ(drip(parser, text), Progress::complete);
+  EXPECT_EQ(feed_byte_by_byte(parser, text), Progress::complete);
 }
 
-// Guards against two readers of one request that see different ends of it.
+// Guards against request smuggling: two parsers that disagree on the end of a request.
 TEST(Parser, ConflictingLengths) {
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"), 501);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"), 501);
 }
 
 TEST(Parser, Malformed) {
-  EXPECT_EQ(refusal("GET\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("GET / HTTP/1.1\r\nno colon\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("GET / HTTP/1.1\r\nSpace : x\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("GET / HTTP/1.1\r\nA: b\nB: c\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("GET /a\x01 HTTP/1.1\r\n\r\n"), 400);
-  EXPECT_EQ(refusal("GET / HTTP/2.0\r\n\r\n"), 505);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n"), 400);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc"), 400);
-  EXPECT_EQ(refusal("HTTP/1.1 2x0 OK\r\n\r\n", Side::response), 400);
-}
-
-TEST(Parser, TooMuch) {
-  EXPECT_EQ(refusal("GET / HTTP/1.1\r\nA: " + std::string(20000, 'a')), 431);
+  EXPECT_EQ(error_status_of("GET\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("GET / HTTP/1.1\r\nno colon\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("GET / HTTP/1.1\r\nSpace : x\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("GET / HTTP/1.1\r\nA: b\nB: c\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("GET /a\x01 HTTP/1.1\r\n\r\n"), 400);
+  EXPECT_EQ(error_status_of("GET / HTTP/2.0\r\n\r\n"), 505);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n"), 400);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc"), 400);
+  EXPECT_EQ(error_status_of("HTTP/1.1 2x0 OK\r\n\r\n", Side::response), 400);
+}
+
+TEST(Parser, LimitsExceeded) {
+  EXPECT_EQ(error_status_of("GET / HTTP/1.1\r\nA: " + std::string(20000, 'a')), 431);
   std::string many = "GET / HTTP/1.1\r\n";
   for (int i = 0; i < 101; ++i) many += "A: b\r\n";
-  EXPECT_EQ(refusal(many + "\r\n"), 431);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
-  EXPECT_EQ(refusal("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n"), 413);
+  EXPECT_EQ(error_status_of(many + "\r\n"), 431);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
+  EXPECT_EQ(error_status_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n"), 413);
 }
 
-// However bytes are damaged and split, the parser stays within them and comes to the same end.
-TEST(Parser, DamagedBytes) {
+// For corrupted input, the parser stays within the bytes, and its result does not depend on how they are
+// split.
+TEST(Parser, CorruptedInput) {
   const std::string whole[] = {"POST /api HTTP/1.1\r\nA: b\r\nContent-Length: 3\r\n\r\nabc",
                                "POST /api HTTP/1.1\r\nTransfer-Encoding: "
                                "chunked\r\n\r\n3\r\nabc\r\n11;e\r\n0123456789abcdefg\r\n0\r\n\r\n"};
-  Pcg chance(1);
+  Pcg random(1);
   for (int round = 0; round < 4000; ++round) {
     std::string text = whole[round & 1];
     for (int n = 0; n < 1 + round % 3; ++n)
-      text[chance.next() % text.size()] = static_cast<char>(chance.next());
+      text[random.next() % text.size()] = static_cast<char>(random.next());
     std::string copy = text;
     Parser slow(Side::request), fast(Side::request);
-    const Progress a = drip(slow, text), b = fast.feed({copy.data(), copy.size()});
+    const Progress a = feed_byte_by_byte(slow, text), b = fast.feed({copy.data(), copy.size()});
     ASSERT_EQ(a, b) << text;
     const bool complete = a == Progress::complete;
     ASSERT_EQ(complete ? slow.body() : slow.error(), complete ? fast.body() : fast.error()) << text;
@@ -166,7 +170,7 @@
   EXPECT_FALSE(has_token("closed", "close"));
 }
 
-TEST(Writer, MessageOfEveryPart) {
+TEST(Writer, StatusLineFieldsAndBody) {
   net::Buffer out;
   Writer(out).status_line(503).field("Retry-After", "2.000").body("no");
   const std::span<char> b = out.bytes();
