--- a/src/edge/client_request.cpp
+++ b/src/edge/client_request.cpp
@@ -1,4 +1,4 @@
-/// Reading and writing of request heads.
+/// Parsing and formatting of request heads.
 #include "edge/client_request.hpp"
 
 #include <xxhash.h>
@@ -12,7 +12,7 @@
 
 using http::same_name;
 
-constexpr std::int64_t max_time_remaining_ms = 1000LL * 3600 * 24;  // a day: nobody waits longer
+constexpr std::int64_t max_time_remaining_ms = 1000LL * 3600 * 24;  // one day
 constexpr std::size_t max_prompt_blocks = 4096;
 constexpr std::string_view last_event_header = "Last-Event-Id";
 
@@ -23,7 +23,8 @@
   return lower;
 }
 
-// ID:TOKENS, separated by commas. Engines cache blocks for one model each: `model` is the hash of its name.
+// Parses "ID:TOKENS" items separated by commas. `model` is the hash of the model's name and becomes part of
+// the block ids, because engines cache blocks per model. Returns an empty vector if an item is malformed.
 std::vector<PromptBlock> parse_prompt_blocks(std::string_view text, std::uint64_t model) {
   std::vector<PromptBlock> blocks;
   while (!text.empty() && blocks.size() < max_prompt_blocks) {
@@ -53,20 +54,20 @@
   return options;
 }
 
-// X-Chutevane-Token-Count: tokens of the prompt, tokens that may be generated.
+// Parses X-Chutevane-Token-Count, "PROMPT_TOKENS,MAX_OUTPUT_TOKENS".
 std::optional<std::int64_t> max_output_tokens_of(std::string_view token_count) {
   const std::size_t comma = token_count.find(',');
   if (comma == std::string_view::npos) return std::nullopt;
   return parse_whole_number(token_count.substr(comma + 1));
 }
 
-// What the edge's own headers replace (ProxyHeaders).
+// Returns true for headers that the edge replaces by its own (ProxyHeaders).
 bool is_set_by_proxy(std::string_view name) {
   return same_name(name, "X-Chutevane-Time-Remaining") || same_name(name, "X-Chutevane-Target-Instance") ||
          same_name(name, "Priority");
 }
 
-// Takes over what the header says. Returns what is wrong with it; empty: nothing.
+// Stores the value of the header in the request. Returns an error message, or an empty string on success.
 std::string read_header(const http::Field& header, const http::Parser& parser, ClientRequest& request) {
   if (same_name(header.name, "X-Chutevane-Attempt-Id")) {
     if (!request.attempt_id.empty()) return "X-Chutevane-Attempt-Id: comes twice";
--- a/src/edge/data_plane.cpp
+++ b/src/edge/data_plane.cpp
@@ -1,4 +1,4 @@
-/// State from control, choices for requests, and the graceful shutdown of the edge.
+/// DataPlane: state from control, routing decisions for requests, and graceful shutdown.
 #include "edge/data_plane.hpp"
 
 #include <xxhash.h>
@@ -13,12 +13,13 @@
 namespace {
 
 constexpr double turn_cache_fraction = 0.2;            // of the process's memory
-constexpr double upstream_descriptor_fraction = 0.45;  // of the process's descriptors
-constexpr double connection_limit_fraction = 0.9;      // of an endpoint's limit: some are just ending
-constexpr double min_connection_share = 2;      // of each edge at each endpoint, however many edges there are
-constexpr Span accept_period = Span::ms(2600);  // after SIGTERM: two readiness probes, a second apart, fail
-constexpr Span shutdown_reserve =
-    Span::ms(600);  // of the grace period, before the platform kills the process
+constexpr double upstream_descriptor_fraction = 0.45;  // of the process's file descriptors
+constexpr double connection_limit_fraction = 0.9;  // of an endpoint's limit; closing connections use the rest
+constexpr double min_connection_share =
+    2;  // connections of an edge per endpoint, however many edges there are
+constexpr Span accept_period = Span::ms(2600);  // after SIGTERM; two readiness probes, one second apart, fail
+// The part of the grace period that is left when the process ends, before the platform would kill it.
+constexpr Span shutdown_reserve = Span::ms(600);
 constexpr Span drain_poll_interval = Span::ms(50);
 constexpr std::size_t max_readiness_request_bytes = 64U << 10U;
 
@@ -78,7 +79,7 @@
     return;
   common::Findings findings;
   auto configuration = common::read_configuration(value.config.data, findings);
-  if (!configuration) {  // control has checked it before it was accepted
+  if (!configuration) {  // unexpected, because control validates a configuration before accepting it
     common::log_event(common::Level::error, "config.unreadable", findings.text());
     return;
   }
@@ -90,7 +91,7 @@
   put_in_force(std::move(*configuration));
 }
 
-// Requests in progress keep the configuration that they began with.
+// Requests in progress keep the configuration that they started with.
 void DataPlane::put_in_force(common::Configuration configuration) {
   configuration_ = std::make_shared<const common::Configuration>(std::move(configuration));
   remove_stale_splitters();
@@ -128,7 +129,7 @@
   }
 }
 
-// Those of routes that are gone.
+// Removes the splitters of routes that no longer exist.
 void DataPlane::remove_stale_splitters() {
   std::erase_if(splitters_, [this](const auto& splitter) {
     return std::none_of(configuration_->routes.begin(), configuration_->routes.end(),
@@ -144,7 +145,7 @@
 
 bool DataPlane::has_routing_state() const {
   if (!configuration_ || upstreams_.size() == 0) return false;
-  // Turns need storage; it is not waited for where no route stores any.
+  // Storage is required only if some route stores turns.
   const auto& routes = configuration_->routes;
   return storage_.can_replicate() || std::none_of(routes.begin(), routes.end(),
                                                   [](const common::Route& route) { return route.retained; });
@@ -191,11 +192,12 @@
   std::size_t attempts = 0;
   for (std::size_t i = 0; i < connections_.size(); ++i)
     attempts += connections_[i].has_open_attempt() ? 1 : 0;
-  double charged = 0;
-  for (const auto& [service, balancer] : balancers_) charged += balancer->in_flight();
+  double counted_attempts = 0;
+  for (const auto& [service, balancer] : balancers_) counted_attempts += balancer->in_flight();
   common::check_invariant(
-      common::Invariant::places_held_by_attempts, charged <= static_cast<double>(attempts),
-      [&] { return std::to_string(charged) + " charged, " + std::to_string(attempts) + " under way"; });
+      common::Invariant::places_held_by_attempts, counted_attempts <= static_cast<double>(attempts), [&] {
+        return std::to_string(counted_attempts) + " counted, " + std::to_string(attempts) + " in flight";
+      });
 }
 
 // ---- graceful shutdown
@@ -203,7 +205,7 @@
 void DataPlane::begin_shutdown() {
   if (is_shutting_down_) return;
   is_shutting_down_ = true;
-  // Sessions with control stay until the end: it serves on, and has to hear of drains and changes.
+  // Sessions with control stay open until the end, because the edge keeps serving requests and needs updates.
   timers_.after(accept_period, [this] {
     is_closing_ = true;
     listener_.close();
@@ -225,7 +227,8 @@
   check_accounting();
 }
 
-// The time is over: requests in progress end without their response, and are reported.
+// Ends the process at the end of the grace period. Requests in progress end without a response and are
+// reported.
 void DataPlane::finish_now() {
   if (is_finished_) return;
   is_finished_ = true;
--- a/src/edge/data_plane.hpp
+++ b/src/edge/data_plane.hpp
@@ -1,9 +1,9 @@
-/// The edge: carries requests of clients to endpoints by what control has pushed.
+/// The data plane of the edge: proxies client requests to endpoints according to the state pushed by control.
 ///
-/// Owns everything of the process but its sessions' protocol: the clients' connections with the requests in
-/// progress, the pool of connections to endpoints, one balancer for each service, and the client of the
-/// storage nodes. It keeps nothing on disk. Three kinds of state come from control and are replaced as a
-/// whole when they change: the configuration, the endpoint list and the storage map (the latter within the
+/// Owns everything in the process except the protocol of the control sessions: the client connections with
+/// the requests in progress, the pool of connections to endpoints, one balancer per service, and the storage
+/// client. It stores nothing on disk. Three kinds of state come from control and are replaced as a whole when
+/// they change: the configuration, the endpoint list and the storage map (the latter as a part of the
 /// register's value).
 ///
 /// One thread, one event loop (common/process.hpp). Graceful shutdown: begin_shutdown().
@@ -28,25 +28,25 @@
 
 namespace chutevane::edge {
 
-/// What happened since the start, for metrics and the readiness page.
+/// Counts since the start of the process, for metrics and the readiness page.
 struct Counters {
-  std::uint64_t requests = 0;  ///< read completely
-  std::uint64_t answered = 0;  ///< with an endpoint's response
-  std::uint64_t refused = 0;   ///< with 503: it has not run
-  std::uint64_t failed = 0;    ///< with 502 or 504: it may have run
-  std::uint64_t attempts = 0;  ///< sent to endpoints
-  std::uint64_t retries = 0;   ///< attempts after a request's first
+  std::uint64_t requests = 0;  ///< requests read completely
+  std::uint64_t answered = 0;  ///< requests answered with an endpoint's response
+  std::uint64_t refused = 0;   ///< requests answered with 503; they have not run
+  std::uint64_t failed = 0;    ///< requests answered with 502 or 504; they may have run
+  std::uint64_t attempts = 0;  ///< attempts sent to endpoints
+  std::uint64_t retries = 0;   ///< attempts after the first one of a request
   std::uint64_t attempts_timed_out = 0;
-  std::uint64_t streams = 0;          ///< of which at least one event was passed on
-  std::uint64_t streams_resumed = 0;  ///< at another endpoint
-  std::uint64_t events = 0;           ///< passed on
+  std::uint64_t streams = 0;          ///< streams of which at least one event was forwarded
+  std::uint64_t streams_resumed = 0;  ///< streams continued at another endpoint
+  std::uint64_t events = 0;           ///< events forwarded
   std::uint64_t turns_stored = 0;
-  std::uint64_t turns_not_found = 0;    ///< 404
-  std::uint64_t turns_uncertain = 0;    ///< 503: storage could not tell
-  std::uint64_t budgets_exhausted = 0;  ///< 402
+  std::uint64_t turns_not_found = 0;    ///< 404 responses
+  std::uint64_t turns_uncertain = 0;    ///< 503 responses because a lookup in storage did not finish
+  std::uint64_t budgets_exhausted = 0;  ///< 402 responses
 };
 
-/// The plane of chutevane-edge; one per process, which runs it (common::run_process).
+/// The plane of chutevane-edge. There is one per process, run by common::run_process.
 class DataPlane final : public common::Plane {
  public:
   DataPlane(net::Scheduler& scheduler, const common::ProcessSettings& settings);
@@ -54,14 +54,15 @@
   // ---- common::Plane
 
   absl::Status open() override;
-  /// Graceful shutdown. The readiness page answers 503 at once, but new connections are accepted for 2.6 s
-  /// more, until the platform has noticed. Then each connection ends with its next response, and the process
-  /// when there is none left, or 0.6 s before the platform would kill it.
+  /// Starts a graceful shutdown. The readiness page returns 503 immediately, but new connections are accepted
+  /// for another 2.6 s, until the platform has noticed. After that each connection ends with its next
+  /// response. The process ends when no connection is left, or 0.6 s before the platform would kill it.
   void begin_shutdown() override;
   bool finished() const override { return is_finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
   void write_metrics(common::MetricsWriter& out) override;
-  /// Called with each value of the register after it has been put in force; to be set before open().
+  /// Sets a callback that receives each value of the register after it has been applied. Must be set before
+  /// open().
   void on_value_applied(std::function<void(const common::RegisterValue&)> callback) {
     value_applied_callback_ = std::move(callback);
   }
@@ -75,30 +76,30 @@
   Counters& counters() { return counters_; }
   FailureRecorder& failures() { return failures_; }
   const FailureRecorder& failures() const { return failures_; }
-  /// Null: none has come yet.
+  /// Returns null until a configuration has been received.
   const std::shared_ptr<const common::Configuration>& configuration() const { return configuration_; }
-  /// By the configuration in force; the defaults while there is none.
+  /// Returns the limits of the current configuration, or the defaults if there is none yet.
   common::ClientLimits client_limits() const;
   bool has_control_session() const { return sessions_->usable_count() > 0; }
-  /// Whether enough has come from control to send any request on.
+  /// Returns true once control has sent enough state to route requests.
   bool has_routing_state() const;
-  /// A graceful shutdown has begun: responses are the last of their connections.
+  /// Returns true once a graceful shutdown has begun. Each response is then the last one of its connection.
   bool is_shutting_down() const { return is_shutting_down_; }
-  /// ... and no new connections are accepted any more.
+  /// Returns true once the shutdown has reached the phase in which no new connections are accepted.
   bool is_closing() const { return is_closing_; }
   ServiceBalancer& balancer_for(const std::string& service);
-  /// The service of the route's split that takes the next request.
+  /// Returns the service that takes the next request, according to the route's traffic split.
   const std::string& choose_service(const common::Route& route);
-  /// Whether a request may be sent there now: on an idle connection, or because this process may open one
-  /// more. An endpoint resets connections beyond its limit, which all edges share, and what was sent on them
-  /// may have run.
+  /// Returns true if a request may be sent to the endpoint now: an idle connection exists, or this process
+  /// may open another one. All edges share an endpoint's connection limit. The endpoint resets connections
+  /// beyond it, and a request sent on such a connection may have run.
   bool may_connect(const Endpoint& endpoint) const;
-  /// Value of a Retry-After header: 0.1 to 0.4 s, at random, so that those refused together do not return
-  /// together.
+  /// Returns the value of a Retry-After header: a random time between 0.1 and 0.4 s, so that clients that
+  /// were refused together do not retry together.
   std::string retry_after();
-  /// Adds what is known from control.
+  /// Fills in the fields about the state from control.
   void add_control_state(FailureReport& report) const;
-  /// The connection is closed; it is destroyed in a later turn of the loop.
+  /// Removes a closed connection, which is destroyed in a later iteration of the event loop.
   void remove(DownstreamConnection& connection) { connections_.retire(connection); }
 
  private:
@@ -111,7 +112,7 @@
   void answer_readiness(const http::Parser& request, const common::HttpServer::Reply& reply);
   void finish_when_drained();
   void finish_now();
-  // That no endpoint is charged with attempts or connections that nobody has.
+  // Checks the invariants that every attempt and connection counted at an endpoint exists.
   void check_accounting();
 
   net::Scheduler& scheduler_;
@@ -120,11 +121,11 @@
   Pcg random_;
   Counters counters_;
   FailureRecorder failures_;
-  std::map<std::string, TrafficSplitter> splitters_;  // by route
+  std::map<std::string, TrafficSplitter> splitters_;  // by name of the route
   std::shared_ptr<const common::Configuration> configuration_;
-  std::int64_t configuration_version_ = 0;  // of the last one in force
+  std::int64_t configuration_version_ = 0;  // version of the last configuration that was applied
   UpstreamPool upstreams_;
-  std::map<std::string, std::unique_ptr<ServiceBalancer>> balancers_;  // by service
+  std::map<std::string, std::unique_ptr<ServiceBalancer>> balancers_;  // by name of the service
   StorageClient storage_;
   common::HttpServer readiness_port_;
   net::Listener listener_;
--- a/src/edge/data_plane_metrics.cpp
+++ b/src/edge/data_plane_metrics.cpp
@@ -1,4 +1,4 @@
-/// The readiness address and the metrics of the edge.
+/// DataPlane: the readiness page and the metrics of the edge.
 #include "common/http_server.hpp"
 #include "edge/data_plane.hpp"
 #include "json/value.hpp"
@@ -10,28 +10,33 @@
   if (request.target() == "/v1/readiness") return reply({is_ready() ? 200 : 503, "", {}});
   if (request.target() != "/v1/figures") return reply({404, "", {}});
   json::Writer out;
-  const Counters& c = counters_;
+  const Counters& counters = counters_;
   out.open('{')
       .key("node")
       .text(settings_.node)
       .key("requests")
-      .number(c.requests)
+      .number(counters.requests)
       .key("answered")
-      .number(c.answered);
-  out.key("refused").number(c.refused).key("failed").number(c.failed).key("attempts").number(c.attempts);
+      .number(counters.answered);
+  out.key("refused")
+      .number(counters.refused)
+      .key("failed")
+      .number(counters.failed)
+      .key("attempts")
+      .number(counters.attempts);
   out.key("retries")
-      .number(c.retries)
+      .number(counters.retries)
       .key("cut")
-      .number(c.attempts_timed_out)
+      .number(counters.attempts_timed_out)
       .key("streams")
-      .number(c.streams);
+      .number(counters.streams);
   out.key("events")
-      .number(c.events)
+      .number(counters.events)
       .key("turnsKept")
-      .number(c.turns_stored)
+      .number(counters.turns_stored)
       .key("spent")
-      .number(c.budgets_exhausted);
-  out.key("notFound").number(c.turns_not_found).key("unsure").number(c.turns_uncertain);
+      .number(counters.budgets_exhausted);
+  out.key("notFound").number(counters.turns_not_found).key("unsure").number(counters.turns_uncertain);
   out.key("clients")
       .number(connections_.size())
       .key("connectionsOpened")
@@ -43,23 +48,24 @@
 
 void DataPlane::write_metrics(common::MetricsWriter& out) {
   check_accounting();
-  const Counters& c = counters_;
+  const Counters& counters = counters_;
   const auto counter = [&](std::string_view name, std::string_view help, std::uint64_t value) {
     out.counter(name, "", help, static_cast<double>(value));
   };
   const auto gauge = [&](std::string_view name, std::string_view unit, std::string_view help, double value) {
     out.gauge(name, unit, help, value);
   };
-  counter("chutevane_requests", "Requests of clients that were read whole.", c.requests);
-  counter("chutevane_answered", "Requests answered with an endpoint's answer.", c.answered);
-  counter("chutevane_attempts", "Attempts sent to endpoints.", c.attempts);
-  counter("chutevane_retries", "Attempts after the first of their request.", c.retries);
-  counter("chutevane_attempts_cut", "Attempts ended because their time was over.", c.attempts_timed_out);
+  counter("chutevane_requests", "Requests of clients that were read whole.", counters.requests);
+  counter("chutevane_answered", "Requests answered with an endpoint's answer.", counters.answered);
+  counter("chutevane_attempts", "Attempts sent to endpoints.", counters.attempts);
+  counter("chutevane_retries", "Attempts after the first of their request.", counters.retries);
+  counter("chutevane_attempts_cut", "Attempts ended because their time was over.",
+          counters.attempts_timed_out);
   counter("chutevane_streams_resumed", "Times that a stream was taken up at another endpoint.",
-          c.streams_resumed);
-  counter("chutevane_streams", "Streams of which a part was passed on.", c.streams);
-  counter("chutevane_events", "Events of streams passed on.", c.events);
-  counter("chutevane_turns_kept", "Turns that storage has kept.", c.turns_stored);
+          counters.streams_resumed);
+  counter("chutevane_streams", "Streams of which a part was passed on.", counters.streams);
+  counter("chutevane_events", "Events of streams passed on.", counters.events);
+  counter("chutevane_turns_kept", "Turns that storage has kept.", counters.turns_stored);
   failures_.write(out);
   gauge("chutevane_clients", "", "Connections of clients.", static_cast<double>(connections_.size()));
   gauge("chutevane_endpoint_connections", "", "Connections to endpoints.",
--- a/src/edge/downstream_connection.cpp
+++ b/src/edge/downstream_connection.cpp
@@ -1,4 +1,4 @@
-/// Reading of requests, time limits, and framing of responses on a client's connection.
+/// DownstreamConnection: reading of requests, time limits, and framing of responses.
 #include "edge/downstream_connection.hpp"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr std::size_t max_pipelined_bytes = 256U << 10U;  // that are buffered while a request is served
+constexpr std::size_t max_pipelined_bytes = 256U << 10U;  // buffered while a request is being served
 constexpr std::size_t max_header_fields = 100;
-constexpr Span closing_timeout = Span::ms(1000);  // for the client's end, once the last response is out
-constexpr Span unread_grace = Span::ms(1);        // by then what has arrived in the socket is read
+constexpr Span closing_timeout = Span::ms(1000);  // for the client to close after the last response
+constexpr Span unread_grace = Span::ms(1);        // for reading the bytes that are already in the socket
 constexpr std::string_view last_chunk = "0\r\n\r\n";
 
 }  // namespace
@@ -31,7 +31,7 @@
 
 // ---- time limits
 
-// A request is held to the configuration that is in force when its first byte comes.
+// The limits of a request are those of the configuration at the time of its first byte.
 http::Limits DownstreamConnection::request_limits() const {
   const common::ClientLimits limits = plane_.client_limits();
   return {.head = limits.header_bytes, .body = limits.body_bytes, .fields = max_header_fields};
@@ -47,7 +47,7 @@
   plane_.timers().cancel(timer_);
   timer_ = plane_.timers().after(is_awaiting_head_ ? limits.header : limits.idle, [this] {
     if (!channel_.unread()) return on_request_timeout();
-    // It has arrived and was not read yet: this process stood still, not the client.
+    // The data has arrived but was not read yet: this process was delayed, not the client.
     timer_ = plane_.timers().after(unread_grace, [this] { on_request_timeout(); });
   });
 }
@@ -58,7 +58,8 @@
   reject_unread(FailureCause::slow_request, 408, "the request did not come whole in time");
 }
 
-// Between two requests, and before the client ends the connection. `elapsed`: how much of the limit is over.
+// Limits the time between two requests, and the time until the client closes the connection. `elapsed` is the
+// part of the limit that has already passed.
 void DownstreamConnection::start_idle_timer(Span limit, Span elapsed) {
   plane_.timers().cancel(timer_);
   timer_ = plane_.timers().after(
@@ -66,12 +67,12 @@
 }
 
 void DownstreamConnection::on_idle_timeout(Span limit, std::size_t unsent_before) {
-  // A client that still reads its response is not idle.
+  // A client that is still reading its response is not idle.
   if (channel_.unsent() > 0 && channel_.unsent() < unsent_before) return start_idle_timer(limit);
-  // Clients go by the limit that is in force: it may have grown meanwhile.
+  // Clients rely on the current limit, which may have increased in the meantime.
   if (state_ == State::reading && idle_limit() > limit) return start_idle_timer(idle_limit(), limit);
   if (state_ != State::reading || !channel_.unread()) return close(FailureCause::client_stalled);
-  // A request has arrived and was not read yet: this process stood still, not the client.
+  // A request has arrived but was not read yet: this process was delayed, not the client.
   timer_ = plane_.timers().after(unread_grace, [this] { on_request_timeout(); });
 }
 
@@ -81,7 +82,7 @@
   if (state_ == State::reading) {
     read_request();
   } else if (state_ == State::closing) {
-    channel_.in().consume(channel_.in_size());  // nothing is answered any more
+    channel_.in().consume(channel_.in_size());  // further requests are not answered
   } else if (channel_.in_size() > max_pipelined_bytes) {
     channel_.set_reading_paused(true);
   }
@@ -125,7 +126,7 @@
   request_->start(std::move(parsed));
 }
 
-// What follows a request that was not read completely can't be told from it: the connection ends.
+// Bytes that follow an incompletely read request can't be distinguished from it, so the connection ends.
 void DownstreamConnection::reject_unread(FailureCause cause, int status, std::string_view text) {
   plane_.timers().cancel(timer_);
   state_ = State::serving;
@@ -148,8 +149,8 @@
   if (channel_.in_size() > 0) read_pipelined();
 }
 
-// In a later turn of the loop: other connections have theirs first, and the finished request is still on the
-// stack.
+// Deferred to a later iteration of the event loop, because other connections should be served first and the
+// finished request is still on the stack.
 void DownstreamConnection::read_pipelined() {
   plane_.timers().cancel(timer_);
   timer_ = plane_.timers().after(Span(), [this] {
--- a/src/edge/downstream_connection.hpp
+++ b/src/edge/downstream_connection.hpp
@@ -1,11 +1,11 @@
-/// One client's connection: HTTP/1.1 requests, read and answered one after the other.
+/// A client's connection. It reads HTTP/1.1 requests and answers them one after the other.
 ///
-/// States: reading a request (or waiting for one), serving it (ProxiedRequest), closing (the last response is
-/// on its way, then the client's end is awaited), closed. What a client sends ahead is read only after the
-/// response before it. The connection bounds how long a request may take to come and how long the client may
-/// be idle; both limits are those of the configuration in force.
+/// States: reading (a request, or waiting for one), serving (ProxiedRequest), closing (sending the last
+/// response, then waiting for the client to close), closed. Pipelined requests are read only after the
+/// previous response. The connection limits how long a request may take to arrive and how long the client may
+/// be idle; both limits come from the current configuration.
 ///
-/// This class owns the framing of responses; which response is sent, and when, is the request's part.
+/// This class implements the framing of responses. The request decides which response is sent and when.
 #pragma once
 
 #include <memory>
@@ -24,7 +24,7 @@
 
 class DataPlane;
 
-/// Owned by the data plane's group of connections. Not thread-safe.
+/// Owned by the data plane's connection group. Not thread-safe.
 class DownstreamConnection final : net::Channel::Observer {
  public:
   explicit DownstreamConnection(DataPlane& plane);
@@ -33,31 +33,32 @@
   void adopt(int fd) { channel_.adopt(fd); }
   std::size_t group_index = 0;
 
-  /// Whether nothing of a request has come and nothing of a response has still to go out.
+  /// Returns true if no part of a request has arrived and no part of a response is waiting to be sent.
   bool is_idle() const { return state_ == State::reading && channel_.unsent() == 0 && channel_.quiet(); }
   bool has_open_attempt() const { return request_->has_open_attempt(); }
-  /// Closes the connection at once; a request in progress fails with `cause`. Idempotent.
+  /// Closes the connection immediately. A request in progress fails with `cause`. Idempotent.
   void close(FailureCause cause);
 
   // ---- for the request in progress
 
-  /// Status line, headers, and `Connection: close` where this is the last response.
+  /// Writes the status line, the headers, and `Connection: close` if this is the last response.
   void write_head(int status, const std::vector<std::pair<std::string, std::string>>& headers);
-  /// Ends the head and writes the body, unless the method or the status forbids one. `content_length`: of the
-  /// body that a GET would get, where the method is HEAD.
+  /// Ends the head and writes the body, unless the method or the status forbids one. `content_length` is used
+  /// if there is no body: for HEAD, it is the size of the body that a GET would receive.
   void write_body(int status, std::string_view method, std::string_view body, std::size_t content_length);
-  /// Ends the head of a response whose body follows in chunks.
+  /// Ends the head of a response with a chunked body.
   void begin_chunks();
   void write_chunk(std::string_view bytes);
-  /// Ends a body in chunks: the response is complete.
+  /// Ends a chunked body, which completes the response.
   void end_chunks();
-  /// Hands to the socket what was written.
+  /// Writes the buffered output to the socket.
   void flush() { channel_.flush(); }
-  /// The response is complete: the next request is read, or the connection ends.
+  /// Reads the next request or ends the connection. Called when the response is complete.
   void on_request_finished();
-  /// Resets the connection, so that a response of which a part is out can't pass for complete.
+  /// Resets the connection, so that the client can't mistake a partial response for a complete one.
   void reset(FailureCause cause);
-  /// Counts and logs a failure; `status` of the edge's own response, 0: the connection ends without one.
+  /// Counts and logs a failure. `status` is that of the edge's own response, or 0 if the connection ends
+  /// without one.
   void record_failure(FailureCause cause, int status);
 
  private:
@@ -86,11 +87,11 @@
   net::Channel channel_;
   http::Parser parser_;
   State state_ = State::reading;
-  bool is_persistent_ = true;                // false: the connection ends with the response in progress
-  bool is_awaiting_head_ = false;            // what timer_ bounds, while a request comes
-  bool is_continue_sent_ = false;            // 100 Continue, for the request that is being read
-  net::TimerQueue::Handle timer_;            // of reading and idling; the request has one of its own
-  std::unique_ptr<ProxiedRequest> request_;  // in progress, or the last one; never null
+  bool is_persistent_ = true;                // if false, the connection ends with the current response
+  bool is_awaiting_head_ = false;            // timer_ limits the time of the head rather than of the body
+  bool is_continue_sent_ = false;            // 100 Continue was sent for the request that is being read
+  net::TimerQueue::Handle timer_;            // for reading and idling; the request has its own timer
+  std::unique_ptr<ProxiedRequest> request_;  // the current or the last request; never null
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/engine_model.cpp
+++ b/src/edge/engine_model.cpp
@@ -1,4 +1,4 @@
-/// Smoothed observations and the queueing estimate of EngineModel.
+/// EngineModel: smoothed observations and the queueing estimate.
 #include "edge/engine_model.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr double smoothing_gain = 0.05;     // per observation: smooths over about 40 of them
-constexpr double min_prefill_tokens = 200;  // a shorter prompt says nothing of how fast prompts are read
+constexpr double smoothing_gain = 0.05;     // per observation; smooths over about 40 observations
+constexpr double min_prefill_tokens = 200;  // shorter prompts are no measure of the prefill speed
 constexpr double min_variance = 1e-6;
 constexpr double min_slot_ms = 0.1;
 constexpr double min_latency_ms = 0.01;
@@ -27,7 +27,8 @@
 void EngineModel::observe_prefill(double tokens, Span latency) {
   mean_prefill_tokens_ += (tokens - mean_prefill_tokens_) * smoothing_gain;
   if (tokens < min_prefill_tokens) return;
-  // The latency holds the wait for a slot too. A long wait must not pass for slow reading.
+  // The latency includes the wait for a slot. The bound keeps a long wait from being taken for a slow
+  // prefill.
   const double ms_per_token = std::max(latency.as_ms(), min_latency_ms) / tokens;
   prefill_ms_per_token_ +=
       (std::min(ms_per_token, prefill_ms_per_token_ * 2) - prefill_ms_per_token_) * smoothing_gain;
@@ -42,8 +43,9 @@
   return mean_other_requests_ + (reported - mean_other_requests_) * std::exp(-age.as_ms() / slot_ms_);
 }
 
-// The number of other requests is taken as Poisson distributed (variance = mean), its excess over the free
-// slots as normal; each request of the excess waits for one slot to become free.
+// Assumes that the number of other requests is Poisson distributed (variance = mean) and approximates its
+// excess over the free slots by a normal distribution. Each request of the excess waits for one slot to
+// become free.
 double EngineModel::expected_wait_ms(double own, double others, double slots) const {
   if (slots <= 0) return 0;
   return expected_excess(own + others + 1 - slots, others) * slot_ms_ / slots;
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -1,4 +1,4 @@
-/// chutevane-edge: the data plane, which carries requests of clients to endpoints.
+/// chutevane-edge: the data plane, which proxies client requests to endpoints.
 #include "common/process.hpp"
 #include "edge/data_plane.hpp"
 
--- a/src/edge/prefix_cache_index.hpp
+++ b/src/edge/prefix_cache_index.hpp
@@ -1,8 +1,8 @@
-/// An estimate of which blocks of prompts an endpoint's engine has in its prefix cache (its KV cache).
+/// An estimate of which prompt blocks an endpoint's engine has in its prefix cache (its KV cache).
 ///
-/// Engines do not tell what they have cached. The index is kept from what this process itself has sent there:
-/// a block that was sent is taken as cached, and the least recently used blocks are taken as evicted once the
-/// sum of all exceeds the engine's memory. What other processes send there is not seen.
+/// Engines do not report the contents of their cache. The index is derived from what this process has sent: a
+/// block that was sent is assumed to be cached, and the least recently used blocks are assumed to be evicted
+/// once the total exceeds the engine's memory. Requests of other processes are not taken into account.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,21 @@
 
 namespace chutevane::edge {
 
-/// A block of a prompt, as clients name them in X-Chutevane-Prompt-Prefix. Blocks with the same id have the
+/// A block of a prompt, as listed by clients in X-Chutevane-Prompt-Prefix. Blocks with the same id have the
 /// same text and the same model.
 struct PromptBlock {
   std::uint64_t id = 0;
   double tokens = 0;  ///< length of the block
 };
 
-/// Least recently used index of the blocks of one endpoint. Not thread-safe.
+/// LRU index of the blocks of one endpoint. Not thread-safe.
 class PrefixCacheIndex {
  public:
   bool contains(std::uint64_t id) const { return entries_.contains(id); }
 
-  /// Tokens of the prompt that the engine has to read (its prefill). A block can be reused only behind the
-  /// blocks that stood before it: all from the first missing one on count.
+  /// Returns the number of prompt tokens that the engine has to process (its prefill). A cached block is
+  /// reusable only if all the blocks before it are cached too, so everything from the first missing block on
+  /// counts.
   double uncached_tokens(const std::vector<PromptBlock>& prompt) const {
     double uncached = 0;
     bool is_prefix_cached = true;
@@ -36,8 +37,8 @@
     return uncached;
   }
 
-  /// The block was sent to the endpoint: it is the most recently used one. Evicts the least recently used
-  /// blocks while the sum is above `max_tokens`, but never the block itself.
+  /// Records that the block was sent to the endpoint, which makes it the most recently used one. Evicts the
+  /// least recently used blocks while the total exceeds `max_tokens`, but never the block itself.
   void touch(std::uint64_t id, double tokens, double max_tokens) {
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
@@ -60,11 +61,11 @@
     tokens_ = 0;
   }
 
-  /// Sum over all blocks that are taken as cached.
+  /// Returns the total number of tokens in all blocks that are assumed to be cached.
   double tokens() const { return tokens_; }
 
  private:
-  std::list<PromptBlock> by_use_;  // the most recently used first
+  std::list<PromptBlock> by_use_;  // most recently used first
   std::unordered_map<std::uint64_t, std::list<PromptBlock>::iterator> entries_;
   double tokens_ = 0;
 };
--- a/src/edge/proxied_request.cpp
+++ b/src/edge/proxied_request.cpp
@@ -1,4 +1,4 @@
-/// From a request's last byte to its first attempt: route, previous turns, budget.
+/// ProxiedRequest before its first attempt: routing, previous turns and budget.
 #include "edge/proxied_request.hpp"
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr Span response_reserve = Span::ms(2);    // of the client's time, for the way back
-constexpr Span storage_timeout = Span::ms(1500);  // a longer fail-over is answered with Retry-After
-constexpr Span startup_wait = Span::ms(700);  // for what a process that has just started does not know yet
-// ... where not even the routes are known: an answer is due half a second after any route's timeout.
+constexpr Span response_reserve = Span::ms(2);    // part of the client's time kept for sending the response
+constexpr Span storage_timeout = Span::ms(1500);  // a longer failover is answered with Retry-After
+constexpr Span startup_wait = Span::ms(700);      // for the routing state of a process that has just started
+// Wait while the routes are unknown: a response is due within half a second after any route's timeout.
 constexpr Span unknown_route_wait = Span::ms(400);
-constexpr double startup_wait_fraction = 0.5;  // of the client's and the route's time, at most, for the same
+constexpr double startup_wait_fraction = 0.5;  // upper bound of the wait, of the client's and route's time
 constexpr Span startup_poll_interval = Span::ms(20);
-constexpr Span unlimited = Span::ms(600000);  // where neither client nor route states a time
+constexpr Span default_time_limit = Span::ms(600000);  // if neither the client nor the route states a limit
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 ProxiedRequest::~ProxiedRequest() { plane_.timers().cancel(timer_); }
 
 void ProxiedRequest::start(ParsedClientRequest parsed) {
-  is_counted_ = true;
+  is_in_progress_ = true;
   ++plane_.counters().requests;
   request_ = std::move(parsed.request);
   if (!parsed.error.empty()) return respond(FailureCause::malformed_request, 400, parsed.error);
@@ -46,7 +46,7 @@
   if (route_ != nullptr) report.route = route_->name;
   report.service = service_;
   report.endpoint = attempt_.endpoint_id;
-  report.elapsed = is_counted_ ? plane_.timers().now() - received_at_ : Span();
+  report.elapsed = is_in_progress_ ? plane_.timers().now() - received_at_ : Span();
   report.attempts = attempts_;
   report.last_attempt = name_of(last_result_);
 }
@@ -54,17 +54,17 @@
 // ---- route
 
 Span ProxiedRequest::startup_wait_limit() const {
-  const Span by_client = request_.time_remaining.value_or(unlimited) * startup_wait_fraction;
+  const Span client_limit = request_.time_remaining.value_or(default_time_limit) * startup_wait_fraction;
   const std::string_view path = std::string_view(request_.target).substr(0, request_.target.find('?'));
   const auto& configuration = plane_.configuration();
   const common::Route* const route = configuration ? configuration->route_of(request_.host, path) : nullptr;
-  if (route == nullptr) return std::min(unknown_route_wait, by_client);
-  return std::min({startup_wait, by_client, route->timeout * startup_wait_fraction});
+  if (route == nullptr) return std::min(unknown_route_wait, client_limit);
+  return std::min({startup_wait, client_limit, route->timeout * startup_wait_fraction});
 }
 
 void ProxiedRequest::choose_route() {
-  // A process that has just started knows routes and endpoints within a moment: waiting is sooner than a
-  // retry of the client.
+  // A process that has just started receives its routes and endpoints shortly, so waiting for them is faster
+  // than a retry by the client.
   if (!plane_.has_routing_state() && plane_.timers().now() - received_at_ < startup_wait_limit()) {
     timer_ = plane_.timers().after(startup_poll_interval, guarded([this] { choose_route(); }));
     return;
@@ -75,12 +75,12 @@
   const std::string_view path = std::string_view(request_.target).substr(0, request_.target.find('?'));
   route_ = configuration_->route_of(request_.host, path);
   if (route_ == nullptr) {
-    // Without contact to control the route may be in a configuration that is not known here.
+    // Without a session with control, the route may exist in a newer configuration.
     if (!plane_.has_control_session())
       return respond(FailureCause::route_uncertain, 503, "no route known here yet", RetryAfter::yes);
     return respond(FailureCause::no_route, 404, "no route");
   }
-  deadline_ = received_at_ + std::min(request_.time_remaining.value_or(unlimited), route_->timeout);
+  deadline_ = received_at_ + std::min(request_.time_remaining.value_or(default_time_limit), route_->timeout);
   service_ = plane_.choose_service(*route_);
   is_stream_ = route_->type == common::RouteType::streaming && request_.method != "HEAD";
   if (route_->affinity) {
@@ -128,7 +128,7 @@
   return std::min(deadline_ - response_reserve, plane_.timers().now() + storage_timeout);
 }
 
-// Only streams generate tokens: they alone are counted.
+// Only streams generate tokens, so only they need a budget.
 bool ProxiedRequest::needs_budget() const {
   return request_.token_budget && route_->type == common::RouteType::streaming;
 }
@@ -140,7 +140,7 @@
     return respond(FailureCause::missing_attempt_id, 400, "X-Chutevane-Attempt-Id: missing");
   if (request_.program.empty()) return respond(FailureCause::missing_program, 400, "Program: missing");
   budget_.open(request_.program, request_.attempt_id);
-  // A request that does not state its maximum may use the whole budget.
+  // A request that does not state its maximum output may use the whole budget.
   const std::int64_t tokens = request_.max_output_tokens.value_or(*request_.token_budget);
   plane_.storage().reserve(request_.program, request_.attempt_id, tokens, *request_.token_budget,
                            storage_deadline(),
--- a/src/edge/proxied_request.hpp
+++ b/src/edge/proxied_request.hpp
@@ -1,21 +1,22 @@
-/// One request of a client, from its last byte to the end of its response.
+/// One client request, from the receipt of its last byte to the end of its response.
 ///
-/// In turn, each step only where the request wants it:
-///  1. route: the configuration in force is pinned, and with it the route, the service and the deadline;
-///  2. the chain of turns that it continues is read from storage, and a budget is reserved there;
-///  3. attempts (proxied_request_attempts.cpp): an endpoint is chosen and the request is sent;
-///  4. the response is passed on (proxied_request_responses.cpp), a stream event by event, others whole;
-///  5. a turn is stored; only then does its response end.
+/// The steps, each taken only if the request needs it:
+///  1. Routing: pins the current configuration and determines the route, the service and the deadline.
+///  2. Preparation: reads the chain of turns that the request continues from storage, and reserves a token
+///     budget there.
+///  3. Attempts (proxied_request_attempts.cpp): chooses an endpoint and sends the request.
+///  4. Response (proxied_request_responses.cpp): forwards a stream event by event, any other response whole.
+///  5. Persistence: stores a turn. The response ends only after that.
 ///
-/// Further attempts. A request may be sent again as long as it has certainly not run: no byte of it went out,
-/// or the endpoint's response proves it (X-Chutevane-Not-Executed, 421). Once it may have run
-/// (`may_have_run_`), it is sent again only on idempotent routes, and on resumable ones from the last event
-/// on that the client has. Everything else ends with 502 or 504, or with a reset where a part of the response
-/// is out. 503 is answered only where it has not run and will not.
+/// Retries. A request may be sent again as long as it has certainly not run: no byte of it was sent, or the
+/// endpoint's response proves it (X-Chutevane-Not-Executed, 421). Once it may have run (`may_have_run_`), it
+/// is retried only on idempotent routes, and on resumable routes from the last event that the client has. All
+/// other requests end with 502 or 504, or with a connection reset if a part of the response has been sent. A
+/// 503 response guarantees that the request has not run and will not run.
 ///
-/// Ownership: the client's connection owns it, for as long as no further request begins. It is over when the
-/// connection has been told (DownstreamConnection::on_request_finished, reset) or has told it (abort).
-/// Callbacks of storage and of timers that come after that have no effect.
+/// Ownership: the client's connection owns the request until the next request begins. The request is over
+/// once it has notified the connection (DownstreamConnection::on_request_finished, reset) or the connection
+/// has called abort(). Callbacks from storage and timers that run after that have no effect.
 #pragma once
 
 #include <cstdint>
@@ -41,34 +42,35 @@
 class DownstreamConnection;
 struct ServerSentEvent;
 
-/// Not thread-safe. For each request: either start() or reject(), once.
+/// Not thread-safe. Either start() or reject() is called, exactly once.
 class ProxiedRequest final : ResponseHandler {
  public:
   ProxiedRequest(DataPlane& plane, DownstreamConnection& connection);
   ~ProxiedRequest();
 
-  /// The request was read completely.
+  /// Processes a request that was read completely.
   void start(ParsedClientRequest parsed);
   /// Answers a request that could not be read completely.
   void reject(FailureCause cause, int status, std::string_view text);
-  /// The client's connection is closed: ends the attempt in flight, and gives back or commits the budget.
+  /// Ends the attempt in flight and releases or commits the budget. Called when the client's connection
+  /// closes.
   void abort();
 
-  /// Whether an attempt is counted as in flight at an endpoint.
+  /// Returns true while an attempt is counted as in flight at an endpoint.
   bool has_open_attempt() const { return attempt_.is_open; }
   const std::string& attempt_id() const { return request_.attempt_id; }
-  /// Adds what is known of the request; the views are valid as long as it does not change.
+  /// Fills in the fields about this request. The views remain valid until the request changes.
   void add_to(FailureReport& report) const;
 
  private:
   enum class Stage : std::uint8_t {
-    preparing,   // route, chain, budget
-    attempting,  // an endpoint has the request, or is being chosen
-    streaming,   // the first event of a stream has come
+    preparing,   // routing, reading previous turns, reserving a budget
+    attempting,  // choosing an endpoint, or waiting for its response
+    streaming,   // the first event of a stream has arrived
     storing,     // the turn is being stored
     finished,
   };
-  // How the last attempt ended. It decides the cause that is reported.
+  // How the last attempt ended. Determines the reported failure cause.
   enum class AttemptResult : std::uint8_t {
     none,
     not_sent,
@@ -76,27 +78,27 @@
     invalid_response,
     timed_out,
     rejected,
-    server_error,  // a status of 4xx or 5xx without a proof that it has not run
+    server_error,  // status 4xx or 5xx without proof that the request has not run
   };
   enum class RetryAfter : bool { no, yes };
 
   struct Attempt {
-    UpstreamConnection* connection = nullptr;  // null: nothing is awaited from it
+    UpstreamConnection* connection = nullptr;  // null if no response is pending
     std::string endpoint_id;
     TimePoint sent_at;
     bool is_open = false;               // the balancer counts it as in flight
-    bool has_adaptive_timeout = false;  // shorter than the route and the client allow
-    bool has_first_event = false;       // of a stream
-    bool is_rejected = false;           // the head proves that it has not run
-    bool is_invalid = false;            // what comes can't be passed on
+    bool has_adaptive_timeout = false;  // the timeout is shorter than the route and the client allow
+    bool has_first_event = false;       // the first event of the stream has arrived
+    bool is_rejected = false;           // the response head proves that the request has not run
+    bool is_invalid = false;            // the response can't be forwarded
     int status = 0;
-    std::size_t stated_body_size = 0;                          // bytes, by the head
-    std::vector<std::pair<std::string, std::string>> headers;  // to be passed on
-    std::string body;                                          // of a stream: what is not passed on yet
+    std::size_t stated_body_size = 0;                          // bytes, from Content-Length
+    std::vector<std::pair<std::string, std::string>> headers;  // headers to forward
+    std::string body;                                          // for a stream, the part not forwarded yet
   };
 
   // ---- preparation
-  // For how long the request waits for what a process that has just started does not know yet.
+  // Returns how long the request may wait for the routing state of a process that has just started.
   Span startup_wait_limit() const;
   void choose_route();
   void load_previous_turns();
@@ -132,8 +134,8 @@
   static std::string_view name_of(AttemptResult result);
 
   // ---- responses (proxied_request_responses.cpp)
-  void pass_on_response();
-  void pass_on_events(bool is_end);
+  void forward_response();
+  void forward_events(bool is_end);
   void write_event(std::string_view text, const ServerSentEvent& event);
   void on_first_event(TimePoint now);
   void write_stream_head();
@@ -146,12 +148,13 @@
   void finish();
   void commit_budget();
   void check_response_belongs() const;
-  // Of the events that were passed on; nothing: the configuration does not state how many an event has.
-  std::optional<std::int64_t> tokens_passed_on() const;
+  // Returns the number of tokens in the forwarded events, or std::nullopt if the configuration does not state
+  // the number of tokens per event.
+  std::optional<std::int64_t> forwarded_tokens() const;
 
   Span time_left() const;
   ServiceBalancer& balancer() const;
-  // Wraps a callback that may come after the request is over: it has no effect then.
+  // Wraps a callback so that it has no effect once the request is over.
   template <class Callback>
   auto guarded(Callback callback) {
     return [guard = std::weak_ptr<int>(guard_), callback = std::move(callback)](auto&&... args) {
@@ -161,31 +164,31 @@
 
   DataPlane& plane_;
   DownstreamConnection& connection_;
-  std::shared_ptr<int> guard_ = std::make_shared<int>();  // until the request is over
+  std::shared_ptr<int> guard_ = std::make_shared<int>();  // reset when the request is over
   Stage stage_ = Stage::preparing;
-  net::TimerQueue::Handle timer_;  // of the preparation, then of the attempt
+  net::TimerQueue::Handle timer_;  // of the preparation, then of the current attempt
 
   ClientRequest request_;
   TimePoint received_at_;
-  TimePoint deadline_;                                          // of the route and of the client
-  bool is_counted_ = false;                                     // it was read completely, and is not finished
-  std::shared_ptr<const common::Configuration> configuration_;  // in force when it began
-  const common::Route* route_ = nullptr;                        // in configuration_
+  TimePoint deadline_;           // the earlier of the route's and the client's deadline
+  bool is_in_progress_ = false;  // the request was read completely and has not finished
+  std::shared_ptr<const common::Configuration> configuration_;  // the configuration at the time of routing
+  const common::Route* route_ = nullptr;                        // points into configuration_
   std::string service_;
   bool is_stream_ = false;
-  std::string body_;  // as endpoints get it: the previous turns and the client's body
+  std::string body_;  // the body sent to endpoints: the previous turns followed by the client's body
   BudgetReservation budget_;
 
   AttemptContext placement_;
-  Attempt attempt_;  // in flight, or the last one
+  Attempt attempt_;  // the attempt in flight, or the last one
   AttemptResult last_result_ = AttemptResult::none;
-  std::size_t attempts_ = 0;  // of which a byte went out
-  std::size_t tries_ = 0;     // and those that were not sent
+  std::size_t attempts_ = 0;  // attempts of which at least one byte was sent
+  std::size_t tries_ = 0;     // all attempts, including those that were not sent
   bool may_have_run_ = false;
 
-  // What the client has of the response, from whichever attempts.
-  bool is_head_written_ = false;  // of a stream
-  std::size_t events_passed_on_ = 0;
+  // The part of the response that the client has received, from all attempts.
+  bool is_head_written_ = false;  // the head of a stream
+  std::size_t events_forwarded_ = 0;
   std::optional<std::int64_t> last_event_id_;
   std::string turn_output_;
 };
--- a/src/edge/proxied_request_attempts.cpp
+++ b/src/edge/proxied_request_attempts.cpp
@@ -1,4 +1,4 @@
-/// Attempts of a request: where it is sent, how long its response is awaited, and whether it is sent again.
+/// ProxiedRequest attempts: endpoint selection, attempt timeouts and retries.
 #include <algorithm>
 #include <cstdio>
 
@@ -10,8 +10,8 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr std::size_t max_response_bytes = 64U << 20U;  // of a response that is buffered
-constexpr std::size_t max_unsent_tries = 3;  // rejected or not sent, beyond the attempts that count
+constexpr std::size_t max_response_bytes = 64U << 20U;  // for a buffered response
+constexpr std::size_t max_unsent_tries = 3;  // attempts that were not sent, in addition to counted attempts
 constexpr int max_priority = 9;
 
 }  // namespace
@@ -31,7 +31,7 @@
   if (!endpoint) return give_up(cause_without_endpoint());
   begin_attempt(*endpoint, now);
   const Span timeout = start_attempt_timer(time_left, now);
-  // The adaptive time-out of a stream ends with its first event: the endpoint may work on.
+  // The adaptive timeout of a stream ends with its first event, so the endpoint may take longer than that.
   const Span endpoint_time = is_stream_ ? std::min(route_->timeout, time_left) : timeout;
   attempt_.connection = plane_.upstreams().send(endpoint, *this, make_upstream_request(endpoint_time));
 }
@@ -49,9 +49,9 @@
   return last_result_ == AttemptResult::rejected ? FailureCause::endpoints_full : FailureCause::no_endpoint;
 }
 
-// Null: there is none that it may be sent to.
+// Returns null if the request may not be sent to any endpoint.
 std::shared_ptr<Endpoint> ProxiedRequest::choose_endpoint(TimePoint now) {
-  // An idempotent request goes once more to where it has been, rather than nowhere with time left.
+  // An idempotent request that has tried all endpoints may return to them while time is left.
   if (route_->repeatable() && !placement_.avoid.empty() && !balancer().choose_endpoint(placement_, now))
     placement_.avoid.clear();
   const std::size_t avoided = placement_.avoid.size();
@@ -77,9 +77,9 @@
   attempt_.is_open = true;
 }
 
-// Returns the time-out of the attempt.
+// Returns the timeout of the attempt.
 Span ProxiedRequest::start_attempt_timer(Span time_left, TimePoint now) {
-  // Where nothing can follow it, an attempt gets all the time there is.
+  // The last possible attempt gets all the remaining time.
   const bool may_retry = route_->repeatable() && (!is_stream_ || attempts_ < max_attempts());
   const Span timeout = balancer().attempt_timeout(route_->timeout, time_left, may_retry, now);
   attempt_.has_adaptive_timeout = timeout < std::min(route_->timeout, time_left);
@@ -103,7 +103,7 @@
   return upstream;
 }
 
-// ---- what comes back
+// ---- responses from the endpoint
 
 void ProxiedRequest::on_response_head(const http::Parser& response) {
   attempt_.status = response.status();
@@ -131,7 +131,7 @@
   if (attempt_.body.size() + bytes.size() > max_response_bytes) attempt_.is_invalid = true;
   if (attempt_.is_invalid) return;
   attempt_.body.append(bytes);
-  if (is_stream_ && attempt_.status == 200) pass_on_events(false);
+  if (is_stream_ && attempt_.status == 200) forward_events(false);
 }
 
 void ProxiedRequest::on_response_complete() {
@@ -140,8 +140,8 @@
     end_attempt(AttemptOutcome::rejected);
     last_result_ = AttemptResult::rejected;
     placement_.avoid.push_back(attempt_.endpoint_id);
-    // A proven 400 is the request's own fault: no endpoint would take it.
-    if (attempt_.status == 400 && !is_head_written_) return pass_on_response();
+    // A 400 with proof is caused by the request itself; every endpoint would reject it.
+    if (attempt_.status == 400 && !is_head_written_) return forward_response();
     return start_attempt();
   }
   if (attempt_.is_invalid) {
@@ -160,16 +160,16 @@
   if (!is_stream_) balancer().on_response(attempt_.endpoint_id, placement_, now - attempt_.sent_at, now);
   end_attempt(AttemptOutcome::served);
   if (is_stream_ && attempt_.status == 200) {
-    pass_on_events(true);
+    forward_events(true);
     return finish_stream();
   }
   if (is_head_written_) return resume_or_reset(FailureCause::stream_bad);
-  pass_on_response();
+  forward_response();
 }
 
-// It has run, or the proof is missing that only the endpoint could give.
+// Handles a status of 4xx or 5xx without proof that the request has not run.
 void ProxiedRequest::on_error_status() {
-  // A 500 is the request's own: its endpoint works.
+  // A 500 is attributed to the request, not to the endpoint.
   end_attempt(attempt_.status > 500 ? AttemptOutcome::failed : AttemptOutcome::served);
   may_have_run_ = true;
   last_result_ = AttemptResult::server_error;
@@ -179,10 +179,10 @@
     return start_attempt();
   }
   if (claims_not_executed() && !route_->repeatable()) return give_up(FailureCause::time_spent);
-  pass_on_response();
+  forward_response();
 }
 
-// Clients take these statuses for a promise that the request has not run.
+// Clients interpret these statuses as a guarantee that the request has not run.
 bool ProxiedRequest::claims_not_executed() const {
   const int status = attempt_.status;
   return status == 503 || status == 429 || status == 408 ||
@@ -193,17 +193,17 @@
   attempt_.connection = nullptr;
   end_attempt(AttemptOutcome::failed);
   if (failure == UpstreamFailure::not_sent) --attempts_;
-  // The head of a rejection is proof enough.
+  // The head of a rejection is sufficient proof.
   const bool may_have_run = failure == UpstreamFailure::connection_lost && !attempt_.is_rejected;
   if (may_have_run) {
     last_result_ = AttemptResult::connection_lost;
   } else {
     last_result_ = attempt_.is_rejected ? AttemptResult::rejected : AttemptResult::not_sent;
   }
-  // At once and not with the next attempt: the client may leave before.
+  // Set now rather than with the next attempt, because the client may disconnect before that.
   may_have_run_ = may_have_run_ || may_have_run;
   placement_.avoid.push_back(attempt_.endpoint_id);
-  // Not from inside the call that has just failed.
+  // Deferred, because the call that has just failed is still on the stack.
   plane_.timers().cancel(timer_);
   timer_ =
       plane_.timers().after(Span(), guarded([this, may_have_run] { retry_after_failure(may_have_run); }));
@@ -229,7 +229,7 @@
   balancer().on_attempt_ended(attempt_.endpoint_id, placement_, outcome, plane_.timers().now());
 }
 
-// ---- whether it is sent again
+// ---- retries
 
 void ProxiedRequest::retry_after_failure(bool may_have_run) {
   may_have_run_ = may_have_run_ || may_have_run;
@@ -238,7 +238,7 @@
   start_attempt();
 }
 
-// A stream of which the client has a part has lost its endpoint.
+// Called when the endpoint fails during a stream of which the client has received a part.
 void ProxiedRequest::resume_or_reset(FailureCause cause) {
   if (!route_->resumable || !last_event_id_) return reset(cause);
   std::vector<std::string>& avoid = placement_.avoid;
@@ -248,8 +248,8 @@
   start_attempt();
 }
 
-// No further attempt. `cause_if_not_run`: of the 503 where it has not run; else 502 or 504 by how the last
-// attempt ended.
+// Ends the request without a further attempt. If it has not run, the response is 503 with `cause_if_not_run`;
+// otherwise it is 502 or 504, with a cause that depends on how the last attempt ended.
 void ProxiedRequest::give_up(FailureCause cause_if_not_run) {
   if (is_head_written_) return reset(cause_of_reset());
   if (may_have_run_) {
--- a/src/edge/proxied_request_responses.cpp
+++ b/src/edge/proxied_request_responses.cpp
@@ -1,5 +1,5 @@
-/// The response to the client: an endpoint's, passed on whole or event by event, or one of the edge's own;
-/// and what follows from its end for storage.
+/// ProxiedRequest responses: forwards an endpoint's response or a stream of events to the client, writes the
+/// edge's own error responses, and updates turns and budgets in storage at the end.
 #include "common/invariant.hpp"
 #include "edge/data_plane.hpp"
 #include "edge/downstream_connection.hpp"
@@ -14,19 +14,19 @@
 
 }  // namespace
 
-// ---- an endpoint's response
+// ---- responses of endpoints
 
 void ProxiedRequest::check_response_belongs() const {
   for (const auto& header : attempt_.headers) {
     if (!http::same_name(header.first, "X-Chutevane-Attempt-Id")) continue;
     const std::string& value = header.second;
     common::check_invariant(common::Invariant::answer_belongs_to_exchange,
-                            is_counted_ && value == request_.attempt_id,
-                            [&] { return "answer to " + value + " for " + request_.attempt_id; });
+                            is_in_progress_ && value == request_.attempt_id,
+                            [&] { return "response to " + value + " for request " + request_.attempt_id; });
   }
 }
 
-void ProxiedRequest::pass_on_response() {
+void ProxiedRequest::forward_response() {
   ++plane_.counters().answered;
   check_response_belongs();
   if (attempt_.status >= 400 && attempt_.is_rejected) budget_.release();
@@ -35,21 +35,22 @@
   finish();
 }
 
-// Passes on the complete events that have come; `is_end`: also what is behind them.
-void ProxiedRequest::pass_on_events(bool is_end) {
+// Forwards the complete events that have arrived. If `is_end` is true, also forwards the incomplete rest.
+void ProxiedRequest::forward_events(bool is_end) {
   const TimePoint now = plane_.timers().now();
   const std::string_view received = attempt_.body;
-  std::size_t passed_on = 0;
-  while (passed_on < received.size()) {
-    std::size_t size = complete_event_size(received.substr(passed_on));
+  std::size_t forwarded = 0;
+  while (forwarded < received.size()) {
+    std::size_t size = complete_event_size(received.substr(forwarded));
     if (size == 0) {
-      if (received.size() - passed_on > max_event_bytes) attempt_.is_invalid = true;
+      if (received.size() - forwarded > max_event_bytes) attempt_.is_invalid = true;
       if (!is_end) break;
-      size = received.size() - passed_on;
+      size = received.size() - forwarded;
     }
-    const std::string_view text = received.substr(passed_on, size);
+    const std::string_view text = received.substr(forwarded, size);
     const ServerSentEvent event = parse_event(text);
-    // An event is missing or comes twice: the client gets no more of it.
+    // An id that does not increase means a missing or repeated event. Nothing more of the response is
+    // forwarded.
     if (event.id && last_event_id_ && *event.id <= *last_event_id_) {
       attempt_.is_invalid = true;
       return;
@@ -57,10 +58,10 @@
     if (event.id) last_event_id_ = event.id;
     on_first_event(now);
     write_event(text, event);
-    passed_on += size;
+    forwarded += size;
   }
-  attempt_.body.erase(0, passed_on);
-  if (passed_on > 0) connection_.flush();
+  attempt_.body.erase(0, forwarded);
+  if (forwarded > 0) connection_.flush();
 }
 
 void ProxiedRequest::on_first_event(TimePoint now) {
@@ -81,7 +82,7 @@
   }
   connection_.write_chunk(text);
   if (!event.data.empty()) {
-    ++events_passed_on_;
+    ++events_forwarded_;
     ++plane_.counters().events;
   }
   if (route_->retained) turn_output_.append(event.data);
@@ -105,7 +106,8 @@
 
 // ---- turns and budgets
 
-// The response ends only once the turn is stored: a client that has all of it may continue the turn.
+// The response ends only after the turn is stored, because a client with a complete response may continue the
+// turn.
 void ProxiedRequest::store_turn() {
   stage_ = Stage::storing;
   common::Turn turn;
@@ -115,7 +117,7 @@
   turn.input.data = std::move(request_.body);
   turn.output.data = std::move(turn_output_);
   turn.retention_ms = static_cast<std::int64_t>(route_->retention.as_ms());
-  const std::int64_t tokens = tokens_passed_on().value_or(static_cast<std::int64_t>(events_passed_on_));
+  const std::int64_t tokens = forwarded_tokens().value_or(static_cast<std::int64_t>(events_forwarded_));
   plane_.storage().store_turn(turn, budget_.is_open() ? tokens : no_reservation, deadline_,
                               guarded([this](bool is_stored) { on_turn_stored(is_stored); }));
 }
@@ -128,18 +130,18 @@
   finish();
 }
 
-std::optional<std::int64_t> ProxiedRequest::tokens_passed_on() const {
+std::optional<std::int64_t> ProxiedRequest::forwarded_tokens() const {
   const common::Service* const service = configuration_->service(service_);
   if (service == nullptr || !service->engine) return std::nullopt;
-  return static_cast<std::int64_t>(events_passed_on_) * service->engine->tokens_per_event;
+  return static_cast<std::int64_t>(events_forwarded_) * service->engine->tokens_per_event;
 }
 
-// No more of the response reaches the client.
+// Called when no more of the response will reach the client.
 void ProxiedRequest::commit_budget() {
-  if (const auto tokens = tokens_passed_on()) budget_.commit(*tokens);
+  if (const auto tokens = forwarded_tokens()) budget_.commit(*tokens);
 }
 
-// ---- the edge's own responses
+// ---- responses of the edge itself
 
 void ProxiedRequest::respond(FailureCause cause, int status, std::string_view text, RetryAfter retry_after) {
   if (status == 503) ++plane_.counters().refused;
@@ -157,14 +159,15 @@
 void ProxiedRequest::finish() {
   plane_.timers().cancel(timer_);
   guard_.reset();
-  is_counted_ = is_head_written_ = false;
+  is_in_progress_ = is_head_written_ = false;
   budget_.abandon();
-  request_ = {};  // an idle connection holds no bodies, and its end is not reported as this request's
+  request_ =
+      {};  // frees the bodies, and keeps the end of an idle connection from being reported for this request
   stage_ = Stage::finished;
   connection_.on_request_finished();
 }
 
-// A part of the response is out: the connection must not end as if it were complete.
+// A part of the response has been sent. The reset keeps the client from mistaking it for a complete response.
 void ProxiedRequest::reset(FailureCause cause) { connection_.reset(cause); }
 
 void ProxiedRequest::abort() {
@@ -179,7 +182,7 @@
   } else if (!reached_endpoint && (stage_ == Stage::preparing || stage_ == Stage::attempting)) {
     budget_.release();
   }
-  is_counted_ = false;
+  is_in_progress_ = false;
   stage_ = Stage::finished;
 }
 
--- a/src/edge/request_failure.cpp
+++ b/src/edge/request_failure.cpp
@@ -1,10 +1,11 @@
-/// Names, log lines and metrics of failed requests.
+/// Request failures: names of causes, log lines and metrics.
 #include "edge/request_failure.hpp"
 
 namespace chutevane::edge {
 namespace {
 
-constexpr std::array<std::string_view, failure_cause_count> names = {
+// In the order of FailureCause.
+constexpr std::array<std::string_view, failure_cause_count> cause_names = {
     "malformed_request",
     "slow_request",
     "missing_attempt_id",
@@ -33,7 +34,7 @@
 };
 
 void append(std::string& out, std::string_view key, std::string_view value) {
-  constexpr std::size_t max_value_bytes = 64;  // ids and names of clients are not bounded otherwise
+  constexpr std::size_t max_value_bytes = 64;  // ids and names from clients are not bounded otherwise
   if (value.empty()) return;
   out.append(out.empty() ? "" : " ").append(key).append("=").append(value.substr(0, max_value_bytes));
 }
@@ -44,7 +45,7 @@
 
 }  // namespace
 
-std::string_view name_of(FailureCause cause) { return names[static_cast<std::size_t>(cause)]; }
+std::string_view name_of(FailureCause cause) { return cause_names[static_cast<std::size_t>(cause)]; }
 
 std::string describe(const FailureReport& report) {
   std::string out;
@@ -70,13 +71,13 @@
             "Requests answered by this sidecar itself and not by an endpoint, by cause.");
   for (std::size_t i = 0; i < failure_cause_count; ++i) {
     const auto cause = static_cast<FailureCause>(i);
-    if (!closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", names[i]}});
+    if (!closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", cause_names[i]}});
   }
   out.begin(Type::counter, "chutevane_closed_without_answer", "",
             "Connections of clients that ended before the request in hand was answered whole, by cause.");
   for (std::size_t i = 0; i < failure_cause_count; ++i) {
     const auto cause = static_cast<FailureCause>(i);
-    if (closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", names[i]}});
+    if (closes_connection(cause)) out.sample(static_cast<double>(counts_[i]), {{"cause", cause_names[i]}});
   }
 }
 
--- a/src/edge/server_sent_event.cpp
+++ b/src/edge/server_sent_event.cpp
@@ -1,4 +1,4 @@
-/// Parser of server-sent events.
+/// Parsing of server-sent events.
 #include "edge/server_sent_event.hpp"
 
 #include <algorithm>
--- a/src/edge/server_sent_event.hpp
+++ b/src/edge/server_sent_event.hpp
@@ -1,4 +1,4 @@
-/// Server-sent events (text/event-stream) as far as the edge needs them: where one ends, its data and its id.
+/// A minimal parser of server-sent events (text/event-stream): event boundaries, data and ids.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,16 @@
 
 namespace chutevane::edge {
 
-/// One event.
+/// The data and the id of an event.
 struct ServerSentEvent {
-  std::string data;                ///< the `data` lines, each with a line feed behind it
-  std::optional<std::int64_t> id;  ///< nothing: there is none, or it is no whole number
+  std::string data;                ///< the values of the `data` lines, each followed by a line feed
+  std::optional<std::int64_t> id;  ///< empty if there is no id, or the id is not a whole number
 };
 
-/// Size in bytes of the first complete event in `bytes`, its empty line included; 0: none is complete yet.
+/// Returns the size in bytes of the first complete event in `bytes`, including its empty line, or 0 if no
+/// event is complete yet.
 std::size_t complete_event_size(std::string_view bytes);
-/// Reads one complete event. Lines that are neither data nor id are ignored, as are malformed ones.
+/// Parses one complete event. Lines other than `data` and `id` are ignored, as are malformed lines.
 ServerSentEvent parse_event(std::string_view bytes);
 
 }  // namespace chutevane::edge
--- a/src/edge/service_balancer.cpp
+++ b/src/edge/service_balancer.cpp
@@ -1,4 +1,4 @@
-/// Subset, weighted draw and placement by cost of ServiceBalancer.
+/// ServiceBalancer: subsetting, weighted random selection, and selection by cost.
 #include "edge/service_balancer.hpp"
 
 #include <xxhash.h>
@@ -10,22 +10,22 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr double other_zone_weight = 0.6;             // of its weight, for an endpoint of another zone
-constexpr double attempts_per_subset_endpoint = 0.5;  // in flight on the mean
-constexpr std::size_t min_subset_size = 3;            // one may fail and one be loaded
-constexpr double nearly_full = 0.75;                  // of the capacity: below it nobody waits
-constexpr double duration_gain = 0.05;                // per attempt: smooths over about 40 of them
-constexpr double cross_zone_tokens_per_byte = 0.2;    // price of a byte to another zone, in tokens of prefill
-constexpr double new_connection_ms = 20;  // round trips and price of a connection outside the subset
-constexpr double cost_tolerance = 0.5;    // tokens: endpoints within it cost the same
+constexpr double other_zone_weight = 0.6;             // factor for the weight of endpoints in other zones
+constexpr double attempts_per_subset_endpoint = 0.5;  // mean number in flight
+constexpr std::size_t min_subset_size = 3;            // one may fail while another one is loaded
+constexpr double nearly_full_fraction = 0.75;         // of the capacity; below it no request waits for a slot
+constexpr double duration_gain = 0.05;                // per attempt; smooths over about 40 attempts
+constexpr double cross_zone_tokens_per_byte = 0.2;    // cost of a byte to another zone, in tokens of prefill
+constexpr double new_connection_ms = 20;  // round trips and cost of a connection outside the subset
+constexpr double cost_tolerance = 0.5;    // tokens; costs that differ by less are considered equal
 constexpr Span load_report_max_age = Span::ms(2000);  // for a weighted draw
-constexpr Span first_ejection = Span::ms(300);  // after the first failure; doubles with each further one
+constexpr Span first_ejection = Span::ms(300);  // after the first failure; doubles with each further failure
 constexpr Span max_ejection = Span::ms(5000);
 constexpr double max_ejection_doublings = 5;
-constexpr double prefix_cache_fraction = 0.8;  // of the KV cache: running requests have the rest
+constexpr double prefix_cache_fraction = 0.8;  // of the KV cache; running requests use the rest
 constexpr double min_latency_ms = 0.1;
 
-// Rendezvous hashing: endpoints in an order that depends on the key alone.
+// Rendezvous hashing: orders endpoints in a way that depends only on the key.
 std::uint64_t rank(const std::string& id, std::uint64_t key) {
   return XXH3_64bits_withSeed(id.data(), id.size(), key);
 }
@@ -50,8 +50,8 @@
     state.capacity = info.capacity;
     updated.push_back(std::move(state));
   }
-  // Each process has an order of its own: else all would have the same subset, or each a connection to every
-  // endpoint.
+  // Each process uses a different order. Otherwise all processes would share one subset, or each would need a
+  // connection to every endpoint.
   const auto is_far = [&](const EndpointState& endpoint) { return endpoint.zone != zone_; };
   std::sort(updated.begin(), updated.end(), [&](const EndpointState& left, const EndpointState& right) {
     return std::pair(is_far(left), rank(left.id, seed_)) < std::pair(is_far(right), rank(right.id, seed_));
@@ -59,7 +59,7 @@
   endpoints_ = std::move(updated);
   index_.clear();
   for (std::size_t i = 0; i < endpoints_.size(); ++i) index_[endpoints_[i].id] = i;
-  shares_.begin_update(now);  // empties it, so that update_weights() computes it anew
+  weights_.begin_update(now);  // clears the weights, so that update_weights() recomputes them
   update_weights(now);
 }
 
@@ -69,7 +69,7 @@
   return sum;
 }
 
-// ---- time-outs and retries
+// ---- timeouts and retries
 
 Span ServiceBalancer::attempt_timeout(Span route_timeout, Span time_left, bool may_retry, TimePoint now) {
   const Span upper_bound = std::min(route_timeout, time_left);
@@ -82,15 +82,16 @@
   return !is_expired(time_left) && time_left >= estimate_.median(now);
 }
 
-// ---- choice of the endpoint
+// ---- endpoint selection
 
 void ServiceBalancer::update_weights(TimePoint now) {
-  if (now < shares_.next_update_at() && shares_.size() == endpoints_.size()) return;
-  shares_.begin_update(now);
-  for (const EndpointState& endpoint : endpoints_) shares_.add_measured_latency(endpoint.smoothed_latency_ms);
+  if (now < weights_.next_update_at() && weights_.size() == endpoints_.size()) return;
+  weights_.begin_update(now);
+  for (const EndpointState& endpoint : endpoints_)
+    weights_.add_measured_latency(endpoint.smoothed_latency_ms);
   for (const EndpointState& endpoint : endpoints_) {
     const double zone_weight = endpoint.zone == zone_ ? 1.0 : other_zone_weight;
-    shares_.add_weight(shares_.speed(endpoint.smoothed_latency_ms) * zone_weight);
+    weights_.add_weight(weights_.speed(endpoint.smoothed_latency_ms) * zone_weight);
   }
 }
 
@@ -102,7 +103,7 @@
   return choose_by_weight(open, now);
 }
 
-// Indexes into endpoints_; those that are ejected, if at all, come last.
+// Returns indexes into endpoints_. Ejected endpoints come last, if they are included at all.
 std::vector<std::size_t> ServiceBalancer::candidates(const AttemptContext& attempt, TimePoint now) const {
   std::vector<std::size_t> open;
   std::vector<std::size_t> ejected;
@@ -116,7 +117,7 @@
 }
 
 std::size_t ServiceBalancer::subset_size(TimePoint now) {
-  // Little's law: rate times duration. Before any attempt has ended there is no duration yet.
+  // Little's law: rate times duration. No duration is known before the first attempt has ended.
   const double mean_in_flight = mean_attempt_ms_ > 0
                                     ? recent_attempts_.sum(now) * mean_attempt_ms_ / attempt_window.as_ms()
                                     : in_flight();
@@ -124,8 +125,8 @@
   return std::min(endpoints_.size(), std::max(min_subset_size, wanted));
 }
 
-// In turn: a draw from the subset, its least loaded endpoint, a draw from all, the least loaded of all for
-// its speed.
+// Tries, in this order: a weighted draw from the subset, the least loaded endpoint of the subset, a weighted
+// draw from all endpoints, and the candidate with the lowest load relative to its speed.
 std::string ServiceBalancer::choose_by_weight(const std::vector<std::size_t>& candidates, TimePoint now) {
   double in_flight = 0;
   std::vector<bool> is_candidate(endpoints_.size());
@@ -133,23 +134,23 @@
     in_flight += recent_load(endpoints_[i], now);
     is_candidate[i] = true;
   }
-  const double max_load = shares_.overload_threshold(in_flight, static_cast<int>(candidates.size()));
+  const double max_load = weights_.overload_threshold(in_flight, static_cast<int>(candidates.size()));
   const auto fit = [&](std::size_t index, int) {
     return is_candidate[index] && recent_load(endpoints_[index], now) <= max_load
                ? LatencyWeights::Fit::accepted
                : LatencyWeights::Fit::rejected;
   };
   const std::size_t subset = subset_size(now);
-  if (const int drawn = shares_.draw(RingRange{0, subset}, random_, 0, fit); drawn >= 0)
+  if (const int drawn = weights_.draw(RingRange{0, subset}, random_, 0, fit); drawn >= 0)
     return endpoints_[static_cast<std::size_t>(drawn)].id;
   if (const auto least = least_loaded_in_subset(subset, is_candidate, now)) return endpoints_[*least].id;
-  if (subset < shares_.size()) {
-    const int drawn = shares_.draw(RingRange{0, shares_.size()}, random_, 0, fit);
+  if (subset < weights_.size()) {
+    const int drawn = weights_.draw(RingRange{0, weights_.size()}, random_, 0, fit);
     if (drawn >= 0) return endpoints_[static_cast<std::size_t>(drawn)].id;
   }
   const auto expected_delay = [&](std::size_t index) {
     const EndpointState& endpoint = endpoints_[index];
-    return (recent_load(endpoint, now) + 1) / shares_.speed(endpoint.smoothed_latency_ms);
+    return (recent_load(endpoint, now) + 1) / weights_.speed(endpoint.smoothed_latency_ms);
   };
   const auto least = std::min_element(
       candidates.begin(), candidates.end(),
@@ -157,15 +158,17 @@
   return endpoints_[*least].id;
 }
 
-// The whole subset is above the mean. It is left only where its endpoints are nearly full: with free slots
-// nobody waits there, and a connection outside the subset has its price.
+// Called if every endpoint of the subset is above the overload threshold. Returns std::nullopt only if all of
+// them are nearly full: while slots are free no request waits, and a connection outside the subset has a
+// cost.
 std::optional<std::size_t> ServiceBalancer::least_loaded_in_subset(std::size_t subset,
                                                                    const std::vector<bool>& is_candidate,
                                                                    TimePoint now) const {
   std::optional<std::size_t> least;
   for (std::size_t i = 0; i < subset; ++i) {
     const double load = recent_load(endpoints_[i], now);
-    if (!is_candidate[i] || load >= nearly_full * static_cast<double>(endpoints_[i].capacity)) continue;
+    if (!is_candidate[i] || load >= nearly_full_fraction * static_cast<double>(endpoints_[i].capacity))
+      continue;
     if (!least || load < recent_load(endpoints_[*least], now)) least = i;
   }
   return least;
@@ -181,7 +184,8 @@
   return model_.expected_other_requests(endpoint.other_requests, now - endpoint.load_reported_at);
 }
 
-// In tokens of prefill: what could be read in the time that the request costs there.
+// Returns the time that the request costs at the endpoint, expressed as the number of prompt tokens that
+// could be processed in that time.
 double ServiceBalancer::placement_cost(const EndpointState& endpoint, const AttemptContext& attempt,
                                        TimePoint now) const {
   const double uncached = endpoint.prefix_cache.uncached_tokens(attempt.prompt);
@@ -195,8 +199,8 @@
   return cost;
 }
 
-// Of endpoints that cost the same all processes take the same one, by a hash of the prompt's first block: the
-// prompt is then read and cached once.
+// Among endpoints of equal cost, a hash of the prompt's first block decides. All processes then choose the
+// same endpoint, so that the prompt is processed and cached only once.
 std::string ServiceBalancer::choose_by_cost(const std::vector<std::size_t>& candidates,
                                             const AttemptContext& attempt, TimePoint now) {
   double least_cost = 0;
@@ -221,7 +225,7 @@
   return endpoints_[chosen].id;
 }
 
-// ---- what is learned from attempts
+// ---- feedback from attempts
 
 void ServiceBalancer::on_attempt_sent(const std::string& id, const AttemptContext& attempt, TimePoint now) {
   EndpointState* const endpoint = find(id);
@@ -241,7 +245,7 @@
   if (!attempt.prompt.empty()) model_.observe_prefill(attempt.pending_prefill_tokens, latency);
   EndpointState* const endpoint = find(id);
   if (endpoint == nullptr) return;
-  shares_.smooth(endpoint->smoothed_latency_ms, std::max(latency.as_ms(), min_latency_ms));
+  weights_.smooth(endpoint->smoothed_latency_ms, std::max(latency.as_ms(), min_latency_ms));
   endpoint->consecutive_failures = 0;
   endpoint->ejected_until = TimePoint();
   complete_prefill(*endpoint, attempt);
@@ -254,7 +258,7 @@
   EndpointState* const endpoint = find(id);
   if (endpoint == nullptr) return;
   endpoint->in_flight = std::max(0.0, endpoint->in_flight - 1);
-  // Rounding errors, and attempts that ended without being read, must not add up.
+  // Prevents rounding errors, and tokens of attempts that ended before their prefill, from accumulating.
   if (endpoint->in_flight < 0.5) endpoint->pending_prefill_tokens = 0;
   if (outcome == AttemptOutcome::served) return;
   complete_prefill(*endpoint, attempt);
--- a/src/edge/service_balancer.hpp
+++ b/src/edge/service_balancer.hpp
@@ -1,32 +1,36 @@
-/// Load balancing for one service: how long an attempt may take, whether a retry is worth it, and which
-/// endpoint gets it. No I/O. Time is passed with every call, so that tests control it.
+/// Client-side load balancing for one service: sets the timeout of each attempt, decides whether a retry is
+/// worthwhile, and chooses the endpoint. Performs no I/O. The caller passes the current time to every call,
+/// so tests control the clock.
 ///
-/// Time-outs and retries (after NResilience; docs/design.md, departures in docs/system.md):
-///  - attempt_timeout(): the least of the route's timeout, the time that the client still waits, and three
-///    times the 95th percentile of the latencies of the last 10 s, 50 ms at least. The third term applies
-///    only where another attempt may follow, where 20 responses or more were observed, and while attempts
-///    that it ended do not starve the estimate that it is made from.
-///  - is_expired(): no time is left, nothing is sent.
-///  - allows_retry(): less time is left than the median attempt takes, no retry.
+/// Timeouts and retries (after NResilience; docs/design.md, departures in docs/system.md):
+///  - attempt_timeout() returns the smallest of the route's timeout, the time that the client still waits,
+///  and
+///    the adaptive timeout: three times the 95th percentile of the latencies of the last 10 s, at least 50
+///    ms. The adaptive timeout applies only if another attempt may follow, at least 20 responses were
+///    observed, and the attempts that it ended do not starve the estimate that it is computed from.
+///  - is_expired() returns true if no time is left; nothing is sent then.
+///  - allows_retry() returns false if less time is left than the median attempt takes.
 ///
-/// Choice of the endpoint, choose_endpoint():
-///  - Candidates are all but those that the request has met already (AttemptContext::avoid) and those that
-///    are ejected after failures (300 ms, doubling to 5 s). Where more are ejected than not, the fault is
-///    hardly theirs: nobody is excluded.
-///  - The subset: attempts go to the first endpoints of an order of this process's own, its zone first, as
-///    many that each has half an attempt in flight on the mean, three at least. Each connection has a price,
-///    and what is known of a few endpoints is more recent.
-///  - By cost: requests that name the blocks of their prompt, on routes with affinity, go where they cost
-///    the least: placement_cost(), in tokens of prefill (EngineModel has the terms). Endpoints outside the
-///    subset cost a connection more.
-///  - By weight: all others are drawn at random by weights inverse to the smoothed latency, which are
-///    recomputed every 2 s; endpoints with well above the mean in flight are passed over. The subset is left
-///    only where it is nearly full.
+/// Endpoint selection, choose_endpoint():
+///  - Candidates are all endpoints except those that the request has already tried (AttemptContext::avoid)
+///  and
+///    those that are ejected after failures (for 300 ms, doubling up to 5 s). If more endpoints are ejected
+///    than not, the cause is probably not the endpoints, and none is excluded.
+///  - Subsetting: each process orders the endpoints in its own way, with its own zone first, and sends to the
+///    first ones. The subset is sized so that each endpoint has half an attempt in flight on average, with a
+///    minimum of three. A small subset saves connections and keeps the load reports of its endpoints recent.
+///  - Selection by cost: requests that list the blocks of their prompt, on routes with affinity, go to the
+///    endpoint with the lowest placement_cost(), in tokens of prefill (see EngineModel for the terms). An
+///    endpoint outside the subset costs an additional connection.
+///  - Selection by weight: all other requests go to a random endpoint, weighted by the inverse of its
+///  smoothed
+///    latency. Weights are recomputed every 2 s. Endpoints with well above the mean number of requests in
+///    flight are skipped. The draw leaves the subset only if the subset is nearly full.
 ///
-/// What is known of an endpoint: this process's own attempts in flight, their latencies, consecutive
-/// failures, the blocks of prompts that were sent there (PrefixCacheIndex), and the load that its responses
-/// report. Such a report is used in two ways that give different results: a weighted draw counts it in full
-/// for 2 s and not at all after that (recent_load), a cost lets it fade towards the mean of all endpoints
+/// State per endpoint: the attempts of this process in flight, their latencies, consecutive failures, the
+/// prompt blocks that were sent there (PrefixCacheIndex), and the load that its responses report. The two
+/// kinds of selection use a load report differently: a weighted draw counts it in full for 2 s and ignores it
+/// after that (recent_load); a cost lets it decay towards the mean of all endpoints
 /// (EngineModel::expected_other_requests).
 #pragma once
 
@@ -47,71 +51,74 @@
 
 namespace chutevane::edge {
 
-/// A request as the balancer sees it: what decides where its next attempt goes, and what the balancer itself
-/// keeps of the attempt in flight. One per request, owned by the caller, used for its attempts one after the
-/// other.
+/// The properties of a request that determine where its next attempt goes, and the balancer's own bookkeeping
+/// for the attempt in flight. There is one per request; the caller owns it and reuses it for successive
+/// attempts.
 struct AttemptContext {
-  bool has_affinity = false;        ///< its route prefers endpoints that have its prompt cached
-  std::vector<PromptBlock> prompt;  ///< blocks of the prompt, in order; empty: not known
+  bool has_affinity = false;        ///< the route prefers endpoints that have the prompt cached
+  std::vector<PromptBlock> prompt;  ///< blocks of the prompt in order; empty if unknown
   double body_bytes = 0;
-  std::vector<std::string> avoid;  ///< ids of endpoints that have rejected or failed it
+  std::vector<std::string> avoid;  ///< ids of endpoints that have rejected or failed this request
 
   // Written by on_attempt_sent() and read until on_attempt_ended(), also through a const reference.
-  mutable double pending_prefill_tokens = 0;  ///< that its endpoint has still to read
+  mutable double pending_prefill_tokens = 0;  ///< prompt tokens that the endpoint has not processed yet
   mutable std::optional<TimePoint> sent_at{};
 };
 
-/// How an attempt ended, for the estimates of the service and of its endpoint.
+/// How an attempt ended. Updates the statistics of the service and of the endpoint.
 enum class AttemptOutcome : std::uint8_t {
   served,
   failed,    ///< connection lost, invalid response, server error, or no response within the route's timeout
-  rejected,  ///< the endpoint has proven that it did not execute it
-  adaptive_timeout,  ///< ended by the measured term of attempt_timeout(): no failure of the endpoint
-  cancelled,         ///< the client is gone
+  rejected,  ///< the endpoint has proven that it did not execute the request
+  adaptive_timeout,  ///< ended by the adaptive timeout; does not count as a failure of the endpoint
+  cancelled,         ///< the client has disconnected
 };
 
-/// The balancer of one service in one process. Not thread-safe. For each attempt: choose_endpoint(),
-/// on_attempt_sent(), perhaps on_response(), and exactly one on_attempt_ended().
+/// The balancer of one service in one process. Not thread-safe. For each attempt the caller calls
+/// choose_endpoint(), on_attempt_sent(), on_response() if there is one, and on_attempt_ended() exactly once.
 class ServiceBalancer {
  public:
-  /// `zone`: of this process. `seed`: of the random draws and of the order of the subset.
+  /// `zone` is the zone of this process. `seed` determines the random draws and the order of endpoints.
   ServiceBalancer(std::string zone, std::uint64_t seed);
 
-  /// An endpoint of the service as the endpoint list has it.
+  /// An endpoint of the service, from the endpoint list.
   struct EndpointInfo {
     std::string id;
     std::string zone;
-    std::size_t capacity = 0;  ///< slots: requests that it runs at once
+    std::size_t capacity = 0;  ///< slots: number of requests that it runs concurrently
   };
-  /// Replaces the endpoints that may be chosen. What was learned of those that stay is kept.
+  /// Replaces the endpoints that may be chosen. Endpoints that remain keep their statistics.
   void update_endpoints(const std::vector<EndpointInfo>& endpoints, TimePoint now);
-  /// The service's engine: tokens of its KV cache, and requests per batch (0: the endpoint's capacity).
+  /// Sets the properties of the service's engine: the size of its KV cache in tokens, and the number of
+  /// requests per batch (0 means the endpoint's capacity).
   void set_engine(double kv_cache_tokens, std::size_t batch_size) {
     kv_cache_tokens_ = kv_cache_tokens;
     batch_size_ = static_cast<double>(batch_size);
   }
   bool empty() const { return endpoints_.empty(); }
 
-  /// Time-out of an attempt that is sent now. `may_retry`: another attempt may follow it; only then may it be
-  /// shorter than `route_timeout` and `time_left` allow.
+  /// Returns the timeout of an attempt that is sent now. `may_retry` is true if another attempt may follow;
+  /// only then may the timeout be shorter than both `route_timeout` and `time_left`.
   Span attempt_timeout(Span route_timeout, Span time_left, bool may_retry, TimePoint now);
   static bool is_expired(Span time_left) { return time_left <= Span(); }
-  /// Whether a retry can be expected to end in time. Not asked for first attempts.
+  /// Returns true if a retry can be expected to finish in `time_left`. Not called for first attempts.
   bool allows_retry(Span time_left, TimePoint now);
 
-  /// The endpoint for an attempt; nothing where all are to be avoided.
+  /// Returns the id of the endpoint for an attempt, or std::nullopt if all endpoints are to be avoided.
   [[nodiscard]] std::optional<std::string> choose_endpoint(const AttemptContext& attempt, TimePoint now);
   void on_attempt_sent(const std::string& id, const AttemptContext& attempt, TimePoint now);
-  /// `latency`: from sending to the first event of a stream, or to the end of any other response.
+  /// `latency` is the time from sending the request to the first event of a stream, or to the end of any
+  /// other response.
   void on_response(const std::string& id, const AttemptContext& attempt, Span latency, TimePoint now);
   void on_attempt_ended(const std::string& id, const AttemptContext& attempt, AttemptOutcome outcome,
                         TimePoint now);
-  /// An endpoint's response has reported how many requests run and wait there, from all processes.
+  /// Records the load that an endpoint reported in a response: the requests of all processes that run and
+  /// wait there.
   void on_load_report(const std::string& id, double running, double waiting, TimePoint now);
 
-  /// Attempts of this process in flight at the endpoints of the list.
+  /// Returns the number of attempts of this process in flight at the listed endpoints.
   double in_flight() const;
-  /// Whether more than half of all slots are known to be taken.
+  /// Returns true if more than half of all slots are known to be in use.
   bool is_crowded() const;
 
  private:
@@ -120,9 +127,9 @@
     std::string zone;
     std::size_t capacity = 0;
     double in_flight = 0;               // attempts of this process
-    double pending_prefill_tokens = 0;  // of this process's prompts, that it has still to read
-    double smoothed_latency_ms = 0;     // 0: none observed yet
-    double other_requests = 0;          // of other processes, by its last report
+    double pending_prefill_tokens = 0;  // tokens of this process's prompts that are not processed yet
+    double smoothed_latency_ms = 0;     // 0 until a latency has been observed
+    double other_requests = 0;          // requests of other processes, from the last load report
     bool has_load_report = false;
     TimePoint load_reported_at;
     TimePoint ejected_until;
@@ -157,12 +164,12 @@
   double kv_cache_tokens_ = 0;
   double batch_size_ = 0;
   EngineModel model_;
-  std::vector<EndpointState> endpoints_;                // the subset is at its front
-  std::unordered_map<std::string, std::size_t> index_;  // by id, into endpoints_
+  std::vector<EndpointState> endpoints_;                // the subset comes first
+  std::unordered_map<std::string, std::size_t> index_;  // endpoint id -> index in endpoints_
   LatencyEstimate estimate_;
   WindowedCount recent_attempts_{attempt_window};
-  double mean_attempt_ms_ = 0;  // smoothed; 0: none has ended yet
-  LatencyWeights shares_{TimePoint()};
+  double mean_attempt_ms_ = 0;  // smoothed; 0 until an attempt has ended
+  LatencyWeights weights_{TimePoint()};
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/storage_client.cpp
+++ b/src/edge/storage_client.cpp
@@ -1,4 +1,4 @@
-/// Storage map, connections and replica groups of StorageClient.
+/// StorageClient: storage map, connections and replica groups.
 #include "edge/storage_client.hpp"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
   if (map_version <= map_version_) return;
   map_version_ = map_version;
   storage_nodes_ = storage_nodes;
-  // Connect now: the first operation should not wait for it.
+  // Connects now, so that the first operation does not wait for the connection.
   for (const common::StorageNode& storage_node : storage_nodes_) connection_to(storage_node.address);
 }
 
--- a/src/edge/storage_client.hpp
+++ b/src/edge/storage_client.hpp
@@ -1,14 +1,14 @@
-/// The edge's client of the storage nodes: reserves budgets before a request runs, stores a turn before its
-/// response ends, and reads the chain of turns that a request continues.
+/// The edge's client for the storage nodes. It reserves budgets before a request runs, stores a turn before
+/// its response ends, and reads the chain of turns that a request continues.
 ///
-/// Each program has a replica group of 2 x losses + 1 storage nodes, which the storage map gives
-/// (docs/state.md). Of a write, as many nodes as a quorum and more than may be lost have it on disk before it
-/// counts, all of them under the same map: a node that has it under an older map may be lost, and the node
-/// that succeeds it may have copied the others' data before they had the write. Answers under two maps are
-/// therefore never added up; an operation whose map is superseded starts over.
+/// Each program has a replica group of 2 x tolerated losses + 1 storage nodes, determined by the storage map
+/// (docs/state.md). A write is acknowledged once it is on disk at a quorum of the group, and at more nodes
+/// than may be lost, all under the same map. Replies under different maps are never added up: a node that has
+/// the write under an older map may be lost, and the node that replaces it may have copied the data of the
+/// others before they had the write. An operation whose map is superseded therefore starts over.
 ///
-/// Each operation ends with exactly one call of its `done`, by its deadline or shortly after (tens of ms),
-/// from the event loop or from inside the call that began it. Operations can't be cancelled.
+/// Each operation calls its `done` callback exactly once, by its deadline or shortly after (tens of ms), from
+/// the event loop or from inside the call that started it. Operations can't be cancelled.
 #pragma once
 
 #include <cstdint>
@@ -25,65 +25,68 @@
 
 namespace chutevane::edge {
 
-/// What came of a reservation.
+/// Result of a reservation.
 enum class ReservationResult : std::uint8_t {
   granted,
-  exhausted,    ///< others have reserved or used too much of the program's budget
-  unavailable,  ///< no quorum has answered in time; some nodes may have the reservation
+  exhausted,    ///< other attempts have reserved or used too much of the program's budget
+  unavailable,  ///< no quorum replied in time; some nodes may have recorded the reservation
 };
 
-/// What came of a lookup.
+/// Result of a lookup.
 enum class LookupResult : std::uint8_t {
   complete,
-  not_found,    ///< proven: there is no such turn
-  unavailable,  ///< could not be told in time
+  not_found,    ///< there is certainly no such turn
+  unavailable,  ///< the lookup did not finish in time
 };
 
-/// A turn and all that it continues.
+/// A turn and all the turns that it continues.
 struct TurnChain {
   LookupResult result = LookupResult::unavailable;
-  std::vector<std::shared_ptr<const common::Turn>> turns;  ///< the oldest first; all of them only if complete
+  std::vector<std::shared_ptr<const common::Turn>>
+      turns;  ///< oldest first; incomplete unless result is complete
 };
 
-/// Not thread-safe: everything happens on the scheduler's thread. Must outlive its operations.
+/// Not thread-safe; all calls and callbacks run on the scheduler's thread. Must outlive its operations.
 class StorageClient {
  public:
-  /// `zone`: of this process, whose nodes are asked first. `tolerated_losses`: storage nodes that may be lost
-  /// at once. `cache_bytes`: for turns that went through here. `seed`: of the pauses between attempts to
-  /// connect.
+  /// `zone` is the zone of this process; nodes of the same zone are contacted first. `tolerated_losses` is
+  /// the number of storage nodes that may be lost at once. `cache_bytes` bounds the cache of recent turns.
+  /// `seed` randomizes the delays between connection attempts.
   StorageClient(net::Scheduler& scheduler, net::TimerQueue& timers, std::string zone,
                 std::size_t tolerated_losses, std::size_t cache_bytes, std::uint64_t seed);
 
-  /// The storage nodes by the map of this version; an older version than the known one is ignored.
+  /// Replaces the storage nodes by those of a map. Ignored unless `map_version` is newer than the current
+  /// one.
   void on_storage_map(std::int64_t map_version, const std::vector<common::StorageNode>& storage_nodes);
-  /// Whether enough nodes are known to survive the tolerated losses.
+  /// Returns true if enough nodes are known to survive the tolerated losses.
   bool can_replicate() const;
   std::int64_t map_version() const { return map_version_; }
 
-  /// Reserves `tokens` of the program's `budget` for the attempt, unless others have too much of it.
+  /// Reserves `tokens` of the program's `budget` for the attempt, unless other attempts have too much of it.
   void reserve(const std::string& program, const std::string& attempt_id, std::int64_t tokens,
                std::int64_t budget, TimePoint deadline, std::function<void(ReservationResult)> done);
-  /// The attempt has used so many of the reserved tokens. Sent to each node of the group, without an answer,
-  /// and again over the node's next connection (usage_outbox.hpp).
+  /// Reports how many of the reserved tokens the attempt has used. Sent to each node of the group without a
+  /// reply, and sent again over the node's next connection (usage_outbox.hpp).
   void commit_usage(const std::string& program, const std::string& attempt_id, std::int64_t tokens);
-  /// The attempt has not run and will not.
+  /// Releases the reservation of an attempt that has not run and will not run.
   void release(const std::string& program, const std::string& attempt_id) {
     commit_usage(program, attempt_id, 0);
   }
 
-  /// Stores a turn; `done(true)` once enough nodes have it on disk. `used_tokens`: commits the reservation of
-  /// the turn's attempt along with it; -1: it has none.
+  /// Stores a turn and calls `done(true)` once enough nodes have it on disk, or `done(false)` at the
+  /// deadline. `used_tokens` commits the reservation of the turn's attempt in the same write; -1 if there is
+  /// none.
   void store_turn(const common::Turn& turn, std::int64_t used_tokens, TimePoint deadline,
                   std::function<void(bool)> done);
 
-  /// Reads the turn `id` and all that it continues. `attempt_id`: of the request that asks, for logs.
+  /// Reads the turn `id` and all the turns that it continues. `attempt_id` identifies the request in logs.
   void find_chain(const std::string& id, const std::string& program, const std::string& attempt_id,
                   TimePoint deadline, std::function<void(TurnChain)> done);
   std::size_t cached_turns() const { return cache_.size(); }
 
  private:
-  static constexpr Span rpc_timeout = Span::ms(400);    // two ways and a sync take some ms
-  static constexpr Span retry_interval = Span::ms(15);  // where the map is about to change
+  static constexpr Span rpc_timeout = Span::ms(400);    // a round trip and a disk sync take a few ms
+  static constexpr Span retry_interval = Span::ms(15);  // while waiting for a new map
 
   // storage_client_reservations.cpp
   struct PendingReservation;
@@ -113,13 +116,13 @@
                      absl::StatusOr<common::FindTurnReply> reply);
   void finish_lookup(PendingLookup& lookup, LookupResult result);
 
-  // Indexes into storage_nodes_.
+  // Returns indexes into storage_nodes_.
   std::vector<std::size_t> replica_group(const std::string& program) const;
   void move_own_zone_first(std::vector<std::size_t>& nodes) const;
-  // Nodes of a group of that size that must have a write.
+  // Returns the number of nodes that must have a write, for a group of that size.
   std::size_t required_replicas(std::size_t group_size) const;
   common::RpcClient& connection_to(const std::string& address);
-  // To the node at that index: now, and once more over its next connection.
+  // Sends the message to the node at that index now, and again over the node's next connection.
   void send_usage(std::size_t index, const common::CommitUsage& message);
   common::RpcClient& node(std::size_t index) { return connection_to(storage_nodes_[index].address); }
 
--- a/src/edge/storage_client_lookups.cpp
+++ b/src/edge/storage_client_lookups.cpp
@@ -1,12 +1,12 @@
-/// Lookups of a turn and all that it continues, from the newest back to the first.
+/// Lookup of a turn and all the turns that it continues, from the newest back to the first.
 ///
-/// What is cached is followed first. For the next turn storage nodes are asked one after the other, the
-/// program's group first and in it the own zone, a further one after a hedging delay. A node returns as much
-/// of the chain as it has. Other nodes are asked as well, since a turn may have been stored under an older
-/// map.
+/// Cached turns are followed first. For the next missing turn, storage nodes are asked one after the other:
+/// first the program's replica group, with the nodes of the own zone in front, then all other nodes, because
+/// the turn may have been stored under an older map. If a node does not reply within a hedging delay, the
+/// next one is asked too. A node returns as much of the chain as it has.
 ///
-/// That there is no such turn is proven by negative answers: a turn that was acknowledged is at more nodes
-/// than may be lost, so it is nowhere if all but that many nodes do not have it.
+/// Negative replies prove that a turn does not exist: an acknowledged turn is at more nodes than may be lost,
+/// so it does not exist if all but that many nodes do not have it.
 #include <algorithm>
 
 #include "edge/storage_client.hpp"
@@ -15,15 +15,15 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr Span hedge_delay = Span::ms(40);         // then the next node is asked too
-constexpr Span min_rpc_timeout = Span::ms(1);      // a call ends by a time-out also where nobody answers
+constexpr Span hedge_delay = Span::ms(40);         // after which the next node is asked too
+constexpr Span min_rpc_timeout = Span::ms(1);      // a call needs a timeout even if no time is left
 constexpr Span inconclusive_pause = Span::ms(45);  // before all nodes are asked again
-constexpr std::size_t max_chain_length = 10000;    // turns: guards against ids that form a cycle
+constexpr std::size_t max_chain_length = 10000;    // turns; guards against ids that form a cycle
 
 }  // namespace
 
 struct StorageClient::PendingLookup {
-  std::string wanted;  // id of the next turn; empty: the chain is complete
+  std::string wanted;  // id of the next turn; empty if the chain is complete
   std::string program;
   std::string attempt_id;
   TimePoint deadline;
@@ -32,8 +32,8 @@
 
   std::uint64_t round = 0;  // replies to an earlier round are ignored
   std::int64_t map_version = 0;
-  std::vector<std::size_t> nodes;  // in the order in which they are asked
-  std::size_t asked = 0;           // nodes from the front of `nodes`
+  std::vector<std::size_t> nodes;  // indexes of nodes, in the order in which they are asked
+  std::size_t asked = 0;           // number of nodes asked so far, from the front of `nodes`
   std::size_t answered = 0;
   std::size_t not_found = 0;
   bool is_finished = false;
@@ -76,7 +76,8 @@
   }
 }
 
-// Takes what the reply has of the chain. It need not fit into the cache, which would ask for the same again.
+// Adds the turns of a reply to the chain. They are used directly rather than through the cache, because turns
+// that do not fit into the cache would be requested again.
 void StorageClient::follow_turns(PendingLookup& lookup, std::vector<common::Turn> turns) {
   std::map<std::string, std::shared_ptr<const common::Turn>> by_id;
   for (common::Turn& turn : turns) {
@@ -103,10 +104,11 @@
   }
 }
 
-// Asks the node at `position` in the order, if it is the next one to be asked.
+// Asks the node at `position` of `nodes`, if it is the next one to ask.
 void StorageClient::ask_node(const std::shared_ptr<PendingLookup>& lookup, std::size_t position) {
   if (lookup->is_finished || position != lookup->asked) return;
-  if (lookup->map_version != map_version_) return continue_lookup(lookup);  // its indexes are of another map
+  if (lookup->map_version != map_version_)
+    return continue_lookup(lookup);  // the indexes belong to another map
   if (position >= lookup->nodes.size()) return;
   ++lookup->asked;
   const Span timeout = std::clamp(lookup->deadline - timers_.now(), min_rpc_timeout, rpc_timeout);
@@ -136,7 +138,7 @@
   if (lookup->not_found > 0 && lookup->not_found + tolerated_losses_ >= lookup->nodes.size() &&
       lookup->map_version == map_version_)
     return finish_lookup(*lookup, LookupResult::not_found);
-  if (lookup->answered == lookup->nodes.size()) {  // neither found nor proven to be nowhere
+  if (lookup->answered == lookup->nodes.size()) {  // neither found nor proven not to exist
     ++lookup->round;
     const Span time_left = std::max(lookup->deadline - timers_.now(), Span());
     timers_.after(std::min(inconclusive_pause, time_left), [this, lookup] { continue_lookup(lookup); });
--- a/src/edge/storage_client_reservations.cpp
+++ b/src/edge/storage_client_reservations.cpp
@@ -1,13 +1,13 @@
-/// Reservations of budgets at a quorum of the program's replica group.
+/// Budget reservations at a quorum of the program's replica group.
 ///
-/// Every other reservation that was granted is at a quorum of the group, so at least one of any quorum
-/// reports it. No two nodes need report the same ones: the reports are merged by attempt.
+/// Every granted reservation is at a quorum of the group, so at least one node of any other quorum reports
+/// it. Nodes may report different sets of reservations; the reports are merged by attempt.
 ///
-/// The first quorum of answers does not decide. Of three requests through three edges each may be told of one
-/// other alone, and all three be granted on a budget for two. What decides is either the answers of the whole
-/// group, since the last request at any node is told of all others there; or a second round at a quorum under
-/// the same map (confirmation), begun once a quorum has the reservation: whoever reserves later is told of it
-/// by then (docs/state.md).
+/// The first quorum of replies is not sufficient. With three concurrent requests through three edges, each
+/// may learn of only one other, and all three would be granted on a budget for two. A decision requires
+/// either replies of the whole group, since the last request at any node learns of all the others there, or a
+/// second round at a quorum under the same map (confirmation) that starts once a quorum has the reservation:
+/// any later reservation learns of it by then (docs/state.md).
 #include <algorithm>
 
 #include "edge/storage_client.hpp"
@@ -16,7 +16,7 @@
 namespace chutevane::edge {
 namespace {
 
-// For the rest of the group after a quorum has answered; then the quorum is asked again.
+// How long to wait for the rest of the group after a quorum has replied, before the confirmation round.
 constexpr Span straggler_timeout = Span::ms(12);
 
 }  // namespace
@@ -32,11 +32,11 @@
   std::uint64_t round = 0;  // replies to an earlier round are ignored
   std::int64_t map_version = 0;
   std::size_t group_size = 0;
-  std::size_t required = 0;  // replies for a quorum
+  std::size_t required = 0;  // number of replies that form a quorum
   std::size_t granted = 0;
-  std::size_t rejected = 0;                           // or lost
-  std::map<std::string, common::Reservation> others;  // by attempt
-  bool is_confirming = false;                         // a quorum has it already, and is asked a second time
+  std::size_t rejected = 0;                           // rejections and failed calls
+  std::map<std::string, common::Reservation> others;  // by attempt id
+  bool is_confirming = false;  // a quorum has the reservation and is asked a second time
   bool is_finished = false;
   net::TimerQueue::Handle straggler_timer;
 
@@ -117,7 +117,7 @@
   start_reservation_round(pending);
 }
 
-// No quorum by this map: starts over, unless the time is over.
+// Starts over after a round without a quorum, unless the deadline is too close.
 void StorageClient::retry_reservation(const std::shared_ptr<PendingReservation>& pending) {
   pending->is_confirming = false;
   timers_.cancel(pending->straggler_timer);
--- a/src/edge/storage_client_writes.cpp
+++ b/src/edge/storage_client_writes.cpp
@@ -1,8 +1,8 @@
 /// Replicated writes of turns.
 ///
-/// The nearest nodes of the program's group are asked first, as many as are required. The rest of the group
-/// is asked only where one of them does not answer within a hedging delay, or rejects it. All nodes that
-/// count have the turn under one map (storage_client.hpp).
+/// The write is sent to the required number of nodes first, the nearest ones of the program's replica group.
+/// The rest of the group is used only if one of them rejects the write or does not reply within a hedging
+/// delay. All replicas that count have the turn under the same map (storage_client.hpp).
 #include <algorithm>
 #include <set>
 
@@ -13,23 +13,23 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr Span hedge_delay = Span::ms(40);  // then the rest of the group is asked too
+constexpr Span hedge_delay = Span::ms(40);  // after which the rest of the group gets the write too
 constexpr Span min_rpc_timeout = Span::ms(1);
 
 }  // namespace
 
 struct StorageClient::ReplicatedWrite {
   common::Turn turn;
-  std::int64_t used_tokens = 0;  // -1: no reservation to commit
+  std::int64_t used_tokens = 0;  // -1 if there is no reservation to commit
   TimePoint deadline;
   std::function<void(bool)> done;
 
   std::uint64_t round = 0;  // replies to an earlier round are ignored
   std::int64_t map_version = 0;
-  std::vector<std::size_t> group;  // indexes of nodes, the nearest first
+  std::vector<std::size_t> group;  // indexes of nodes, nearest first
   std::size_t required = 0;
-  std::size_t asked = 0;         // nodes from the front of `group`
-  std::set<std::size_t> stored;  // nodes that have it on disk
+  std::size_t asked = 0;         // number of nodes that were sent the write, from the front of `group`
+  std::set<std::size_t> stored;  // nodes that have the turn on disk
   bool is_retry_scheduled = false;
   bool is_finished = false;
   net::TimerQueue::Handle hedge_timer;
@@ -65,7 +65,7 @@
     return;
   }
   for (std::size_t sent = 0; sent < write->required; ++sent) write_to_next(write);
-  // The others get the use without the turn: else they would count the reservation in full.
+  // The other nodes get only the usage. Otherwise they would keep counting the reservation in full.
   for (std::size_t rest = write->required; rest < write->group.size(); ++rest) {
     if (write->used_tokens >= 0)
       send_usage(write->group[rest], {write->turn.program, write->turn.id, write->used_tokens});
@@ -114,9 +114,9 @@
 void StorageClient::check_replicated(const ReplicatedWrite& write) const {
   common::check_invariant(common::Invariant::kept_by_enough_disks,
                           write.stored.size() > tolerated_losses_ && write.map_version == map_version_, [&] {
-                            return write.turn.id + " at " + std::to_string(write.stored.size()) +
-                                   " disks, map " + std::to_string(write.map_version) + " of " +
-                                   std::to_string(map_version_);
+                            return write.turn.id + " stored on " + std::to_string(write.stored.size()) +
+                                   " disks under map " + std::to_string(write.map_version) +
+                                   ", current map " + std::to_string(map_version_);
                           });
 }
 
--- a/src/edge/traffic_splitter.hpp
+++ b/src/edge/traffic_splitter.hpp
@@ -1,8 +1,9 @@
-/// Chooses the service that takes the next request of a route whose traffic is split by weight.
+/// Weighted traffic splitting: chooses the service for the next request of a route.
 ///
 /// Successive requests take the points of a golden-ratio sequence on [0, 1), which is divided between the
-/// services in proportion to their weights. Such points are spread evenly from the first one on: each service
-/// is within two requests of its share at any time, where independent random draws keep it only on the mean.
+/// services in proportion to their weights. The points are evenly distributed from the start, so each service
+/// is within two requests of its share at any time. Independent random draws would meet the shares only on
+/// average.
 #pragma once
 
 #include <optional>
@@ -13,12 +14,12 @@
 
 namespace chutevane::edge {
 
-/// State of one route. Not thread-safe.
+/// The splitter of one route. Not thread-safe.
 class TrafficSplitter {
  public:
-  /// Index in `split` of the service that takes the next request. `split` may differ from call to call, and
-  /// must not be empty. `random` is drawn from once, for the first point: processes that know nothing of each
-  /// other keep to the weights together.
+  /// Returns the index in `split` of the service for the next request. `split` must not be empty and may
+  /// change between calls. The first point is drawn from `random`, so that independent processes meet the
+  /// weights jointly.
   std::size_t next(const std::vector<common::Weighted>& split, Pcg& random) {
     advance(random);
     double weight_sum = 0;
@@ -40,9 +41,9 @@
     if (*point_ >= 1) *point_ -= 1;
   }
 
-  // Its multiples modulo 1 leave the smallest gaps for any number of them (Weyl).
+  // Its multiples modulo 1 leave the smallest gaps for any number of points (Weyl).
   static constexpr double golden_ratio = 0.6180339887498949;
-  std::optional<double> point_;  // 0 to 1
+  std::optional<double> point_;  // in [0, 1); empty before the first request
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/turn_cache.cpp
+++ b/src/edge/turn_cache.cpp
@@ -1,4 +1,4 @@
-/// Insertion and eviction of TurnCache.
+/// TurnCache: insertion, lookup and eviction.
 #include "edge/turn_cache.hpp"
 
 #include <utility>
@@ -6,7 +6,7 @@
 namespace chutevane::edge {
 namespace {
 
-constexpr std::size_t entry_overhead_bytes = 300;  // ids and containers
+constexpr std::size_t entry_overhead_bytes = 300;  // for ids and containers
 
 std::size_t size_of(const common::Turn& turn) {
   return turn.input.data.size() + turn.output.data.size() + entry_overhead_bytes;
--- a/src/edge/turn_cache.hpp
+++ b/src/edge/turn_cache.hpp
@@ -1,4 +1,5 @@
-/// Turns that went through this process, so that a chain need not be read from storage for each request.
+/// A cache of the turns that this process has stored or read, which avoids reading a whole chain from storage
+/// for each request.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +12,17 @@
 
 namespace chutevane::edge {
 
-/// Least recently used cache, bounded by bytes. Turns never change once they are stored, so entries need no
-/// invalidation. Not thread-safe.
+/// LRU cache bounded by size in bytes. Stored turns never change, so entries need no invalidation. Not
+/// thread-safe.
 class TurnCache {
  public:
-  /// `max_bytes`: of all entries; the most recently used entry stays even if it alone is larger.
+  /// `max_bytes` bounds the total size of all entries. The most recently used entry stays even if it alone is
+  /// larger.
   explicit TurnCache(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  /// A turn that is there already stays as it is.
+  /// Inserts a turn. Has no effect if the cache already contains it.
   void insert(std::shared_ptr<const common::Turn> turn);
-  /// Null: it is not there. Counts as a use.
+  /// Returns the turn and marks it as recently used, or returns null if the cache does not contain it.
   std::shared_ptr<const common::Turn> find(const std::string& id);
   std::size_t size() const { return entries_.size(); }
 
@@ -32,8 +34,8 @@
   void evict();
 
   const std::size_t max_bytes_;
-  std::unordered_map<std::string, Entry> entries_;  // by id of the turn
-  std::list<std::string> by_use_;                   // ids, the most recently used first
+  std::unordered_map<std::string, Entry> entries_;  // by turn id
+  std::list<std::string> by_use_;                   // turn ids, most recently used first
   std::size_t bytes_ = 0;
 };
 
--- a/src/edge/upstream_connection.cpp
+++ b/src/edge/upstream_connection.cpp
@@ -1,4 +1,4 @@
-/// Requests and responses on one connection to an endpoint.
+/// UpstreamConnection: sending requests and receiving responses on one connection to an endpoint.
 #include "edge/upstream_connection.hpp"
 
 #include <charconv>
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr http::Limits response_limits{.head = 16U << 10U, .body = 64U << 20U, .fields = 100};  // bytes
-constexpr Span connect_timeout = Span::ms(600);        // an endpoint that is there answers within some ms
-constexpr Span default_idle_timeout = Span::ms(3000);  // where an endpoint does not state one
-constexpr double idle_timeout_fraction = 0.8;          // of the stated one: well before the endpoint closes
+constexpr Span connect_timeout = Span::ms(600);        // a reachable endpoint accepts within a few ms
+constexpr Span default_idle_timeout = Span::ms(3000);  // if the endpoint does not state a timeout
+constexpr double idle_timeout_fraction = 0.8;  // of the stated timeout, to close before the endpoint does
 constexpr std::size_t max_skipped_responses = 4;
 
 }  // namespace
@@ -36,7 +36,7 @@
   attempt_id_ = std::move(request.attempt_id);
   is_head_request_ = request.is_head;
   is_request_written_ = is_head_read_ = is_skipping_ = false;
-  // Without an id a late response could not be told from the next request's.
+  // Without an id, a late response could not be distinguished from the response to the next request.
   is_persistent_ = !attempt_id_.empty();
   skipped_responses_ = 0;
   parser_.reset(is_head_request_);
@@ -52,8 +52,8 @@
   return false;
 }
 
-// From here on the request may run. What waited for the connection is not sent to an endpoint that has begun
-// to drain meanwhile.
+// From this point on the request may run. A request that waited for the connection is not sent if the
+// endpoint has started draining in the meantime.
 void UpstreamConnection::write_request() {
   if (endpoint_->is_draining || endpoint_->is_removed) return fail(UpstreamFailure::not_sent);
   is_request_written_ = true;
@@ -71,7 +71,7 @@
 // ---- receiving
 
 void UpstreamConnection::on_channel_data(net::Channel&) {
-  if (handler_ == nullptr) return close();  // bytes that belong to no request
+  if (handler_ == nullptr) return close();  // bytes that do not belong to any request
   if (!is_request_written_) return fail(UpstreamFailure::not_sent);
   process_input();
 }
@@ -104,7 +104,8 @@
   return progress == http::Progress::complete ? end_response() : Step::again;
 }
 
-// 100 Continue and 103 Early Hints. Nobody has asked to switch protocols: what follows a 101 is not HTTP.
+// Skips interim responses such as 100 Continue and 103 Early Hints. A 101 is an error: the edge never asks to
+// switch protocols, and the bytes after a 101 are not HTTP.
 UpstreamConnection::Step UpstreamConnection::read_interim_head(http::Progress progress) {
   if (progress != http::Progress::complete || parser_.status() == 101) return fail_response();
   channel_.in().consume(parser_.size());
@@ -112,7 +113,7 @@
   return Step::again;
 }
 
-// Step::wait: the handler has given the connection up.
+// Returns Step::wait if the handler has cancelled the request.
 UpstreamConnection::Step UpstreamConnection::deliver_head() {
   handler_->on_response_head(parser_);
   if (is_closed_ || handler_ == nullptr) return Step::wait;
@@ -146,19 +147,20 @@
   return Step::again;
 }
 
-// The head names another attempt: an earlier one, whose response was not expected any more.
+// Returns true if the head has the id of another attempt, that is, of an earlier one whose response is no
+// longer expected.
 bool UpstreamConnection::is_for_other_request() const {
   const auto id = parser_.find("X-Chutevane-Attempt-Id");
   return id && *id != attempt_id_;
 }
 
-// A head without an id, after another request on this connection, may belong to the surplus of that one's
-// response: it neither answers this request nor proves that it did not run.
+// A head without an id, after an earlier request on this connection, may be surplus data of the earlier
+// response. It neither answers the current request nor proves that the request did not run.
 bool UpstreamConnection::may_be_surplus() const {
   return requests_written_ > 1 && !attempt_id_.empty() && !parser_.find("X-Chutevane-Attempt-Id");
 }
 
-// The end of such a body can't be told from a lost connection.
+// Returns true if the end of the body can't be distinguished from a lost connection.
 bool UpstreamConnection::ends_only_by_close() const {
   return !parser_.length() && !parser_.keep_alive() && parser_.has_body() &&
          !parser_.find("Transfer-Encoding");
@@ -181,8 +183,8 @@
 
 void UpstreamConnection::complete() {
   ResponseHandler* const handler = std::exchange(handler_, nullptr);
-  // Bytes behind a complete response belong to no request, and the rest of a request that was answered early
-  // would stand before the next one.
+  // Bytes after a complete response do not belong to any request, and the unsent rest of a request that was
+  // answered early would precede the next request. In both cases the connection can't be reused.
   const bool is_clean = channel_.in().empty() && channel_.unsent() == 0;
   if (!is_persistent_ || !is_clean || endpoint_->is_draining || endpoint_->is_removed ||
       idle_timeout_ <= Span()) {
--- a/src/edge/upstream_connection.hpp
+++ b/src/edge/upstream_connection.hpp
@@ -1,9 +1,9 @@
-/// One connection to an endpoint: HTTP/1.1, one request at a time, reused while that is safe.
+/// A connection to an endpoint: HTTP/1.1, one request at a time, reused as long as that is safe.
 ///
-/// States: connecting, then in turn busy (a ResponseHandler waits for a response) and idle (listed in
-/// Endpoint::idle_connections), at last closed. A response is matched to its request by
-/// X-Chutevane-Attempt-Id, which endpoints return: a surplus response to an earlier request is skipped and
-/// never passed on. Whatever leaves the connection in doubt closes it.
+/// States: connecting, then alternately busy (a ResponseHandler waits for a response) and idle (listed in
+/// Endpoint::idle_connections), finally closed. Responses are matched to requests by X-Chutevane-Attempt-Id,
+/// which endpoints return: a surplus response to an earlier request is skipped and never forwarded. The
+/// connection is closed whenever its state is uncertain.
 #pragma once
 
 #include <cstdint>
@@ -20,17 +20,17 @@
 class UpstreamPool;
 struct Endpoint;
 
-/// Why there is no complete response, as far as it matters for sending the request again.
+/// Why there is no complete response. Determines whether the request may be sent again.
 enum class UpstreamFailure : std::uint8_t {
-  not_sent,         ///< not one byte of the request went out: it has not run
-  connection_lost,  ///< or an invalid response: it may have run
+  not_sent,         ///< no byte of the request was sent, so it has not run
+  connection_lost,  ///< connection lost or invalid response; the request may have run
 };
 
-/// Receives the response to one request. Each call may cancel the request (UpstreamConnection::cancel); after
-/// on_response_complete() or on_response_failed() the connection no longer belongs to it.
+/// Receives the response to one request. Each callback may cancel the request (UpstreamConnection::cancel).
+/// After on_response_complete() or on_response_failed() the handler must not use the connection any more.
 class ResponseHandler {
  public:
-  /// `response` is valid during the call.
+  /// `response` is valid only during the call.
   virtual void on_response_head(const http::Parser& response) = 0;
   virtual void on_response_body(std::string_view bytes) = 0;
   virtual void on_response_complete() = 0;
@@ -40,39 +40,41 @@
   ~ResponseHandler() = default;
 };
 
-/// A request as it is sent to an endpoint.
+/// A request to send to an endpoint.
 struct UpstreamRequest {
-  std::string head;        ///< as it is written, with its empty line
+  std::string head;        ///< the formatted head, including the empty line
   std::string_view body;   ///< copied before UpstreamPool::send() returns
-  std::string attempt_id;  ///< empty: none, and the connection serves no further request
-  bool is_head = false;    ///< method HEAD: no body follows the response's Content-Length
+  std::string attempt_id;  ///< empty if there is none; the connection is then not reused
+  bool is_head = false;    ///< the method is HEAD, so the response has no body despite its Content-Length
 };
 
-/// Created and owned by an UpstreamPool, which it tells of its end. Not thread-safe.
+/// A connection created and owned by an UpstreamPool, which it notifies when it closes. Not thread-safe.
 class UpstreamConnection final : net::Channel::Observer {
  public:
   UpstreamConnection(UpstreamPool& pool, net::Scheduler& scheduler, net::TimerQueue& timers,
                      std::shared_ptr<Endpoint> endpoint);
   std::size_t group_index = 0;
 
-  /// Writes the request once the connection is established, or at once. The handler may be called before this
+  /// Writes the request as soon as the connection is established. The handler may be called before this
   /// returns.
   void send(ResponseHandler& handler, UpstreamRequest request);
-  /// Begins to connect; the request that waits fails if that takes too long. False: it has failed already.
+  /// Starts connecting. The waiting request fails if that takes too long. Returns false if it has already
+  /// failed.
   bool connect(const sockaddr_in& address);
-  /// Closes the connection; its handler gets no further call. Whether any of the request may have gone out.
+  /// Closes the connection without further calls to the handler. Returns true if any part of the request may
+  /// have been sent.
   bool cancel();
-  /// Closes the connection without a call of the handler. Idempotent.
+  /// Closes the connection without calling the handler. Idempotent.
   void close();
 
   bool is_closed() const { return is_closed_; }
   bool serves(const ResponseHandler& handler) const { return handler_ == &handler; }
-  /// Whether an idle connection is still open and the endpoint has not sent what nobody asked for.
+  /// Returns true if an idle connection is still open and the endpoint has not sent unsolicited bytes.
   bool is_reusable() const { return channel_.up() && channel_.quiet(); }
   Endpoint& endpoint() const { return *endpoint_; }
 
  private:
-  // Whether the input should be looked at again.
+  // Whether to continue processing the input or to wait for more.
   enum class Step : std::uint8_t { again, wait };
 
   void on_channel_open(net::Channel&) override;
@@ -100,19 +102,19 @@
   const std::shared_ptr<Endpoint> endpoint_;
   net::Channel channel_;
   http::Parser parser_;
-  ResponseHandler* handler_ = nullptr;  // null: idle
+  ResponseHandler* handler_ = nullptr;  // null while idle
   std::string unsent_request_;
   std::string attempt_id_;
-  std::size_t requests_written_ = 0;  // on this connection, the current one included
+  std::size_t requests_written_ = 0;  // on this connection, including the current request
   std::size_t skipped_responses_ = 0;
   bool is_head_request_ = false;
   bool is_request_written_ = false;
   bool is_head_read_ = false;
-  bool is_skipping_ = false;  // the response that is being read is another request's
+  bool is_skipping_ = false;  // the response that is being read belongs to another request
   bool is_persistent_ = true;
   bool is_closed_ = false;
   Span idle_timeout_;
-  net::TimerQueue::Handle timer_;  // connecting, or idle
+  net::TimerQueue::Handle timer_;  // connect timeout or idle timeout
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/upstream_pool.cpp
+++ b/src/edge/upstream_pool.cpp
@@ -1,4 +1,4 @@
-/// Endpoints and reuse of connections.
+/// UpstreamPool: endpoint list and connection reuse.
 #include "edge/upstream_pool.hpp"
 
 #include "common/invariant.hpp"
@@ -14,7 +14,7 @@
     const auto known = endpoints_.find(entry.id);
     std::shared_ptr<Endpoint> endpoint =
         known != endpoints_.end() ? known->second : std::make_shared<Endpoint>(entry);
-    // An id stands for one process: only this changes.
+    // An id identifies one process, whose other attributes never change.
     endpoint->is_draining = entry.is_draining;
     updated[entry.id] = std::move(endpoint);
   }
@@ -82,8 +82,8 @@
     const std::size_t open_count = found == open.end() ? 0 : found->second;
     common::check_invariant(
         common::Invariant::connections_equal_descriptors, endpoint.connection_count == open_count, [&] {
-          return entry.first + ": charged with " + std::to_string(endpoint.connection_count) + ", open " +
-                 std::to_string(open_count);
+          return entry.first + ": connections counted " + std::to_string(endpoint.connection_count) +
+                 ", open " + std::to_string(open_count);
         });
   }
 }
--- a/src/edge/usage_outbox.hpp
+++ b/src/edge/usage_outbox.hpp
@@ -1,8 +1,9 @@
-/// Usage messages that may have been lost with a connection, kept to be sent again. No I/O.
+/// Usage messages that may have been lost with a connection, retained for resending. Performs no I/O.
 ///
-/// A reservation whose use a storage node never learns counts in full for good. CommitUsage has no answer: it
-/// is lost where the connection is down, or breaks before it has arrived. Each message is therefore kept for
-/// a while, and sent again over the next connection to its node. A node that has it ignores it.
+/// A reservation counts in full forever at a storage node that never receives its usage. CommitUsage has no
+/// reply and is lost if the connection is down or breaks before the message arrives. Each message is
+/// therefore retained for a while and sent again over the next connection to its node. A node ignores
+/// messages that it already has.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +15,28 @@
 
 namespace chutevane::edge {
 
-/// Messages are kept for so long: as long as a node that was lost may take to be back.
+/// How long a message is retained: the time that a lost node may take to come back.
 constexpr Span usage_retention = Span::ms(30000);
-/// ... and so many of them at most, the newest: about 100 bytes each.
-constexpr std::size_t max_kept_usages = 2048;
+/// Maximum number of retained messages, of about 100 bytes each. The oldest are dropped first.
+constexpr std::size_t max_retained_usages = 2048;
 
-/// Of one storage node. Times are of one steady clock.
+/// The outbox of one storage node. All times must come from the same steady clock.
 class UsageOutbox {
  public:
-  /// The message was sent, or would have been if the connection were up.
+  /// Adds a message that was sent, or could not be sent because the connection is down.
   void add(const common::CommitUsage& message, TimePoint now);
-  /// What to send over a new connection, the oldest first.
+  /// Returns the messages to send over a new connection, oldest first.
   std::vector<common::CommitUsage> recent(TimePoint now);
-  std::size_t size() const { return kept_.size(); }
+  std::size_t size() const { return entries_.size(); }
 
  private:
-  struct Kept {
+  struct Entry {
     common::CommitUsage message;
     TimePoint added_at;
   };
   void drop_expired(TimePoint now);
 
-  std::deque<Kept> kept_;  // the oldest first
+  std::deque<Entry> entries_;  // oldest first
 };
 
 }  // namespace chutevane::edge
--- a/src/edge/whole_number.hpp
+++ b/src/edge/whole_number.hpp
@@ -1,4 +1,4 @@
-/// Whole numbers in header fields and events.
+/// Parsing of whole numbers in header fields and events.
 #pragma once
 
 #include <charconv>
@@ -8,7 +8,7 @@
 
 namespace chutevane::edge {
 
-/// The number 0 to 2^63 - 1 that `text` consists of in decimal digits; nothing for any other text.
+/// Parses a decimal number from 0 to 2^63 - 1. Returns std::nullopt for any other text.
 inline std::optional<std::int64_t> parse_whole_number(std::string_view text) {
   std::int64_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
