--- a/tests/edge/harness.cpp
+++ b/tests/edge/harness.cpp
@@ -1,3 +1,4 @@
+/// Scripted endpoints, control, storage and clients of the edge's test environment.
 #include "harness.hpp"
 
 #include <sys/socket.h>
@@ -12,7 +13,7 @@
 namespace chutevane::edge::harness {
 namespace {
 
-constexpr http::Limits anything{.head = 64 * 1024, .body = 256U << 20U, .fields = 100};
+constexpr http::Limits permissive_limits{.head = 64 * 1024, .body = 256U << 20U, .fields = 100};
 
 sockaddr_in loopback(std::uint16_t port) {
   static const std::uint32_t own_address = own_loopback(64);
@@ -25,7 +26,7 @@
 
 std::uint16_t port_of(const sockaddr_in& address) { return ntohs(address.sin_port); }
 
-std::string sized(const std::string& body) {
+std::string with_content_length(const std::string& body) {
   return "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
@@ -46,7 +47,7 @@
   net::Listener probe(scheduler, [](int fd) { ::close(fd); });
   probe.listen(loopback(0));
   const std::optional<sockaddr_in> at = probe.address();
-  if (!at) throw std::runtime_error("no free port");
+  if (!at) throw std::runtime_error("no free loopback port found");
   return *at;
 }
 
@@ -79,10 +80,10 @@
       endpoint_(std::move(endpoint)),
       number_(number),
       channel_(scheduler, static_cast<net::Channel::Observer&>(*this)),
-      parser_(http::Side::request, anything) {}
+      parser_(http::Side::request, permissive_limits) {}
 
 void ScriptedConnection::adopt(int fd) {
-  // Its place in the script first: what has come already may end it at once.
+  // The script is called first, because data that has already arrived may close the connection in adopt().
   if (script_.on_accept) script_.on_accept(*this);
   channel_.adopt(fd);
 }
@@ -100,8 +101,8 @@
 }
 
 void ScriptedConnection::on_channel_closed(net::Channel&) {
-  script_.ended.insert(number_);
-  script_.crew.retire(*this);
+  script_.closed_connections.insert(number_);
+  script_.connections.retire(*this);
 }
 
 void ScriptedConnection::on_channel_data(net::Channel&) {
@@ -146,8 +147,8 @@
 }
 
 ScriptedConnection* EndpointScript::connection(std::size_t number) {
-  for (std::size_t i = 0; i < crew.size(); ++i) {
-    if (crew[i].number() == number) return &crew[i];
+  for (std::size_t i = 0; i < connections.size(); ++i) {
+    if (connections[i].number() == number) return &connections[i];
   }
   return nullptr;
 }
@@ -155,22 +156,23 @@
 ScriptedEndpoint::ScriptedEndpoint(Loop& loop, EndpointScript& script, std::string id)
     : id_(std::move(id)), listener_(loop.scheduler, [this, &loop, &script](int fd) {
         const std::size_t number = ++script.accepted;
-        script.crew.add(std::make_unique<ScriptedConnection>(script, id_, loop.scheduler, number)).adopt(fd);
+        script.connections.add(std::make_unique<ScriptedConnection>(script, id_, loop.scheduler, number))
+            .adopt(fd);
       }) {
   listener_.listen(loopback(0));
   address_ = listener_.address().value();
 }
 
-std::string answer(int status, const std::string& attempt_id, const std::string& body,
-                   const std::string& extra_fields) {
+std::string response_text(int status, const std::string& attempt_id, const std::string& body,
+                          const std::string& extra_fields) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " Status\r\n";
   if (!attempt_id.empty()) out += "X-Chutevane-Attempt-Id: " + attempt_id + "\r\n";
   out += "X-Chutevane-Server-Seal: seal-" + attempt_id + "\r\n" + extra_fields;
-  return out + sized(body);
+  return out + with_content_length(body);
 }
 
 std::string rejection(int status, const std::string& attempt_id) {
-  return answer(status, attempt_id, "full", "X-Chutevane-Not-Executed: full\r\n");
+  return response_text(status, attempt_id, "full", "X-Chutevane-Not-Executed: full\r\n");
 }
 
 std::string stream_head(const std::string& attempt_id, const std::string& extra_fields) {
@@ -189,33 +191,33 @@
   return std::string(size, static_cast<std::size_t>(n)) + bytes + "\r\n";
 }
 
-std::string whole_stream(const std::string& attempt_id, const std::vector<std::string>& pieces,
-                         const std::string& extra_fields) {
+std::string complete_stream(const std::string& attempt_id, const std::vector<std::string>& pieces,
+                            const std::string& extra_fields) {
   std::string out = stream_head(attempt_id, extra_fields);
   int id = 0;
   for (const std::string& piece : pieces) out += chunk(event_text(++id, piece));
   return out + last_chunk;
 }
 
-// ---- kinds of route
+// ---- kinds of routes
 
-std::string name_of(Kind kind) {
+std::string name_of(RouteKind kind) {
   switch (kind) {
-    case Kind::idempotent: return "idempotent";
-    case Kind::non_idempotent: return "non_idempotent";
-    case Kind::streaming: return "streaming";
-    case Kind::turn: return "turn";
+    case RouteKind::idempotent: return "idempotent";
+    case RouteKind::non_idempotent: return "non_idempotent";
+    case RouteKind::streaming: return "streaming";
+    case RouteKind::turn: return "turn";
   }
   return "";
 }
 
-std::string good_answer(Kind kind, const std::string& attempt_id, const std::string& extra_fields) {
-  if (!streams(kind)) return answer(200, attempt_id, good_body(kind, attempt_id), extra_fields);
-  return whole_stream(attempt_id, {"one of " + attempt_id, "two of " + attempt_id}, extra_fields);
+std::string valid_response(RouteKind kind, const std::string& attempt_id, const std::string& extra_fields) {
+  if (!is_streaming(kind)) return response_text(200, attempt_id, valid_body(kind, attempt_id), extra_fields);
+  return complete_stream(attempt_id, {"one of " + attempt_id, "two of " + attempt_id}, extra_fields);
 }
 
-std::string good_body(Kind kind, const std::string& attempt_id) {
-  if (!streams(kind)) return "body of " + attempt_id;
+std::string valid_body(RouteKind kind, const std::string& attempt_id) {
+  if (!is_streaming(kind)) return "body of " + attempt_id;
   return event_text(1, "one of " + attempt_id) + event_text(2, "two of " + attempt_id);
 }
 
@@ -228,7 +230,7 @@
   socklen_t size = sizeof address_;
   const bool full = ::bind(listening_, at, size) == 0 && ::listen(listening_, 0) == 0 &&
                     ::getsockname(listening_, at, &size) == 0 && ::connect(filler_, at, size) == 0;
-  if (!full) throw std::runtime_error("no silent address");
+  if (!full) throw std::runtime_error("cannot fill the accept queue of a loopback address");
 }
 
 SilentAddress::~SilentAddress() {
@@ -260,7 +262,7 @@
   heartbeat.number = value_.number + heartbeat_ahead_;
   heartbeat.edge_count = 1;
   connection.send(heartbeat);
-  // The list first: the acknowledgement of the value then tells of both.
+  // The list is sent first, so that the acknowledgement of the value covers both.
   if (hello.list_number < list_.number) connection.send(list_);
   if (hello.member.number < value_.number) connection.send(common::ValuePush{value_.number, value_, {}});
 }
@@ -299,25 +301,26 @@
     if (silent_on_reserve) return;
     reserved[reserve.attempt] = reserve.max_tokens;
     common::ReserveReply reserved_now;
-    reserved_now.others = others;
+    reserved_now.others = other_reservations;
     connection.reply(number, reserved_now);
   });
   rpc_server_.on<common::CommitUsage>(
       [this](common::RpcServer::Connection&, std::uint64_t, const common::CommitUsage& settle) {
-        settled[settle.attempt] = settle.used_tokens;
+        committed[settle.attempt] = settle.used_tokens;
       });
   rpc_server_.on<common::StoreTurnRequest>([this](common::RpcServer::Connection& connection,
                                                   std::uint64_t number,
                                                   const common::StoreTurnRequest& keep) {
-    if (silent_on_keep) return;
-    kept[keep.turn.id] = keep.turn;
-    settled[keep.turn.id] = keep.used_tokens;
+    if (silent_on_store) return;
+    stored_turns[keep.turn.id] = keep.turn;
+    committed[keep.turn.id] = keep.used_tokens;
     connection.reply(number, common::StoreTurnReply{});
   });
   rpc_server_.on<common::FindTurnRequest>([this](common::RpcServer::Connection& connection,
                                                  std::uint64_t number, const common::FindTurnRequest& find) {
     common::FindTurnReply found;
-    if (const auto known = kept.find(find.id); known != kept.end()) found.turns.push_back(known->second);
+    if (const auto known = stored_turns.find(find.id); known != stored_turns.end())
+      found.turns.push_back(known->second);
     if (found.turns.empty()) found.verdict = static_cast<std::int64_t>(storage::ReplicaStatus::not_found);
     connection.reply(number, found);
   });
@@ -326,7 +329,7 @@
 
 // ---- clients
 
-std::string Answer::field(std::string_view name) const {
+std::string Response::field(std::string_view name) const {
   for (const auto& [known, value] : fields) {
     if (http::same_name(known, name)) return value;
   }
@@ -335,29 +338,29 @@
 
 ClientConnection::ClientConnection(Loop& loop, const sockaddr_in& to)
     : channel_(loop.scheduler, static_cast<net::Channel::Observer&>(*this)),
-      parser_(http::Side::response, anything) {
-  if (!channel_.connect(to)) throw std::runtime_error("no descriptor for a client");
+      parser_(http::Side::response, permissive_limits) {
+  if (!channel_.connect(to)) throw std::runtime_error("cannot open a socket for a client connection");
 }
 
 void ClientConnection::send(std::string_view bytes, bool head) {
-  if (waiting_.empty()) parser_.reset(head);
-  waiting_.push_back(head);
-  channel_.write(bytes);  // goes out once the connection stands
+  if (pending_requests_.empty()) parser_.reset(head);
+  pending_requests_.push_back(head);
+  channel_.write(bytes);  // sent once the connection is established
 }
 
-void ClientConnection::on_channel_data(net::Channel&) { look(); }
+void ClientConnection::on_channel_data(net::Channel&) { process_input(); }
 
-void ClientConnection::look() {
+void ClientConnection::process_input() {
   while (channel_.in_size() > 0) {
     const std::span<char> bytes = channel_.in().bytes();
-    if (waiting_.empty()) {
-      unasked.append(bytes.data(), bytes.size());
+    if (pending_requests_.empty()) {
+      unsolicited.append(bytes.data(), bytes.size());
       channel_.in().consume(bytes.size());
       return;
     }
     const http::Progress progress = parser_.feed(bytes);
     if (progress == http::Progress::failed) {
-      unasked.append(bytes.data(), bytes.size());
+      unsolicited.append(bytes.data(), bytes.size());
       channel_.in().consume(bytes.size());
       parser_.reset();
       return;
@@ -365,26 +368,26 @@
     if (parser_.head_done()) partial_body = parser_.body();
     if (progress != http::Progress::complete) return;
     if (parser_.status() < 200) {
-      ++interim;
+      ++interim_responses;
     } else {
-      Answer& one = answers.emplace_back();
+      Response& one = responses.emplace_back();
       one.status = parser_.status();
       one.body = parser_.body();
-      one.whole = true;
+      one.is_complete = true;
       one.keep_alive = parser_.keep_alive();
       for (std::size_t i = 0; i < parser_.fields(); ++i)
         one.fields.emplace_back(parser_.field(i).name, parser_.field(i).value);
-      waiting_.pop_front();
+      pending_requests_.pop_front();
     }
     channel_.in().consume(parser_.size());
     partial_body.clear();
-    parser_.reset(!waiting_.empty() && waiting_.front());
+    parser_.reset(!pending_requests_.empty() && pending_requests_.front());
   }
 }
 
 void ClientConnection::on_channel_closed(net::Channel&) {
-  ended = true;
-  ended_midway = parser_.begun();
+  closed = true;
+  closed_mid_response = parser_.begun();
 }
 
 // ---- the edge
@@ -413,26 +416,27 @@
   if (!attempt_id.empty()) out += "X-Chutevane-Attempt-Id: " + attempt_id + "\r\n";
   out += "X-Chutevane-Time-Remaining: " + std::to_string(options.time_remaining_ms) + "\r\n";
   out += options.extra_fields;
-  return out + (options.method == "GET" || options.method == "HEAD" ? "\r\n" : sized(options.body));
+  return out +
+         (options.method == "GET" || options.method == "HEAD" ? "\r\n" : with_content_length(options.body));
 }
 
-RequestOptions request_of(Kind kind) {
+RequestOptions request_of(RouteKind kind) {
   RequestOptions out;
   switch (kind) {
-    case Kind::idempotent: out.path = "/idempotent/x"; break;
-    case Kind::non_idempotent: out.path = "/once/x"; break;
-    case Kind::streaming: out.path = "/stream/x"; break;
-    case Kind::turn:
+    case RouteKind::idempotent: out.path = "/idempotent/x"; break;
+    case RouteKind::non_idempotent: out.path = "/once/x"; break;
+    case RouteKind::streaming: out.path = "/stream/x"; break;
+    case RouteKind::turn:
       out.path = "/turn/x";
       out.extra_fields = "Program: p\r\nSession: s\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,20\r\n";
-      out.extra_fields += "Previous: " + turn_before + "\r\n";
+      out.extra_fields += "Previous: " + previous_turn_id + "\r\n";
       break;
   }
   return out;
 }
 
-Scene::Scene(std::size_t endpoint_count, const RouteOptions& route, const LimitOptions& limits,
-             Informed informed)
+TestEnvironment::TestEnvironment(std::size_t endpoint_count, const RouteOptions& route,
+                                 const LimitOptions& limits, Configured configured)
     : script(loop.scheduler) {
   for (std::size_t i = 0; i < endpoint_count; ++i) {
     endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop, script, numbered("i-", i + 1)));
@@ -453,7 +457,7 @@
   storage_node.disk = "disk-1";
   storage_node.address = net::text_of(storage_address);
   storage_node.zone = "z";
-  if (informed == Informed::yes) {
+  if (configured == Configured::yes) {
     configure(route, limits);
     control->list(listed);
   }
@@ -470,58 +474,58 @@
   settings.descriptors = 4096;
   settings.machine_losses = 0;
   edge = std::make_unique<DataPlane>(loop.scheduler, settings);
-  if (!edge->open().ok()) throw std::runtime_error("the edge does not open");
-  if (informed == Informed::yes && !in_force())
-    throw std::runtime_error("the edge has not taken up its configuration");
+  if (!edge->open().ok()) throw std::runtime_error("the edge failed to open");
+  if (configured == Configured::yes && !wait_until_applied())
+    throw std::runtime_error("the edge has not applied its configuration");
 }
 
-Scene::~Scene() = default;
+TestEnvironment::~TestEnvironment() = default;
 
-void Scene::configure(const RouteOptions& route, const LimitOptions& limits) {
+void TestEnvironment::configure(const RouteOptions& route, const LimitOptions& limits) {
   control->configure(configuration_text(route, limits), {storage_node});
 }
 
-void Scene::list_endpoints() { control->list(listed); }
+void TestEnvironment::list_endpoints() { control->list(listed); }
 
-bool Scene::in_force() {
+bool TestEnvironment::wait_until_applied() {
   return loop.until([this] { return control->acknowledged(); });
 }
 
-std::unique_ptr<ClientConnection> Scene::client() {
+std::unique_ptr<ClientConnection> TestEnvironment::client() {
   auto out = std::make_unique<ClientConnection>(loop, front);
   loop.until([&] { return out->connected; });
   return out;
 }
 
-bool Scene::answered(ClientConnection& client, std::size_t answers) {
-  return loop.until([&] { return client.answers.size() >= answers || client.ended; }) &&
-         client.answers.size() >= answers;
+bool TestEnvironment::wait_for_responses(ClientConnection& client, std::size_t responses) {
+  return loop.until([&] { return client.responses.size() >= responses || client.closed; }) &&
+         client.responses.size() >= responses;
 }
 
-void Scene::answer_well(Kind kind) {
+void TestEnvironment::respond_normally(RouteKind kind) {
   script.on_request = [kind](ScriptedConnection& connection, const ReceivedRequest& request) {
-    connection.send(good_answer(kind, request.attempt_id));
+    connection.send(valid_response(kind, request.attempt_id));
   };
 }
 
-bool Scene::prepare(Kind kind) {
-  if (kind != Kind::turn) return true;
-  // Its connection is not kept: the next request finds the endpoints as a new one does.
+bool TestEnvironment::prepare_previous_turn(RouteKind kind) {
+  if (kind != RouteKind::turn) return true;
+  // The connection is closed, so that the next request starts without an idle connection.
   script.on_request = [](ScriptedConnection& connection, const ReceivedRequest& request) {
-    connection.send(good_answer(Kind::turn, request.attempt_id, "Connection: close\r\n"));
+    connection.send(valid_response(RouteKind::turn, request.attempt_id, "Connection: close\r\n"));
   };
-  RequestOptions first = request_of(Kind::turn);
+  RequestOptions first = request_of(RouteKind::turn);
   first.extra_fields = "Program: p\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,20\r\n";
-  const Answer got = ask(turn_before, first);
+  const Response response = send_request(previous_turn_id, first);
   script.on_request = nullptr;
-  return got.status == 200 && storage->kept.contains(turn_before);
+  return response.status == 200 && storage->stored_turns.contains(previous_turn_id);
 }
 
-Answer Scene::ask(const std::string& attempt_id, const RequestOptions& options) {
+Response TestEnvironment::send_request(const std::string& attempt_id, const RequestOptions& options) {
   const std::unique_ptr<ClientConnection> connection = client();
   connection->send(request_text(attempt_id, options), options.method == "HEAD");
-  if (answered(*connection)) return connection->answers.front();
-  Answer out;
+  if (wait_for_responses(*connection)) return connection->responses.front();
+  Response out;
   out.body = connection->partial_body;
   return out;
 }
--- a/tests/edge/harness.hpp
+++ b/tests/edge/harness.hpp
@@ -1,9 +1,9 @@
-/// A real edge between scripted peers, all on one loop and real loopback sockets.
+/// Test environment: a real edge between scripted peers, all on one event loop with real loopback sockets.
 ///
-/// The edge under test is the production DataPlane on the machine's epoll. Around it stand a control session
-/// that pushes what a test wants in force, a storage sidecar, endpoints that play a misbehaviour byte by
-/// byte, and client connections that keep whatever came back. Everything runs on the test's own thread:
-/// nothing happens between two turns of the loop, nothing sleeps, and every wait has a bound.
+/// The edge under test is the production DataPlane on the machine's epoll. Its peers are a control session
+/// that pushes the state that a test needs, a storage node, endpoints that misbehave byte by byte, and client
+/// connections that record everything they receive. Everything runs on the test's own thread: nothing happens
+/// between two iterations of the loop, nothing sleeps, and every wait is bounded.
 #pragma once
 
 #include <deque>
@@ -27,25 +27,25 @@
 
 namespace chutevane::edge::harness {
 
-constexpr Span wait_limit = Span::ms(5000);  // for anything that is expected to happen
+constexpr Span wait_limit = Span::ms(5000);  // default bound of a wait
 
-// An address of 127.`network`.0.0/16 that is this process's own: a port that was free there a moment ago is
-// not taken by a test beside it.
+// Returns an address of 127.`network`.0.0/16 that only this process uses, so that a test running in parallel
+// can't take a port that was just found free.
 std::uint32_t own_loopback(std::uint8_t network);
-// A word and its number.
+// Returns the word followed by the number.
 std::string numbered(const char* word, std::size_t number);
-// An address on loopback whose port nobody had a moment ago.
+// Returns a loopback address with a port that is currently free.
 sockaddr_in free_address(net::Scheduler& scheduler);
 
-// The loop that everything in a test shares.
+// The event loop shared by everything in a test.
 class Loop {
  public:
   Loop() : later(scheduler) {}
-  // Turns the loop until `done` holds. False: it did not within the limit.
+  // Runs the loop until `done` returns true. Returns false if that does not happen within the limit.
   bool until(const std::function<bool()>& done, Span limit = wait_limit);
-  // Turns the loop for so long, so that what must not happen has its chance to.
+  // Runs the loop for `span`, so that events that must not happen would have time to.
   void run_for(Span span);
-  // Stops the whole loop, as a process that is frozen: what comes meanwhile waits in the sockets.
+  // Blocks the whole loop, like a suspended process. Data that arrives meanwhile waits in the sockets.
   void freeze(Span span) const;
 
   net::Scheduler scheduler;
@@ -54,16 +54,16 @@
 
 // ---- endpoints
 
-// A request as it came whole to an endpoint.
+// A request that an endpoint received completely.
 struct ReceivedRequest {
   std::string method, target, attempt_id, target_instance, last_event, body;
-  std::size_t connection = 0;  // the number of the connection, from 1 on, over all endpoints of the script
+  std::size_t connection = 0;  // number of the connection, starting at 1, across all endpoints of the script
   std::string endpoint;
 };
 
 class EndpointScript;
 
-// One connection as the script of an endpoint sees it. The script says every byte.
+// The endpoint's side of a connection. The script determines every byte that is sent.
 class ScriptedConnection final : net::Channel::Observer {
  public:
   ScriptedConnection(EndpointScript& script, std::string endpoint, net::Scheduler& scheduler,
@@ -77,7 +77,7 @@
   bool open() const { return channel_.open(); }
   std::size_t number() const { return number_; }
   const std::string& endpoint() const { return endpoint_; }
-  std::size_t requests = 0;  // that came whole on it
+  std::size_t requests = 0;  // requests received completely on this connection
   std::size_t group_index = 0;
 
  private:
@@ -92,35 +92,38 @@
   bool bytes_seen_ = false, head_seen_ = false;
 };
 
-// What all endpoints of a test do, and what they have seen. Callbacks may end the connection.
+// The behaviour of all endpoints of a test, and a record of what they received. Callbacks may close the
+// connection.
 class EndpointScript {
  public:
-  explicit EndpointScript(net::Scheduler& scheduler) : crew(scheduler) {}
+  explicit EndpointScript(net::Scheduler& scheduler) : connections(scheduler) {}
 
   std::function<void(ScriptedConnection&)> on_accept;
-  // The first bytes of a request, before they are read.
+  // Called for the first bytes of a request, before they are parsed.
   std::function<void(ScriptedConnection&)> on_bytes;
   std::function<void(ScriptedConnection&, const std::string& attempt_id)> on_head;
   std::function<void(ScriptedConnection&, const ReceivedRequest&)> on_request;
 
-  std::vector<ReceivedRequest> received;                 // every request that came whole
-  std::map<std::string, std::set<std::string>> reached;  // attempt id -> endpoints that got its head
-  std::map<std::string, std::size_t> heads;              // attempt id -> heads that came, over all endpoints
-  std::set<std::size_t> ended;                           // connections that are over
+  std::vector<ReceivedRequest> received;                 // all requests received completely
+  std::map<std::string, std::set<std::string>> reached;  // attempt id -> endpoints that received its head
+  std::map<std::string, std::size_t> heads;              // attempt id -> heads received, across all endpoints
+  std::set<std::size_t> closed_connections;              // numbers of closed connections
   std::size_t accepted = 0;
-  net::TaskGroup<ScriptedConnection> crew;
+  net::TaskGroup<ScriptedConnection> connections;
 
+  // Returns how often a request with this attempt id was received completely.
   std::size_t executions(const std::string& attempt_id) const;
-  // The open connection of that number, if it is still open.
+  // Returns the connection with that number, or null if it is closed.
   ScriptedConnection* connection(std::size_t number);
 };
 
+// A listening endpoint whose connections follow the script.
 class ScriptedEndpoint {
  public:
   ScriptedEndpoint(Loop& loop, EndpointScript& script, std::string id);
   sockaddr_in address() const { return address_; }
   const std::string& id() const { return id_; }
-  void stop_listening() { listener_.close(); }  // from here on connecting is refused
+  void stop_listening() { listener_.close(); }  // new connections are refused from now on
 
  private:
   const std::string id_;
@@ -128,7 +131,7 @@
   net::Listener listener_;
 };
 
-// An address whose queue of connections is full: connecting neither succeeds nor is refused.
+// An address whose accept queue is full: a connection attempt neither succeeds nor is refused.
 class SilentAddress {
  public:
   SilentAddress();
@@ -142,43 +145,47 @@
   sockaddr_in address_{};
 };
 
-// Answers as the protocol has them.
-std::string answer(int status, const std::string& attempt_id, const std::string& body,
-                   const std::string& extra_fields = "");
-std::string rejection(int status, const std::string& attempt_id);  // that proves that it did not run
+// Responses of an endpoint according to the protocol.
+std::string response_text(int status, const std::string& attempt_id, const std::string& body,
+                          const std::string& extra_fields = "");
+std::string rejection(int status, const std::string& attempt_id);  // with proof that the request did not run
 std::string stream_head(const std::string& attempt_id, const std::string& extra_fields = "");
 std::string event_text(int id, const std::string& data);
 std::string chunk(const std::string& bytes);
 inline const std::string last_chunk = "0\r\n\r\n";
-std::string whole_stream(const std::string& attempt_id, const std::vector<std::string>& pieces,
-                         const std::string& extra_fields = "");
-
-// ---- kinds of route
-
-enum class Kind : std::uint8_t { idempotent, non_idempotent, streaming, turn };
-constexpr Kind all_kinds[] = {Kind::idempotent, Kind::non_idempotent, Kind::streaming, Kind::turn};
-std::string name_of(Kind kind);
-constexpr bool streams(Kind kind) { return kind == Kind::streaming || kind == Kind::turn; }
-// What an endpoint says where nothing is wrong, and the body that its client is to get.
-std::string good_answer(Kind kind, const std::string& attempt_id, const std::string& extra_fields = "");
-std::string good_body(Kind kind, const std::string& attempt_id);
+std::string complete_stream(const std::string& attempt_id, const std::vector<std::string>& pieces,
+                            const std::string& extra_fields = "");
+
+// ---- kinds of routes
+
+enum class RouteKind : std::uint8_t { idempotent, non_idempotent, streaming, turn };
+constexpr RouteKind all_kinds[] = {RouteKind::idempotent, RouteKind::non_idempotent, RouteKind::streaming,
+                                   RouteKind::turn};
+std::string name_of(RouteKind kind);
+constexpr bool is_streaming(RouteKind kind) {
+  return kind == RouteKind::streaming || kind == RouteKind::turn;
+}
+// The response of an endpoint without faults, and the body that the client should receive.
+std::string valid_response(RouteKind kind, const std::string& attempt_id,
+                           const std::string& extra_fields = "");
+std::string valid_body(RouteKind kind, const std::string& attempt_id);
 
 // ---- control and storage
 
-// The control side of the edge's session: pushes one configuration and one list.
+// The control side of the edge's session. Pushes one configuration and one endpoint list.
 class ScriptedControl {
  public:
   ScriptedControl(Loop& loop, const sockaddr_in& at);
-  // In force from the next word on.
+  // Pushes a new configuration and storage map to all sessions.
   void configure(const std::string& configuration, const std::vector<common::StorageNode>& storage,
                  std::int64_t map = 1);
   void list(const std::vector<common::EndpointEntry>& endpoints);
-  // Heartbeats name a value that is newer by so much than any that is pushed.
-  void name_a_newer_value(std::int64_t by) { heartbeat_ahead_ = by; }
-  // Who has a session, by its last word.
+  // Makes heartbeats announce a value that is newer by `by` than any value that is pushed.
+  void announce_newer_value(std::int64_t by) { heartbeat_ahead_ = by; }
+  // Returns the member of the last heartbeat.
   const std::optional<common::Member>& member() const { return member_; }
   void forget_member() { member_.reset(); }
-  // Whether the edge has told that it has the newest of both.
+  // Returns true if the edge has acknowledged the newest value and the newest list.
   bool acknowledged() const;
 
  private:
@@ -192,15 +199,15 @@
   std::set<std::uint64_t> connections_;
 };
 
-// One storage sidecar that has room for everything, or says nothing at all.
+// A storage node that accepts everything, or does not reply at all.
 class ScriptedStorage {
  public:
   ScriptedStorage(Loop& loop, const sockaddr_in& at);
-  bool silent_on_reserve = false, silent_on_keep = false;
-  std::map<std::string, std::int64_t> reserved;  // attempt id -> tokens
-  std::map<std::string, std::int64_t> settled;   // attempt id -> tokens used; 0: it never ran
-  std::map<std::string, common::Turn> kept;
-  std::vector<common::Reservation> others;  // of the program, as a reservation is told
+  bool silent_on_reserve = false, silent_on_store = false;
+  std::map<std::string, std::int64_t> reserved;   // attempt id -> tokens
+  std::map<std::string, std::int64_t> committed;  // attempt id -> tokens used; 0 if the request never ran
+  std::map<std::string, common::Turn> stored_turns;
+  std::vector<common::Reservation> other_reservations;  // reported in the reply to a reservation
 
  private:
   common::RpcServer rpc_server_;
@@ -208,62 +215,62 @@
 
 // ---- clients
 
-struct Answer {
+struct Response {
   int status = 0;
   std::string body;
   std::vector<std::pair<std::string, std::string>> fields;
-  bool whole = false;  // false: the connection ended in its middle
+  bool is_complete = false;  // false if the connection closed in the middle of the response
   bool keep_alive = false;
-  std::string field(std::string_view name) const;  // empty: there is none
+  std::string field(std::string_view name) const;  // returns an empty string if the field is absent
 };
 
-// A client's connection: answers in the order in which they came, and whether anything else came.
+// A client's connection. Records responses in the order of their arrival, and any other bytes.
 class ClientConnection final : net::Channel::Observer {
  public:
   ClientConnection(Loop& loop, const sockaddr_in& to);
-  // Writes a request; `head`: for a HEAD, whose answer has no body.
+  // Writes a request. `head` is true for a HEAD request, whose response has no body.
   void send(std::string_view bytes, bool head = false);
   void send_more(std::string_view bytes) { channel_.write(bytes); }
-  // So that a large answer is not moved about as it comes.
-  void make_room(std::size_t bytes) { channel_.in().room(bytes); }
+  // Reserves buffer space, so that a large response is not copied repeatedly while it arrives.
+  void reserve_buffer(std::size_t bytes) { channel_.in().room(bytes); }
   void close() { channel_.close(); }
   void reset() { channel_.reset(); }
-  void end_writing() { channel_.shutdown_write_when_flushed(); }
+  void shutdown_write() { channel_.shutdown_write_when_flushed(); }
   void stop_reading() { channel_.set_reading_paused(true); }
   void resume_reading() { channel_.set_reading_paused(false); }
 
-  std::vector<Answer> answers;
-  std::size_t interim = 0;    // 1xx answers
-  std::string unasked;        // bytes that came with no request waiting, or that are no answer
-  std::string partial_body;   // of the answer under way
-  bool ended = false;         // the edge has ended the connection
-  bool ended_midway = false;  // in the middle of an answer
+  std::vector<Response> responses;
+  std::size_t interim_responses = 0;  // number of 1xx responses
+  std::string unsolicited;            // bytes received without a pending request, or that are not a response
+  std::string partial_body;           // of the response that is being received
+  bool closed = false;                // the edge has closed the connection
+  bool closed_mid_response = false;   // closed in the middle of a response
   bool connected = false;
 
  private:
   void on_channel_open(net::Channel&) override { connected = true; }
   void on_channel_data(net::Channel&) override;
   void on_channel_closed(net::Channel&) override;
-  void look();
+  void process_input();
   net::Channel channel_;
   http::Parser parser_;
-  std::deque<bool> waiting_;  // one for each request that is not answered: whether it is a HEAD
-  std::string out_;           // before the connection stands
+  std::deque<bool> pending_requests_;  // for each unanswered request, whether it is a HEAD request
+  std::string out_;                    // unsent bytes, before the connection is established
 };
 
 // ---- the edge
 
 struct RouteOptions {
   int timeout_ms = 4000, max_attempts = 3;
-  bool resumable = false;    // the streaming route
-  int tokens_per_event = 0;  // of the service's engine; 0: it states none
+  bool resumable = false;    // for the streaming route
+  int tokens_per_event = 0;  // of the service's engine; 0 if not configured
 };
 struct LimitOptions {
   int header_ms = 3000, idle_ms = 15000;
   std::size_t body_bytes = 64U << 20U;
 };
 
-// Paths of the routes that the configuration has: /idempotent/, /once/, /stream/, /turn/.
+// Returns a configuration with routes for the paths /idempotent/, /once/, /stream/ and /turn/.
 std::string configuration_text(const RouteOptions& route, const LimitOptions& limits);
 
 struct RequestOptions {
@@ -272,32 +279,34 @@
   std::string extra_fields;
 };
 std::string request_text(const std::string& attempt_id, const RequestOptions& options);
-// A request of that kind; a turn goes on from the turn `before` and has a budget.
-RequestOptions request_of(Kind kind);
-inline const std::string turn_before = "before";
+// Returns a request to a route of that kind. A turn continues the turn `previous_turn_id` and has a budget.
+RequestOptions request_of(RouteKind kind);
+inline const std::string previous_turn_id = "before";
 
-// The whole scene.
-class Scene {
+// The edge with all its peers.
+class TestEnvironment {
  public:
-  enum class Informed : bool { no, yes };
-  // Informed: the edge has its configuration and its list; else control says nothing yet.
-  explicit Scene(std::size_t endpoints, const RouteOptions& route = {}, const LimitOptions& limits = {},
-                 Informed informed = Informed::yes);
-  ~Scene();
-  // Another configuration of the same routes is in force from now on.
+  enum class Configured : bool { no, yes };
+  // If `configured` is `yes`, the edge has applied its configuration and endpoint list when the constructor
+  // returns; otherwise control has not pushed anything.
+  explicit TestEnvironment(std::size_t endpoints, const RouteOptions& route = {},
+                           const LimitOptions& limits = {}, Configured configured = Configured::yes);
+  ~TestEnvironment();
+  // Pushes another configuration of the same routes.
   void configure(const RouteOptions& route, const LimitOptions& limits);
-  // Tells the edge of these endpoints, as they are now.
+  // Pushes the endpoints in `listed`.
   void list_endpoints();
-  // The edge has the newest configuration and list.
-  bool in_force();
+  // Waits until the edge has applied the newest configuration and list. Returns false on timeout.
+  bool wait_until_applied();
   std::unique_ptr<ClientConnection> client();
-  // One request on a connection of its own, until it is answered or the connection has ended.
-  Answer ask(const std::string& attempt_id, const RequestOptions& options);
-  bool answered(ClientConnection& client, std::size_t answers = 1);
-  // Every request gets its good answer from here on.
-  void answer_well(Kind kind);
-  // Where the kind is a turn: the turn that it goes on from, answered and kept.
-  bool prepare(Kind kind);
+  // Sends one request on a new connection and waits for the response or the end of the connection.
+  Response send_request(const std::string& attempt_id, const RequestOptions& options);
+  bool wait_for_responses(ClientConnection& client, std::size_t responses = 1);
+  // Makes the endpoints answer every request with a valid response.
+  void respond_normally(RouteKind kind);
+  // For the kind `turn`, runs and stores the turn that a request of request_of() continues. Returns false on
+  // failure.
+  bool prepare_previous_turn(RouteKind kind);
 
   Loop loop;
   EndpointScript script;
--- a/tests/edge/storage_client_test.cpp
+++ b/tests/edge/storage_client_test.cpp
@@ -1,5 +1,5 @@
-/// What a sidecar of the traffic asks of storage, where none of it answers: one answer to each, in time, and
-/// never one that promises what nobody has kept.
+/// The storage client while no storage node replies: each operation ends exactly once, in time, and never
+/// reports success for data that is not stored.
 #include "edge/storage_client.hpp"
 
 #include <string>
@@ -20,16 +20,16 @@
 
 namespace {
 
-std::vector<StorageNode> storage_nodes(int n, int leaving = 0) {
-  std::vector<StorageNode> out;
+std::vector<StorageNode> storage_nodes(int n, int draining_count = 0) {
+  std::vector<StorageNode> result;
   for (int i = 0; i < n; ++i) {
-    StorageNode& c = out.emplace_back();
-    c.node = numbered("n", i);
-    c.address = numbered("10.0.0.", i + 1);
-    c.address += ":7381";
-    c.draining = i < leaving;
+    StorageNode& storage_node = result.emplace_back();
+    storage_node.node = numbered("n", i);
+    storage_node.address = numbered("10.0.0.", i + 1);
+    storage_node.address += ":7381";
+    storage_node.draining = i < draining_count;
   }
-  return out;
+  return result;
 }
 
 }  // namespace
@@ -48,49 +48,50 @@
   CHECK_FALSE(client.can_replicate());
   client.on_storage_map(3, storage_nodes(3, 1));
   CHECK_TRUE(client.can_replicate());
-  client.on_storage_map(2, storage_nodes(1));  // an older map is no news
+  client.on_storage_map(2, storage_nodes(1));  // an older map is ignored
   CHECK_TRUE(client.can_replicate());
 }
 
-// What an answer was, and when; checked once all has been played: a failed check does not leave a coroutine.
+// Records the result of an operation and its time. Checked after the simulation has run, because a failed
+// check must not leave a coroutine.
 struct Outcome {
   int times = 0;
-  bool promised = false;
+  bool succeeded = false;
   TimePoint at;
-  void operator()(bool promise, TimePoint when) {
+  void operator()(bool success, TimePoint when) {
     ++times;
-    promised = promise;
+    succeeded = success;
     at = when;
   }
 };
 
-TEST(StorageClientAlone, OneAnswerAndNoPromise) {
+TEST(StorageClientAlone, EndsOnceWithoutSuccess) {
   for (const int n : {0, 1, 2, 3, 5}) {
     client.on_storage_map(n + 1, storage_nodes(n));
-    Outcome reserved, kept, found;
+    Outcome reserved, stored, found;
     const TimePoint until = in(800);
     client.reserve("p", "a", 10, 100, until, [&](ReservationResult g) {
       reserved(g != ReservationResult::unavailable, clock.system.now());
     });
     const Turn turn{std::string("a"), "", std::string("p"), {}, {}, 60000};
-    client.store_turn(turn, 5, until, [&](bool yes) { kept(yes, clock.system.now()); });
+    client.store_turn(turn, 5, until, [&](bool is_stored) { stored(is_stored, clock.system.now()); });
     client.find_chain("b", "p", "", until, [&](const TurnChain& chain) {
       found(chain.result != LookupResult::unavailable || !chain.turns.empty(), clock.system.now());
     });
     client.commit_usage("p", "a", 3);
     client.release("p", "c");
     clock.play(Span::ms(4000));
-    for (const Outcome* outcome : {&reserved, &kept, &found}) {
+    for (const Outcome* outcome : {&reserved, &stored, &found}) {
       CHECK_WHERE(outcome->times == 1, numbered("of ", n));
-      CHECK_WHERE(!outcome->promised, numbered("of ", n));
+      CHECK_WHERE(!outcome->succeeded, numbered("of ", n));
     }
     CHECK_WHERE(reserved.at <= until + Span::ms(60), numbered("of ", n));
-    CHECK_WHERE(kept.at <= until + Span::ms(60), numbered("of ", n));
+    CHECK_WHERE(stored.at <= until + Span::ms(60), numbered("of ", n));
     CHECK_EQUAL(static_cast<std::size_t>(0), client.cached_turns());
   }
 }
 
-// A turn that goes on from none has its chain at once.
+// A request without a previous turn has an empty chain immediately.
 TEST(StorageClientAlone, EmptyChainIsComplete) {
   bool whole = false;
   client.find_chain("", "p", "", in(100), [&](const TurnChain& chain) {
@@ -99,7 +100,7 @@
   CHECK_TRUE(whole);
 }
 
-// Connections that do not come up are asked for again with pauses, not in a ring.
+// Failed connections are retried with a backoff, not in a busy loop.
 TEST(StorageClientAlone, ConnectsWithBackoff) {
   client.on_storage_map(1, storage_nodes(3));
   clock.play(Span::ms(10000));
@@ -111,12 +112,12 @@
   StorageClient client{clock.scheduler, clock.later, "z", 1, 1U << 20U, 5};
 };
 
-// The client's time is over by then: a later answer only holds the request.
+// After the deadline the client no longer waits, so a later result would only delay the request.
 TEST(StorageClientLookup, EndsByItsDeadline) {
   for (const int n : {0, 1, 3, 5}) {
-    for (const double most : {100.0, 800.0}) {
+    for (const double time_limit_ms : {100.0, 800.0}) {
       client.on_storage_map(client.can_replicate() ? 100 + n : n + 1, storage_nodes(n));
-      const TimePoint until = clock.system.now() + Span::ms(most);
+      const TimePoint until = clock.system.now() + Span::ms(time_limit_ms);
       Outcome found;
       client.find_chain("b", "p", "", until, [&](const TurnChain&) { found(false, clock.system.now()); });
       clock.play(Span::ms(4000));
--- a/tests/edge/stream_resumption_test.cpp
+++ b/tests/edge/stream_resumption_test.cpp
@@ -1,5 +1,6 @@
-/// Streams that may be taken up elsewhere: one answer with its first endpoint's head, ids that rise, nothing
-/// missing and nothing twice, wherever the first endpoint is lost.
+/// Resumption of streams at another endpoint: the client gets one response with the head of the first
+/// endpoint and increasing event ids, nothing missing and nothing repeated, wherever the first endpoint
+/// fails.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,7 +11,7 @@
 namespace {
 
 constexpr int event_tokens = 15;
-constexpr int events_in_all = 4;
+constexpr int event_count = 4;
 const std::string id = "asked";
 
 std::string event_of(int number) {
@@ -28,7 +29,7 @@
 }
 
 RequestOptions with_budget() {
-  RequestOptions out = request_of(Kind::streaming);
+  RequestOptions out = request_of(RouteKind::streaming);
   out.extra_fields = "Program: p\r\nBudget: 1000\r\nX-Chutevane-Token-Count: 10,120\r\n";
   return out;
 }
@@ -36,172 +37,174 @@
 class StreamResumptionTest : public ::testing::Test {
  protected:
   StreamResumptionTest()
-      : scene(3,
-              {.timeout_ms = 1500, .max_attempts = 2, .resumable = true, .tokens_per_event = event_tokens}) {}
-  // An endpoint that goes on as it is asked to, up to `last` of its events.
-  static void go_on(ScriptedConnection& connection, const ReceivedRequest& request, int last) {
+      : env(3, {.timeout_ms = 1500, .max_attempts = 2, .resumable = true, .tokens_per_event = event_tokens}) {
+  }
+  // Sends the events after the requested Last-Event-Id, up to event `last`.
+  static void send_events(ScriptedConnection& connection, const ReceivedRequest& request, int last) {
     const int first = request.last_event.empty() ? 1 : std::stoi(request.last_event) + 1;
     connection.send(stream_head(request.attempt_id, "X-From: " + request.endpoint + "\r\n") +
                     chunks(first, last));
   }
   static void serve(ScriptedConnection& connection, const ReceivedRequest& request) {
-    go_on(connection, request, events_in_all);
+    send_events(connection, request, event_count);
     connection.send(last_chunk);
   }
-  Scene scene;
+  TestEnvironment env;
 };
 
-TEST_F(StreamResumptionTest, ResumesWhereItBroke) {
+TEST_F(StreamResumptionTest, ResumesAfterTheLastEvent) {
   for (const bool with_reset : {false, true}) {
-    for (int broken_after = 1; broken_after <= events_in_all; ++broken_after) {
+    for (int broken_after = 1; broken_after <= event_count; ++broken_after) {
       SCOPED_TRACE(broken_after);
       const std::string attempt =
           numbered(with_reset ? "reset" : "closed", static_cast<std::size_t>(broken_after));
-      const std::size_t before = scene.script.received.size();
-      std::size_t come = 0;
-      scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
-        if (++come > 1) return serve(connection, request);
-        go_on(connection, request, broken_after);
-        // Once the edge has read what was sent: the bytes lie in its socket before the end does.
-        scene.loop.later.after(Span::ms(20), [&connection, with_reset] {
+      const std::size_t before = env.script.received.size();
+      std::size_t request_count = 0;
+      env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+        if (++request_count > 1) return serve(connection, request);
+        send_events(connection, request, broken_after);
+        // Delayed until the edge has read the events.
+        env.loop.later.after(Span::ms(20), [&connection, with_reset] {
           if (with_reset) return connection.reset();
           connection.close();
         });
       };
-      const Answer got = scene.ask(attempt, with_budget());
-      EXPECT_EQ(got.status, 200);
-      EXPECT_TRUE(got.whole);
-      EXPECT_EQ(got.body, events(1, events_in_all));
-      ASSERT_EQ(scene.script.received.size(), before + 2);
-      const ReceivedRequest& first = scene.script.received[before];
-      const ReceivedRequest& second = scene.script.received[before + 1];
+      const Response response = env.send_request(attempt, with_budget());
+      EXPECT_EQ(response.status, 200);
+      EXPECT_TRUE(response.is_complete);
+      EXPECT_EQ(response.body, events(1, event_count));
+      ASSERT_EQ(env.script.received.size(), before + 2);
+      const ReceivedRequest& first = env.script.received[before];
+      const ReceivedRequest& second = env.script.received[before + 1];
       EXPECT_NE(first.endpoint, second.endpoint);
       EXPECT_EQ(first.last_event, "");
       EXPECT_EQ(second.last_event, std::to_string(broken_after));
-      EXPECT_EQ(got.field("X-From"), first.endpoint);
-      EXPECT_TRUE(scene.loop.until([&] { return scene.storage->settled.contains(attempt); }));
-      EXPECT_EQ(scene.storage->settled[attempt], events_in_all * event_tokens);
+      EXPECT_EQ(response.field("X-From"), first.endpoint);
+      EXPECT_TRUE(env.loop.until([&] { return env.storage->committed.contains(attempt); }));
+      EXPECT_EQ(env.storage->committed[attempt], event_count * event_tokens);
     }
   }
 }
 
-// What has come of an event that was not whole is no part of the answer.
-TEST_F(StreamResumptionTest, HalfAnEventIsDropped) {
+// An incomplete event is not forwarded.
+TEST_F(StreamResumptionTest, IncompleteEventIsDropped) {
   bool first = true;
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return serve(connection, request);
     connection.send(stream_head(request.attempt_id) + chunk(event_of(1)) + chunk("id: 2\ndata: pie"));
     connection.close();
   };
-  EXPECT_EQ(scene.ask(id, with_budget()).body, events(1, events_in_all));
+  EXPECT_EQ(env.send_request(id, with_budget()).body, events(1, event_count));
 }
 
-// The client's own Last-Event-Id goes along; what the edge has passed on since takes its place.
+// The client's own Last-Event-Id is forwarded, and replaced by the id of the last event that the edge has
+// forwarded.
 TEST_F(StreamResumptionTest, AClientThatResumesItself) {
   bool first = true;
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return serve(connection, request);
-    go_on(connection, request, 3);
+    send_events(connection, request, 3);
     connection.close();
   };
   RequestOptions options = with_budget();
   options.extra_fields += "Last-Event-Id: 1\r\n";
-  EXPECT_EQ(scene.ask(id, options).body, events(2, events_in_all));
-  ASSERT_EQ(scene.script.received.size(), 2U);
-  EXPECT_EQ(scene.script.received[0].last_event, "1");
-  EXPECT_EQ(scene.script.received[1].last_event, "3");
+  EXPECT_EQ(env.send_request(id, options).body, events(2, event_count));
+  ASSERT_EQ(env.script.received.size(), 2U);
+  EXPECT_EQ(env.script.received[0].last_event, "1");
+  EXPECT_EQ(env.script.received[1].last_event, "3");
 }
 
-TEST_F(StreamResumptionTest, BrokenBeforeItsFirstEventItIsSentAnew) {
+TEST_F(StreamResumptionTest, FailureBeforeTheFirstEventRestartsTheStream) {
   bool first = true;
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     if (!std::exchange(first, false)) return serve(connection, request);
     connection.send(stream_head(request.attempt_id));
     connection.close();
   };
-  EXPECT_EQ(scene.ask(id, with_budget()).body, events(1, events_in_all));
-  ASSERT_EQ(scene.script.received.size(), 2U);
-  EXPECT_EQ(scene.script.received[1].last_event, "");
+  EXPECT_EQ(env.send_request(id, with_budget()).body, events(1, event_count));
+  ASSERT_EQ(env.script.received.size(), 2U);
+  EXPECT_EQ(env.script.received[1].last_event, "");
 }
 
-// maxAttempts holds for one answer: the second break is the client's, and what it was handed is counted.
-TEST_F(StreamResumptionTest, BrokenTwiceItIsReset) {
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
-    go_on(connection, request, request.last_event.empty() ? 1 : 2);
+// maxAttempts applies to the whole response: the second failure resets the client, and the forwarded events
+// count.
+TEST_F(StreamResumptionTest, SecondFailureResetsTheClient) {
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    send_events(connection, request, request.last_event.empty() ? 1 : 2);
     connection.close();
   };
-  const auto client = scene.client();
+  const auto client = env.client();
   client->send(request_text(id, with_budget()));
-  ASSERT_TRUE(scene.loop.until([&] { return client->ended; }));
-  EXPECT_TRUE(client->ended_midway);
-  EXPECT_EQ(scene.script.heads[id], 2U);
-  EXPECT_TRUE(scene.loop.until([&] { return scene.storage->settled.contains(id); }));
-  EXPECT_EQ(scene.storage->settled[id], 2 * event_tokens);
+  ASSERT_TRUE(env.loop.until([&] { return client->closed; }));
+  EXPECT_TRUE(client->closed_mid_response);
+  EXPECT_EQ(env.script.heads[id], 2U);
+  EXPECT_TRUE(env.loop.until([&] { return env.storage->committed.contains(id); }));
+  EXPECT_EQ(env.storage->committed[id], 2 * event_tokens);
 }
 
-// An endpoint that begins again in place of going on: a piece that comes twice is no answer.
-TEST_F(StreamResumptionTest, ARunThatDoesNotGoOnIsNotJoined) {
+// If the endpoint restarts the stream instead of continuing it, repeated events are not forwarded.
+TEST_F(StreamResumptionTest, RestartedStreamIsNotJoined) {
   bool first = true;
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunks(1, 2));
     if (std::exchange(first, false)) return connection.close();
     connection.send(chunks(3, 4) + last_chunk);
   };
-  const auto client = scene.client();
+  const auto client = env.client();
   client->send(request_text(id, with_budget()));
-  ASSERT_TRUE(scene.loop.until([&] { return client->ended; }));
-  EXPECT_TRUE(client->answers.empty());
+  ASSERT_TRUE(env.loop.until([&] { return client->closed; }));
+  EXPECT_TRUE(client->responses.empty());
   EXPECT_EQ(client->partial_body, events(1, 2));
 }
 
-// Events without ids say nothing of where to go on.
-TEST_F(StreamResumptionTest, WithoutIdsItIsReset) {
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+// Without event ids the stream can't be resumed.
+TEST_F(StreamResumptionTest, StreamWithoutIdsIsReset) {
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk("data: one\n\n"));
     connection.close();
   };
-  const auto client = scene.client();
+  const auto client = env.client();
   client->send(request_text(id, with_budget()));
-  ASSERT_TRUE(scene.loop.until([&] { return client->ended; }));
-  EXPECT_EQ(scene.script.heads[id], 1U);
+  ASSERT_TRUE(env.loop.until([&] { return client->closed; }));
+  EXPECT_EQ(env.script.heads[id], 1U);
 }
 
-// One that turns the rest away, or answers it with another status, gives no part of this answer.
-TEST_F(StreamResumptionTest, OnlyAStreamGoesOn) {
-  // An endpoint that turns it away counts among those that it may be sent to.
-  scene.configure({.timeout_ms = 1500, .max_attempts = 3, .resumable = true}, {});
-  ASSERT_TRUE(scene.in_force());
-  std::size_t come = 0;
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
-    if (++come == 2) return connection.send(rejection(503, request.attempt_id));
-    if (come == 3) return serve(connection, request);
-    go_on(connection, request, 2);
+// A rejection or another status in reply to a resumption does not become a part of the response.
+TEST_F(StreamResumptionTest, OnlyAStreamContinuesAStream) {
+  // A rejection counts as an attempt.
+  env.configure({.timeout_ms = 1500, .max_attempts = 3, .resumable = true}, {});
+  ASSERT_TRUE(env.wait_until_applied());
+  std::size_t request_count = 0;
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    if (++request_count == 2) return connection.send(rejection(503, request.attempt_id));
+    if (request_count == 3) return serve(connection, request);
+    send_events(connection, request, 2);
     connection.close();
   };
-  EXPECT_EQ(scene.ask(id, with_budget()).body, events(1, events_in_all));
-  EXPECT_EQ(come, 3U);
-  come = 0;
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
-    if (++come > 1) return connection.send(answer(500, request.attempt_id, "broken"));
-    go_on(connection, request, 2);
+  EXPECT_EQ(env.send_request(id, with_budget()).body, events(1, event_count));
+  EXPECT_EQ(request_count, 3U);
+  request_count = 0;
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+    if (++request_count > 1) return connection.send(response_text(500, request.attempt_id, "broken"));
+    send_events(connection, request, 2);
     connection.close();
   };
-  const auto client = scene.client();
+  const auto client = env.client();
   client->send(request_text("next", with_budget()));
-  ASSERT_TRUE(scene.loop.until([&] { return client->ended; }));
+  ASSERT_TRUE(env.loop.until([&] { return client->closed; }));
   EXPECT_EQ(client->partial_body, events(1, 2));
 }
 
-TEST(StreamResumption, WhereTheRouteDoesNotAllowItItIsReset) {
-  Scene scene(3, {.timeout_ms = 1500, .max_attempts = 2});
-  scene.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
+TEST(StreamResumption, NotResumableRouteIsReset) {
+  TestEnvironment env(3, {.timeout_ms = 1500, .max_attempts = 2});
+  env.script.on_request = [&](ScriptedConnection& connection, const ReceivedRequest& request) {
     connection.send(stream_head(request.attempt_id) + chunk(event_of(1)));
     connection.close();
   };
-  const auto client = scene.client();
+  const auto client = env.client();
   client->send(request_text(id, with_budget()));
-  ASSERT_TRUE(scene.loop.until([&] { return client->ended; }));
-  EXPECT_EQ(scene.script.heads[id], 1U);
+  ASSERT_TRUE(env.loop.until([&] { return client->closed; }));
+  EXPECT_EQ(env.script.heads[id], 1U);
 }
 
 }  // namespace
