--- a/src/storage/ancestor_fetcher.cpp
+++ b/src/storage/ancestor_fetcher.cpp
@@ -1,4 +1,4 @@
-/// Fetching of missing ancestors, one node of the map after the other. The header has the contract.
+/// Implements AncestorFetcher: asks the nodes of the storage map one after another.
 #include "storage/ancestor_fetcher.hpp"
 
 #include <vector>
@@ -10,12 +10,12 @@
 
 }  // namespace
 
-/// One chain being completed.
+/// State of the fetch for one chain.
 struct AncestorFetcher::Fetch {
   common::Turn turn;
   std::function<void()> done;
-  std::string missing;               // the turn that is looked for now
-  std::vector<std::string> untried;  // addresses of nodes that were not asked for it
+  std::string missing;               // id of the ancestor that is being requested
+  std::vector<std::string> untried;  // addresses of the nodes not yet asked for it
 };
 
 void AncestorFetcher::complete_chain(const common::Turn& turn, std::function<void()> done) {
@@ -36,20 +36,20 @@
     }
   }
   if (missing.empty() || fetch->untried.empty()) {
-    store_.store_turn(fetch->turn, timers_.now());  // what was fetched lives as long as the turn
+    store_.store_turn(fetch->turn, timers_.now());  // extends the retention of the ancestors
     return fetch->done();
   }
   const std::string address = fetch->untried.back();
   fetch->untried.pop_back();
   const common::FindTurnRequest request{map_.version, missing, ""};
-  peers_.at(address).call<common::FindTurnReply>(request, reply_timeout,
-                                                 [this, fetch](auto reply) { on_reply(fetch, reply); });
+  peers_.client_for(address).call<common::FindTurnReply>(
+      request, reply_timeout, [this, fetch](auto reply) { on_reply(fetch, reply); });
 }
 
 void AncestorFetcher::on_reply(const std::shared_ptr<Fetch>& fetch,
                                const absl::StatusOr<common::FindTurnReply>& reply) {
   if (reply.ok()) {
-    // Without capacity the turn stays missing, and the next node is asked in vain.
+    // If the store has no capacity, the turn stays missing, and asking the next node does not help either.
     for (const common::Turn& turn : reply->turns) store_.store_turn(turn, timers_.now());
   }
   request_next(fetch);
--- a/src/storage/ancestor_fetcher.hpp
+++ b/src/storage/ancestor_fetcher.hpp
@@ -1,8 +1,9 @@
-/// Completes the chain of a turn that this node was asked to store.
+/// Fetches the missing ancestors of a turn that this node was asked to store.
 ///
-/// A node that stores a turn stores all turns that it continues, so that these live as long as it does here
-/// too. Those which are missing, because the node was not reached or not in the group when they were stored,
-/// are fetched from the other nodes of the map, one after the other.
+/// A node that stores a turn also stores every turn of its chain (the turns that it continues), so that the
+/// ancestors are retained here for as long as the turn is. An ancestor is missing here if this node was
+/// unreachable, or not in the replica group, when the ancestor was stored. Missing ancestors are fetched from
+/// the other nodes of the storage map, one node at a time.
 #pragma once
 
 #include <functional>
@@ -19,20 +20,20 @@
 
 namespace chutevane::storage {
 
-/// All references outlive this object.
+/// Fetches missing ancestors from peers. All referenced objects must outlive this one.
 class AncestorFetcher {
  public:
   AncestorFetcher(net::TimerQueue& timers, ReplicaStore& store, PeerClients& peers, const ServedMap& map,
                   std::string own_node)
       : timers_(timers), store_(store), peers_(peers), map_(map), own_node_(std::move(own_node)) {}
 
-  /// Calls `done` once the chain of `turn`, which is in the store, is complete here, or no other node has
-  /// what is missing: a chain may begin with a turn that has expired everywhere. At once where nothing is
-  /// missing.
+  /// Calls `done` once the chain of `turn`, which must already be in the store, is complete here, or once
+  /// every other node was asked for the missing ancestor without success: a chain may begin with a turn that
+  /// has expired everywhere. Calls `done` before it returns if no ancestor is missing.
   void complete_chain(const common::Turn& turn, std::function<void()> done);
 
  private:
-  struct Fetch;  ///< one chain being completed
+  struct Fetch;  ///< state of the fetch for one chain
   void request_next(const std::shared_ptr<Fetch>& fetch);
   void on_reply(const std::shared_ptr<Fetch>& fetch, const absl::StatusOr<common::FindTurnReply>& reply);
 
--- a/src/storage/group_commit.cpp
+++ b/src/storage/group_commit.cpp
@@ -1,4 +1,4 @@
-/// Group commit and its retries. The header has the contract.
+/// Implements GroupCommit and its retries.
 #include "storage/group_commit.hpp"
 
 namespace chutevane::storage {
--- a/src/storage/group_commit.hpp
+++ b/src/storage/group_commit.hpp
@@ -1,4 +1,4 @@
-/// Group commit: one sync of the disk for all changes that arrive in the same iteration of the event loop.
+/// Group commit: one disk sync for all changes made during the same iteration of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,28 @@
 
 namespace chutevane::storage {
 
-/// Runs on the event loop's thread; a commit blocks it until the disk has answered. `store` and `timers`
-/// outlive this object.
+/// Commits the changes of a ReplicaStore in groups.
 ///
-/// While the disk fails, commits are tried again at an interval and callbacks wait; none is dropped.
+/// Runs on the event loop's thread, and a commit blocks that thread until the disk operation has finished.
+/// `store` and `timers` must outlive this object. While the disk fails, the commit is retried at a fixed
+/// interval; callbacks are kept until a commit succeeds, and none is dropped.
 class GroupCommit {
  public:
-  /// `on_health_change(failing)`: the disk has stopped or begun again to accept writes.
+  /// `on_health_change(failing)` is called when the disk stops accepting writes, and when it accepts them
+  /// again.
   GroupCommit(ReplicaStore& store, net::TimerQueue& timers,
               std::function<void(bool failing)> on_health_change)
       : store_(store), timers_(timers), on_health_change_(std::move(on_health_change)) {}
 
-  /// Calls `done` once everything that was changed in the store by now is durable; never before this returns.
+  /// Calls `done` once every change made to the store so far is durable. `done` never runs before
+  /// after_commit() returns.
   void after_commit(std::function<void()> done);
-  /// Makes what was changed durable soon, for changes that nobody waits for.
+  /// Schedules a commit without a callback, for changes whose durability no caller waits for.
   void schedule() {
     after_commit([] {});
   }
 
-  /// Tries, failed ones among them, and the time that they took.
+  /// Number of commit attempts, including failed ones, and the total time spent in them.
   std::uint64_t commit_count() const { return commit_count_; }
   Span commit_time() const { return commit_time_; }
 
--- a/src/storage/main.cpp
+++ b/src/storage/main.cpp
@@ -1,4 +1,4 @@
-/// chutevane-storage: the program of a storage node (storage/storage_plane.hpp) on the machine's own disk.
+/// chutevane-storage: runs a storage node (storage/storage_plane.hpp) on the machine's local disk.
 #include "common/posix_disk.hpp"
 #include "common/process.hpp"
 #include "storage/storage_plane.hpp"
@@ -6,7 +6,7 @@
 int main(int argc, char** argv) {
   using namespace chutevane;
   return common::run_process(
-      {"chutevane-storage", "Storage: what programs have said, and what they have spent",
+      {"chutevane-storage", "Storage node: replicas of turns and of the token accounts of programs",
        common::storage_metrics_port},
       argc, argv,
       [](net::Scheduler& scheduler,
--- a/src/storage/peer_clients.hpp
+++ b/src/storage/peer_clients.hpp
@@ -1,4 +1,4 @@
-/// Connections from one storage node to its peers.
+/// RPC clients that connect one storage node to its peers.
 #pragma once
 
 #include <functional>
@@ -13,19 +13,20 @@
 
 namespace chutevane::storage {
 
-/// One client for each address, created at the first use and kept for the life of the process. Destroyed, it
-/// drops calls in flight without an answer.
+/// Owns one RPC client per peer address. A client is created at its first use and lives as long as this
+/// object. The destructor drops calls in flight without running their callbacks.
 class PeerClients {
  public:
   PeerClients(net::Scheduler& scheduler, net::TimerQueue& timers, std::string own_node)
       : scheduler_(scheduler), timers_(timers), own_node_(std::move(own_node)) {}
 
-  /// `address`: as text, from the storage map. One that cannot be parsed yields a client that never connects.
-  common::RpcClient& at(const std::string& address) {
+  /// Returns the client for `address`, the text form that the storage map contains. For an address that
+  /// cannot be parsed, returns a client that never connects.
+  common::RpcClient& client_for(const std::string& address) {
     std::unique_ptr<common::RpcClient>& client = clients_[address];
     if (!client) {
       const auto parsed = net::parse_address(address);
-      // Each pair of nodes spreads its attempts to connect differently.
+      // Gives each pair of nodes different jitter for its connection attempts.
       const std::size_t seed = std::hash<std::string>()(address + own_node_);
       client = std::make_unique<common::RpcClient>(scheduler_, timers_, parsed.value_or(sockaddr_in{}), seed);
     }
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -1,8 +1,8 @@
 /// Placement: which storage nodes hold the replicas of a program's turns and budget.
 ///
-/// Rendezvous hashing (highest random weight): every node and every edge ranks the nodes of the storage map
-/// by a hash of program and node name and takes the first ones. Nobody has to be asked, the order of the map
-/// does not matter, and a node more or less moves only what is its own.
+/// Uses rendezvous hashing (highest random weight): every node and every edge ranks the nodes of the storage
+/// map by a hash of program and node name, and takes the first ones. The result needs no communication and
+/// does not depend on the order of the map. Adding or removing a node moves only the replicas of that node.
 #pragma once
 
 #include <xxhash.h>
@@ -16,21 +16,22 @@
 #include <vector>
 
 #include "common/messages.hpp"
-#include "storage/replica_status.hpp"  // for callers, which need both
+#include "storage/replica_status.hpp"  // included for callers, which need both headers
 
 namespace chutevane::storage {
 
-/// Nodes in a replica group: as many as leave a majority after `tolerated_losses` losses.
+/// Returns the number of nodes in a replica group: a majority remains after `tolerated_losses` losses.
 inline std::size_t replica_group_size(std::size_t tolerated_losses) { return 2 * tolerated_losses + 1; }
 
-/// Smallest number of a group of `group_size` that shares a member with every other such number.
+/// Returns the size of a majority: any two quorums of a group of `group_size` nodes share a member.
 inline std::size_t quorum_size(std::size_t group_size) { return group_size / 2 + 1; }
 
-/// Indices into `storage_nodes` of the program's replicas, the first choice first. Nodes that are draining
-/// hold none. Fewer than replica_group_size() where there are no more nodes.
+/// Returns the indices into `storage_nodes` of the nodes that hold the program's replicas, in order of
+/// preference. Draining nodes hold no replicas. The result has fewer than replica_group_size() elements if
+/// there are not enough nodes.
 ///
-/// Zones are spread over: no zone gets a second replica before every zone has one, so that the loss of a zone
-/// takes as few replicas as can be.
+/// Replicas are spread over zones: no zone gets a second replica before every zone has one, so that the loss
+/// of a zone removes as few replicas as possible.
 inline std::vector<std::size_t> replica_group(std::string_view program,
                                               const std::vector<common::StorageNode>& storage_nodes,
                                               std::size_t tolerated_losses) {
--- a/src/storage/pull_responder.cpp
+++ b/src/storage/pull_responder.cpp
@@ -1,4 +1,4 @@
-/// Replies to PullRequests: what each kind of reply contains, and its limits.
+/// Builds replies to PullRequests: the content of each kind of reply and its size limits.
 #include "storage/pull_responder.hpp"
 
 #include <algorithm>
@@ -9,19 +9,20 @@
 namespace chutevane::storage {
 namespace {
 
-// Limits of one reply, so that others get their turn in between.
-constexpr std::size_t max_listed_bytes = std::size_t{256} * 1024;  // of turns, in a list of names
+// Limits of one reply, so that other requests are served between the parts of a transfer.
+constexpr std::size_t max_listed_bytes =
+    std::size_t{256} * 1024;  // total size of the turns listed in one reply
 constexpr std::size_t max_listed_turns = 2000;
 constexpr std::size_t max_accounts = 500;
 
-/// Fills in one reply.
+/// Fills in the data of one reply.
 class ReplyBuilder {
  public:
   ReplyBuilder(const common::PullRequest& request, const PullSource& source)
       : request_(request), source_(source) {}
 
   void add_requested_turns(common::PullReply& reply) const {
-    reply.last = false;  // says nothing about the list of names
+    reply.last = false;  // not part of the list of ids, so it cannot be its last part
     for (const std::string& id : request_.wanted_ids) {
       if (const common::Turn* const turn = source_.store.find_turn(id)) reply.turns.push_back(*turn);
     }
@@ -67,7 +68,7 @@
   const ReplyBuilder builder(request, source);
   if (source.map.version != request.map_version) {
     reply.verdict = static_cast<std::int64_t>(source.map.check(request.map_version));
-  } else if (!source.map.names(source.node, source.disk)) {
+  } else if (!source.map.contains(source.node, source.disk)) {
     reply.verdict = static_cast<std::int64_t>(ReplicaStatus::not_ready);
   } else if (!request.wanted_ids.empty()) {
     builder.add_requested_turns(reply);
--- a/src/storage/pull_responder.hpp
+++ b/src/storage/pull_responder.hpp
@@ -1,4 +1,4 @@
-/// The sending side of a state transfer (storage/state_transfer.hpp): one reply to one PullRequest.
+/// The sending side of a state transfer (storage/state_transfer.hpp): builds the reply to a PullRequest.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace chutevane::storage {
 
-/// The node that replies, and what it replies from.
+/// The replying node and the data that its replies are built from. Nothing is owned.
 struct PullSource {
   const ReplicaStore& store;
   const ServedMap& map;
@@ -19,16 +19,19 @@
   std::size_t tolerated_losses;
 };
 
-/// What `request.node` is to hold by the map and this node has, behind `request.after_id`, as much as fits
-/// into a reply: accounts, or ids of turns, or the turns whose ids are in the request.
+/// Returns the part of this node's data that the map assigns to `request.node`, starting after
+/// `request.after_id` and limited in size. Depending on the request, the reply contains accounts, ids of
+/// turns, or the turns whose ids are in `request.wanted_ids`.
 ///
-/// Only while both go by the same map (otherwise the reply says which of the two is behind): from then on
-/// this node accepts nothing under an earlier map, so the requester misses nothing; and under a later map the
-/// requester may be assigned less, while edges still ask it by its own. A node that the map names with
-/// another disk is no source (`not_ready`): what that disk held is not on this one.
+/// The reply has data only if both nodes use the same map version; otherwise its verdict says which of the
+/// two is behind. Once this node uses that version, it accepts nothing under an earlier one, so the requester
+/// misses nothing. A later map is no substitute: it may assign less to the requester, while edges still query
+/// the requester by its own map. If the map lists this node with another disk, the verdict is `not_ready`,
+/// because the data of that disk is not on this one.
 ///
-/// The reply may contain what is not durable here yet. Send it after the next commit: had this node lost it
-/// then, the requester would hold the only replica of something that counts as stored elsewhere.
+/// The reply may contain data that is not durable here yet, so the caller must send it only after the next
+/// commit. Otherwise this node could lose the data, and the requester would hold the only replica of
+/// something that counts as stored on other nodes.
 common::PullReply make_pull_reply(const common::PullRequest& request, const PullSource& source);
 
 }  // namespace chutevane::storage
--- a/src/storage/replica_status.hpp
+++ b/src/storage/replica_status.hpp
@@ -1,4 +1,4 @@
-/// What a storage node says about one request: the `verdict` of its replies.
+/// Status with which a storage node answers a request: the `verdict` field of its replies.
 #pragma once
 
 #include <array>
@@ -8,22 +8,25 @@
 
 namespace chutevane::storage {
 
-/// The values are on the wire (api/storage.avsc): add at the end, never renumber. `label_of` are the names in
-/// metrics and logs, which operators know them by.
+/// Status of one request.
 ///
-/// Every request names the version of the storage map that its sender goes by. A node answers only under that
-/// same version; otherwise one of the two is behind, and the caller asks again a little later.
+/// The values are part of the wire format (api/storage.avsc): add new ones at the end, and never renumber.
+/// label_of() returns the names that metrics and logs use.
+///
+/// Every request carries the version of the storage map that its sender uses. A node answers only if it uses
+/// the same version; otherwise one of the two is behind, and the caller retries a little later.
 enum class ReplicaStatus : std::int64_t {
   ok,
   caller_map_stale,   ///< the node has a later map than the caller
   replica_map_stale,  ///< the node has not received the caller's map yet
-  not_ready,          ///< the node is still fetching from its peers what it needs in order to answer this
-  not_found,  ///< the node has no such turn, and it would have it had it been one of those asked to store it
-  indeterminate,    ///< the node has no such turn, and cannot tell yet whether a peer has
-  out_of_capacity,  ///< the node stores no more turns, or its disk accepts no writes
+  not_ready,          ///< the node is still fetching the data for this request from its peers
+  not_found,          ///< the node has no such turn, so it was not among the nodes that stored it
+  indeterminate,      ///< the node has no such turn, but a peer may have it
+  out_of_capacity,    ///< the node stores no more turns, or its disk accepts no writes
 };
 constexpr std::size_t replica_status_count = static_cast<std::size_t>(ReplicaStatus::out_of_capacity) + 1;
 
+/// Returns the name of the status in metrics and logs.
 constexpr std::string_view label_of(ReplicaStatus status) {
   constexpr std::array<std::string_view, replica_status_count> labels = {
       "yes", "moved", "behind", "unready", "unknown", "unsure", "full"};
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -1,4 +1,4 @@
-/// Turns and accounts in memory, their log records, expiry and the reclaiming of segments.
+/// Implements ReplicaStore: turns and accounts in memory, their log records, expiry and segment reclamation.
 #include "storage/replica_store.hpp"
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 using common::Reservation;
 using common::Turn;
 
-/// Since its last entry: many times the longest pause of a program.
+/// Time since the last entry of an account; many times the longest pause of a program.
 constexpr Span account_retention = Span::ms(180000);
-/// What is still in use in an older segment is written anew.
+/// Live turns of an older segment are rewritten to the current one.
 constexpr Span max_segment_age = Span::ms(150000);
-/// Turns: guards against chains that go round in a ring.
+/// Number of turns; guards against cyclic chains.
 constexpr std::size_t max_chain_length = 10000;
 constexpr Span expiry_interval = Span::ms(1000);
-constexpr std::int64_t no_tokens = -1;  // of an entry that was just created
-/// Bytes of a turn beside its input and output, about.
+constexpr std::int64_t tokens_unset = -1;  // in an entry that was just created
+/// Approximate number of bytes that a turn takes in addition to its input and output.
 constexpr std::size_t turn_overhead = 200;
 
 std::size_t footprint(const Turn& turn) {
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/// A log record is the number of the message's kind, one byte, and the message in Avro.
+/// Appends a log record: one byte with the message kind, followed by the message in Avro encoding.
 template <class Record>
 void ReplicaStore::append_record(const Record& record) {
   std::string text(1, static_cast<char>(Record::kind));
@@ -60,7 +60,7 @@
 void ReplicaStore::load_account(const Account& account, TimePoint now) {
   for (const Reservation& loaded : account.entries) {
     Reservation& entry = find_or_create_entry(account.program, loaded.attempt, now);
-    // A segment that was removed may have come back: a reservation in it raises nothing that was committed.
+    // A power loss can restore a removed segment. A reservation in it must not replace committed usage.
     if (!entry.committed || loaded.committed) entry.tokens = loaded.tokens;
     entry.committed = entry.committed || loaded.committed;
   }
@@ -68,14 +68,14 @@
 
 Reservation& ReplicaStore::find_or_create_entry(const std::string& program, const std::string& attempt,
                                                 TimePoint now) {
-  OpenAccount& open = accounts_[program];
-  open.account.program = program;
-  open.expires_at = now + account_retention;
-  for (Reservation& entry : open.account.entries) {
+  StoredAccount& stored = accounts_[program];
+  stored.account.program = program;
+  stored.expires_at = now + account_retention;
+  for (Reservation& entry : stored.account.entries) {
     if (entry.attempt == attempt) return entry;
   }
-  open.account.entries.push_back({attempt, no_tokens, false});
-  return open.account.entries.back();
+  stored.account.entries.push_back({attempt, tokens_unset, false});
+  return stored.account.entries.back();
 }
 
 std::vector<Reservation> ReplicaStore::reserve(const std::string& program, const std::string& attempt,
@@ -103,8 +103,8 @@
   Account changed{account.program, {}};
   for (const Reservation& theirs : account.entries) {
     Reservation& own = find_or_create_entry(account.program, theirs.attempt, now);
-    const bool own_stands = own.committed || (own.tokens >= 0 && !theirs.committed);
-    if (own_stands) continue;
+    const bool keeps_own = own.committed || (own.tokens >= 0 && !theirs.committed);
+    if (keeps_own) continue;
     own = theirs;
     changed.entries.push_back(theirs);
   }
@@ -164,11 +164,11 @@
 }
 
 std::string ReplicaStore::first_missing_ancestor(const std::string& id) const {
-  std::string at = id;
-  for (std::size_t length = 0; !at.empty() && length < max_chain_length; ++length) {
-    const Turn* const turn = find_turn(at);
-    if (turn == nullptr) return at;
-    at = turn->previous;
+  std::string current_id = id;
+  for (std::size_t length = 0; !current_id.empty() && length < max_chain_length; ++length) {
+    const Turn* const turn = find_turn(current_id);
+    if (turn == nullptr) return current_id;
+    current_id = turn->previous;
   }
   return "";
 }
@@ -180,7 +180,7 @@
     auto at = turns_.find(stored.turn.previous);
     if (at == turns_.end() || at->second.turn.program == stored.turn.program) continue;
     if (!is_wanted(stored.turn.program)) continue;
-    // Ends where a chain joins one that was walked before, or in a ring.
+    // Ends when the chain joins one that was visited before, or is cyclic.
     while (at != turns_.end() && ancestors.insert(at->first).second)
       at = turns_.find(at->second.turn.previous);
   }
@@ -204,7 +204,7 @@
   last_expiry_ = now;
   drop_expired_turns(now);
   std::erase_if(accounts_, [&](const auto& account) { return account.second.expires_at < now; });
-  // Rewriting for a disk that accepts nothing would let the buffer grow with time alone.
+  // While the disk accepts no writes, rewriting would grow the buffer without any new data.
   if (!is_failing()) reclaim_segments(now);
 }
 
@@ -225,7 +225,7 @@
     const bool too_old = now - oldest->opened_at > max_segment_age;
     if (oldest->references > 0 && !too_old) return;
     if (oldest->references > 0) rewrite_turns_of(oldest->number);
-    for (const auto& [program, open] : accounts_) append_record(open.account);
+    for (const auto& [program, stored] : accounts_) append_record(stored.account);
     if (!commit(now).ok() || !log_.remove(oldest->number).ok()) return;
   }
 }
--- a/src/storage/request_stats.cpp
+++ b/src/storage/request_stats.cpp
@@ -1,4 +1,4 @@
-/// Counting and logging of answers to edges. The header has the contract.
+/// Implements RequestStats: counts and logs answers to edges.
 #include "storage/request_stats.hpp"
 
 namespace chutevane::storage {
--- a/src/storage/request_stats.hpp
+++ b/src/storage/request_stats.hpp
@@ -1,4 +1,4 @@
-/// Counters and a bounded log of what edges asked a storage node for and were answered.
+/// Counters and a rate-limited log of the answers of a storage node to requests of edges.
 #pragma once
 
 #include <array>
@@ -14,33 +14,33 @@
 
 namespace chutevane::storage {
 
-/// What edges ask for. The order is that of the labels in the metrics.
+/// Kinds of requests that edges send. The order is that of the labels in label_of().
 enum class RequestKind : std::uint8_t { reserve, store_turn, find_turn };
 constexpr std::size_t request_kind_count = static_cast<std::size_t>(RequestKind::find_turn) + 1;
 
-/// As metrics and logs name it.
+/// Returns the name of the kind in metrics and logs.
 constexpr std::string_view label_of(RequestKind kind) {
   constexpr std::array<std::string_view, request_kind_count> labels = {"reserve", "keep", "find"};
   return labels[static_cast<std::size_t>(kind)];
 }
 
-/// What a request of an edge was answered with.
+/// The status that a request of an edge was answered with.
 struct RequestOutcome {
   RequestKind kind;
   ReplicaStatus status;
-  const std::string& attempt;   // of the client's request; empty: no request asks
-  std::int64_t caller_map = 0;  // version that the caller goes by
+  const std::string& attempt;   // of the client's request; empty if there is none
+  std::int64_t caller_map = 0;  // version of the storage map that the caller uses
 };
 
-/// Not thread-safe.
+/// Counts and logs answers. Not thread-safe.
 class RequestStats {
  public:
-  /// Counts the answer. A refusal is logged too (`storage.refused`), with `own_map` and what `describe_state`
-  /// returns; not so `not_found`, which is the common answer to those who look for a turn and is logged by
-  /// the edge where it matters.
+  /// Counts the answer. Also logs a refusal (`storage.refused`) with `own_map` and the result of
+  /// `describe_state`. `not_found` is not logged: it is a common answer to a lookup, and the edge logs it
+  /// where it matters.
   void record(const RequestOutcome& outcome, std::int64_t own_map, TimePoint now,
               const std::function<std::string()>& describe_state);
-  /// The family `chutevane_storage_answers`.
+  /// Writes the metric family `chutevane_storage_answers`.
   void write_metrics(common::MetricsWriter& out) const;
 
  private:
--- a/src/storage/segment_log.cpp
+++ b/src/storage/segment_log.cpp
@@ -1,4 +1,4 @@
-/// Files of segments: names, commits, recovery. docs/storage-format.md has them by the byte.
+/// Implements SegmentLog: file names, commits and recovery. docs/storage-format.md specifies the file format.
 #include "storage/segment_log.hpp"
 
 #include <charconv>
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::string_view file_prefix = "turns.";
-/// Some tens of seconds of a small deployment's writes.
+/// A small deployment writes this much in some tens of seconds.
 constexpr std::size_t max_segment_bytes = std::size_t{4} << 20U;
-/// Of frames, together with the number of the segment: frames of a segment are read as no other's, nor as a
-/// DurableState's.
+/// Combined with the number of the segment to form the salt of its frames, so that a frame is accepted
+/// neither in another segment nor in the file of a DurableState.
 constexpr std::uint64_t segment_salt = 0x63656c6c6172ULL;
 
 }  // namespace
@@ -47,21 +47,21 @@
 }
 
 void SegmentLog::open_segment(std::uint64_t segment, TimePoint now) {
-  current_ = segment;
+  current_segment_ = segment;
   current_size_ = 0;
   segments_[segment].opened_at = now;
 }
 
 void SegmentLog::append(std::string_view record) {
-  buffer_ += common::frame_record(record, segment_salt ^ current_);
+  buffer_ += common::frame_record(record, segment_salt ^ current_segment_);
 }
 
 absl::Status SegmentLog::commit(TimePoint now) {
   if (buffer_.empty()) return absl::OkStatus();
-  const std::string name = file_name(current_);
+  const std::string name = file_name(current_segment_);
   if (failing_) {
-    // What a failed commit has left, torn or complete, would hide what is appended next, or stand there
-    // twice.
+    // A failed commit may have written a part of the buffer or all of it. A torn record would hide the
+    // records appended after it, and complete records would be in the file twice.
     if (absl::Status s = disk_.truncate(name, current_size_); !s.ok()) return s;
   }
   failing_ = true;
@@ -70,12 +70,12 @@
   failing_ = false;
   current_size_ += buffer_.size();
   buffer_.clear();
-  if (current_size_ > max_segment_bytes) open_segment(current_ + 1, now);
+  if (current_size_ > max_segment_bytes) open_segment(current_segment_ + 1, now);
   return absl::OkStatus();
 }
 
 std::optional<SegmentLog::ClosedSegment> SegmentLog::oldest_closed() const {
-  if (segments_.empty() || segments_.begin()->first == current_) return std::nullopt;
+  if (segments_.empty() || segments_.begin()->first == current_segment_) return std::nullopt;
   const auto& [number, segment] = *segments_.begin();
   return ClosedSegment{number, segment.references, segment.opened_at};
 }
--- a/src/storage/served_map.hpp
+++ b/src/storage/served_map.hpp
@@ -1,4 +1,4 @@
-/// The storage map that a node goes by: its version, and the nodes among which programs are placed.
+/// The storage map that a node uses: its version, and the nodes that programs are placed on.
 #pragma once
 
 #include <algorithm>
@@ -11,25 +11,25 @@
 
 namespace chutevane::storage {
 
-/// Set from the register's value (common::RegisterValue), which has the map among other things.
+/// The storage map, as a part of the newest register value (common::RegisterValue) received.
 struct ServedMap {
-  std::int64_t version = 0;  ///< 0: none was received since the process started
+  std::int64_t version = 0;  ///< 0 if none was received since the process started
   std::vector<common::StorageNode> nodes;
 
-  /// Whether a request of a caller that goes by `caller_version` can be answered at all.
+  /// Returns `ok` if the caller uses the same map version as this node; otherwise says which one is behind.
   ReplicaStatus check(std::int64_t caller_version) const {
     if (caller_version < version) return ReplicaStatus::caller_map_stale;
     if (caller_version > version) return ReplicaStatus::replica_map_stale;
     return ReplicaStatus::ok;
   }
-  /// Null: the map does not name the node.
+  /// Returns null if the map does not contain the node.
   const common::StorageNode* find(const std::string& node) const {
     const auto found = std::find_if(nodes.begin(), nodes.end(),
                                     [&](const common::StorageNode& other) { return other.node == node; });
     return found == nodes.end() ? nullptr : &*found;
   }
-  /// Whether the map names this node with this disk.
-  bool names(const std::string& node, const std::string& disk) const {
+  /// Returns true if the map contains this node with this disk.
+  bool contains(const std::string& node, const std::string& disk) const {
     return std::any_of(nodes.begin(), nodes.end(), [&](const common::StorageNode& other) {
       return other.node == node && other.disk == disk;
     });
--- a/src/storage/served_map_record.cpp
+++ b/src/storage/served_map_record.cpp
@@ -1,4 +1,4 @@
-/// Recovery and writing of the record, with retries. The header has the contract.
+/// Implements ServedMapRecord: reads the record, and writes it with retries.
 #include "storage/served_map_record.hpp"
 
 #include <utility>
@@ -22,7 +22,7 @@
 void ServedMapRecord::write(std::int64_t version, bool complete) {
   record_.map_version = version;
   record_.complete = complete;
-  if (std::exchange(pending_, true)) return;  // the retry under way writes it
+  if (std::exchange(pending_, true)) return;  // the pending retry writes the new record
   write_now();
 }
 
--- a/src/storage/state_transfer.cpp
+++ b/src/storage/state_transfer.cpp
@@ -1,5 +1,5 @@
-/// The receiving side of a state transfer. The header has the protocol, storage/pull_responder.hpp the other
-/// side.
+/// Implements the receiving side of a state transfer. The header describes the protocol;
+/// storage/pull_responder.hpp has the sending side.
 #include "storage/state_transfer.hpp"
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Span reply_timeout = Span::ms(400);
-/// Where a source has not received the map yet, or did not answer.
+/// Delay before a request is repeated to a source that refused or did not reply.
 constexpr Span retry_interval = Span::ms(25);
 constexpr Span source_silence_timeout = Span::ms(500);
-constexpr std::size_t max_turns_per_request = 16;  // some 100 KB
-/// Position behind all ids, which are hexadecimal.
+constexpr std::size_t max_turns_per_request = 16;  // about 100 KB of turns
+/// Returns a position after all ids, which are hexadecimal.
 std::string end_of_ids() { return "\xff"; }
 
 }  // namespace
@@ -22,15 +22,15 @@
 void StateTransfer::start(std::int64_t max_skipped_sources) {
   max_skipped_sources_ = max_skipped_sources;
   ready_ = complete_ = false;
-  started_at_ = env_.timers.now();
+  started_at_ = dependencies_.timers.now();
   ++generation_;
   sources_.clear();
-  // Nodes that are draining are in the map, and answer.
-  for (const common::StorageNode& node : env_.map.nodes) {
-    if (node.node == env_.own_node) continue;
+  // Draining nodes are still in the map and answer requests.
+  for (const common::StorageNode& node : dependencies_.map.nodes) {
+    if (node.node == dependencies_.own_node) continue;
     Source source;
     source.address = node.address;
-    source.last_heard = started_at_;
+    source.last_reply_at = started_at_;
     sources_.emplace(node.node, std::move(source));
   }
   std::vector<std::string> nodes;
@@ -54,7 +54,7 @@
 void StateTransfer::request_next(const std::string& node) {
   Source& source = sources_[node];
   const common::PullRequest request = next_request(source);
-  env_.peers.at(source.address)
+  dependencies_.peers.client_for(source.address)
       .call<common::PullReply>(request, reply_timeout, [this, node, generation = generation_](auto reply) {
         on_reply(node, generation, reply);
       });
@@ -62,8 +62,8 @@
 
 common::PullRequest StateTransfer::next_request(Source& source) const {
   common::PullRequest request;
-  request.map_version = env_.map.version;
-  request.node = env_.own_node;
+  request.map_version = dependencies_.map.version;
+  request.node = dependencies_.own_node;
   request.turns = source.phase != Phase::accounts;
   request.after_id = source.after;
   std::vector<std::string>& missing = source.missing_turns;
@@ -80,7 +80,7 @@
   Source& source = found->second;
   if (!reply.ok() || static_cast<ReplicaStatus>(reply->verdict) != ReplicaStatus::ok)
     return on_refusal(node, source, reply.ok());
-  source.last_heard = env_.timers.now();
+  source.last_reply_at = dependencies_.timers.now();
   source.timed_out = false;
   store_reply(*reply);
   if (source.phase == Phase::accounts) {
@@ -88,7 +88,7 @@
   } else {
     advance_turns(source, *reply);
   }
-  env_.group_commit.after_commit([this, node, generation] {
+  dependencies_.group_commit.after_commit([this, node, generation] {
     if (generation != generation_) return;
     update_completeness();
     if (sources_.contains(node) && sources_[node].phase != Phase::done) request_next(node);
@@ -96,12 +96,12 @@
 }
 
 void StateTransfer::on_refusal(const std::string& node, Source& source, bool answered) {
-  const TimePoint now = env_.timers.now();
-  if (answered) source.last_heard = now;
-  if (now - source.last_heard > source_silence_timeout) source.timed_out = true;
-  source.missing_turns.clear();  // found again in the list of ids
+  const TimePoint now = dependencies_.timers.now();
+  if (answered) source.last_reply_at = now;
+  if (now - source.last_reply_at > source_silence_timeout) source.timed_out = true;
+  source.missing_turns.clear();  // the new list of ids contains them again
   if (source.phase != Phase::accounts) source.after.clear();
-  env_.timers.after(retry_interval, [this, node, generation = generation_] {
+  dependencies_.timers.after(retry_interval, [this, node, generation = generation_] {
     if (generation == generation_ && sources_.contains(node) && sources_[node].phase != Phase::done)
       request_next(node);
   });
@@ -109,9 +109,9 @@
 }
 
 void StateTransfer::store_reply(const common::PullReply& reply) {
-  const TimePoint now = env_.timers.now();
-  for (const common::Account& account : reply.accounts) env_.store.merge_account(account, now);
-  for (const common::Turn& turn : reply.turns) env_.store.store_turn(turn, now);
+  const TimePoint now = dependencies_.timers.now();
+  for (const common::Account& account : reply.accounts) dependencies_.store.merge_account(account, now);
+  for (const common::Turn& turn : reply.turns) dependencies_.store.store_turn(turn, now);
 }
 
 void StateTransfer::advance_accounts(Source& source, const common::PullReply& reply) {
@@ -123,10 +123,10 @@
 
 void StateTransfer::advance_turns(Source& source, const common::PullReply& reply) const {
   for (const std::string& id : reply.ids) {
-    if (env_.store.find_turn(id) == nullptr) source.missing_turns.push_back(id);
+    if (dependencies_.store.find_turn(id) == nullptr) source.missing_turns.push_back(id);
   }
   if (!reply.ids.empty()) source.after = reply.ids.back();
-  if (reply.last) source.after = end_of_ids();  // a reply that brings turns never is the last of the list
+  if (reply.last) source.after = end_of_ids();  // a reply with turns is never marked as the last
   if (source.missing_turns.empty() && source.after == end_of_ids()) source.phase = Phase::done;
 }
 
@@ -152,26 +152,28 @@
 
 void StateTransfer::update_completeness() {
   const Progress now = progress();
-  const auto elapsed_ms = [this] { return std::to_string((env_.timers.now() - started_at_).as_ms()); };
-  const std::string map = "map " + std::to_string(env_.map.version);
+  const auto elapsed_ms = [this] {
+    return std::to_string((dependencies_.timers.now() - started_at_).as_ms());
+  };
+  const std::string map = "map " + std::to_string(dependencies_.map.version);
   if (!ready_ && now.awaited_for_accounts == 0 && is_enough(now.with_accounts)) {
     ready_ = true;
-    common::log_info("storage.ready", map + " after ms " + elapsed_ms());
+    common::log_info("storage.ready", map + " elapsed_ms=" + elapsed_ms());
   }
   if (ready_ && !complete_ && now.awaited_for_turns == 0 && is_enough(now.with_turns)) {
     complete_ = true;
     on_complete_();
-    common::log_info("storage.whole", map + ", turns " + std::to_string(env_.store.turn_count()) +
-                                          " after ms " + elapsed_ms());
+    common::log_info("storage.whole", map + ", turns " + std::to_string(dependencies_.store.turn_count()) +
+                                          " elapsed_ms=" + elapsed_ms());
   }
 }
 
 std::string StateTransfer::describe() const {
   const Progress now = progress();
-  const std::string level = complete_ ? "whole" : ready_ ? "ready" : "taking over";
-  return level + ", sources " + std::to_string(sources_.size()) + ", told accounts " +
-         std::to_string(now.with_accounts) + ", told turns " + std::to_string(now.with_turns) +
-         ", may miss " + std::to_string(max_skipped_sources_);
+  const std::string level = complete_ ? "complete" : ready_ ? "ready" : "transferring";
+  return level + ", sources " + std::to_string(sources_.size()) + ", sent accounts " +
+         std::to_string(now.with_accounts) + ", sent turns " + std::to_string(now.with_turns) +
+         ", may skip " + std::to_string(max_skipped_sources_);
 }
 
 }  // namespace chutevane::storage
--- a/src/storage/state_transfer.hpp
+++ b/src/storage/state_transfer.hpp
@@ -1,34 +1,34 @@
-/// State transfer: how a storage node gets, from its peers, what a new storage map assigns to it.
+/// State transfer: a storage node fetches from its peers the data that a new storage map assigns to it.
 ///
-/// A change of the map may assign programs to a node that has none of their turns and accounts: one that is
-/// new, whose disk was replaced, that was away, or that takes the place of another in their replica groups.
-/// Under the new map it must not answer as if it had them. It asks every other node of the map, its
-/// *sources*, with PullRequests, and reaches two levels of completeness:
+/// A change of the map may assign programs to a node that has none of their turns and accounts, because the
+/// node is new, its disk was replaced, it was unreachable, or it replaces another node in their replica
+/// groups. Under the new map the node must not answer as if it had this data. It sends PullRequests to every
+/// other node of the map, its *sources*, and reaches two levels of completeness:
 ///
-/// - *ready*: it has all accounts that are its own, and may answer reservations. An account that lacked
-///   entries would let a program exceed its budget.
-/// - *complete*: it has all turns too, and may say that there is no such turn (`not_found`). Controllers are
-///   told, and the level is durable (storage/served_map_record.hpp), so that a restart does not transfer all
-///   again.
+/// - *ready*: the node has all accounts that are assigned to it, and may answer reservations. An account
+///   without some of its entries would let a program exceed its budget.
+/// - *complete*: the node also has all turns, and may answer that a turn does not exist (`not_found`). The
+///   node reports this level to the controllers and makes it durable (storage/served_map_record.hpp), so that
+///   a restart does not require another transfer.
 ///
-/// Each source is sent one request at a time, in phases:
+/// Each source is sent one request at a time, in two phases:
 ///
-/// 1. Accounts, in the order of their programs, until a reply is marked as the last part of the list.
-/// 2. Ids of turns, in their order, likewise. Ids that are missing here are noted, and before the list goes
-///    on those turns are requested, max_turns_per_request at a time.
+/// 1. Accounts, in order of program names, until a reply is marked as the last part of the list.
+/// 2. Ids of turns, in order, likewise. The turns whose ids are missing here are requested before the list
+///    continues, max_turns_per_request at a time.
 ///
 /// Each reply is made durable before the next request. A source answers only under the same map as this node,
-/// and from then on it accepts nothing under an earlier one. So the transfer meets whatever a majority has
-/// accepted under earlier maps, and what is accepted under this map is sent to this node, too. A source that
-/// goes by another map, or does not answer, is asked again; its list of ids begins anew, because turns may
-/// have been added before the position that was reached.
+/// and from then on it accepts nothing under an earlier map. The transfer therefore finds everything that a
+/// majority has accepted under earlier maps, and everything that is accepted under this map is sent to this
+/// node directly. A source that uses another map or does not answer is asked again. Its list of ids then
+/// starts over, because turns may have been added before the position that was reached.
 ///
-/// Not every source is needed. What counts as stored has more replicas than losses are tolerated, so as many
-/// sources as there may be losses can be left out, less the replicas that may be missing already: those of
-/// lost disks, and of nodes that were removed from the map while they did not answer
-/// (common::missing_replicas). A source is left out once it has been silent for source_silence_timeout. Where
-/// more replicas are missing than losses are tolerated the transfer cannot end under this map. The models
-/// model/budget.pml, model/absent.pml and model/retire.pml check this in every order of steps.
+/// Not every source is needed. Whatever counts as stored has more replicas than the number of tolerated
+/// losses, so that number of sources may be skipped, less the replicas that may already be missing: those on
+/// lost disks, and those on nodes that were removed from the map while they did not answer
+/// (common::missing_replicas). A source is skipped once it has not replied for source_silence_timeout. If
+/// more replicas are missing than losses are tolerated, the transfer cannot end under this map. The models
+/// model/budget.pml, model/absent.pml and model/retire.pml verify this for every order of steps.
 #pragma once
 
 #include <cstddef>
@@ -50,11 +50,11 @@
 
 namespace chutevane::storage {
 
-/// Runs on the event loop's thread. All references outlive this object.
+/// Receives the data of one transfer at a time. Runs on the event loop's thread.
 class StateTransfer {
  public:
-  /// What a transfer works with.
-  struct Environment {
+  /// The objects that a transfer uses. All must outlive the StateTransfer.
+  struct Dependencies {
     net::TimerQueue& timers;
     ReplicaStore& store;
     GroupCommit& group_commit;
@@ -62,67 +62,72 @@
     const ServedMap& map;
     const std::string& own_node;
   };
-  /// `on_complete` is called from start() or later, each time that the node becomes complete by a transfer.
-  StateTransfer(Environment environment, std::function<void()> on_complete)
-      : env_(environment), on_complete_(std::move(on_complete)) {}
+  /// `on_complete` is called, from start() or later, each time a transfer makes the node complete.
+  StateTransfer(Dependencies dependencies, std::function<void()> on_complete)
+      : dependencies_(dependencies), on_complete_(std::move(on_complete)) {}
 
-  /// Begins anew, under the map as it is now; a transfer under way is given up, what it has brought stays.
-  /// `max_skipped_sources`: tolerated losses less missing replicas; negative: the transfer cannot end.
+  /// Starts a transfer under the current map. Abandons a transfer in progress, but keeps the data received.
+  /// `max_skipped_sources` is the number of tolerated losses less the number of missing replicas; if it is
+  /// negative, the transfer cannot end.
   void start(std::int64_t max_skipped_sources);
-  /// Gives up a transfer under way: the map assigns nothing to this node. It is neither ready nor complete.
+  /// Abandons a transfer in progress, because the map assigns nothing to this node. The node is then neither
+  /// ready nor complete.
   void cancel();
-  /// The node was complete under this very map before its process was restarted.
+  /// Marks the node as ready and complete without a transfer. To be called if the node was complete under
+  /// this very map before its process was restarted.
   void resume_complete();
 
   bool is_ready() const { return ready_; }
   bool is_complete() const { return complete_; }
-  /// As many sources as are needed have sent everything. Holds whenever the node is complete by a transfer.
+  /// Returns true if as many sources as needed have sent everything, which holds whenever a transfer has made
+  /// the node complete.
   bool has_enough_sources() const;
-  /// Of the transfer under way, or the last one.
+  /// Returns the number of sources of the current transfer, or of the last one.
   std::size_t source_count() const { return sources_.size(); }
-  /// For logs.
+  /// Returns the progress of the transfer as text for log lines.
   std::string describe() const;
 
  private:
   enum class Phase : std::uint8_t { accounts, turns, done };
-  /// The state of the transfer from one other node.
+  /// State of the transfer from one source.
   struct Source {
     std::string address;
     Phase phase = Phase::accounts;
     std::string after;                       // position in the list of the phase
-    std::vector<std::string> missing_turns;  // ids that were listed, are not here and were not requested yet
-    TimePoint last_heard;                    // any reply counts, also one that refuses
-    bool timed_out = false;                  // silent for too long: skipped where that is allowed
+    std::vector<std::string> missing_turns;  // listed ids that are missing here and not requested yet
+    TimePoint last_reply_at;                 // of any reply, including refusals
+    bool timed_out = false;                  // silent for too long, so skipped if that is allowed
   };
-  /// Sources, counted by what they have sent. Those that have timed out are not awaited.
+  /// Numbers of sources by what they have sent. Sources that have timed out are not awaited.
   struct Progress {
     std::size_t with_accounts = 0;  // sources that have sent all accounts
-    std::size_t with_turns = 0;     // ... and all turns
+    std::size_t with_turns = 0;     // sources that have sent all accounts and all turns
     std::size_t awaited_for_accounts = 0;
     std::size_t awaited_for_turns = 0;
   };
 
   void request_next(const std::string& node);
-  /// Takes the requested ids out of `source.missing_turns`.
+  /// Returns the next request to `source`. Removes the requested ids from `source.missing_turns`.
   common::PullRequest next_request(Source& source) const;
   void on_reply(const std::string& node, std::uint64_t generation,
                 const absl::StatusOr<common::PullReply>& reply);
-  /// Asks again after an interval. `answered`: the source has refused; otherwise it did not answer in time.
+  /// Schedules another request. `answered` is true if the source refused, false if it did not reply in time.
   void on_refusal(const std::string& node, Source& source, bool answered);
-  /// Takes what a reply brings into the store.
+  /// Stores the accounts and turns of a reply.
   void store_reply(const common::PullReply& reply);
   static void advance_accounts(Source& source, const common::PullReply& reply);
   void advance_turns(Source& source, const common::PullReply& reply) const;
   Progress progress() const;
   bool is_enough(std::size_t sources_done) const;
-  /// Reaches a level once no source is awaited for it and enough have sent what it takes.
+  /// Marks the node as ready or complete once no source is awaited for that level and enough sources have
+  /// sent the data for it.
   void update_completeness();
 
-  const Environment env_;
+  const Dependencies dependencies_;
   const std::function<void()> on_complete_;
   std::map<std::string, Source> sources_;  // by node
   std::int64_t max_skipped_sources_ = 0;
-  std::uint64_t generation_ = 0;  // of the transfer: replies to an earlier one are ignored
+  std::uint64_t generation_ = 0;  // number of the transfer; replies to an earlier one are ignored
   TimePoint started_at_;
   bool ready_ = false;
   bool complete_ = false;
--- a/src/storage/storage_plane.cpp
+++ b/src/storage/storage_plane.cpp
@@ -1,4 +1,5 @@
-/// A storage node's start, its requests, changes of the map, shutdown. Metrics: storage_plane_metrics.cpp.
+/// Implements StoragePlane: start, requests, map changes and shutdown. storage_plane_metrics.cpp has the
+/// metrics.
 #include "storage/storage_plane.hpp"
 
 #include <algorithm>
@@ -16,21 +17,23 @@
 
 constexpr std::size_t max_chain_reply_bytes = std::size_t{4} << 20U;
 constexpr Span expiry_interval = Span::ms(1000);
-constexpr Span drain_poll_interval = Span::ms(50);  // between looks whether the map still names this node
-constexpr Span flush_delay = Span::ms(200);         // for messages that are still to be sent
-constexpr Span grace_margin = Span::ms(600);        // before the platform ends the process by force
-/// Of the memory or disk, for turns: the rest is for what comes and goes.
+constexpr Span drain_poll_interval = Span::ms(50);  // between checks whether this node may exit
+constexpr Span flush_delay = Span::ms(200);         // lets messages that are still queued be sent
+constexpr Span grace_margin = Span::ms(600);        // time left before the platform kills the process
+/// Fraction of the memory or disk that turns may take; the rest is for transient data.
 constexpr double capacity_fraction = 0.5;
 constexpr double unlimited_mb = 1e6;
 
-/// Bytes of turns that the store may hold. Settings give megabytes of 10^6 bytes; 0: not limited by it.
+/// Returns the request_id of bytes of turns that the store may hold. The settings are in megabytes of 10^6
+/// bytes; a setting of 0 is no limit.
 std::size_t store_capacity(const common::ProcessSettings& settings) {
   double mb = settings.memory_mb > 0 ? settings.memory_mb * capacity_fraction : unlimited_mb;
   if (settings.disk_mb > 0) mb = std::min(mb, settings.disk_mb * capacity_fraction);
   return static_cast<std::size_t>(mb * 1e6);
 }
 
-/// A node that was not draining is gone now, or draining: programs that it held are assigned to others.
+/// Returns true if a node that was not draining in `before` is draining or missing in `after`: the programs
+/// placed on it are then assigned to other nodes.
 bool has_lost_member(const ServedMap& before, const ServedMap& after) {
   const auto stays = [&](const std::string& name) {
     return std::any_of(after.nodes.begin(), after.nodes.end(),
@@ -76,11 +79,11 @@
   const auto recovered = identity_file_.recover();
   if (recovered.ok()) {
     if (common::decode(recovered->checkpoint, identity_)) return absl::OkStatus();
-    return absl::DataLossError("storage: record not read");
+    return absl::DataLossError("storage: the disk identity record cannot be decoded");
   }
   if (!absl::IsNotFound(recovered.status()) && !absl::IsDataLoss(recovered.status()))
     return recovered.status();
-  // A new disk, or one that has lost its identity, which counts as new.
+  // The disk is new, or has lost its identity and therefore counts as new.
   identity_.disk = disk_->generate_id();
   return identity_file_.write_checkpoint(common::encoded(identity_));
 }
@@ -99,22 +102,22 @@
 
 void StoragePlane::listen() {
   rpc_server_.on<common::ReserveRequest>(
-      [this](Connection& connection, std::uint64_t number, common::ReserveRequest& request) {
-        on_reserve(connection, number, request);
+      [this](Connection& connection, std::uint64_t request_id, common::ReserveRequest& request) {
+        on_reserve(connection, request_id, request);
       });
   rpc_server_.on<common::CommitUsage>(
       [this](Connection&, std::uint64_t, common::CommitUsage& message) { on_commit_usage(message); });
   rpc_server_.on<common::StoreTurnRequest>(
-      [this](Connection& connection, std::uint64_t number, common::StoreTurnRequest& request) {
-        on_store_turn(connection, number, request);
+      [this](Connection& connection, std::uint64_t request_id, common::StoreTurnRequest& request) {
+        on_store_turn(connection, request_id, request);
       });
   rpc_server_.on<common::FindTurnRequest>(
-      [this](Connection& connection, std::uint64_t number, common::FindTurnRequest& request) {
-        on_find_turn(connection, number, request);
+      [this](Connection& connection, std::uint64_t request_id, common::FindTurnRequest& request) {
+        on_find_turn(connection, request_id, request);
       });
   rpc_server_.on<common::PullRequest>(
-      [this](Connection& connection, std::uint64_t number, common::PullRequest& request) {
-        on_pull(connection, number, request);
+      [this](Connection& connection, std::uint64_t request_id, common::PullRequest& request) {
+        on_pull(connection, request_id, request);
       });
   rpc_server_.listen(settings_.internal_listen_address(common::storage_plane_port));
 }
@@ -128,16 +131,16 @@
   return can_answer ? ReplicaStatus::ok : ReplicaStatus::not_ready;
 }
 
-void StoragePlane::on_reserve(Connection& connection, std::uint64_t number,
+void StoragePlane::on_reserve(Connection& connection, std::uint64_t request_id,
                               const common::ReserveRequest& request) {
   const ReplicaStatus status = reserve_status(request.map_version);
   common::ReserveReply reply;
   reply.map_version = map_.version;
   reply.verdict = static_cast<std::int64_t>(status);
   record_outcome(RequestKind::reserve, status, request.attempt, request.map_version);
-  if (status != ReplicaStatus::ok) return connection.reply(number, reply);
+  if (status != ReplicaStatus::ok) return connection.reply(request_id, reply);
   reply.others = store_.reserve(request.program, request.attempt, request.max_tokens, timers_.now());
-  respond_after_commit(connection, number, std::move(reply));
+  respond_after_commit(connection, request_id, std::move(reply));
 }
 
 void StoragePlane::on_commit_usage(const common::CommitUsage& message) {
@@ -148,30 +151,31 @@
 ReplicaStatus StoragePlane::store_turn(const common::StoreTurnRequest& request) {
   const ReplicaStatus status = map_.check(request.map_version);
   if (status != ReplicaStatus::ok) return status;
-  // While this node is bootstrapping, so many of the others may still go by the map before that an edge which
-  // lags as well would believe them that there is no such turn: what is stored here then must not count.
+  // While this node is bootstrapping, other nodes may still use the previous map. An edge that also uses it
+  // could conclude from enough of them that the turn does not exist, so storing it here must not count yet.
   const bool must_wait = is_bootstrapping() && !transfer_.is_ready();
   if (must_wait || map_record_.is_pending()) return ReplicaStatus::not_ready;
   const bool stored = !store_.is_failing() && store_.store_turn(request.turn, timers_.now());
   return stored ? ReplicaStatus::ok : ReplicaStatus::out_of_capacity;
 }
 
-void StoragePlane::on_store_turn(Connection& connection, std::uint64_t number,
+void StoragePlane::on_store_turn(Connection& connection, std::uint64_t request_id,
                                  const common::StoreTurnRequest& request) {
   const ReplicaStatus status = store_turn(request);
   common::StoreTurnReply reply;
   reply.map_version = map_.version;
   reply.verdict = static_cast<std::int64_t>(status);
   record_outcome(RequestKind::store_turn, status, request.turn.id, request.map_version);
-  if (status != ReplicaStatus::ok) return connection.reply(number, reply);
+  if (status != ReplicaStatus::ok) return connection.reply(request_id, reply);
   if (request.used_tokens >= 0)
     store_.commit_usage(request.turn.program, request.turn.id, request.used_tokens, timers_.now());
-  ancestor_fetcher_.complete_chain(request.turn, [this, id = connection.id(), number, reply] {
-    if (const Connection* const caller = rpc_server_.find(id)) respond_after_commit(*caller, number, reply);
+  ancestor_fetcher_.complete_chain(request.turn, [this, id = connection.id(), request_id, reply] {
+    if (const Connection* const caller = rpc_server_.find(id))
+      respond_after_commit(*caller, request_id, reply);
   });
 }
 
-void StoragePlane::on_find_turn(Connection& connection, std::uint64_t number,
+void StoragePlane::on_find_turn(Connection& connection, std::uint64_t request_id,
                                 const common::FindTurnRequest& request) {
   common::FindTurnReply reply;
   reply.map_version = map_.version;
@@ -181,7 +185,7 @@
       reply.turns.empty() ? missing_turn_status(request.map_version) : ReplicaStatus::ok;
   reply.verdict = static_cast<std::int64_t>(status);
   record_outcome(RequestKind::find_turn, status, request.attempt, request.map_version);
-  connection.reply(number, reply);
+  connection.reply(request_id, reply);
 }
 
 ReplicaStatus StoragePlane::missing_turn_status(std::int64_t caller_map) const {
@@ -194,11 +198,12 @@
   return ReplicaStatus::not_found;
 }
 
-void StoragePlane::on_pull(Connection& connection, std::uint64_t number, const common::PullRequest& request) {
-  // Silent, as a node that is lost: the requester skips this source where it may.
+void StoragePlane::on_pull(Connection& connection, std::uint64_t request_id,
+                           const common::PullRequest& request) {
+  // Sends no reply, like a lost node: the requester skips this source if it may.
   if (store_.is_failing() || map_record_.is_pending()) return;
   const PullSource source{store_, map_, settings_.node, identity_.disk, settings_.machine_losses};
-  respond_after_commit(connection, number, make_pull_reply(request, source));
+  respond_after_commit(connection, request_id, make_pull_reply(request, source));
 }
 
 void StoragePlane::record_outcome(RequestKind kind, ReplicaStatus status, const std::string& attempt,
@@ -217,14 +222,14 @@
 
 bool StoragePlane::stays_complete(const ServedMap& previous) const {
   const bool was_complete = previous.version > 0 && transfer_.is_ready() && transfer_.is_complete();
-  // A map in between may have removed this node: it would have missed what was stored under that one.
+  // A skipped map may have removed this node, which then missed what was stored under that map.
   const bool is_next_map = map_.version == previous.version + 1;
-  return was_complete && is_next_map && previous.names(settings_.node, identity_.disk) &&
+  return was_complete && is_next_map && previous.contains(settings_.node, identity_.disk) &&
          !has_lost_member(previous, map_);
 }
 
 void StoragePlane::on_value(const common::RegisterValue& value) {
-  // From a controller that lags.
+  // Ignores an outdated map from a controller that lags.
   if (value.map_version <= map_.version || value.map_version < map_record_.version()) return;
   const ServedMap previous = std::exchange(map_, ServedMap{value.map_version, value.storage_nodes});
   if (stays_complete(previous)) {
@@ -232,15 +237,15 @@
     sessions_->report_complete_map(map_.version);
     return;
   }
-  const bool is_named = map_.names(settings_.node, identity_.disk);
-  if (previous.version == 0 && is_named && map_record_.was_complete_at(map_.version)) {
+  const bool is_in_map = map_.contains(settings_.node, identity_.disk);
+  if (previous.version == 0 && is_in_map && map_record_.was_complete_at(map_.version)) {
     transfer_.resume_complete();
     common::log_info("storage.returned", "map " + std::to_string(map_.version));
     sessions_->report_complete_map(map_.version);
     return;
   }
   map_record_.write(map_.version, false);
-  if (!is_named) {
+  if (!is_in_map) {
     transfer_.cancel();
     return;
   }
@@ -271,11 +276,11 @@
 }
 
 bool StoragePlane::may_exit() const {
-  const bool is_named = map_.find(settings_.node) != nullptr;
+  const bool is_in_map = map_.find(settings_.node) != nullptr;
   const auto others = std::count_if(
       map_.nodes.begin(), map_.nodes.end(),
       [&](const common::StorageNode& node) { return !node.draining && node.node != settings_.node; });
-  return !is_named || static_cast<std::size_t>(others) < replica_group_size(settings_.machine_losses);
+  return !is_in_map || static_cast<std::size_t>(others) < replica_group_size(settings_.machine_losses);
 }
 
 void StoragePlane::exit_when_drained(TimePoint deadline) {
--- a/src/storage/storage_plane.hpp
+++ b/src/storage/storage_plane.hpp
@@ -1,15 +1,16 @@
 /// A storage node: the program that holds replicas of turns and of programs' token accounts.
 ///
-/// Edges call it (api/storage.avsc): ReserveRequest before a turn with a budget runs, CommitUsage for what it
-/// came to, StoreTurnRequest at its end, FindTurnRequest for a turn that a later one continues. Its peers
-/// call it with PullRequest and FindTurnRequest. It answers only under the storage map that the caller goes
-/// by too, and only with what is durable. Controllers push it new maps (common/control_sessions.hpp) and are
-/// told under which one it is complete.
+/// Edges send it these messages (api/storage.avsc): ReserveRequest before a turn with a budget runs,
+/// CommitUsage with the tokens that it used, StoreTurnRequest at its end, and FindTurnRequest for a turn that
+/// a later one continues. Its peers send PullRequest and FindTurnRequest. The node grants reservations,
+/// stores turns and denies their existence only if the caller uses the same storage map, and acknowledges
+/// only what is durable. Controllers push new maps to the node (common/control_sessions.hpp), which reports
+/// to them under which map it is complete.
 ///
-/// The parts: ReplicaStore has the data, GroupCommit makes it durable, StateTransfer fetches what a new map
-/// assigns to this node, AncestorFetcher the chains of turns that it is asked to store, ServedMapRecord
-/// remembers the map over restarts. This class ties them to the network. docs/state.md has the reasons,
-/// docs/storage-format.md the files.
+/// ReplicaStore holds the data, and GroupCommit makes it durable. StateTransfer fetches what a new map
+/// assigns to this node, and AncestorFetcher the missing ancestors of turns to be stored. ServedMapRecord
+/// keeps the map version across restarts. This class connects these parts to the network. docs/state.md
+/// describes the design, docs/storage-format.md the files.
 #pragma once
 
 #include <cstdint>
@@ -36,17 +37,17 @@
 
 namespace chutevane::storage {
 
-/// Runs on the event loop's thread; nothing blocks but the disk.
+/// The storage plane. Runs on the event loop's thread; only disk operations block it.
 class StoragePlane final : public common::Plane {
  public:
-  /// `scheduler` outlives this object.
+  /// `scheduler` must outlive this object.
   StoragePlane(net::Scheduler& scheduler, const common::ProcessSettings& settings,
                std::unique_ptr<common::Disk> disk);
-  /// Reads the disk, listens and opens sessions to the controllers. An error: the disk cannot be read or
-  /// written.
+  /// Reads the disk, starts to listen and opens sessions to the controllers. Returns an error if the disk
+  /// cannot be read or written.
   absl::Status open() override;
-  /// Tells the controllers that this node drains. Ends once the others have what it holds, since its disk may
-  /// go with it, or when the grace period is nearly over.
+  /// Reports to the controllers that this node is draining. The shutdown ends once other nodes hold this
+  /// node's data, because its disk may be lost with it, or shortly before the grace period ends.
   void begin_shutdown() override;
   bool finished() const override { return finished_; }
   void reload(const common::ProcessSettings& settings) override { sessions_->reload(settings); }
@@ -60,44 +61,46 @@
   void open_sessions();
   void listen();
 
-  // Requests. `number`: of the call, repeated in its answer.
-  void on_reserve(Connection& connection, std::uint64_t number, const common::ReserveRequest& request);
+  // Requests. The reply to a call carries its `request_id`.
+  void on_reserve(Connection& connection, std::uint64_t request_id, const common::ReserveRequest& request);
   void on_commit_usage(const common::CommitUsage& message);
-  void on_store_turn(Connection& connection, std::uint64_t number, const common::StoreTurnRequest& request);
-  void on_find_turn(Connection& connection, std::uint64_t number, const common::FindTurnRequest& request);
-  void on_pull(Connection& connection, std::uint64_t number, const common::PullRequest& request);
+  void on_store_turn(Connection& connection, std::uint64_t request_id,
+                     const common::StoreTurnRequest& request);
+  void on_find_turn(Connection& connection, std::uint64_t request_id, const common::FindTurnRequest& request);
+  void on_pull(Connection& connection, std::uint64_t request_id, const common::PullRequest& request);
 
-  /// Whether a reservation may be answered.
+  /// Returns `ok` if a reservation may be granted now; otherwise the reason why not.
   ReplicaStatus reserve_status(std::int64_t caller_map) const;
-  /// Stores the turn where that may be done; otherwise the status says why not.
+  /// Stores the turn and returns `ok`, or returns the reason why it cannot be stored.
   ReplicaStatus store_turn(const common::StoreTurnRequest& request);
-  /// What may be said of a turn that is not here.
+  /// Returns the status for a turn that the store does not have.
   ReplicaStatus missing_turn_status(std::int64_t caller_map) const;
   void record_outcome(RequestKind kind, ReplicaStatus status, const std::string& attempt,
                       std::int64_t caller_map);
-  /// Answers once everything that was changed by now is durable, if the caller is still connected then.
+  /// Sends the reply once all changes so far are durable, if the caller is still connected then.
   template <class Message>
-  void respond_after_commit(const Connection& connection, std::uint64_t number, Message message) {
-    group_commit_.after_commit([this, id = connection.id(), number, message = std::move(message)] {
+  void respond_after_commit(const Connection& connection, std::uint64_t request_id, Message message) {
+    group_commit_.after_commit([this, id = connection.id(), request_id, message = std::move(message)] {
       common::check_invariant(common::Invariant::answered_after_sync, !store_.has_uncommitted(),
-                              [] { return std::string("records are not on disk yet"); });
-      if (Connection* const caller = rpc_server_.find(id)) caller->reply(number, message);
+                              [] { return std::string("the store has uncommitted records"); });
+      if (Connection* const caller = rpc_server_.find(id)) caller->reply(request_id, message);
     });
   }
 
   // Maps
-  /// A newer value of the register, and perhaps a newer map in it.
+  /// Handles a newer value of the register, which may contain a newer map.
   void on_value(const common::RegisterValue& value);
-  /// The node was complete under `previous`, and the map has assigned nothing to it since.
+  /// Returns true if the node was complete under `previous` and the current map assigns nothing new to it.
   bool stays_complete(const ServedMap& previous) const;
-  /// The map marks this node: it has come in by a map that others may not have received yet, and has not been
-  /// complete since.
+  /// Returns true if the map marks this node as bootstrapping: it was added by a map that other nodes may not
+  /// have received yet, and has not been complete since.
   bool is_bootstrapping() const;
-  /// Tells the controllers, and makes it durable once what the transfer has brought is.
+  /// Reports to the controllers that this node is complete, and records it once the transferred data is
+  /// durable.
   void on_transfer_complete();
 
   void expire_periodically();
-  /// The others hold what is here, or are too few to.
+  /// Returns true if other nodes hold this node's data, or are too few to do so.
   bool may_exit() const;
   void exit_when_drained(TimePoint deadline);
 
@@ -106,7 +109,7 @@
   net::TimerQueue timers_;
   std::unique_ptr<common::Disk> disk_;
   common::DurableState identity_file_;
-  common::StorageNodeRecord identity_;  // which disk this is
+  common::StorageNodeRecord identity_;  // identifies the disk
   ServedMap map_;
   ServedMapRecord map_record_;
   ReplicaStore store_;
--- a/src/storage/storage_plane_metrics.cpp
+++ b/src/storage/storage_plane_metrics.cpp
@@ -1,4 +1,4 @@
-/// The metrics of a storage node. docs/operators/system.md lists them.
+/// Writes the metrics of a storage node. docs/operators/system.md lists them.
 #include "storage/storage_plane.hpp"
 
 namespace chutevane::storage {
