--- a/tests/storage/replica_store_test.cpp
+++ b/tests/storage/replica_store_test.cpp
@@ -1,4 +1,4 @@
-/// ReplicaStore: turns and accounts, also on a disk that loses power or fails at every step.
+/// Tests ReplicaStore: turns and accounts, also on a disk that loses power or fails at any step.
 #include "storage/replica_store.hpp"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// Tokens that other attempts have reserved or used.
+/// Returns the sum of the tokens that other attempts have reserved or used.
 int total(const std::vector<Reservation>& others) {
   std::int64_t out = 0;
   for (const Reservation& r : others) out += r.tokens;
@@ -32,14 +32,15 @@
 
 constexpr std::size_t capacity = 64U << 20U;
 
-Turn turn(const std::string& id, const std::string& previous, double keep_ms = 60000, std::size_t size = 40) {
+Turn turn(const std::string& id, const std::string& previous, double retention_ms = 60000,
+          std::size_t size = 40) {
   Turn out;
   out.id = id;
   out.previous = previous;
   out.program = "p-" + id.substr(0, 1);
   out.input.data = "in of " + id + std::string(size, 'i');
   out.output.data = "out of " + id + "\n";
-  out.retention_ms = static_cast<std::int64_t>(keep_ms);
+  out.retention_ms = static_cast<std::int64_t>(retention_ms);
   return out;
 }
 
@@ -76,7 +77,7 @@
   void setup() override { CHECK_TRUE(store.recover(now).ok()); }
 };
 
-TEST(ReplicaStoreAccounts, OthersAreCountedAndNotItsOwn) {
+TEST(ReplicaStoreAccounts, ReserveReturnsEntriesOfOtherAttempts) {
   CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
   CHECK_EQUAL(100, total(store.reserve("p", "b", 50, now)));
   CHECK_EQUAL(0, total(store.reserve("q", "c", 7, now)));
@@ -84,8 +85,8 @@
   CHECK_EQUAL(80, total(store.reserve("p", "d", 1, now)));
 }
 
-// The same request again, after a reply that was lost, counts once.
-TEST(ReplicaStoreAccounts, RepeatsChangeNothing) {
+// A request that is repeated because its reply was lost counts once.
+TEST(ReplicaStoreAccounts, RepeatedRequestsChangeNothing) {
   for (int n = 0; n < 3; ++n) CHECK_EQUAL(0, total(store.reserve("p", "a", 100, now)));
   CHECK_EQUAL(100, total(store.reserve("p", "b", 10, now)));
   CHECK_EQUAL(10, total(store.reserve("p", "a", 100, now)));
@@ -94,7 +95,7 @@
   CHECK_EQUAL(30, static_cast<int>(tokens(store, "p", "a")));
 }
 
-// A reservation that arrives after its usage was committed, on a slower link, reserves nothing.
+// A reservation that arrives after the usage of its attempt was committed reserves nothing.
 TEST(ReplicaStoreAccounts, CommittedUsageIsNotRaised) {
   store.reserve("p", "a", 100, now);
   store.commit_usage("p", "a", 0, now);
@@ -103,12 +104,12 @@
   store.commit_usage("q", "c", 12, now);  // before its reservation
   store.reserve("q", "c", 90, now);
   CHECK_EQUAL(12, total(store.reserve("q", "d", 1, now)));
-  store.merge_account({"q", {{"c", 90, false}}}, now);  // from a peer that has missed it
+  store.merge_account({"q", {{"c", 90, false}}}, now);  // from a peer that missed the usage
   CHECK_EQUAL(12, total(store.reserve("q", "d", 1, now)));
 }
 
-// Whatever order reservations, settlements and other sidecars' accounts come in, and however often: the same
-// account, also after it is read again.
+// Reservations, committed usage and accounts of peers may arrive in any order and repeatedly. The resulting
+// account is the same, also after recovery.
 TEST(ReplicaStoreAccounts, OrderOfArrivalDoesNotMatter) {
   struct Change {
     int kind;
@@ -142,7 +143,7 @@
     CHECK_WHERE(accounts(s) == wanted, numbered("round ", round));
     ReplicaStore again(d, capacity);
     CHECK_TRUE(again.recover(now).ok());
-    CHECK_WHERE(accounts(again) == wanted, numbered("read again, round ", round));
+    CHECK_WHERE(accounts(again) == wanted, numbered("recovered, round ", round));
   }
   CHECK_EQUAL(static_cast<std::size_t>(3), wanted["p"].entries.size());
   CHECK_TRUE(wanted["p"].entries[0] == (Reservation{"a", 40, true}));
@@ -150,8 +151,8 @@
   CHECK_TRUE(wanted["p"].entries[2] == (Reservation{"c", 0, true}));
 }
 
-// An account is dropped long after its last entry, and not before.
-TEST(ReplicaStoreAccounts, KeptLongAfterItsLastEntry) {
+// An account expires 180 s after its last entry, and not before.
+TEST(ReplicaStoreAccounts, ExpireLongAfterTheLastEntry) {
   store.reserve("p", "a", 100, now);
   for (int s = 0; s <= 170; s += 5) store.expire(now + Span::ms(s * 1000.0));
   CHECK_EQUAL(100, static_cast<int>(tokens(store, "p", "a")));
@@ -175,7 +176,7 @@
   std::size_t files() { return disk.list_files().size(); }
 };
 
-TEST(ReplicaStoreTurns, KeptOnceHoweverOften) {
+TEST(ReplicaStoreTurns, StoringATurnAgainChangesNothing) {
   CHECK_TRUE(store.store_turn(turn("a1", ""), now));
   const std::size_t bytes = store.turn_bytes();
   for (int n = 0; n < 3; ++n) CHECK_TRUE(store.store_turn(turn("a1", ""), now));
@@ -187,11 +188,11 @@
   CHECK_TRUE(store.find_turn("none") == nullptr);
 }
 
-TEST(ReplicaStoreTurns, ChainTheNewestFirst) {
+TEST(ReplicaStoreTurns, ReadChainReturnsTheNewestFirst) {
   store.store_turn(turn("a1", ""), now);
   store.store_turn(turn("a2", "a1"), now);
   store.store_turn(turn("a3", "a2"), now);
-  store.store_turn(turn("b3", "a2"), now);  // several name the same
+  store.store_turn(turn("b3", "a2"), now);  // two turns continue the same one
   CHECK_TRUE(chain("a3") == "a3 a2 a1 ");
   CHECK_TRUE(chain("b3") == "b3 a2 a1 ");
   CHECK_TRUE(chain("a1") == "a1 ");
@@ -200,8 +201,8 @@
   CHECK_TRUE(chain("c2") == "c2 ");
 }
 
-// An answer has its size: the newest part, and never nothing.
-TEST(ReplicaStoreTurns, ChainInParts) {
+// The size of a read is limited: it returns the newest turns, and at least one.
+TEST(ReplicaStoreTurns, ReadChainIsLimitedInSize) {
   store.store_turn(turn("a1", "", 60000, 1000), now);
   store.store_turn(turn("a2", "a1", 60000, 1000), now);
   store.store_turn(turn("a3", "a2", 60000, 1000), now);
@@ -210,8 +211,8 @@
   CHECK_TRUE(chain("a3", 1U << 20U) == "a3 a2 a1 ");
 }
 
-// Names that go round in a ring end nowhere, and are answered all the same.
-TEST(ReplicaStoreTurns, RingOfNames) {
+// Reading a cyclic chain terminates.
+TEST(ReplicaStoreTurns, CyclicChain) {
   store.store_turn(turn("a1", "a2"), now);
   store.store_turn(turn("a2", "a1"), now);
   CHECK_TRUE(store.read_chain("a1", 1U << 30U, now).size() < 20000);
@@ -219,7 +220,7 @@
   CHECK_TRUE(store.read_chain("b1", 1U << 30U, now).size() < 20000);
 }
 
-TEST(ReplicaStoreTurns, RefusedWhenFullAndNothingIsBegun) {
+TEST(ReplicaStoreTurns, RefusedWithoutChangesWhenFull) {
   MemoryDisk d;
   ReplicaStore small(d, 2000);
   CHECK_TRUE(small.recover(now).ok());
@@ -227,14 +228,14 @@
   CHECK_TRUE(small.store_turn(turn("a2", "", 60000, 700), now));
   CHECK_FALSE(small.store_turn(turn("a3", "", 60000, 700), now));
   CHECK_TRUE(small.find_turn("a3") == nullptr && small.turn_count() == 2 && small.turn_bytes() <= 2000);
-  CHECK_TRUE(small.store_turn(turn("a1", "", 60000, 700), now));  // it is there
+  CHECK_TRUE(small.store_turn(turn("a1", "", 60000, 700), now));  // it is already stored
   small.expire(now + Span::ms(61000));
   CHECK_TRUE(small.turn_count() == 0 && small.turn_bytes() == 0);
   CHECK_TRUE(small.store_turn(turn("a3", "", 60000, 700), now + Span::ms(61000)));
 }
 
-// A turn is there for its whole time, and with it all that it goes on from, which is in use as long.
-TEST(ReplicaStoreTurns, KeptForItsTimeWithItsChain) {
+// A turn and its ancestors are kept for the whole retention of the turn.
+TEST(ReplicaStoreTurns, RetentionExtendsToTheChain) {
   store.store_turn(turn("a1", "", 10000), now);
   store.store_turn(turn("b1", "", 10000), now);
   const TimePoint later = now + Span::ms(9000);
@@ -250,9 +251,8 @@
   CHECK_TRUE(store.find_turn("a1") == nullptr && store.find_turn("a2") == nullptr);
 }
 
-// Which turn a chain lacks here: whoever is asked to keep the newest has to have it too, so that it lasts as
-// long.
-TEST(ReplicaStoreTurns, WhatAChainLacks) {
+// A node that stores a turn must also have its ancestors, so that they are retained for as long.
+TEST(ReplicaStoreTurns, FirstMissingAncestor) {
   store.store_turn(turn("a1", ""), now);
   store.store_turn(turn("a3", "a2"), now);
   CHECK_TRUE(store.first_missing_ancestor("a1").empty());
@@ -262,11 +262,11 @@
   CHECK_TRUE(store.first_missing_ancestor("a3").empty());
   store.store_turn(turn("r1", "r2"), now);
   store.store_turn(turn("r2", "r1"), now);
-  CHECK_TRUE(store.first_missing_ancestor("r1").empty());  // a ring ends
+  CHECK_TRUE(store.first_missing_ancestor("r1").empty());  // a cyclic chain has no missing turn
 }
 
-// A program that goes on from another's turns needs them where its own are.
-TEST(ReplicaStoreTurns, ChainsThatCrossPrograms) {
+// If a program continues turns of another one, these must be replicated with its own turns.
+TEST(ReplicaStoreTurns, CrossProgramAncestors) {
   store.store_turn(turn("a1", ""), now);
   store.store_turn(turn("a2", "a1"), now);
   store.store_turn(turn("b1", "a2"), now);
@@ -279,8 +279,8 @@
   CHECK_TRUE(of("p-a").empty() && of("p-c").empty());
 }
 
-// Read again it has its time anew: never less than it had.
-TEST(ReplicaStoreTurns, TimeAfterALossIsNoShorter) {
+// Recovery starts the retention of a turn again, so that it never becomes shorter.
+TEST(ReplicaStoreTurns, RecoveryDoesNotShortenRetention) {
   store.store_turn(turn("a1", "", 10000), now);
   CHECK_TRUE(store.commit(now).ok());
   disk.power_cycle(1);
@@ -293,20 +293,20 @@
   }
 }
 
-// Segments whose turns are past are removed; what is still in use of an old one is written again first.
-TEST(ReplicaStoreTurns, SegmentsAreRemoved) {
+// Segments without live turns are removed. Live turns of an old segment are rewritten first.
+TEST(ReplicaStoreTurns, OldSegmentsAreRemoved) {
   std::size_t most_files = 0;
   store.store_turn(turn("keep", "", 1e9), now);
   store.reserve("p", "attempt", 77, now);
   for (int s = 0; s < 400; ++s) {
     const TimePoint at = now + Span::ms(s * 1000.0);
     store.store_turn(turn(numbered("t", s), "", 20000, 240000), at);
-    if (s % 50 == 0) store.reserve("p", "attempt", 77, at);  // its program goes on
+    if (s % 50 == 0) store.reserve("p", "attempt", 77, at);  // extends the account's retention
     store.expire(at);
     CHECK_TRUE(store.commit(at).ok());
     most_files = std::max(most_files, files());
   }
-  CHECK_TRUE(most_files >= 3 && most_files < 20);  // 96 MB went through, in segments of 4
+  CHECK_TRUE(most_files >= 3 && most_files < 20);  // 96 MB were written, in segments of 4 MB
   disk.power_cycle(3);
   ReplicaStore again(disk, capacity);
   CHECK_TRUE(again.recover(now + Span::ms(400000)).ok());
@@ -315,8 +315,8 @@
   for (int n = 399; n >= 385; --n) CHECK_TRUE(again.find_turn(numbered("t", n)) != nullptr);
 }
 
-// In the order of their names, from any place on, each once.
-TEST(ReplicaStoreTurns, WalkedInParts) {
+// Turns and accounts can be visited in several parts: each once, in order of ids or program names.
+TEST(ReplicaStoreTurns, VisitedInParts) {
   for (int n = 0; n < 57; ++n) {
     store.store_turn(turn(numbered("t", 100 + n), ""), now);
     store.reserve(numbered("p", 100 + n), "a", 1, now);
@@ -348,7 +348,7 @@
 
 namespace {
 
-/// Changes to a store, with what commit() has acknowledged of them.
+/// Applies random changes to a store, and records which of them commit() has acknowledged.
 struct RecordedWorkload {
   struct State {
     std::map<std::string, Turn> turns;
@@ -356,7 +356,7 @@
   };
   State acknowledged, attempted;
 
-  // Runs until a commit fails.
+  // Stops early if a commit fails.
   void run(ReplicaStore& store, TimePoint now, RandomSource& random, int steps, int first = 0) {
     for (int n = first; n < first + steps; ++n) {
       const std::string id = numbered("t", n);
@@ -371,11 +371,11 @@
         attempted.entries.try_emplace({program, id}, Reservation{id, 10 + n, false});
       }
       if (n > 0 && random.chance(0.6)) {
-        const std::string settled =
+        const std::string committed_attempt =
             numbered("t", static_cast<int>(random.below(static_cast<std::size_t>(n))));
-        store.commit_usage(program, settled, n, now);
-        Reservation& r = attempted.entries[{program, settled}];
-        if (!r.committed) r = {settled, n, true};
+        store.commit_usage(program, committed_attempt, n, now);
+        Reservation& r = attempted.entries[{program, committed_attempt}];
+        if (!r.committed) r = {committed_attempt, n, true};
       }
       if (random.chance(0.6)) {
         if (!store.commit(now).ok()) return;
@@ -384,11 +384,11 @@
     }
     if (store.commit(now).ok()) acknowledged = attempted;
   }
-  // All that was said OK to is there; what is there besides was attempted.
+  // Checks that the store has everything that was acknowledged, and nothing that was not attempted.
   void check(const ReplicaStore& store, const std::string& where) const {
     for (const auto& [id, t] : acknowledged.turns) {
       CHECK_WHERE(store.find_turn(id) != nullptr, where + ": lost turn " + id);
-      CHECK_WHERE(*store.find_turn(id) == t, where + ": another turn " + id);
+      CHECK_WHERE(*store.find_turn(id) == t, where + ": different turn " + id);
     }
     store.for_each_turn("", [&](const Turn& t) {
       const auto found = attempted.turns.find(t.id);
@@ -396,11 +396,11 @@
       return true;
     });
     for (const auto& [key, r] : acknowledged.entries) {
-      bool settled = false;
-      const std::int64_t got = tokens(store, key.first, key.second, &settled);
+      bool is_committed = false;
+      const std::int64_t got = tokens(store, key.first, key.second, &is_committed);
       const Reservation& newest = attempted.entries.at(key);
-      const bool as_acknowledged = got == r.tokens && settled == r.committed;
-      const bool as_attempted = got == newest.tokens && settled == newest.committed;
+      const bool as_acknowledged = got == r.tokens && is_committed == r.committed;
+      const bool as_attempted = got == newest.tokens && is_committed == newest.committed;
       CHECK_WHERE(as_acknowledged || as_attempted, where + ": entry " + key.first + " " + key.second);
     }
   }
@@ -408,11 +408,11 @@
 
 }  // namespace
 
-TEST_GROUP(ReplicaStoreLosses) { TimePoint now = TimePoint::at_ms(1e6); };
+TEST_GROUP(ReplicaStoreFaults) { TimePoint now = TimePoint::at_ms(1e6); };
 
-// Power is lost at each step in turn: what commit() said OK to is there. The store goes on and loses power
-// again.
-TEST(ReplicaStoreLosses, LossOfPowerAtEveryStep) {
+// Power is lost at each disk step in turn: acknowledged changes survive. The recovered store continues and
+// loses power again.
+TEST(ReplicaStoreFaults, PowerLossAtEveryStep) {
   for (std::uint64_t seed = 0; seed < 6; ++seed) {
     std::size_t points = 0;
     {
@@ -440,27 +440,29 @@
         ReplicaStore again(disk, capacity);
         CHECK_WHERE(again.recover(now).ok(), where);
         work.check(again, where);
-        // It goes on from what is there, and loses power once more.
-        RecordedWorkload then;
-        again.for_each_turn("", [&](const Turn& t) { return then.acknowledged.turns[t.id] = t, true; });
+        // Continues with the recovered state, and loses power once more.
+        RecordedWorkload second_work;
+        again.for_each_turn("",
+                            [&](const Turn& t) { return second_work.acknowledged.turns[t.id] = t, true; });
         for (const auto& [program, account] : accounts(again)) {
-          for (const Reservation& r : account.entries) then.acknowledged.entries[{program, r.attempt}] = r;
+          for (const Reservation& r : account.entries)
+            second_work.acknowledged.entries[{program, r.attempt}] = r;
         }
-        then.attempted = then.acknowledged;
+        second_work.attempted = second_work.acknowledged;
         disk.lose_power_at(disk.step_count() + loss * 2);
-        then.run(again, now, random, 12, 100);
+        second_work.run(again, now, random, 12, 100);
         disk.power_cycle(loss + 100);
         ReplicaStore last(disk, capacity);
         CHECK_WHERE(last.recover(now).ok(), where);
-        then.check(last, where + ", second");
+        second_work.check(last, where + ", second power loss");
       }
     }
   }
 }
 
-// The disk is full, or syncs fail, at each step in turn and for some steps, and the store goes on: what
-// commit() has said OK to is there whenever power is lost, and all of it once the disk works again.
-TEST(ReplicaStoreLosses, GoesOnAfterAFaultAtEveryStep) {
+// The disk is full, or syncs fail, from each step in turn and for several steps. Acknowledged changes survive
+// a power loss at any time, and all changes survive one after the disk works again.
+TEST(ReplicaStoreFaults, DiskFaultAtEveryStep) {
   for (const DiskFault fault :
        {DiskFault::full, DiskFault::sync_drops_writes, DiskFault::sync_outcome_unknown}) {
     for (std::size_t from = 0; from < 24; ++from) {
@@ -478,9 +480,9 @@
           work.run(store, now, random, 3, part * 3);
           failed += store.is_failing() ? 1 : 0;
           for (std::uint64_t loss = 0; loss < 4; ++loss) {
-            MemoryDisk dark = disk;
-            dark.power_cycle(loss);
-            ReplicaStore again(dark, capacity);
+            MemoryDisk copy = disk;
+            copy.power_cycle(loss);
+            ReplicaStore again(copy, capacity);
             CHECK_WHERE(again.recover(now).ok(), where);
             work.check(again, where + numbered(", part ", part));
           }
@@ -491,15 +493,15 @@
         ReplicaStore last(disk, capacity);
         CHECK_WHERE(last.recover(now).ok(), where);
         work.check(last, where + ", at the end");
-        CHECK_WHERE(from > 15 || length < 5 || failed > 0, where + ": no fault was met");
+        CHECK_WHERE(from > 15 || length < 5 || failed > 0, where + ": no commit failed");
       }
     }
   }
 }
 
-// No segment is removed, and none of what is in use written again, while the disk takes nothing: what waits
-// does not grow with time alone.
-TEST(ReplicaStoreLosses, NothingIsWrittenAgainWhileTheDiskFails) {
+// While the disk accepts no writes, no segment is removed and no live turn is rewritten; otherwise the buffer
+// would grow without any new data.
+TEST(ReplicaStoreFaults, NothingIsRewrittenWhileTheDiskFails) {
   MemoryDisk disk;
   ReplicaStore store(disk, capacity);
   CHECK_TRUE(store.recover(now).ok());
@@ -507,7 +509,7 @@
   store.reserve("p", "a", 7, now);
   CHECK_TRUE(store.commit(now).ok());
   for (int n = 0; n < 9; ++n) store.store_turn(turn(numbered("t", n), "", 1000, 500000), now);
-  CHECK_TRUE(store.commit(now).ok());  // over the size of a segment: the next goes to another
+  CHECK_TRUE(store.commit(now).ok());  // exceeds the segment size: the next record goes to a new segment
   store.store_turn(turn("b", "", 1e9), now);
   disk.inject_fault(DiskFault::full, disk.step_count(), disk.step_count() + 1000);
   CHECK_FALSE(store.commit(now).ok());
@@ -516,20 +518,20 @@
   CHECK_EQUAL(steps, disk.step_count());
 }
 
-// While old segments are written again and removed, power is lost at each step.
-TEST(ReplicaStoreLosses, LossOfPowerWhileSegmentsAreRemoved) {
-  const auto work = [&](ReplicaStore& store, MemoryDisk& disk, std::size_t point, bool* lasting) {
-    *lasting = false;
+// Power is lost at each disk step while old segments are rewritten and removed.
+TEST(ReplicaStoreFaults, PowerLossWhileSegmentsAreRemoved) {
+  const auto work = [&](ReplicaStore& store, MemoryDisk& disk, std::size_t point, bool* is_committed) {
+    *is_committed = false;
     CHECK_TRUE(store.recover(now).ok());
     store.store_turn(turn("keep", "", 1e9), now);
     store.reserve("p", "a", 77, now);
     store.commit_usage("p", "b", 5, now);
     if (!store.commit(now).ok()) return;
     for (int n = 0; n < 9; ++n) store.store_turn(turn(numbered("t", n), "", 1000, 500000), now);
-    if (!store.commit(now).ok()) return;  // over the size of a segment: the next goes to another
+    if (!store.commit(now).ok()) return;  // exceeds the segment size: the next record goes to a new segment
     store.store_turn(turn("next", "", 1e9), now);
     if (!store.commit(now).ok()) return;
-    *lasting = true;
+    *is_committed = true;
     if (point != 0) disk.lose_power_at(disk.step_count() + point - 1);
     store.expire(now + Span::ms(2000));
     const TimePoint old = now + Span::ms(151000);
@@ -542,9 +544,9 @@
       const std::string where = numbered("point ", point) + numbered(", loss ", loss);
       MemoryDisk disk;
       ReplicaStore store(disk, capacity);
-      bool lasting = false;
-      work(store, disk, point, &lasting);
-      CHECK_WHERE(lasting, where);
+      bool is_committed = false;
+      work(store, disk, point, &is_committed);
+      CHECK_WHERE(is_committed, where);
       const std::size_t files = disk.list_files().size();
       if (point == 0) CHECK_WHERE(files <= 2, where);
       disk.power_cycle(loss);
@@ -558,8 +560,8 @@
   }
 }
 
-// A spoilt record ends its segment; the other segments are read.
-TEST(ReplicaStoreLosses, SpoiltSegment) {
+// A corrupted record ends the reading of its segment; the other segments are still read.
+TEST(ReplicaStoreFaults, CorruptedSegment) {
   MemoryDisk disk;
   {
     ReplicaStore store(disk, capacity);
@@ -585,9 +587,9 @@
   CHECK_TRUE(again.find_turn("b") != nullptr);
 }
 
-// Removed names last only once their folder is synced: an old segment that is there again raises nothing that
-// was settled.
-TEST(ReplicaStoreLosses, RemovedSegmentThatIsThereAgain) {
+// A removed file may reappear after a power loss, because its directory was not synced. The reservations in a
+// segment that reappears must not replace committed usage.
+TEST(ReplicaStoreFaults, RemovedSegmentReappears) {
   MemoryDisk disk;
   ReplicaStore store(disk, capacity);
   CHECK_TRUE(store.recover(now).ok());
@@ -606,15 +608,15 @@
   CHECK_TRUE(disk.append(name, text).ok() && disk.sync(name).ok());
   ReplicaStore again(disk, capacity);
   CHECK_TRUE(again.recover(now).ok());
-  bool settled = false;
-  CHECK_TRUE(tokens(again, "p", "a", &settled) == 8 && settled);
+  bool is_committed = false;
+  CHECK_TRUE(tokens(again, "p", "a", &is_committed) == 8 && is_committed);
 }
 
 TEST_GROUP(ReplicaStoreKilledThenPowerLoss) { TimePoint now = TimePoint::at_ms(1e6); };
 
-// A process is killed between a write and its sync. The next one is asked to keep the same turn, says OK, and
-// then power is lost: the turn is there.
-TEST(ReplicaStoreKilledThenPowerLoss, KeptAgainIsKept) {
+// A process is killed between a write and its sync. The next process acknowledges the same turn again, and
+// then power is lost: the turn must survive.
+TEST(ReplicaStoreKilledThenPowerLoss, TurnStoredAgainSurvives) {
   for (std::size_t point = 0; point < 3; ++point) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
       MemoryDisk disk;
@@ -634,8 +636,8 @@
       ReplicaStore last(disk, capacity);
       CHECK_TRUE(last.recover(now).ok());
       const std::string where = numbered("point ", point) + numbered(", seed ", seed);
-      CHECK_WHERE(last.find_turn("a1") != nullptr, where + ": the turn is gone");
-      CHECK_WHERE(tokens(last, "p", "a1") == 40, where + ": the reservation is gone");
+      CHECK_WHERE(last.find_turn("a1") != nullptr, where + ": the turn was lost");
+      CHECK_WHERE(tokens(last, "p", "a1") == 40, where + ": the reservation was lost");
     }
   }
 }
--- a/tests/storage/storage_plane_test.cpp
+++ b/tests/storage/storage_plane_test.cpp
@@ -1,5 +1,5 @@
-/// The production storage plane on real sockets, between a scripted control session and callers: what it
-/// answers before its state transfer has ended.
+/// Tests the production StoragePlane on real sockets, with a scripted controller and real callers: its
+/// answers while a state transfer is not complete, and after a restart.
 #include "storage/storage_plane.hpp"
 
 #include <arpa/inet.h>
@@ -21,7 +21,8 @@
 const std::string own_name = numbered("storage-", 1), other_name = numbered("storage-", 2),
                   zone = numbered("z", 1), program = numbered("p", 1), other_disk = numbered("d", 2);
 
-/// An address of its own: its port is next to the controller's, and may be taken elsewhere.
+/// Returns a loopback address of its own: the port is the one after the controller's, and another process may
+/// use it on a shared address.
 std::string own_ip() {
   in_addr address{};
   address.s_addr = htonl(own_loopback(77));
@@ -29,10 +30,10 @@
   return ::inet_ntop(AF_INET, &address, text.data(), text.size());
 }
 
-/// A storage node, a scripted controller, and another node of the map that answers nothing.
+/// A storage node, a scripted controller, and another node of the map that never replies.
 class StorageNodeFixture {
  public:
-  /// The content outlives the process that owns the Disk.
+  /// A disk whose content outlives the storage plane that owns this object.
   class SharedDisk final : public common::Disk {
    public:
     explicit SharedDisk(std::shared_ptr<common::MemoryDisk> disk) : disk_(std::move(disk)) {}
@@ -62,7 +63,8 @@
     start();
     caller_ =
         std::make_unique<common::RpcClient>(loop.scheduler, loop.later, settings.internal_address(1), 1);
-    if (!loop.until([&] { return control.member().has_value(); })) throw std::runtime_error("no session");
+    if (!loop.until([&] { return control.member().has_value(); }))
+      throw std::runtime_error("the storage plane opened no session to the controller");
     own.node = own_name;
     own.disk = control.member()->disk;
     own.address = control.member()->address;
@@ -70,15 +72,16 @@
     other.disk = other_disk;
     other.address = net::text_of(silent_.address());
   }
-  /// Sets a map of both nodes; returns once the node under test has it.
-  bool name_both_nodes() { return set_map({own, other}); }
-  /// Sets a map of these nodes; returns once the node under test has it.
+  /// Sets a map of both nodes. Returns true once the node under test has received it.
+  bool set_map_of_both_nodes() { return set_map({own, other}); }
+  /// Sets a map of these nodes. Returns true once the node under test has received it.
   bool set_map(const std::vector<common::StorageNode>& nodes, std::int64_t map = 1) {
     control.configure(configuration_text({}, {}), nodes, map);
     ++values_;
     return loop.until([&] { return control.member()->number >= values_; });
   }
-  /// Kills the process and starts another on the same disk.
+  /// Destroys the storage plane and starts another one on the same disk. Returns true once that one has the
+  /// newest map.
   bool restart() {
     stop();
     start();
@@ -88,8 +91,8 @@
     plane_.reset();
     control.forget_member();
   }
-  /// Changes the map while no process runs.
-  void set_map_silently(const std::vector<common::StorageNode>& nodes, std::int64_t map) {
+  /// Changes the map while the storage plane is stopped, so without waiting for it.
+  void set_map_while_stopped(const std::vector<common::StorageNode>& nodes, std::int64_t map) {
     control.configure(configuration_text({}, {}), nodes, map);
     ++values_;
   }
@@ -98,24 +101,25 @@
   }
   std::optional<ReplicaStatus> reserve(std::int64_t map) {
     std::optional<ReplicaStatus> out;
-    const common::ReserveRequest ask{map, program, "attempt", 1};
-    caller_->call<common::ReserveReply>(ask, Span::ms(1000), [&](absl::StatusOr<common::ReserveReply> got) {
-      if (got.ok()) out = static_cast<ReplicaStatus>(got->verdict);
-    });
+    const common::ReserveRequest request{map, program, "attempt", 1};
+    caller_->call<common::ReserveReply>(request, Span::ms(1000),
+                                        [&](absl::StatusOr<common::ReserveReply> reply) {
+                                          if (reply.ok()) out = static_cast<ReplicaStatus>(reply->verdict);
+                                        });
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
     return out;
   }
   std::optional<ReplicaStatus> store_turn(const std::string& id) {
     std::optional<ReplicaStatus> out;
-    common::StoreTurnRequest ask;
-    ask.map_version = 1;
-    ask.turn.id = id;
-    ask.turn.program = program;
-    ask.turn.retention_ms = 60000;
-    ask.used_tokens = -1;
-    caller_->call<common::StoreTurnReply>(ask, Span::ms(1000),
-                                          [&](absl::StatusOr<common::StoreTurnReply> got) {
-                                            if (got.ok()) out = static_cast<ReplicaStatus>(got->verdict);
+    common::StoreTurnRequest request;
+    request.map_version = 1;
+    request.turn.id = id;
+    request.turn.program = program;
+    request.turn.retention_ms = 60000;
+    request.used_tokens = -1;
+    caller_->call<common::StoreTurnReply>(request, Span::ms(1000),
+                                          [&](absl::StatusOr<common::StoreTurnReply> reply) {
+                                            if (reply.ok()) out = static_cast<ReplicaStatus>(reply->verdict);
                                           });
     loop.until([&] { return out.has_value(); }, Span::ms(1500));
     return out;
@@ -127,7 +131,7 @@
   void start() {
     plane_ =
         std::make_unique<storage::StoragePlane>(loop.scheduler, settings, std::make_unique<SharedDisk>(disk));
-    if (!plane_->open().ok()) throw std::runtime_error("the storage plane does not open");
+    if (!plane_->open().ok()) throw std::runtime_error("the storage plane cannot be opened");
   }
   common::ProcessSettings settings;
   std::shared_ptr<common::MemoryDisk> disk = std::make_shared<common::MemoryDisk>();
@@ -144,17 +148,18 @@
   std::unique_ptr<common::RpcClient> caller_;
 };
 
-// Before its state transfer a new node proves nothing about the others: they may all still have the previous
-// map, and deny the turn to edges that have it too. What the node stores must not count yet.
+// Before its state transfer, a new node cannot know which map the other nodes use: all may still use the
+// previous one, and answer `not_found` to edges that use it too. A turn stored by this node must not count
+// yet.
 TEST(StorageNodes, ABootstrappingNodeStoresNothingBeforeItIsReady) {
   StorageNodeFixture node;
   node.own.bootstrapping = true;
-  ASSERT_TRUE(node.name_both_nodes());
+  ASSERT_TRUE(node.set_map_of_both_nodes());
   EXPECT_EQ(node.store_turn("a"), ReplicaStatus::not_ready);
 }
 
-// It was complete under this map before its process ended. What it has missed since, a quorum of each group
-// has: it is like a node that was silent for a while, and needs nothing from its peers.
+// A node that was complete under the current map before its restart needs no transfer: like a node that was
+// unreachable for a while, it has missed only what a quorum of each group has.
 TEST(StorageNodes, ResumesUnderTheMapThatItWasCompleteUnder) {
   StorageNodeFixture node;
   ASSERT_TRUE(node.set_map({node.own}));
@@ -164,38 +169,38 @@
   EXPECT_EQ(node.reserve(1), ReplicaStatus::ok);
 }
 
-// Another map may have assigned it more: it transfers that before it answers.
+// A different map may assign more to the node, which must transfer that before it answers.
 TEST(StorageNodes, TransfersStateAfterARestartUnderAnotherMap) {
   StorageNodeFixture node;
   ASSERT_TRUE(node.set_map({node.own}));
   ASSERT_TRUE(node.is_complete_under(1));
   node.stop();
-  node.set_map_silently({node.own, node.other}, 2);
+  node.set_map_while_stopped({node.own, node.other}, 2);
   ASSERT_TRUE(node.restart());
   EXPECT_EQ(node.reserve(2), ReplicaStatus::not_ready);
 }
 
-// It has answered under a later map, and what it answered must not change: an earlier map, which a controller
-// that lags may still push, is ignored after a restart too.
+// The node has answered under a later map, and these answers must remain valid. It therefore ignores an
+// earlier map, which a controller that lags may still push, also after a restart.
 TEST(StorageNodes, DoesNotGoBackToAnEarlierMap) {
   StorageNodeFixture node;
   ASSERT_TRUE(node.set_map({node.own, node.other}));
   ASSERT_TRUE(node.restart());
-  EXPECT_EQ(node.reserve(1), ReplicaStatus::not_ready);  // it never was complete
+  EXPECT_EQ(node.reserve(1), ReplicaStatus::not_ready);  // it was never complete
   ASSERT_TRUE(node.set_map({node.own}, 2));
   ASSERT_TRUE(node.is_complete_under(2));
   ASSERT_TRUE(node.set_map({node.own, node.other}, 4));
   EXPECT_EQ(node.reserve(4), ReplicaStatus::not_ready);
   node.stop();
-  node.set_map_silently({node.own, node.other}, 2);
+  node.set_map_while_stopped({node.own, node.other}, 2);
   ASSERT_TRUE(node.restart());
   EXPECT_EQ(node.reserve(2), ReplicaStatus::replica_map_stale);
 }
 
-// A node that was in the map before stores turns at once: the groups have not changed.
+// A node that was already in the map stores turns during a transfer: the groups have not changed.
 TEST(StorageNodes, AnEarlierMemberStoresTurnsDuringATransfer) {
   StorageNodeFixture node;
-  ASSERT_TRUE(node.name_both_nodes());
+  ASSERT_TRUE(node.set_map_of_both_nodes());
   EXPECT_EQ(node.store_turn("a"), ReplicaStatus::ok);
 }
 
