--- a/include/chutevane/types.hpp
+++ b/include/chutevane/types.hpp
@@ -68,10 +68,10 @@
   std::uint16_t zone = 0;
   std::uint16_t cell = 0;
   Availability availability = Availability::ready;
-  double size = 1.0;        ///< relative capacity, as stated by the list
-  TimePoint came_up;        ///< start time of the endpoint's process; zero: long ago
-  std::uint16_t model = 0;  ///< machine model, as numbered by the list
-  std::uint64_t mark = 0;   ///< identifier that all sidecars agree on; 0: `id` is used
+  double size = 1.0;            ///< relative capacity, as stated by the list
+  TimePoint started_at;         ///< start time of the endpoint's process; zero: long ago
+  std::uint16_t model = 0;      ///< machine model, as numbered by the list
+  std::uint64_t stable_id = 0;  ///< identifier that all sidecars agree on; 0: `id` is used
 };
 
 /// The measured latency of an endpoint, for a process that takes over the same clients.
@@ -83,22 +83,22 @@
 
 /// A sidecar's load estimate, for the process that takes over its clients.
 struct LearnedLoad {
-  double limit = 0.0;      ///< limit on calls in progress; 0: not learned
-  double rate = 0.0;       ///< calls/s
-  double late_part = 0.0;  ///< fraction of results that were late
+  double limit = 0.0;          ///< limit on calls in progress; 0: not learned
+  double rate = 0.0;           ///< calls/s
+  double late_fraction = 0.0;  ///< fraction of results that were late
   double retry_tokens = 0.0;
   /// Quantiles of the response times in the estimate's window, at the middle of each twentieth. Zeros: not
   /// measured.
   std::array<double, 20> times_ms{};
-  bool on_trial = false;       ///< the limit predates a gap: it is dropped if the first results are late
-  bool budgets_spent = false;  ///< slow start budgets begin empty
+  bool is_on_trial = false;        ///< the limit predates a gap: it is dropped if the first results are late
+  bool are_budgets_spent = false;  ///< slow start budgets begin empty
 };
 
 enum class ListKind : std::uint8_t { failed, full, cached, changes };
 
 /// The attempts that other endpoint pools have already made for an API call.
-struct Elsewhere {
-  bool was = false;  ///< the call was in another pool before
+struct PriorAttempts {
+  bool is_rerouted = false;  ///< the call was in another pool before
   std::uint8_t dispatches = 0;
   bool may_have_run = false;  ///< at least one of the dispatches may have been executed
   Span spent;                 ///< time since the call arrived at the first pool
@@ -107,18 +107,18 @@
 struct ApiCall {
   CallId id = 0;
   std::uint32_t track = 0;
-  Span left;              ///< time until the client times out
-  bool repeated = false;  ///< the client marks the call as a retry
-  Elsewhere elsewhere{};
-  std::uint64_t key = 0;  ///< the call's key, for cache affinity and ordering; 0: none
-  bool coming = false;    ///< its large request is still being received; moved() reports the progress
+  Span time_left;                ///< time until the client times out
+  bool is_marked_retry = false;  ///< the client marks the call as a retry
+  PriorAttempts prior_attempts{};
+  std::uint64_t key = 0;      ///< the call's key, for cache affinity and ordering; 0: none
+  bool is_uploading = false;  ///< its large request is still arriving: see Balancer::on_upload_progress()
 };
 
 /// How a dispatch ended.
 enum class Outcome : std::uint8_t {
   done,
   error,
-  turned_away,
+  rejected,
   timed_out,
   not_connected,
   reset,
@@ -143,20 +143,20 @@
   Outcome outcome = Outcome::done;
   Span elapsed;
   LoadReport load{};
-  bool last = false;  ///< the request is no longer buffered whole, so it cannot be retried
+  bool cannot_retry = false;  ///< the request is no longer buffered whole, so it cannot be retried
 };
 
 /// The kind of an Answer.
 enum class Verdict : std::uint8_t {
   nothing,
-  dispatch,   ///< send `call` to `endpoint` with a timeout of `span`; if `until` is set, only before `until`
-  wait,       ///< hold `call`; the balancer decides on it by `until`
-  reject,     ///< final: the client may retry safely, after `span` if it is not zero
-  break_off,  ///< final: the call may have been executed, so a retry may not be safe
-  cancel,     ///< cancel dispatch `number` of `call`
-  tell,       ///< publish `endpoint` and `number` to all other sidecars, which pass them to told()
-  subscribe,  ///< subscribe to the endpoint list and its changes
-  log,        ///< write `text` to the log
+  dispatch,  ///< send `call` to `endpoint` with a timeout of `span`; if `until` is set, only before `until`
+  wait,      ///< hold `call`; the balancer decides on it by `until`
+  reject,    ///< final: the client may retry safely, after `span` if it is not zero
+  fail,      ///< final: the call may have been executed, so a retry may not be safe
+  cancel,    ///< cancel dispatch `number` of `call`
+  publish_load,  ///< publish `endpoint` and `number` to all other sidecars: see on_published_load()
+  subscribe,     ///< subscribe to the endpoint list and its changes
+  log,           ///< write `text` to the log
 };
 
 /// One decision of the balancer. The members that its verdict names are set.
@@ -167,7 +167,7 @@
   std::uint32_t number = 0;
   Span span{};
   TimePoint until{};
-  bool fresh = false;  ///< dispatch: use a new connection, and close the endpoint's idle ones
+  bool needs_new_connection = false;  ///< dispatch: use a new connection, and close the endpoint's idle ones
   std::array<char, 96> text{};
 };
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void send_log_to(LogSink to) { sink = std::move(to); }
+void set_log_sink(LogSink to) { sink = std::move(to); }
 
 void log_line(const char* format, ...) {
   if (sink) {
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -12,6 +12,6 @@
 /// Sends all lines to a sink instead of standard error, without a rate limit. An empty sink restores standard
 /// error. For simulated processes.
 using LogSink = std::function<void(std::string_view line)>;
-void send_log_to(LogSink sink);
+void set_log_sink(LogSink sink);
 
 }  // namespace chutevane
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -43,16 +43,17 @@
   const Span client_timeout = tracks[track].client_timeout;
   TimeoutStatistics& statistics = timeout_statistics[track];
   const auto is_same = [&](const Candidate& candidate) {
-    return std::abs((candidate.timeout - request.left) / client_timeout) <= same_timeout_tolerance;
+    return std::abs((candidate.timeout - request.time_left) / client_timeout) <= same_timeout_tolerance;
   };
-  const std::size_t at = find_or_replace(statistics.candidates, timeout_decay, {request.left, 0.0}, is_same);
+  const std::size_t at =
+      find_or_replace(statistics.candidates, timeout_decay, {request.time_left, 0.0}, is_same);
   statistics.candidates[at].weight += 1.0;
   if (statistics.candidates[at].weight > 2.0 * statistics.candidates[statistics.usual].weight)
     statistics.usual = at;
   const bool may_be_first = at == statistics.usual || clients_mark_retries;
-  if (may_be_first && !request.repeated) return Span();
+  if (may_be_first && !request.is_marked_retry) return Span();
   if (statistics.candidates[statistics.usual].weight < min_usual_weight) return Span();
-  return std::max(Span(), client_timeout - request.left);
+  return std::max(Span(), client_timeout - request.time_left);
 }
 
 // Deeper tiers reject no calls early: the call was admitted at the first tier and work has gone into it.
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -47,11 +47,11 @@
   call.id = request.id;
   call.track = std::min(request.track, static_cast<std::uint32_t>(tracks.size() - 1));
   call.key = request.key;
-  call.is_uploading = request.coming;
+  call.is_uploading = request.is_uploading;
   call.arrived_at = call.progressed_at = now;
-  call.deadline = now + request.left;
-  call.target_deadline = now + tracks[call.track].latency_target - request.elsewhere.spent;
-  call.dispatched_elsewhere = request.elsewhere.dispatches;
+  call.deadline = now + request.time_left;
+  call.target_deadline = now + tracks[call.track].latency_target - request.prior_attempts.spent;
+  call.dispatched_elsewhere = request.prior_attempts.dispatches;
   call.value = tracks[call.track].value;
   call.in_use = true;
   if (has_warm_keys && call.key != 0) call.key_popularity = key_popularity(call.key);
@@ -62,7 +62,7 @@
 Answer Balancer::State::admit(std::uint32_t index, const ApiCall& request, TimePoint now) {
   const Call& call = calls[index];
   if (!is_admitted(call)) return reject(index, now, true);
-  if (request.elsewhere.may_have_run) {
+  if (request.prior_attempts.may_have_run) {
     // It may have been executed in another pool, so sending it is a retry and takes a retry token.
     if (retry_tokens < 1.0) return reject(index, now, false);
     retry_tokens -= 1.0;
@@ -96,7 +96,7 @@
   const Call& call = calls[index];
   if (call.in_flight_count > 0) return;
   const bool is_free = !may_have_run || dispatch.is_abandoned;  // needs no retry token
-  if (!end.last && may_dispatch_again(call, now) && (is_free || retry_tokens >= 1.0)) {
+  if (!end.cannot_retry && may_dispatch_again(call, now) && (is_free || retry_tokens >= 1.0)) {
     if (!is_free) retry_tokens -= 1.0;
     answers.add_final(dispatch_or_wait(index, now));
   } else {
@@ -119,29 +119,29 @@
   return std::min({s.weights.next_update_at(), s.next_look_at, s.subscribe_at, unblocked});
 }
 
-Answers Balancer::listed(ListKind kind, std::span<const ListedEndpoint> entries, TimePoint now) {
+Answers Balancer::on_endpoint_list(ListKind kind, std::span<const ListedEndpoint> entries, TimePoint now) {
   return state_->begin_event().update_endpoints(kind, entries, now);
 }
 
-Answer Balancer::arrived(const ApiCall& request, TimePoint now) {
+Answer Balancer::on_call(const ApiCall& request, TimePoint now) {
   State& s = state_->begin_event();
   const std::uint32_t index = s.add_call(request, now);
   Call& call = s.calls[index];
   s.value_samples = std::min(1.0 / mean_value_gain, s.value_samples + 1.0);
   s.mean_value += (call.value - s.mean_value) / s.value_samples;
-  if (!request.elsewhere.was) {
+  if (!request.prior_attempts.is_rerouted) {
     if (s.free_retries >= 0.0) s.recent_calls.add(1, now);
     s.retry_tokens = std::min(max_retry_tokens, s.retry_tokens + retry_tokens_per_call);
   }
   ++s.arrivals_since_rate;
   s.calls_in_progress += call.is_uploading ? 0 : 1;
   s.max_in_progress_in_step = std::max(s.max_in_progress_in_step, s.calls_in_progress);
-  if (s.is_first_tier && !request.elsewhere.was)
+  if (s.is_first_tier && !request.prior_attempts.is_rerouted)
     call.target_deadline = call.target_deadline - s.time_since_first_try(call.track, request);
   return s.admit(index, request, now);
 }
 
-Answers Balancer::ended(const DispatchEnd& end, TimePoint now) {
+Answers Balancer::on_dispatch_end(const DispatchEnd& end, TimePoint now) {
   State& s = state_->begin_event();
   const std::uint32_t index = s.call_index.find(end.call);
   if (index == IdIndex::none || end.number >= s.calls[index].dispatch_count) return s.answers;
@@ -150,7 +150,7 @@
   if (!dispatch.is_in_flight) return s.answers;
   s.end_dispatch(call, dispatch, end, now);
   const bool may_have_run = end.outcome != Outcome::not_sent && end.outcome != Outcome::not_connected &&
-                            end.outcome != Outcome::turned_away;
+                            end.outcome != Outcome::rejected;
   if (may_have_run && call.first_executed < 0) {
     call.first_executed = static_cast<int>(end.number);
     call.executed_since = dispatch.sent_at;
@@ -168,7 +168,7 @@
 
 // The time that a large request takes to arrive counts neither against the client's deadline nor against the
 // endpoint.
-void Balancer::moved(CallId id, bool last, TimePoint now) {
+void Balancer::on_upload_progress(CallId id, bool last, TimePoint now) {
   State& s = *state_;
   const std::uint32_t index = s.call_index.find(id);
   if (index == IdIndex::none) return;
@@ -184,12 +184,12 @@
   dispatch.sent_at = s.endpoints[dispatch.endpoint].active_since = now;
 }
 
-void Balancer::broke(EndpointId id, TimePoint now) {
+void Balancer::on_response_broken(EndpointId id, TimePoint now) {
   if (Endpoint* endpoint = state_->find_endpoint(id))
     state_->record_failure(*endpoint, now, "responses break off");
 }
 
-Answers Balancer::client_left(CallId id, TimePoint now) {
+Answers Balancer::on_client_disconnect(CallId id, TimePoint now) {
   State& s = state_->begin_event();
   const std::uint32_t index = s.call_index.find(id);
   if (index == IdIndex::none || s.calls[index].is_over) return s.answers;
@@ -197,21 +197,21 @@
   return s.end_event(now);
 }
 
-void Balancer::told(EndpointId id, std::uint32_t load, TimePoint now) {
+void Balancer::on_published_load(EndpointId id, std::uint32_t load, TimePoint now) {
   Endpoint* endpoint = state_->find_endpoint(id);
   if (endpoint == nullptr) return;
   endpoint->reported_load = load / published_load_scale;
   endpoint->load_reported_at = endpoint->load_published_at = now;
 }
 
-Answers Balancer::woken(TimePoint now) {
+Answers Balancer::on_timer(TimePoint now) {
   state_->begin_event().run_timers(now);
   return state_->answers;
 }
 
 void Balancer::set_slow_start_share(double share) { state_->slow_start_budget_share = share; }
 
-std::size_t Balancer::avoided(TimePoint now) const {
+std::size_t Balancer::avoided_endpoint_count(TimePoint now) const {
   std::size_t count = 0;
   for (const Endpoint& endpoint : state_->endpoints) {
     if (!endpoint.is_ready()) continue;
@@ -220,11 +220,11 @@
   return count;
 }
 
-bool Balancer::usable(EndpointId id) const {
+bool Balancer::is_usable(EndpointId id) const {
   const Endpoint* endpoint = state_->find_endpoint(id);
   return endpoint != nullptr && endpoint->is_ready();
 }
 
-std::size_t Balancer::endpoints_kept() const { return state_->endpoints.size(); }
+std::size_t Balancer::endpoint_slot_count() const { return state_->endpoints.size(); }
 
 }  // namespace chutevane
--- a/src/policy/call_lifecycle.cpp
+++ b/src/policy/call_lifecycle.cpp
@@ -32,8 +32,9 @@
   // would be executed a second time.
   if (call.first_executed >= 0 && track.idempotency == Idempotency::keyed)
     answer.until = call.executed_since + track.idempotency_window;
-  answer.fresh = is_connection_suspect(endpoint, now);
-  const bool has_idle_time = !answer.fresh && endpoint.in_flight <= 0 && endpoint.last_used_at != TimePoint();
+  answer.needs_new_connection = is_connection_suspect(endpoint, now);
+  const bool has_idle_time =
+      !answer.needs_new_connection && endpoint.in_flight <= 0 && endpoint.last_used_at != TimePoint();
   const Span idle = has_idle_time ? now - endpoint.last_used_at : Span();
   endpoint.last_used_at = now;
   call.dispatches[call.dispatch_count++] = {.endpoint = endpoint_at,
@@ -75,7 +76,7 @@
   const bool is_known_everywhere =
       track.idempotency == Idempotency::keyed && track.retry_scope == RetryScope::all;
   const bool is_safe = call.first_executed < 0 || is_known_everywhere;
-  Answer answer{.verdict = Verdict::break_off, .call = call.id};
+  Answer answer{.verdict = Verdict::fail, .call = call.id};
   if (track.idempotency == Idempotency::idempotent || (is_safe && call.in_flight_count == 0))
     answer.verdict = Verdict::reject;
   if (answer.verdict == Verdict::reject && can_send_retry_after)
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -74,7 +74,7 @@
 
 void Balancer::State::update_endpoint(Endpoint& endpoint, const ListedEndpoint& entry, TimePoint now) {
   endpoint.is_unlisted = false;
-  const bool is_new_process = !endpoint.is_ready() || entry.came_up != endpoint.started_at;
+  const bool is_new_process = !endpoint.is_ready() || entry.started_at != endpoint.started_at;
   if (entry.availability == Availability::ready && is_new_process) {
     // Nothing that was learned about the previous process holds for this one.
     const int in_flight_before = endpoint.in_flight;
@@ -82,7 +82,7 @@
     endpoint.response_times = WindowedHistogram(estimate.config().window);
     endpoint.in_flight = in_flight_before;
     endpoint.active_since = endpoint.slow_start_refilled_at = now;
-    endpoint.started_at = entry.came_up;
+    endpoint.started_at = entry.started_at;
     // With budgets far below one call per window, this decides at random which sidecar calls it first.
     endpoint.slow_start_tokens = random.unit();
     if (slow_start_factor(endpoint, now) < 1.0) endpoint.concurrency_cap = initial_concurrency_cap;
@@ -91,7 +91,7 @@
   endpoint.zone = entry.zone;
   endpoint.cell = entry.cell;
   endpoint.model = entry.model;
-  endpoint.ring_hash = mix_bits(entry.mark != 0 ? entry.mark : entry.id);
+  endpoint.ring_hash = mix_bits(entry.stable_id != 0 ? entry.stable_id : entry.id);
   if (model_latency_ms.size() <= endpoint.model) {
     const double first_model = model_latency_ms.empty() ? 0.0 : model_latency_ms[0];
     model_latency_ms.resize(endpoint.model + 1U, first_model);
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -100,7 +100,7 @@
   endpoint.load_reported_at = now;
   if (!can_publish_load || !has_warm_keys || load <= high_reported_load()) return;
   if (now - endpoint.load_published_at <= publish_interval) return;
-  answers.add(Verdict::tell, 0, static_cast<std::uint32_t>(load * published_load_scale), endpoint.id);
+  answers.add(Verdict::publish_load, 0, static_cast<std::uint32_t>(load * published_load_scale), endpoint.id);
   endpoint.load_published_at = now;
 }
 
@@ -155,7 +155,7 @@
   count_connections(endpoint, end.outcome, now);
   switch (end.outcome) {
     case Outcome::done: learn_from_response(endpoint, end, now); break;
-    case Outcome::turned_away:
+    case Outcome::rejected:
       endpoint.active_since = now;
       endpoint.ejected_until = std::max(endpoint.ejected_until, now + full_queue_pause);
       if (!has_load_reports) break;
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -38,13 +38,13 @@
   State& s = *state_;
   s.limit = load.limit;
   s.arrival_rate = load.rate;
-  s.late_fraction = load.late_part;
-  s.trial_results_left = load.on_trial ? trial_results : 0;
+  s.late_fraction = load.late_fraction;
+  s.trial_results_left = load.is_on_trial ? trial_results : 0;
   s.retry_tokens = std::clamp(load.retry_tokens, 0.0, max_retry_tokens);
   for (const double ms : load.times_ms) {
     if (ms > 0.0) s.estimate.record_response(Span::ms(ms), now);
   }
-  if (!load.budgets_spent) return;
+  if (!load.are_budgets_spent) return;
   for (Endpoint& endpoint : s.endpoints) endpoint.slow_start_tokens = 0.0;
 }
 
--- a/src/sidecar/balancer_driver.cpp
+++ b/src/sidecar/balancer_driver.cpp
@@ -69,7 +69,7 @@
 net::Task BalancerDriver::run_timer() {
   while (true) {
     co_await waker_.wait(due);
-    enqueue(balancer_.woken(scheduler_.now()));
+    enqueue(balancer_.on_timer(scheduler_.now()));
     remove_confirmed();
   }
 }
@@ -83,7 +83,7 @@
   calls_[slot].id = call.id;
   calls_[slot].request = &request;
   call_index_.put(call.id, slot);
-  const Answer answer = balancer_.arrived(call, scheduler_.now());
+  const Answer answer = balancer_.on_call(call, scheduler_.now());
   enqueue({&answer, 1});
   return call.id;
 }
@@ -92,7 +92,7 @@
   const std::uint32_t slot = call_index_.find(call);
   if (slot == IdIndex::none || release_request(slot) == nullptr) return;
   ++counters_.client_disconnects;
-  enqueue(balancer_.client_left(call, scheduler_.now()));
+  enqueue(balancer_.on_client_disconnect(call, scheduler_.now()));
   cancel_unsent(call);
   erase_if_finished(slot);
 }
@@ -105,7 +105,7 @@
     if (request == nullptr) continue;
     ++counters_.aborted;
     request->on_aborted(true, history_of(slot));
-    enqueue(balancer_.client_left(id, scheduler_.now()));
+    enqueue(balancer_.on_client_disconnect(id, scheduler_.now()));
     cancel_unsent(id);
     erase_if_finished(slot);
   }
@@ -149,7 +149,7 @@
 
 void BalancerDriver::on_request_progress(const Dispatch& dispatch, bool is_last) {
   if (call_index_.find(dispatch.call) != IdIndex::none)
-    balancer_.moved(dispatch.call, is_last, scheduler_.now());
+    balancer_.on_upload_progress(dispatch.call, is_last, scheduler_.now());
 }
 
 /// For the balancer the call is done with the head of a streamed response: nothing is left to decide.
@@ -175,7 +175,7 @@
   call.connections[dispatch.number] = nullptr;
   call.timed_out = outcome == Outcome::timed_out;
   const bool never_ran =
-      outcome == Outcome::not_sent || outcome == Outcome::not_connected || outcome == Outcome::turned_away;
+      outcome == Outcome::not_sent || outcome == Outcome::not_connected || outcome == Outcome::rejected;
   if (!never_ran && !std::exchange(call.history.may_have_run, true)) call.history.first_sent = dispatch.sent;
   if (outcome == Outcome::done) {
     if (DownstreamRequest* const request = release_request(slot)) {
@@ -198,7 +198,7 @@
   end.endpoint = dispatch.endpoint;
   end.number = dispatch.number;
   end.call_over = call_over;
-  end.last = is_last;
+  end.cannot_retry = is_last;
   end.outcome = outcome;
   end.elapsed = scheduler_.now() - dispatch.sent;
   dispatch_ends_.push_back(end);
@@ -232,7 +232,7 @@
 void BalancerDriver::process_dispatch_end() {
   const DispatchEnd end = dispatch_ends_.front();
   dispatch_ends_.pop_front();
-  const Answers more = balancer_.ended(end, scheduler_.now());
+  const Answers more = balancer_.on_dispatch_end(end, scheduler_.now());
   answers_.insert(answers_.end(), more.begin(), more.end());
   const std::uint32_t slot = call_index_.find(end.call);
   if (slot == IdIndex::none) return;
@@ -247,13 +247,13 @@
   switch (answer.verdict) {
     case Verdict::nothing:
     case Verdict::wait:
-    case Verdict::tell:              // never here: the settings say that sidecars exchange nothing
+    case Verdict::publish_load:      // never here: the settings say that sidecars exchange nothing
     case Verdict::subscribe: break;  // the watch on discovery has its own schedule
     case Verdict::dispatch:
       if (is_known) dispatch(slot, answer);
       break;
     case Verdict::reject:
-    case Verdict::break_off:
+    case Verdict::fail:
       if (is_known) reject_or_abort(slot, answer);
       break;
     case Verdict::cancel:
@@ -290,7 +290,7 @@
     on_dispatch_end(dispatch, Outcome::not_sent, nullptr);
     return;
   }
-  if (answer.fresh) pool_.close_idle(answer.endpoint);
+  if (answer.needs_new_connection) pool_.close_idle(answer.endpoint);
   UpstreamConnection* const connection = pool_.send(dispatch, request->request(), request->body());
   const std::uint32_t slot_now = call_index_.find(answer.call);  // the call may have ended within send()
   if (connection != nullptr && slot_now != IdIndex::none)
@@ -326,7 +326,7 @@
     pool_.remove_unlisted(std::move(ids));
   }
   is_processing_ = false;
-  enqueue(balancer_.listed(kind, entries, scheduler_.now()));
+  enqueue(balancer_.on_endpoint_list(kind, entries, scheduler_.now()));
   remove_confirmed();
 }
 
@@ -347,11 +347,11 @@
   out.zone = index_of(zones_, entry.zone);
   out.model = index_of(models_, entry.model);
   // Ids are numbered as endpoints come, differently in each process; the hash is the same in all.
-  out.mark = XXH3_64bits(entry.id.data(), entry.id.size());
+  out.stable_id = XXH3_64bits(entry.id.data(), entry.id.size());
   out.cell = entry.cell;
   out.availability = availability;
   out.size = entry.size;
-  out.came_up = entry.came_up;
+  out.started_at = entry.came_up;
   return out;
 }
 
@@ -359,7 +359,7 @@
 void BalancerDriver::remove_confirmed() {
   for (std::size_t i = pool_.pending_removals().size(); i-- > 0;) {
     const EndpointId id = pool_.pending_removals()[i];
-    if (!balancer_.usable(id)) pool_.remove(id);
+    if (!balancer_.is_usable(id)) pool_.remove(id);
   }
 }
 
--- a/src/sidecar/balancer_driver.hpp
+++ b/src/sidecar/balancer_driver.hpp
@@ -44,7 +44,7 @@
     if (watcher_) watcher_->set_address(address);
   }
   std::size_t listed_endpoints() const { return pool_.listed_count(); }
-  std::size_t ejected_endpoints() const { return balancer_.avoided(scheduler_.now()); }
+  std::size_t ejected_endpoints() const { return balancer_.avoided_endpoint_count(scheduler_.now()); }
   std::size_t ready_endpoints() const { return pool_.ready_count(); }
   /// What the balancer has learned, and the list; owner, time and deployment are for the caller to fill in.
   snapshot::Snapshot learned_state() const;
@@ -56,7 +56,9 @@
   void on_request_progress(const Dispatch& dispatch, bool is_last) override;
   bool on_response_started(const Dispatch& dispatch, const http::Parser& response,
                            const std::shared_ptr<BodyPipe>& body) override;
-  void on_response_broken(EndpointId endpoint) override { balancer_.broke(endpoint, scheduler_.now()); }
+  void on_response_broken(EndpointId endpoint) override {
+    balancer_.on_response_broken(endpoint, scheduler_.now());
+  }
   void on_dispatch_end(const Dispatch& dispatch, Outcome outcome, const http::Parser* response) override;
   // discovery::EndpointListObserver
   void on_endpoint_list(const discovery::EndpointList& list) override;
--- a/src/sidecar/call_protocol.cpp
+++ b/src/sidecar/call_protocol.cpp
@@ -153,13 +153,13 @@
 ClassifiedRequest CallProtocol::classify_call(const http::Parser& request, std::uint32_t track) const {
   ClassifiedRequest out;
   out.call.track = track;
-  out.call.left = tracks_[track].client_timeout;
+  out.call.time_left = tracks_[track].client_timeout;
   if (const auto stated = request.find(names_.timeout)) {
     const auto timeout = parse_timeout(*stated);
     if (!timeout) return invalid("malformed time to wait");
-    out.call.left = *timeout;
+    out.call.time_left = *timeout;
   }
-  out.call.repeated = request.find(names_.retried) == "1";
+  out.call.is_marked_retry = request.find(names_.retried) == "1";
   if (uses_affinity_keys_) out.call.key = affinity_key_of(request);
   out.kind = RequestKind::call;
   return out;
@@ -213,7 +213,7 @@
   const int status = response.status();
   if (status == 200) return Outcome::done;
   if ((status == 503 || status == 504) && response.find(names_.not_processed) == "1")
-    return Outcome::turned_away;
+    return Outcome::rejected;
   return Outcome::error;
 }
 
--- a/src/sidecar/downstream_connection.cpp
+++ b/src/sidecar/downstream_connection.cpp
@@ -207,9 +207,9 @@
     return;
   }
   // The client's patience with a pipelined request has run since the request came.
-  if (was_pipelined_) call.left = call.left - (scheduler_.now() - last_read_at_);
+  if (was_pipelined_) call.time_left = call.time_left - (scheduler_.now() - last_read_at_);
   track_ = call.track;
-  call.coming = request_body_ != nullptr;
+  call.is_uploading = request_body_ != nullptr;
   is_outstanding_ = true;
   ++listener_.counters_.outstanding;
   const CallId submitted = listener_.router_.submit(call, route, *this);
--- a/src/sidecar/service_router.cpp
+++ b/src/sidecar/service_router.cpp
@@ -223,7 +223,7 @@
   routed.tried_pools |= std::uint64_t{1} << std::min(pool_in_side, max_pools_tracked - 1);
   ApiCall call = routed.call;
   const Span elapsed = scheduler_.now() - routed.accepted_at;
-  call.left = routed.call.left - elapsed;
+  call.time_left = routed.call.time_left - elapsed;
   const Side& side = side_of(routed);
   const std::size_t pool = side.pools[pool_in_side];
   // One of the call's dispatches is reserved for each pool that it has not been to: a pool whose endpoints
@@ -231,10 +231,10 @@
   const int max_dispatches = model_.pools[pool].dispatches;
   const int untried = static_cast<int>(side.pools.size()) - std::popcount(routed.tried_pools);
   const int reserved = std::clamp(max_dispatches - routed.history.dispatches - 1, 0, std::max(0, untried));
-  call.elsewhere.was = routed.pools_started > 0;
-  call.elsewhere.dispatches = static_cast<std::uint8_t>(routed.history.dispatches + reserved);
-  call.elsewhere.may_have_run = routed.history.may_have_run;
-  call.elsewhere.spent = elapsed;
+  call.prior_attempts.is_rerouted = routed.pools_started > 0;
+  call.prior_attempts.dispatches = static_cast<std::uint8_t>(routed.history.dispatches + reserved);
+  call.prior_attempts.may_have_run = routed.history.may_have_run;
+  call.prior_attempts.spent = elapsed;
   const std::uint32_t this_start = ++routed.pools_started;
   const CallId id = routed.id;
   const CallId id_in_pool = pools_[pool]->driver.submit(call, routed);
@@ -273,7 +273,7 @@
   out.memory_spans_group = track.repeat_group == "all";
   out.key_retention = track.key_retention;
   out.max_dispatches = to.dispatches;
-  out.deadline = routed.accepted_at + routed.call.left;
+  out.deadline = routed.accepted_at + routed.call.time_left;
   return out;
 }
 
--- a/src/sidecar_simulation/run.cpp
+++ b/src/sidecar_simulation/run.cpp
@@ -42,7 +42,7 @@
     simulator().on_close = [](const network_simulation::Process&, const sockaddr_in&) {};
     for (SimulatedSidecar* sidecar : environment_.sidecars())
       sidecar->on_incarnation_end = [](const sidecar::Counters&) {};
-    send_log_to({});
+    set_log_sink({});
   }
   SimulationRun(const SimulationRun&) = delete;
   SimulationRun& operator=(const SimulationRun&) = delete;
@@ -51,7 +51,7 @@
     report_.seed = scenario_.experiment.seed;
     const TimePoint start = simulator().now();
     // Log lines belong to the trace; without one they are dropped.
-    send_log_to([this](std::string_view line) {
+    set_log_sink([this](std::string_view line) {
       trace_.record(simulator().now(), "log %.*s", static_cast<int>(line.size()), line.data());
     });
     try {
--- a/src/simulator_host/simulator_host.cpp
+++ b/src/simulator_host/simulator_host.cpp
@@ -76,21 +76,21 @@
   switch (event.code) {
     case EventCode::targets: {
       const auto& list = lists_[event.list_number % lists_.size()];
-      reply(balancer.listed(event.list_kind, list, now));
+      reply(balancer.on_endpoint_list(event.list_kind, list, now));
       break;
     }
-    case EventCode::order: reply_.add_answer(event.instance, balancer.arrived(event.call, now)); break;
+    case EventCode::order: reply_.add_answer(event.instance, balancer.on_call(event.call, now)); break;
     case EventCode::closed_attempt:
       event.end.load = simulator_protocol::parse_load_report(event, target.report_fields);
-      reply(balancer.ended(event.end, now));
+      reply(balancer.on_dispatch_end(event.end, now));
       break;
-    case EventCode::vanished: reply(balancer.client_left(event.end.call, now)); break;
+    case EventCode::vanished: reply(balancer.on_client_disconnect(event.end.call, now)); break;
     case EventCode::wake:
       if (event.token == target.timer_token) target.timer_due = TimePoint::never();
-      reply(balancer.woken(now));
+      reply(balancer.on_timer(now));
       break;
     case EventCode::stop: target.balancer.reset(); break;
-    case EventCode::peer_data: balancer.told(event.end.endpoint, event.token, now); break;
+    case EventCode::peer_data: balancer.on_published_load(event.end.endpoint, event.token, now); break;
     case EventCode::launch:
     case EventCode::health:   // no probes are sent
     case EventCode::started:  // no deployment streams responses
--- a/src/simulator_protocol/action_frame.cpp
+++ b/src/simulator_protocol/action_frame.cpp
@@ -65,7 +65,8 @@
     case Verdict::nothing:
     case Verdict::wait: break;
     case Verdict::dispatch:
-      if (answer.fresh) write_endpoint_id(add_record(close_idle, instance) + 3, answer.endpoint);
+      if (answer.needs_new_connection)
+        write_endpoint_id(add_record(close_idle, instance) + 3, answer.endpoint);
       record = add_record(pass_on, instance);
       write_number(record + 3, answer.call);
       write_number(record + 11, answer.span.as_ms());
@@ -76,13 +77,13 @@
       write_number(record + 3, answer.call);
       write_number(record + 11, answer.span.as_ms());
       break;
-    case Verdict::break_off: write_number(add_record(respond_error, instance) + 3, answer.call); break;
+    case Verdict::fail: write_number(add_record(respond_error, instance) + 3, answer.call); break;
     case Verdict::cancel:
       record = add_record(abandon, instance);
       write_number(record + 3, answer.call);
       record[11] = static_cast<std::uint8_t>(answer.number);
       break;
-    case Verdict::tell: add_peer_data(instance, answer); break;
+    case Verdict::publish_load: add_peer_data(instance, answer); break;
     case Verdict::subscribe: add_record(stream_changes, instance)[3] = 1; break;
     case Verdict::log: add_text(print, instance, answer.text.data()); break;
   }
--- a/src/simulator_protocol/event_frame.cpp
+++ b/src/simulator_protocol/event_frame.cpp
@@ -15,7 +15,7 @@
   switch (disposition) {
     case 0: return Outcome::done;
     case 255: return Outcome::error;
-    case 254: return Outcome::turned_away;
+    case 254: return Outcome::rejected;
     case 253: return Outcome::timed_out;
     case 252: return Outcome::not_connected;
     case 251: return Outcome::reset;
@@ -70,9 +70,9 @@
 void EventFrame::decode_order(const std::uint8_t* record, Event& event) const {
   event.call.id = read_number<std::uint64_t>(record + 3);
   event.call.track = record[11];
-  event.call.left = Span::ms(read_number<double>(record + 12));
+  event.call.time_left = Span::ms(read_number<double>(record + 12));
   event.call.key = read_number<std::uint64_t>(record + 28);
-  event.call.repeated = (record[36] & repeated_flag) != 0;
+  event.call.is_marked_retry = (record[36] & repeated_flag) != 0;
 }
 
 void EventFrame::decode_closed_attempt(std::size_t offset, Event& event) const {
@@ -117,7 +117,7 @@
                              .cell = read_number<std::uint16_t>(row + 10),
                              .availability = availabilities[row[12]],
                              .size = read_number<float>(row + 13),
-                             .came_up = TimePoint::at_ms(read_number<double>(row + 17)),
+                             .started_at = TimePoint::at_ms(read_number<double>(row + 17)),
                              .model = read_number<std::uint16_t>(row + 8)});
   }
 }
--- a/src/snapshot/describe.cpp
+++ b/src/snapshot/describe.cpp
@@ -43,7 +43,7 @@
   out += line("age", describe_age(age_of(snapshot.written_at, now)));
   out += line("limit", formatted("%.1f calls in flight", load.limit));
   out += line("rate", formatted("%.1f calls/s", load.rate));
-  out += line("late", formatted("%.1f%% of the last answers", 100.0 * load.late_part));
+  out += line("late", formatted("%.1f%% of the last answers", 100.0 * load.late_fraction));
   out += line("retries in hand", formatted("%.1f", load.retry_tokens));
   out += line("p95", describe_p95(load));
   out += line("list", "version " + std::to_string(list.version) + ", " + std::to_string(list.entries.size()) +
--- a/src/snapshot/snapshot_format.cpp
+++ b/src/snapshot/snapshot_format.cpp
@@ -47,7 +47,7 @@
 
 void write_load(json::Writer& out, const LearnedLoad& load) {
   out.key("carried").open('{').key("limit").real(load.limit).key("rate").real(load.rate);
-  out.key("late_part").real(load.late_part).key("retry_tokens").real(load.retry_tokens);
+  out.key("late_part").real(load.late_fraction).key("retry_tokens").real(load.retry_tokens);
   out.key("times_ms").open('[');
   for (const double ms : load.times_ms) out.real(ms);
   out.close(']').close('}');
@@ -101,7 +101,7 @@
   LearnedLoad load;
   load.limit = number_member(object, "limit", max_calls);
   load.rate = number_member(object, "rate", max_calls);
-  load.late_part = number_member(object, "late_part", 1.0);
+  load.late_fraction = number_member(object, "late_part", 1.0);
   load.retry_tokens = number_member(object, "retry_tokens", max_retry_tokens);
   const json::Value& times = member(object, "times_ms", Kind::list);
   if (times.items.size() != load.times_ms.size()) throw FormatError("times_ms: not as many as there are");
--- a/src/snapshot/warm_start.cpp
+++ b/src/snapshot/warm_start.cpp
@@ -35,7 +35,7 @@
 
 WarmStart cold_start(const std::string& reason) {
   WarmStart result;
-  result.load.budgets_spent = true;
+  result.load.are_budgets_spent = true;
   result.reason = "nothing remembered counts, all is learnt anew: " + reason;
   return result;
 }
@@ -59,13 +59,13 @@
   if (has_limit) {
     result.load.limit = snapshot.load.limit;
     result.load.rate = snapshot.load.rate;
-    result.load.late_part = snapshot.load.late_part;
-    result.load.on_trial = true;
+    result.load.late_fraction = snapshot.load.late_fraction;
+    result.load.is_on_trial = true;
   }
   if (is_exact && result.age.duration <= max_age_of_times) result.load.times_ms = snapshot.load.times_ms;
   // A process that was killed may have spent its budgets after its last snapshot. Without this rule one that
   // keeps crashing would have a full budget with each start.
-  result.load.budgets_spent = true;
+  result.load.are_budgets_spent = true;
   if (is_exact && snapshot.is_clean_shutdown) result.load.retry_tokens = snapshot.load.retry_tokens;
   result.reason = summary(result, has_limit, is_other_fleet);
   return result;
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -39,7 +39,7 @@
   Bench b(3);
   b.history(40, 100, 500);
   for (CallId id = 1; id <= 12; ++id) b.end(b.call(id, 510), Outcome::timed_out, 1900, 300);
-  b.balancer.woken(at(2100));
+  b.balancer.on_timer(at(2100));
   EXPECT_EQ(b.call(50, 2110).span, Span::ms(4000));
 }
 
@@ -67,7 +67,7 @@
     const Answer a = b.call(1000U + static_cast<CallId>(i), i);
     b.end(a, Outcome::done, i, a.endpoint == 1 ? 50 : 120);
   }
-  b.balancer.woken(at(2100));
+  b.balancer.on_timer(at(2100));
   int first = 0;
   for (int i = 0; i < 200; ++i) {
     const Answer a = b.call(2000U + static_cast<CallId>(i), 2200 + i);
@@ -86,11 +86,11 @@
     const Answer a = b.call(id, when);
     DispatchEnd e{id, a.endpoint, 0, true, Outcome::done, Span::ms(150), {}};
     e.load.service_ms = a.endpoint == 1 ? 20 : 60;
-    b.balancer.ended(e, at(when));
+    b.balancer.on_dispatch_end(e, at(when));
     return a.endpoint;
   };
   for (CallId id = 1; id <= 60; ++id) serve(id, 10);
-  b.balancer.woken(at(2100));
+  b.balancer.on_timer(at(2100));
   int first = 0;
   for (CallId id = 100; id < 300; ++id) first += serve(id, 2200) == 1 ? 1 : 0;
   EXPECT_GT(first, 125);
@@ -107,7 +107,7 @@
     std::vector<Answer> first_calls;  // enough at the same time to measure all zones
     for (CallId id = 1; id <= 18; ++id) first_calls.push_back(b.call(id, 0));
     for (const Answer& a : first_calls) b.end(a, Outcome::done, 10, ms(a));
-    b.balancer.woken(at(2100));
+    b.balancer.on_timer(at(2100));
     int in_zone = 0;
     for (CallId id = 100; id < 250; ++id) {
       const Answer a = b.call(id, 2200);
@@ -125,7 +125,7 @@
   Bench b(3);
   auto list = endpoints(2);
   list[0].availability = Availability::draining;
-  b.balancer.listed(ListKind::full, list, at(10));
+  b.balancer.on_endpoint_list(ListKind::full, list, at(10));
   for (CallId id = 1; id <= 5; ++id) EXPECT_EQ(b.call(id, 20).endpoint, 2U);
 }
 
@@ -136,13 +136,13 @@
     s["rules.drain_binds_alone"] = alone;
     Bench b(4, s);
     b.history(40, 100, 500);
-    b.balancer.listed(ListKind::full, {}, at(600));
+    b.balancer.on_endpoint_list(ListKind::full, {}, at(600));
     int sent = 0;
     for (CallId id = 1; id <= 40; ++id) {
       const Answer a = b.call(id, 610);
       if (a.verdict != Verdict::dispatch) continue;
       ++sent;
-      b.balancer.ended({id, a.endpoint, 0, true, then, Span::ms(1), {}}, at(610));
+      b.balancer.on_dispatch_end({id, a.endpoint, 0, true, then, Span::ms(1), {}}, at(610));
     }
     return sent;
   };
@@ -158,10 +158,10 @@
   b.history(40, 100, 500);
   auto list = endpoints(1);
   list[0].availability = Availability::draining;
-  b.balancer.listed(ListKind::full, list, at(600));
-  b.balancer.listed(ListKind::full, {}, at(700));
+  b.balancer.on_endpoint_list(ListKind::full, list, at(600));
+  b.balancer.on_endpoint_list(ListKind::full, {}, at(700));
   EXPECT_EQ(b.call(1, 710).verdict, Verdict::reject);
-  EXPECT_FALSE(b.balancer.usable(1));
+  EXPECT_FALSE(b.balancer.is_usable(1));
 }
 
 TEST(EndpointList, WithoutEndpointsCallsAreRejectedAtOnceWithARetryDelay) {
@@ -174,12 +174,12 @@
 TEST(SlowStart, SendsInAWindowStayWithinThisSidecarsShare) {
   Bench b(10);
   auto list = endpoints(10);
-  list[0].came_up = at(0);
-  b.balancer.listed(ListKind::full, list, at(0));
+  list[0].started_at = at(0);
+  b.balancer.on_endpoint_list(ListKind::full, list, at(0));
   int sent = 0;
   for (int i = 0; i < 1500; ++i) {  // 100 calls a second, each done at once
     const Answer a = b.call(1000U + static_cast<CallId>(i), i * 10);
-    if (i % 100 == 0) b.balancer.woken(at(i * 10));
+    if (i % 100 == 0) b.balancer.on_timer(at(i * 10));
     if (i >= 1350 && a.endpoint == 1) ++sent;
     b.end(a, Outcome::done, i * 10, 20);
   }
@@ -193,13 +193,13 @@
   s["sidecars"] = "400";
   auto list = endpoints(2);
   list[1].availability = Availability::draining;  // no other endpoint is available
-  list[0].came_up = at(0);
+  list[0].started_at = at(0);
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     Balancer b(s, seed, at(0));
-    b.listed(ListKind::full, list, at(0));
+    b.on_endpoint_list(ListKind::full, list, at(0));
     for (CallId id = 1; id <= 3; ++id)
-      sent += b.arrived({id, 0, Span::ms(4000), false}, at(500.0 * id)).verdict == Verdict::dispatch ? 1 : 0;
+      sent += b.on_call({id, 0, Span::ms(4000), false}, at(500.0 * id)).verdict == Verdict::dispatch ? 1 : 0;
   }
   EXPECT_GT(sent, 0);
   EXPECT_LT(sent, 20);
@@ -207,12 +207,12 @@
 
 TEST(Retries, ANonIdempotentCallFailsOnceItMayHaveRun) {
   Bench b(3, settings("single-use"));
-  EXPECT_TRUE(find(b.end(b.call(1, 10, 1), Outcome::timed_out, 200), Verdict::break_off));
+  EXPECT_TRUE(find(b.end(b.call(1, 10, 1), Outcome::timed_out, 200), Verdict::fail));
 }
 
 TEST(Retries, ANonIdempotentCallIsRetriedIfItNeverRan) {
   Bench b(3, settings("single-use"));
-  EXPECT_TRUE(find(b.end(b.call(1, 10, 1), Outcome::turned_away, 20), Verdict::dispatch));
+  EXPECT_TRUE(find(b.end(b.call(1, 10, 1), Outcome::rejected, 20), Verdict::dispatch));
 }
 
 TEST(Retries, AKeyedCallStaysInItsZone) {
@@ -230,14 +230,14 @@
   Settings s = deeper("referenced");
   s["tracks.1.client_timeout_ms"] = "9000";
   Bench b(6, s);
-  EXPECT_TRUE(find(b.end(b.call(1, 10, 1, 9000), Outcome::timed_out, 3500), Verdict::break_off));
+  EXPECT_TRUE(find(b.end(b.call(1, 10, 1, 9000), Outcome::timed_out, 3500), Verdict::fail));
 }
 
 TEST(Retries, TheDispatchLimitHolds) {
   Bench b(6);
   Answer a = b.call(1, 10);
-  for (int n = 1; n < 4; ++n) a = *find(b.end(a, Outcome::turned_away, 10 + n), Verdict::dispatch);
-  EXPECT_TRUE(find(b.end(a, Outcome::turned_away, 20), Verdict::reject));
+  for (int n = 1; n < 4; ++n) a = *find(b.end(a, Outcome::rejected, 10 + n), Verdict::dispatch);
+  EXPECT_TRUE(find(b.end(a, Outcome::rejected, 20), Verdict::reject));
 }
 
 // If a tenth of the responses are late the cause is a few slow endpoints, not load. Counting them as overload
@@ -254,7 +254,7 @@
       }
       for (const Answer& a : out)
         b.end(a, Outcome::done, step * 1000 + (a.call % late_every == 0 ? 700 : 240));
-      b.balancer.woken(at(step * 1000 + 750));
+      b.balancer.on_timer(at(step * 1000 + 750));
     }
     return out.size();
   };
@@ -288,7 +288,7 @@
   s["sidecars"] = "30";
   Bench b(2, s);
   EXPECT_EQ(b.call(1, 10, 1).verdict, Verdict::dispatch);
-  for (int ms = 50; ms <= 5000; ms += 50) b.balancer.woken(at(ms));
+  for (int ms = 50; ms <= 5000; ms += 50) b.balancer.on_timer(at(ms));
   EXPECT_EQ(b.call(2, 5010, 1).verdict, Verdict::reject);
 }
 
@@ -319,7 +319,7 @@
     for (const Answer& a : out) {
       if (answered) b.end(a, Outcome::done, step * 250 + 100);
     }
-    for (int ms = 50; ms <= 250; ms += 50) b.balancer.woken(at(step * 250 + ms));
+    for (int ms = 50; ms <= 250; ms += 50) b.balancer.on_timer(at(step * 250 + ms));
   }
 }
 
@@ -328,7 +328,7 @@
   Bench silent(4), answering(4);
   run_overloaded_steps(silent, 16, false);
   run_overloaded_steps(answering, 16, true);
-  for (CallId id = 1; id <= 100; ++id) silent.balancer.client_left(id, at(4000));
+  for (CallId id = 1; id <= 100; ++id) silent.balancer.on_client_disconnect(id, at(4000));
   Bench fresh(4);
   EXPECT_LE(admitted_at_once(silent, 4010, 0), admitted_at_once(fresh, 10, 0));
   EXPECT_GT(admitted_at_once(answering, 4010, 0), 0U);
@@ -339,10 +339,10 @@
 TEST(Admission, TheLimitFollowsTheEndpointCountAndColdOnesCountLittle) {
   Bench whole(8), half(8), grown(8);
   for (Bench* b : {&whole, &half, &grown}) run_overloaded_steps(*b, 24, true);
-  half.balancer.listed(ListKind::full, endpoints(4), at(6000));
+  half.balancer.on_endpoint_list(ListKind::full, endpoints(4), at(6000));
   auto more = endpoints(16);
-  for (std::size_t i = 8; i < 16; ++i) more[i].came_up = at(6000);
-  grown.balancer.listed(ListKind::full, more, at(6000));
+  for (std::size_t i = 8; i < 16; ++i) more[i].started_at = at(6000);
+  grown.balancer.on_endpoint_list(ListKind::full, more, at(6000));
   const auto before = static_cast<double>(admitted_at_once(whole, 6010, 0));
   EXPECT_LT(static_cast<double>(admitted_at_once(half, 6010, 0)), 0.7 * before);
   EXPECT_LT(static_cast<double>(admitted_at_once(grown, 6010, 0)), 1.3 * before);
@@ -361,9 +361,9 @@
         if (a.verdict != Verdict::dispatch) continue;
         DispatchEnd e{a.call, a.endpoint, 0, true, Outcome::done, Span::ms(100), {}};
         e.load.busy = busy;
-        b.balancer.ended(e, at(step * 250 + 100));
+        b.balancer.on_dispatch_end(e, at(step * 250 + 100));
       }
-      for (int ms = 50; ms <= 250; ms += 50) b.balancer.woken(at(step * 250 + ms));
+      for (int ms = 50; ms <= 250; ms += 50) b.balancer.on_timer(at(step * 250 + ms));
     }
     return admitted_at_once(b, 4010, 0);
   };
@@ -387,7 +387,7 @@
   Bench b(4, s);
   for (CallId id = 1; id <= 30; ++id) b.end(b.call(id, 10, 0, 3000), Outcome::done, 110, 100);
   EXPECT_EQ(b.call(100, 200, 0, 300).verdict, Verdict::dispatch);
-  EXPECT_EQ(b.balancer.arrived({101, 0, Span::ms(300), true}, at(200)).verdict, Verdict::reject);
+  EXPECT_EQ(b.balancer.on_call({101, 0, Span::ms(300), true}, at(200)).verdict, Verdict::reject);
 }
 
 // The timeout of a client that waits for less than the usual response time tells nothing about the endpoint
@@ -442,7 +442,7 @@
   Bench b(4);
   b.history(40, 100, 500);
   const Answer silent_call = b.call(1, 510);
-  const Answers got = b.balancer.woken(at(850));
+  const Answers got = b.balancer.on_timer(at(850));
   const std::vector<Answer> answers(got.begin(), got.end());
   const Answer* cancel = find(answers, Verdict::cancel);
   ASSERT_TRUE(cancel);
@@ -455,21 +455,21 @@
 TEST(Events, UnknownCallsAndLateEndsAreIgnored) {
   Bench b(3);
   const Answer a = b.call(1, 10);
-  b.balancer.client_left(1, at(20));
+  b.balancer.on_client_disconnect(1, at(20));
   EXPECT_TRUE(b.end(a, Outcome::timed_out, 30).empty());
   EXPECT_TRUE(b.end(a, Outcome::done, 40).empty());
-  EXPECT_TRUE(b.balancer.client_left(77, at(50)).empty());
+  EXPECT_TRUE(b.balancer.on_client_disconnect(77, at(50)).empty());
 }
 
 TEST(Discovery, AFailedSubscriptionIsRetriedAfterABackoff) {
   Settings s = settings();
   s["discovery"] = "subscribe";
   Balancer b(s, 3, at(0));
-  EXPECT_EQ(b.listed(ListKind::cached, endpoints(2), at(0)).front().verdict, Verdict::subscribe);
-  b.listed(ListKind::failed, {}, at(10));
-  const Answers early = b.woken(at(200));
+  EXPECT_EQ(b.on_endpoint_list(ListKind::cached, endpoints(2), at(0)).front().verdict, Verdict::subscribe);
+  b.on_endpoint_list(ListKind::failed, {}, at(10));
+  const Answers early = b.on_timer(at(200));
   EXPECT_FALSE(find({early.begin(), early.end()}, Verdict::subscribe));
-  const Answers later = b.woken(at(800));
+  const Answers later = b.on_timer(at(800));
   EXPECT_TRUE(find({later.begin(), later.end()}, Verdict::subscribe));
 }
 
@@ -497,7 +497,7 @@
     std::vector<ListedEndpoint> list = endpoints(i);
     list.erase(list.begin(), list.end() - 1);
     list[0].zone = i % 2;
-    b.balancer.listed(ListKind::full, list, at(10 * i));
+    b.balancer.on_endpoint_list(ListKind::full, list, at(10 * i));
     const Answer a = b.call(100 + i, 10 * i);
     EXPECT_EQ(a.verdict, Verdict::dispatch);
     EXPECT_EQ(a.endpoint, i);
@@ -508,7 +508,7 @@
   const auto answers = b.end(held, Outcome::reset, 500);
   ASSERT_NE(again = find(answers, Verdict::dispatch), nullptr);
   EXPECT_EQ(again->endpoint, 49U);
-  EXPECT_LE(b.balancer.endpoints_kept(), 3U);
+  EXPECT_LE(b.balancer.endpoint_slot_count(), 3U);
 }
 
 // --- Many sidecars, one per client -------------------------------------------------------------------
@@ -528,8 +528,8 @@
   std::set<EndpointId> out;
   for (CallId id = 1; id <= 60; ++id) {
     const double when = static_cast<double>(id) * 400;
-    b.balancer.woken(at(when));
-    const Answer a = b.balancer.arrived({.id = id, .left = Span::ms(4000), .key = key}, at(when));
+    b.balancer.on_timer(at(when));
+    const Answer a = b.balancer.on_call({.id = id, .time_left = Span::ms(4000), .key = key}, at(when));
     out.insert(a.endpoint);
     b.end(a, Outcome::done, when + 100);
   }
@@ -584,7 +584,7 @@
   std::set<EndpointId> used;
   for (CallId id = 1; id <= 200; ++id) {
     const double when = static_cast<double>(id) * 4;
-    b.balancer.woken(at(when));
+    b.balancer.on_timer(at(when));
     const Answer a = b.call(id, when);
     used.insert(a.endpoint);
     b.end(a, Outcome::done, when + 1);
@@ -598,18 +598,18 @@
   Bench b(40, settings_of_many_sidecars(0, true));
   CallId id = 0;
   for (double ms = 0; ms < 8000; ms += 100) {
-    b.balancer.woken(at(ms));
+    b.balancer.on_timer(at(ms));
     b.end(b.call(++id, ms), Outcome::done, ms + 50, 50);
   }
   auto list = endpoints(40);
-  for (auto& e : list) e.came_up = at(8000);
-  b.balancer.listed(ListKind::full, list, at(8000));
+  for (auto& e : list) e.started_at = at(8000);
+  b.balancer.on_endpoint_list(ListKind::full, list, at(8000));
   int cold = 0;
   for (double ms = 8050; ms < 9000; ms += 50) {
-    b.balancer.woken(at(ms));
+    b.balancer.on_timer(at(ms));
     const Answer a = b.call(++id, ms);
     cold += a.verdict == Verdict::dispatch ? 1 : 0;
-    b.balancer.client_left(id, at(ms));
+    b.balancer.on_client_disconnect(id, at(ms));
     b.end(a, Outcome::cancelled, ms);
   }
   EXPECT_LE(cold, 4);  // its mean rate is 10 calls/s over 40 endpoints, a tenth warm
@@ -623,7 +623,7 @@
   Bench a(40, s), b(40, t);
   for (std::uint64_t key = 1; key <= 50; ++key) {
     const auto ask = [&](Bench& on) {
-      return on.balancer.arrived({.id = key, .left = Span::ms(4000), .key = key}, at(10)).endpoint;
+      return on.balancer.on_call({.id = key, .time_left = Span::ms(4000), .key = key}, at(10)).endpoint;
     };
     EXPECT_EQ(ask(a), ask(b));
   }
@@ -644,17 +644,17 @@
   const auto used = [&](CallId from, double when, Outcome outcome) {
     std::set<EndpointId> out;
     for (CallId id = from; id < from + 40; ++id) {
-      const Answer a = b.balancer.arrived({.id = id, .left = Span::ms(4000), .key = id}, at(when));
+      const Answer a = b.balancer.on_call({.id = id, .time_left = Span::ms(4000), .key = id}, at(when));
       if (a.verdict != Verdict::dispatch) continue;
       out.insert(a.endpoint);
       DispatchEnd e{id, a.endpoint, 0, true, outcome, Span::ms(1), {}};
-      b.balancer.ended(e, at(when));
+      b.balancer.on_dispatch_end(e, at(when));
     }
     return out.size();
   };
   EXPECT_GT(used(1, 10, Outcome::done), 15U);
   used(100, 20, Outcome::not_connected);
-  for (double ms = 50; ms <= 12000; ms += 50) b.balancer.woken(at(ms));
+  for (double ms = 50; ms <= 12000; ms += 50) b.balancer.on_timer(at(ms));
   EXPECT_LT(used(200, 12000, Outcome::done), 15U);
 }
 
@@ -665,10 +665,10 @@
   Bench b(0, s);
   auto list = endpoints(20);
   for (auto& e : list) e.model = static_cast<std::uint16_t>(e.id & 1U);
-  b.balancer.listed(ListKind::full, list, at(0));
+  b.balancer.on_endpoint_list(ListKind::full, list, at(0));
   std::array<int, 2> drawn{};
   for (CallId id = 1; id <= 200; ++id) {
-    const Answer a = b.balancer.arrived({.id = id, .left = Span::ms(4000), .key = id}, at(10));
+    const Answer a = b.balancer.on_call({.id = id, .time_left = Span::ms(4000), .key = id}, at(10));
     ++drawn[a.endpoint & 1U];
     if ((a.endpoint & 1U) == 0) b.end(a, Outcome::done, 20, 50);
   }
@@ -682,14 +682,14 @@
   std::map<EndpointId, int> before, after;
   const auto ask = [&](CallId from, double when, std::map<EndpointId, int>& into) {
     for (CallId id = from; id < from + 200; ++id) {
-      const Answer a = b.balancer.arrived({.id = id, .left = Span::ms(4000), .key = 7}, at(when));
+      const Answer a = b.balancer.on_call({.id = id, .time_left = Span::ms(4000), .key = 7}, at(when));
       ++into[a.endpoint];
       b.end(a, Outcome::done, when);
     }
   };
   ask(1, 10, before);
   const EndpointId full = before.begin()->first;
-  b.balancer.told(full, 1600, at(20));
+  b.balancer.on_published_load(full, 1600, at(20));
   ask(1000, 21, after);
   EXPECT_LT(after[full], before[full] / 2);
 }
@@ -708,13 +708,13 @@
     CallId id = 0;
     int rejected = 0;
     for (double ms = 0; ms < 12000; ms += 50) {
-      b.balancer.woken(at(ms));
+      b.balancer.on_timer(at(ms));
       for (; !out.empty() && out.front().first <= ms; out.pop_front()) {
         DispatchEnd e{
             out.front().second.call, out.front().second.endpoint, 0, true, Outcome::done, Span::ms(500), {}};
         e.load.busy = busy;
         if (waited > 0 && ms > 6000) e.outcome = Outcome::timed_out, e.elapsed = Span::ms(waited);
-        b.balancer.ended(e, at(ms));
+        b.balancer.on_dispatch_end(e, at(ms));
       }
       for (int i = 0; i < 3; ++i) {
         const Answer a = b.call(++id, ms);
@@ -735,12 +735,12 @@
   Bench b(1, settings_of_many_sidecars(0, true));
   b.history(30, 100, 500);
   const Answer lost = b.call(1, 3600);
-  EXPECT_FALSE(lost.fresh);
-  b.balancer.ended({1, lost.endpoint, 0, true, Outcome::timed_out, Span::ms(400), {}}, at(4000));
+  EXPECT_FALSE(lost.needs_new_connection);
+  b.balancer.on_dispatch_end({1, lost.endpoint, 0, true, Outcome::timed_out, Span::ms(400), {}}, at(4000));
   const Answer next = b.call(2, 4100);
-  EXPECT_FALSE(next.fresh);  // it has not been idle for as long
+  EXPECT_FALSE(next.needs_new_connection);  // it has not been idle for as long
   b.end(next, Outcome::done, 4300);
-  EXPECT_TRUE(b.call(3, 7000).fresh);
+  EXPECT_TRUE(b.call(3, 7000).needs_new_connection);
 }
 
 // A reset right after an idle time is due to the connection; one during the call is due to the endpoint.
@@ -751,9 +751,10 @@
     for (CallId id = 1; id <= 3; ++id) {
       const double when = 2000.0 * static_cast<double>(id);
       const Answer a = b.call(id, when);
-      b.balancer.ended({id, a.endpoint, 0, true, Outcome::reset, Span::ms(elapsed), {}}, at(when + elapsed));
+      b.balancer.on_dispatch_end({id, a.endpoint, 0, true, Outcome::reset, Span::ms(elapsed), {}},
+                                 at(when + elapsed));
     }
-    return std::pair(b.call(9, 8000).fresh, b.balancer.avoided(at(6100)));
+    return std::pair(b.call(9, 8000).needs_new_connection, b.balancer.avoided_endpoint_count(at(6100)));
   };
   EXPECT_EQ(after(1), std::pair(true, std::size_t{0}));
   EXPECT_EQ(after(90), std::pair(false, std::size_t{1}));
@@ -767,9 +768,9 @@
     Settings s = settings();
     s.insert_or_assign("sidecars", std::to_string(40));
     Balancer b(s, seed, at(0));
-    b.listed(ListKind::full, endpoints(12), at(0));
+    b.on_endpoint_list(ListKind::full, endpoints(12), at(0));
     for (CallId id = 1; id <= 3; ++id) {
-      const Answer a = b.arrived({id, 0, Span::ms(4000), false}, at(1));
+      const Answer a = b.on_call({id, 0, Span::ms(4000), false}, at(1));
       if (a.verdict == Verdict::dispatch) ++sent[a.endpoint];
     }
   }
@@ -791,11 +792,11 @@
 }
 
 TEST(RestoredLoad, ALimitOnTrialIsDroppedAfterLateResponses) {
-  const auto limit_after = [](double took, bool on_trial) {
+  const auto limit_after = [](double took, bool is_on_trial) {
     Bench b(3);
     LearnedLoad c;
     c.limit = 200.0;
-    c.on_trial = on_trial;
+    c.is_on_trial = is_on_trial;
     b.balancer.restore_load(c, at(10));
     std::vector<Answer> out;
     for (CallId id = 1; id <= 8; ++id) out.push_back(b.call(id, 10));
@@ -818,13 +819,13 @@
                          std::to_string(2));  // half a call/s each until rates are measured
       Balancer b(s, seed, at(0));
       std::vector<ListedEndpoint> cold = endpoints(3);
-      for (ListedEndpoint& l : cold) l.came_up = at(9);
-      b.listed(ListKind::full, cold, at(10));
+      for (ListedEndpoint& l : cold) l.started_at = at(9);
+      b.on_endpoint_list(ListKind::full, cold, at(10));
       LearnedLoad c;
-      c.budgets_spent = spent;
+      c.are_budgets_spent = spent;
       b.restore_load(c, at(10));
       for (CallId id = 1; id <= 40; ++id)
-        out += b.arrived({id, 0, Span::ms(4000), false}, at(10 + 37 * static_cast<double>(id))).verdict ==
+        out += b.on_call({id, 0, Span::ms(4000), false}, at(10 + 37 * static_cast<double>(id))).verdict ==
                Verdict::dispatch;
     }
     return out;
@@ -866,10 +867,10 @@
 struct OrderedBench : Bench {
   explicit OrderedBench(unsigned n, const Settings& s = ordered_settings()) : Bench(n, s) {}
   Answer ask(CallId id, double when, std::uint64_t key, std::uint32_t track = 0, double left = 4000) {
-    return balancer.arrived({.id = id, .track = track, .left = Span::ms(left), .key = key}, at(when));
+    return balancer.on_call({.id = id, .track = track, .time_left = Span::ms(left), .key = key}, at(when));
   }
   std::vector<Answer> wake(double when) {
-    const Answers got = balancer.woken(at(when));
+    const Answers got = balancer.on_timer(at(when));
     return {got.begin(), got.end()};
   }
 };
@@ -911,7 +912,7 @@
 TEST(KeyOrdering, ACallWithoutAClientBlocksItsKeyUntilItsAttemptHasEnded) {
   OrderedBench b(4);
   const Answer first = b.ask(1, 0, 7);
-  b.balancer.client_left(1, at(10));
+  b.balancer.on_client_disconnect(1, at(10));
   EXPECT_EQ(b.ask(2, 20, 7).verdict, Verdict::wait);
   b.end(first, Outcome::cancelled, 30);
   EXPECT_FALSE(find(b.wake(200), Verdict::dispatch));
@@ -923,7 +924,7 @@
   const Answer first = b.ask(1, 0, 7);
   EXPECT_EQ(b.ask(2, 1, 7, 0, 400).verdict, Verdict::wait);
   EXPECT_EQ(b.ask(3, 2, 7).verdict, Verdict::wait);
-  b.balancer.client_left(3, at(5));
+  b.balancer.on_client_disconnect(3, at(5));
   EXPECT_EQ(b.ask(4, 6, 7).verdict, Verdict::wait);
   const auto late = b.wake(390);
   ASSERT_TRUE(find(late, Verdict::reject));
@@ -976,13 +977,13 @@
         take(b.ask(id, now, calls[id].key, step % 3 == 0, 500));
       } else if (step % 16 < 8) {
         in_flight->second.over = true;
-        for (const Answer& a : b.balancer.client_left(in_flight->first, at(now))) take(a);
+        for (const Answer& a : b.balancer.on_client_disconnect(in_flight->first, at(now))) take(a);
       } else if (step % 16 < 10) {
         now += 60;
         for (const Answer& a : b.wake(now)) take(a);
       } else {
-        constexpr Outcome ends[] = {Outcome::done,        Outcome::timed_out, Outcome::reset,
-                                    Outcome::turned_away, Outcome::error,     Outcome::not_connected};
+        constexpr Outcome ends[] = {Outcome::done,     Outcome::timed_out, Outcome::reset,
+                                    Outcome::rejected, Outcome::error,     Outcome::not_connected};
         const Outcome how = ends[step % 16 - 10];
         in_flight->second.in_flight = false;
         in_flight->second.over |= how == Outcome::done;
@@ -1012,15 +1013,15 @@
   int again = 0;
   for (CallId id = 1; id <= 14; ++id) {
     const Answer a = b.call(id, 10.0 * static_cast<double>(id));
-    const auto got = b.end(a, Outcome::turned_away, 10.0 * static_cast<double>(id) + 5);
+    const auto got = b.end(a, Outcome::rejected, 10.0 * static_cast<double>(id) + 5);
     again += find(got, Verdict::dispatch) ? 1 : 0;
     EXPECT_TRUE(find(got, Verdict::dispatch) || find(got, Verdict::reject));
   }
   EXPECT_EQ(again, 2);
   const Answer later = b.call(100, 2200);
-  EXPECT_TRUE(find(b.end(later, Outcome::turned_away, 2205), Verdict::dispatch));
+  EXPECT_TRUE(find(b.end(later, Outcome::rejected, 2205), Verdict::dispatch));
   const Answer much_later = b.call(101, 1.8e12);  // a jump of the clock must not cost work per skipped slice
-  EXPECT_TRUE(find(b.end(much_later, Outcome::turned_away, 1.8e12), Verdict::dispatch));
+  EXPECT_TRUE(find(b.end(much_later, Outcome::rejected, 1.8e12), Verdict::dispatch));
 }
 
 // For any sequence of calls and failures, no window has more retries than the budget, by an exact count.
@@ -1034,7 +1035,7 @@
       now += (step & 15U) * (step & 16U ? 40.0 : 1.0);
       taken.push_back(now);
       Answer a = b.call(++id, now);
-      const Outcome how = step & 32U ? Outcome::turned_away : step & 64U ? Outcome::error : Outcome::not_sent;
+      const Outcome how = step & 32U ? Outcome::rejected : step & 64U ? Outcome::error : Outcome::not_sent;
       for (int n = 0; a.verdict == Verdict::dispatch && n < 4; ++n) {
         const auto got = b.end(a, n < 2 ? how : Outcome::done, now, 1);
         if (a.number > 0 && n < 2 && how == Outcome::not_sent) again.pop_back();
@@ -1056,12 +1057,12 @@
 // on.
 TEST(LargeRequests, AnUploadDoesNotCountAgainstTheLimit) {
   Bench b(1);
-  const auto taken = [&](CallId first, bool coming) {
+  const auto taken = [&](CallId first, bool is_uploading) {
     int out = 0;
     for (CallId id = first; id < first + 60; ++id) {
       ApiCall call{id, 0, Span::ms(4000), false};
-      call.coming = coming;
-      out += b.balancer.arrived(call, at(1)).verdict == Verdict::dispatch ? 1 : 0;
+      call.is_uploading = is_uploading;
+      out += b.balancer.on_call(call, at(1)).verdict == Verdict::dispatch ? 1 : 0;
     }
     return out;
   };
@@ -1069,7 +1070,7 @@
   const int beside = taken(100, false);
   EXPECT_GT(beside, 0);
   EXPECT_LT(beside, 60);
-  b.balancer.moved(1, true, at(2));
+  b.balancer.on_upload_progress(1, true, at(2));
   EXPECT_EQ(b.call(999, 3).verdict, Verdict::reject);
 }
 
@@ -1077,12 +1078,12 @@
 TEST(LargeRequests, TimeCountsFromTheLastByte) {
   Bench b(1);
   ApiCall call{1, 0, Span::ms(1000), false};
-  call.coming = true;
-  const Answer sent = b.balancer.arrived(call, at(0));
-  for (int ms = 100; ms <= 5000; ms += 100) b.balancer.moved(1, ms == 5000, at(ms));
-  const std::vector<Answer> again = b.end(sent, Outcome::turned_away, 5100);
+  call.is_uploading = true;
+  const Answer sent = b.balancer.on_call(call, at(0));
+  for (int ms = 100; ms <= 5000; ms += 100) b.balancer.on_upload_progress(1, ms == 5000, at(ms));
+  const std::vector<Answer> again = b.end(sent, Outcome::rejected, 5100);
   ASSERT_FALSE(again.empty());
-  EXPECT_NE(again.front().verdict, Verdict::break_off);
+  EXPECT_NE(again.front().verdict, Verdict::fail);
   EXPECT_NE(again.front().verdict, Verdict::reject);
 }
 
@@ -1091,8 +1092,8 @@
   const Answer sent = b.call(1, 0);
   DispatchEnd e;
   e.call = sent.call, e.endpoint = sent.endpoint, e.number = sent.number;
-  e.outcome = Outcome::not_connected, e.last = true;
-  const Answers out = b.balancer.ended(e, at(10));
+  e.outcome = Outcome::not_connected, e.cannot_retry = true;
+  const Answers out = b.balancer.on_dispatch_end(e, at(10));
   ASSERT_FALSE(out.empty());
   EXPECT_EQ(out.back().verdict, Verdict::reject);
 }
--- a/tests/golden/files_test.cpp
+++ b/tests/golden/files_test.cpp
@@ -349,7 +349,7 @@
                    {"s-2", "127.0.0.1:9002", TimePoint::at_ms(6), 0.0}};
   out.load.limit = 8.25;
   out.load.rate = 40.0;
-  out.load.late_part = 0.05;
+  out.load.late_fraction = 0.05;
   out.load.retry_tokens = 11.0;
   for (std::size_t i = 0; i < out.load.times_ms.size(); ++i)
     out.load.times_ms[i] = 1.5 + static_cast<double>(i);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -70,10 +70,10 @@
 
 struct Bench {
   explicit Bench(unsigned n, const Settings& s = settings()) : balancer(s, 7, at(0)) {
-    balancer.listed(ListKind::full, endpoints(n), at(0));
+    balancer.on_endpoint_list(ListKind::full, endpoints(n), at(0));
   }
   Answer call(CallId id, double when, std::uint32_t track = 0, double left = 4000) {
-    return balancer.arrived({id, track, Span::ms(left), false}, at(when));
+    return balancer.on_call({id, track, Span::ms(left), false}, at(when));
   }
   std::vector<Answer> end(const Answer& dispatch, Outcome outcome, double when, double elapsed = 100) {
     DispatchEnd e;
@@ -83,7 +83,7 @@
     e.call_over = outcome == Outcome::done;
     e.outcome = outcome;
     e.elapsed = Span::ms(elapsed);
-    const Answers got = balancer.ended(e, at(when));
+    const Answers got = balancer.on_dispatch_end(e, at(when));
     return {got.begin(), got.end()};
   }
   // n calls that are each done in `elapsed`, one after another, ending at `when`
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -484,13 +484,13 @@
   std::string text = config_text();
   text.insert(1, "\"state\":\"" + path + "\",");
   int lines = 0;
-  send_log_to([&](std::string_view line) { lines += line.starts_with("state: set aside") ? 1 : 0; });
+  set_log_sink([&](std::string_view line) { lines += line.starts_with("state: set aside") ? 1 : 0; });
   {
     net::Scheduler scheduler;
     Daemon daemon(scheduler, [&] { return config::read(text, no_environment); });
     EXPECT_TRUE(daemon.listen());
   }
-  send_log_to({});
+  set_log_sink({});
   EXPECT_EQ(lines, 1);
   EXPECT_EQ(std::remove((path + ".broken").c_str()), 0);
   std::remove((path + ".lock").c_str());
@@ -517,7 +517,7 @@
   std::string text = config_text();
   text.insert(1, "\"state\":\"/nowhere/state\",\"restart\":{\"snapshot_ms\":100},");
   int failed = 0, again = 0;
-  send_log_to([&](std::string_view line) {
+  set_log_sink([&](std::string_view line) {
     failed += line.starts_with("state: not kept: no room") ? 1 : 0;
     again += line.starts_with("state: kept again") ? 1 : 0;
   });
@@ -530,7 +530,7 @@
     ASSERT_TRUE(daemon.listen());
     while (seen.puts < 8) daemon.step();
   }
-  send_log_to({});
+  set_log_sink({});
   EXPECT_EQ(failed, 1);
   EXPECT_EQ(again, 1);
 }
--- a/tests/simulator_protocol_test.cpp
+++ b/tests/simulator_protocol_test.cpp
@@ -57,7 +57,7 @@
   const Event e = EventFrame(b).event(0);
   EXPECT_EQ(e.instance, 3);
   EXPECT_EQ(e.call.id, 0x0447405d3a91c4U);
-  EXPECT_EQ(e.call.left, Span::ms(240));
+  EXPECT_EQ(e.call.time_left, Span::ms(240));
 }
 
 TEST(ActionFrame, ADispatchIsEncoded) {
@@ -87,7 +87,7 @@
 TEST(EventFrame, PublishedDataSurvivesARoundTrip) {
   ActionFrame reply;
   Answer a;
-  a.verdict = Verdict::tell, a.endpoint = 0x2bc3074a120aU, a.number = 77;
+  a.verdict = Verdict::publish_load, a.endpoint = 0x2bc3074a120aU, a.number = 77;
   reply.clear();
   reply.add_answer(3, a);
   const auto sent = reply.finish();
@@ -103,7 +103,7 @@
 TEST(ActionFrame, ADispatchOnANewConnectionClosesIdleOnesFirst) {
   ActionFrame reply;
   Answer a;
-  a.verdict = Verdict::dispatch, a.fresh = true;
+  a.verdict = Verdict::dispatch, a.needs_new_connection = true;
   reply.clear();
   reply.add_answer(3, a);
   const auto sent = reply.finish();
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -31,7 +31,7 @@
                         {"s-2", "127.0.0.1:9002", TimePoint::at_ms(6), 7.25}};
   snapshot.load.limit = 8.0;
   snapshot.load.rate = 40.0;
-  snapshot.load.late_part = 0.05;
+  snapshot.load.late_fraction = 0.05;
   snapshot.load.retry_tokens = 11.0;
   for (std::size_t i = 0; i < snapshot.load.times_ms.size(); ++i)
     snapshot.load.times_ms[i] = 1.0 + static_cast<double>(i);
@@ -76,7 +76,7 @@
 // One that a hand has made complete again, with figures that no sidecar has.
 TEST(SnapshotFormat, FiguresOutOfRangeAreNamed) {
   Snapshot snapshot = sample();
-  snapshot.load.late_part = 1.5;
+  snapshot.load.late_fraction = 1.5;
   try {
     parse(serialize(snapshot));
     FAIL();
@@ -120,7 +120,7 @@
   const WarmStart warm_start = restrict_to_list(evaluate(sample(), context()), sample().endpoint_list);
   EXPECT_EQ(warm_start.endpoints.size(), 2U);
   EXPECT_EQ(warm_start.load.limit, 8.0);
-  EXPECT_TRUE(warm_start.load.on_trial);
+  EXPECT_TRUE(warm_start.load.is_on_trial);
   EXPECT_GT(warm_start.load.times_ms.back(), 0.0);
   EXPECT_TRUE(warm_start.is_list_usable);
 }
@@ -173,11 +173,11 @@
 // Guards budgets against being had again with each life.
 TEST(WarmStart, BudgetsAreKeptOnlyByAProcessThatEndedWhenTold) {
   EXPECT_EQ(evaluate(sample(), context()).load.retry_tokens, 0.0);
-  EXPECT_TRUE(evaluate(sample(), context()).load.budgets_spent);
+  EXPECT_TRUE(evaluate(sample(), context()).load.are_budgets_spent);
   Snapshot snapshot = sample();
   snapshot.is_clean_shutdown = true;
   EXPECT_EQ(evaluate(snapshot, context()).load.retry_tokens, 11.0);
-  EXPECT_TRUE(cold_start("lost").load.budgets_spent);
+  EXPECT_TRUE(cold_start("lost").load.are_budgets_spent);
   EXPECT_EQ(cold_start("lost").load.retry_tokens, 0.0);
 }
 
