--- a/tests/control/coordination/batch_proposer_test.cpp
+++ b/tests/control/coordination/batch_proposer_test.cpp
@@ -1,4 +1,4 @@
-// Calls as changes of the register, on acceptors in memory whose messages are lost, late and repeated.
+// Tests BatchProposer on in-memory acceptors whose messages are lost, delayed and duplicated.
 #include "control/coordination/batch_proposer.hpp"
 
 #include <memory>
@@ -22,7 +22,7 @@
 
 constexpr Span call_time = Span::ms(900);
 
-// One controller's way to the register.
+// One controller's access to the register.
 struct Controller {
   Controller(AcceptorCluster& acceptors, std::uint64_t number)
       : cluster(acceptors),
@@ -64,7 +64,7 @@
   }
 };
 
-TEST(CoordinationBatches, CallsThatComeMeanwhileShareTheNextBatch) {
+TEST(CoordinationBatches, CallsDuringABatchShareTheNextOne) {
   begin();
   for (int i = 0; i < 50; ++i) controller.submit(next_number, collect);
   play();
@@ -87,12 +87,12 @@
   for (std::size_t i = 0; i < before.size(); ++i) CHECK_EQUAL(before[i], cluster.all[i].disk->step_count());
 }
 
-TEST(CoordinationBatches, WithoutAcceptorsNothingIsDone) {
+TEST(CoordinationBatches, UnavailableWithoutAcceptors) {
   controller.submit(next_number, collect);
   check_only(Outcome::unavailable, 0);
 }
 
-TEST(CoordinationBatches, WithoutAMajorityItIsNotKnown) {
+TEST(CoordinationBatches, UndeterminedWithoutAMajority) {
   begin();
   cluster.all[0].up = cluster.all[1].up = false;
   controller.submit(next_number, collect);
@@ -100,8 +100,8 @@
   check_only(Outcome::undetermined, 0);
 }
 
-// Its time passes while it waits behind a batch: it was not proposed, and is not.
-TEST(CoordinationBatches, CallWhoseTimeIsOverIsNotProposed) {
+// The deadline of a call passes while it waits for the previous batch: it is never proposed.
+TEST(CoordinationBatches, ExpiredCallIsNotProposed) {
   begin();
   cluster.all[0].up = cluster.all[1].up = false;
   controller.submit(next_number, collect);
@@ -130,8 +130,8 @@
   CHECK_EQUAL(queue_and_batch, answers.size());
 }
 
-// Bytes of a later version, say: nothing is written over them.
-TEST(CoordinationBatches, UnreadableStateStays) {
+// A state that cannot be decoded, e.g. of a later version, is not overwritten.
+TEST(CoordinationBatches, UndecodableStateIsNotOverwritten) {
   begin();
   controller.proposer.reg.change(
       [](const RegisterValue& current) -> std::optional<RegisterValue> {
@@ -149,8 +149,8 @@
 
 namespace {
 
-// Clients of three controllers: a call without an answer within 200 ms goes to another controller too, under
-// its id.
+// Clients of three controllers. A call that is not answered within 200 ms is also sent to another controller,
+// with the same id.
 class Clients {
  public:
   explicit Clients(std::uint64_t seed) : cluster_(3, seed), random_(seed + 1) {
@@ -170,7 +170,7 @@
       cluster_.clock.later.after(Span::ms(25.0 * i), [this] { send(draw_call()); });
     cluster_.clock.play(Span::ms(25.0 * calls + 3000));
     view.check(cluster_.broken.empty(), cluster_.broken);
-    view.check(answered_ == submitted_, "a call was not answered, or twice");
+    view.check(answered_ == submitted_, "a call was not answered exactly once");
   }
   ClientView view;
   std::size_t done = 0;
@@ -179,7 +179,7 @@
   struct SentCall {
     Call call;
     TimePoint sent_at;
-    bool is_settled = false;
+    bool is_answered = false;
   };
   TimePoint now() const { return cluster_.clock.system.now(); }
   Call draw_call() {
@@ -205,7 +205,7 @@
     const auto sent = std::make_shared<SentCall>(SentCall{call, now()});
     submit(sent);
     cluster_.clock.later.after(Span::ms(200), [this, sent] {
-      if (!sent->is_settled) submit(sent);
+      if (!sent->is_answered) submit(sent);
     });
   }
   void submit(const std::shared_ptr<SentCall>& sent) {
@@ -216,15 +216,15 @@
     });
   }
   void deliver(SentCall& sent, const Answer& answer) {
-    if (answer.outcome == Outcome::undetermined || sent.is_settled) return;
-    sent.is_settled = true;
+    if (answer.outcome == Outcome::undetermined || sent.is_answered) return;
+    sent.is_answered = true;
     if (answer.outcome != Outcome::done || now() - sent.sent_at > call_time) return;
     ++done;
     switch (sent.call.operation) {
       case Operation::acquire_lock: return view.acquired(sent.call, answer.number, sent.sent_at, now());
       case Operation::renew_lock: return view.renewed(sent.call, sent.sent_at, now());
       case Operation::next_number:
-        return view.numbered_name(sent.call.name, answer.number, sent.sent_at, now());
+        return view.number_issued(sent.call.name, answer.number, sent.sent_at, now());
       default: return view.put_done(sent.call, answer.number);
     }
   }
@@ -246,8 +246,8 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Clients clients(seed);
     clients.play(200);
-    CHECK_WHERE(clients.view.broken.empty(),
-                numbered("seed ", static_cast<long long>(seed)) + ": " + clients.view.broken);
+    CHECK_WHERE(clients.view.violation.empty(),
+                numbered("seed ", static_cast<long long>(seed)) + ": " + clients.view.violation);
     done += clients.done;
   }
   CHECK_TRUE(done > seeds * 80);
--- a/tests/control/coordination/client_view.hpp
+++ b/tests/control/coordination/client_view.hpp
@@ -1,4 +1,4 @@
-// What clients of the coordination service see, and whether they may, by the words of its contract.
+// Checks that the answers which clients of the coordination service receive satisfy its contract.
 #pragma once
 
 #include <map>
@@ -12,15 +12,15 @@
 
 namespace chutevane::control::coordination {
 
-// What clients of the locks, numbers and keys have seen, and whether that may be.
+// Records the answers for locks, numbers and keys, and checks each against the earlier ones.
 class ClientView {
  public:
   void acquired(const Call& call, std::int64_t fence, TimePoint sent_at, TimePoint now) {
     const auto [owner, is_first] = owners_.emplace(std::pair(call.name, fence), call.holder);
-    check(is_first || owner->second == call.holder, "a token went to two holders");
+    check(is_first || owner->second == call.holder, "a fencing token was given to two holders");
     for (const Acquired& other : acquired_) {
-      const bool came_before = other.lock == call.name && other.holder != call.holder && other.at <= sent_at;
-      check(!came_before || other.fence < fence, "a token is not above an earlier one");
+      const bool is_earlier = other.lock == call.name && other.holder != call.holder && other.at <= sent_at;
+      check(!is_earlier || other.fence < fence, "a fencing token is not above an earlier one");
     }
     acquired_.push_back({call.name, call.holder, fence, now});
     hold(call, fence, sent_at, now);
@@ -30,36 +30,37 @@
     if (own != nullptr && own->fence == call.fence) hold(call, call.fence, sent_at, now);
   }
   void released(const Call& call) { holds_.erase({call.name, call.holder}); }
-  // The fencing token of the hold, as its holder counts.
+  // Returns the fencing token of the hold, or std::nullopt if the holder considers it expired.
   std::optional<std::int64_t> held_fence(const std::string& lock, const std::string& holder,
                                          TimePoint now) const {
     const Hold* const own = current_hold(lock, holder, now);
     return own == nullptr ? std::nullopt : std::optional(own->fence);
   }
 
-  void numbered_name(const std::string& name, std::int64_t number, TimePoint sent_at, TimePoint now) {
-    check(numbers_.emplace(name, number).second, "a number was given twice");
-    for (const auto& [given, at] : given_[name])
-      check(at > sent_at || given < number, "a number is not above an earlier one");
-    given_[name].emplace_back(number, now);
+  void number_issued(const std::string& name, std::int64_t number, TimePoint sent_at, TimePoint now) {
+    check(numbers_.emplace(name, number).second, "a number was issued twice");
+    for (const auto& [issued, at] : issued_[name])
+      check(at > sent_at || issued < number, "a number is not above an earlier one");
+    issued_[name].emplace_back(number, now);
   }
 
   void put_done(const Call& call, std::int64_t revision) {
     const auto [first, is_first] = revisions_.emplace(call.value, revision);
-    check(is_first || first->second == revision, "a value has two revisions");
-    check(!rejected_.contains(call.value), "a put was rejected and done");
+    check(is_first || first->second == revision, "a put has two revisions");
+    check(!rejected_.contains(call.value), "a rejected put was also executed");
   }
   void put_rejected(const Call& call) { rejected_.insert(call.value); }
   void read(const std::string& value, std::int64_t revision) {
-    check(!rejected_.contains(value), "a rejected value is shown");
+    check(!rejected_.contains(value), "the value of a rejected put was read");
     const auto known = revisions_.find(value);
-    check(known == revisions_.end() || known->second == revision, "a value is shown under another revision");
+    check(known == revisions_.end() || known->second == revision,
+          "a value was read with a different revision");
   }
 
   void check(bool holds, const std::string& what) {
-    if (!holds && broken.empty()) broken = what;
+    if (!holds && violation.empty()) violation = what;
   }
-  std::string broken;  // the first thing
+  std::string violation;  // the first violation; empty if there is none
 
  private:
   struct Hold {
@@ -75,7 +76,7 @@
     const auto found = holds_.find({lock, holder});
     return found == holds_.end() || found->second.until <= now ? nullptr : &found->second;
   }
-  // A client counts itself holder from the answer on, for the time since its sending.
+  // A client considers itself the holder from the answer on, until the hold measured from its request ends.
   void hold(const Call& call, std::int64_t fence, TimePoint sent_at, TimePoint now) {
     const TimePoint until = sent_at + call.hold;
     if (until <= now) return;
@@ -90,8 +91,8 @@
   std::vector<Acquired> acquired_;
   std::map<std::pair<std::string, std::string>, Hold> holds_;  // by lock and holder
   std::set<std::pair<std::string, std::int64_t>> numbers_;
-  std::map<std::string, std::vector<std::pair<std::int64_t, TimePoint>>> given_;
-  std::map<std::string, std::int64_t> revisions_;  // by value, of puts that are done
+  std::map<std::string, std::vector<std::pair<std::int64_t, TimePoint>>> issued_;
+  std::map<std::string, std::int64_t> revisions_;  // by value, of executed puts
   std::set<std::string> rejected_;
 };
 
--- a/tests/control/coordination/coordination_api_test.cpp
+++ b/tests/control/coordination/coordination_api_test.cpp
@@ -1,4 +1,4 @@
-// The responses to calls: 409, 412, 429 and 503 only for outcomes that promise no effect.
+// Tests the responses to calls: statuses 409, 412, 429 and 503 are used only for outcomes without an effect.
 #include "control/coordination/coordination_api.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
   STRCMP_EQUAL(body, response.body.c_str());
 }
 
-bool asks_to_retry(const HttpResponse& response) {
+bool has_retry_after(const HttpResponse& response) {
   return std::any_of(response.fields.begin(), response.fields.end(),
                      [](const auto& field) { return field.first == "Retry-After"; });
 }
@@ -25,7 +25,7 @@
 
 TEST_GROUP(CoordinationResponse){};
 
-TEST(CoordinationResponse, OfCallsThatAreDone) {
+TEST(CoordinationResponse, OfSuccessfulCalls) {
   const auto done = [](Operation operation) { return response_to(operation, {Outcome::done, 41, "v\"1"}); };
   check_response(200, R"({"fence":41})", done(Operation::acquire_lock));
   check_response(200, "{}", done(Operation::renew_lock));
@@ -46,15 +46,15 @@
 TEST(CoordinationResponse, OfRefusedCallsSaysWhenToRetry) {
   const HttpResponse full = response_to(Operation::next_number, {Outcome::limit_reached, 0, ""});
   CHECK_EQUAL(429, full.status);
-  CHECK_TRUE(asks_to_retry(full));
+  CHECK_TRUE(has_retry_after(full));
   for (const Outcome outcome : {Outcome::unavailable, Outcome::declined}) {
     const HttpResponse unavailable = response_to(Operation::next_number, {outcome, 0, ""});
     CHECK_EQUAL(503, unavailable.status);
-    CHECK_TRUE(asks_to_retry(unavailable));
+    CHECK_TRUE(has_retry_after(unavailable));
   }
 }
 
-// What may have taken effect gets a status that promises nothing.
+// A call that may have taken effect gets a status that makes no promise.
 TEST(CoordinationResponse, OfUndeterminedCallsPromisesNothing) {
   for (const Operation operation :
        {Operation::acquire_lock, Operation::renew_lock, Operation::release_lock, Operation::next_number,
--- a/tests/control/coordination/coordination_property_test.cpp
+++ b/tests/control/coordination/coordination_property_test.cpp
@@ -1,8 +1,9 @@
-// The state machine under a random order of calls, repeats, lost answers, expiries and proposers that each
-// have a clock of their own, against what clients may see.
+// Property test of the state machine: random calls, repetitions, lost answers and expiries, with proposers
+// that each have their own clock. ClientView checks the answers.
 //
-// The register is played as it promises: a proposal is made out of the newest chosen value, or out of one
-// that was accepted by a minority and never chosen; each value chosen follows the one before.
+// The register is simulated according to its contract: a proposal starts from the newest chosen value, or
+// from one that a minority has accepted and that was never chosen. Each chosen value follows the previous
+// one.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -25,15 +26,15 @@
 
 namespace {
 
-constexpr Span watcher_history = Span::ms(20'000);  // promised to watchers
+constexpr Span watcher_history = Span::ms(20'000);  // how long watchers may resume
 constexpr Span history_retention = Span::ms(60'000);
-constexpr Span put_repeat_time = Span::ms(15'000);     // for so long a put is sent again
-constexpr Span call_lifetime = Span::ms(1'500);        // then no controller carries it out any more
-constexpr Span longest_answer_time = Span::ms(1'000);  // then its client hears no answer
-constexpr Span longest_sleep = Span::ms(12'000);       // of a client, which may hold a lock meanwhile
-constexpr double clock_rate_error = 0.0004;            // of one controller's steady clock
+constexpr Span put_repeat_time = Span::ms(15'000);   // how long a put may be repeated
+constexpr Span call_lifetime = Span::ms(1'500);      // after this, no controller executes the call
+constexpr Span client_timeout = Span::ms(1'000);     // after this, the client ignores the answer
+constexpr Span max_client_pause = Span::ms(12'000);  // of a client, which may hold a lock during it
+constexpr double clock_rate_error = 0.0004;          // of one controller's steady clock
 
-// A controller: when it came to know what, by a clock that runs a little fast or slow.
+// A controller with a clock that runs slightly fast or slow.
 struct Controller {
   std::optional<LocalTimes> times;
   double clock_rate = 1;
@@ -44,8 +45,8 @@
 };
 
 enum class HoldTimes : std::uint8_t {
-  one_each,  // each client wants the same time with each call
-  varying,   // another one with each call
+  fixed_per_client,  // each client requests the same hold time with every call
+  varying,           // each call requests a random hold time
 };
 
 class Run {
@@ -55,7 +56,7 @@
   }
 
   void play(int steps) {
-    for (int step = 0; step < steps && view.broken.empty(); ++step) {
+    for (int step = 0; step < steps && view.violation.empty(); ++step) {
       now_ = now_ + Span::ms(random_.chance(0.01) ? 30'000 * random_.unit() : 80 * random_.unit());
       deliver_answers();
       const double kind = random_.unit();
@@ -99,7 +100,8 @@
     controller.clock_rate = 1 + clock_rate_error * (2 * random_.unit() - 1);
     controller.clock_offset = Span::ms(1e9 * random_.unit());
   }
-  void observe_chosen() {  // late by up to two values, or in another order
+  // A controller observes a chosen value up to two values late, or out of order.
+  void observe_chosen() {
     Controller& controller = some_controller();
     const std::size_t back = std::min(random_.below(3), chosen_.size() - 1);
     controller.times->observe(chosen_[chosen_.size() - 1 - back].state, controller.clock(now_));
@@ -110,9 +112,9 @@
     Call call;
     const double kind = random_.unit();
     if (kind < 0.5) {
-      const std::size_t client = random_.below(asleep_until_.size());
-      if (now_ < asleep_until_[client]) return;
-      if (random_.chance(0.03)) asleep_until_[client] = now_ + longest_sleep * random_.unit();
+      const std::size_t client = random_.below(paused_until_.size());
+      if (now_ < paused_until_[client]) return;
+      if (random_.chance(0.03)) paused_until_[client] = now_ + max_client_pause * random_.unit();
       call = lock_call(client);
     } else if (kind < 0.6) {
       call.operation = Operation::next_number;
@@ -147,7 +149,7 @@
   }
   Call put_call() {
     std::erase_if(puts_, [&](const Put& put) { return now_ - put.first_sent_at > put_repeat_time; });
-    if (!puts_.empty() && random_.chance(0.3)) {  // unchanged
+    if (!puts_.empty() && random_.chance(0.3)) {  // a repetition
       ++repeated;
       return puts_[random_.below(puts_.size())].call;
     }
@@ -173,12 +175,11 @@
   void deliver_answers() {
     std::erase_if(answers_, [&](const SentAnswer& sent) {
       if (sent.arrives_at > now_) return false;
-      if (now_ - sent.to.sent_at < longest_answer_time && is_awaited(sent.to.call))
-        deliver(sent.to, sent.answer);
+      if (now_ - sent.to.sent_at < client_timeout && is_awaited(sent.to.call)) deliver(sent.to, sent.answer);
       return true;
     });
   }
-  // A client hears one answer to a call. Of a lock it awaits that of its newest call alone.
+  // A client accepts one answer per call. For a lock, it accepts only the answer to its newest call.
   bool is_awaited(const Call& call) {
     if (!answered_.insert(call.id).second) return false;
     const auto newest = awaited_.find({call.name, call.holder});
@@ -196,7 +197,7 @@
       case Operation::renew_lock:
         if (is_done) view.renewed(call, to.sent_at, now_);
         break;
-      case Operation::next_number: view.numbered_name(call.name, answer.number, to.sent_at, now_); break;
+      case Operation::next_number: view.number_issued(call.name, answer.number, to.sent_at, now_); break;
       case Operation::put_key:
         if (is_done) view.put_done(call, answer.number);
         if (answer.outcome != Outcome::revision_mismatch) break;
@@ -212,7 +213,7 @@
   }
 
   // ---- The register
-  // A batch of the calls on their way. Some of them are carried out again later, under the same ids.
+  // Proposes a batch of the calls in flight. Some of them are executed again later with the same ids.
   void propose() {
     Controller& controller = some_controller();
     const TimePoint clock = controller.clock(now_);
@@ -255,28 +256,31 @@
     while (chosen_.size() > 3 && now_ - chosen_[1].at > watcher_history) chosen_.pop_front();
     for (const auto& [prefix, group] : state.groups) check_history(prefix, group);
   }
-  // Nothing that a controller has known falls.
+  // Fencing tokens and revisions never decrease.
   void check_against(const State& before, const State& after) {
     for (const auto& [name, lock] : before.locks) {
       const auto found = after.locks.find(name);
-      view.check(found != after.locks.end() && found->second.fence >= lock.fence, "a token fell");
+      view.check(found != after.locks.end() && found->second.fence >= lock.fence,
+                 "a fencing token decreased");
     }
     for (const auto& [prefix, group] : before.groups) {
       const auto found = after.groups.find(prefix);
-      view.check(found != after.groups.end() && found->second.revision >= group.revision, "a revision fell");
+      view.check(found != after.groups.end() && found->second.revision >= group.revision,
+                 "a revision decreased");
     }
     for (const auto& [prefix, group] : after.groups) {
       const auto found = before.groups.find(prefix);
       check_new_puts(found == before.groups.end() ? KeyGroup{} : found->second, group);
     }
   }
-  // Each new put was made over the revision that it names.
+  // Each new put was applied to the revision that it requires.
   void check_new_puts(KeyGroup before, const KeyGroup& after) {
     for (const PutEvent& event : after.history) {
       if (event.revision <= before.revision) continue;
       KeyValue& entry = before.keys[event.key];
       const std::int64_t applies_to = applies_to_.at(event.value);
-      view.check(applies_to == any_revision || applies_to == entry.revision, "a put over another revision");
+      view.check(applies_to == any_revision || applies_to == entry.revision,
+                 "a put was applied to a different revision");
       entry = {event.value, event.revision};
     }
   }
@@ -284,15 +288,15 @@
     std::int64_t revision = group.revision - static_cast<std::int64_t>(group.history.size());
     const std::int64_t first = revision + 1;
     for (const PutEvent& event : group.history)
-      view.check(event.revision == ++revision, "a gap in a history");
+      view.check(event.revision == ++revision, "a history has a gap");
     for (const auto& [key, entry] : group.keys) view.read(entry.value, entry.revision);
     for (const PutEvent& event : group.history) view.read(event.value, event.revision);
-    // A watcher may have been given the revision of any value that was chosen in the time promised.
+    // A watcher may have received the revision of any value that was chosen within the promised time.
     for (const Chosen& earlier : chosen_) {
       const auto known = earlier.state.groups.find(prefix);
       const std::int64_t held = known == earlier.state.groups.end() ? 0 : known->second.revision;
       const bool is_promised = now_ - earlier.at <= watcher_history && held > 0;
-      view.check(!is_promised || first <= held + 1, "a watcher's history was dropped");
+      view.check(!is_promised || first <= held + 1, "history that a watcher may resume from was dropped");
     }
   }
 
@@ -308,18 +312,18 @@
   std::map<std::pair<std::string, std::string>, std::uint64_t> awaited_;  // by lock and holder
   std::vector<Put> puts_;
   std::map<std::string, std::int64_t> applies_to_;  // by value
-  std::vector<TimePoint> asleep_until_{4};          // by client
+  std::vector<TimePoint> paused_until_{4};          // by client
   long long value_count_ = 0;
 };
 
-// What the runs came to is looked at too: one that never refuses proves nothing of refusals.
-void search(std::uint64_t first, std::uint64_t seeds, HoldTimes hold_times) {
+// Runs the test for each seed. Also checks that every kind of outcome occurred often enough to be tested.
+void check_seeds(std::uint64_t first, std::uint64_t seeds, HoldTimes hold_times) {
   std::size_t granted = 0, refused = 0, rejected = 0, repeated = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
     Run run(seed, hold_times);
     run.play(2500);
-    CHECK_WHERE(run.view.broken.empty(),
-                numbered("seed ", static_cast<long long>(seed)) + ": " + run.view.broken);
+    CHECK_WHERE(run.view.violation.empty(),
+                numbered("seed ", static_cast<long long>(seed)) + ": " + run.view.violation);
     granted += run.granted;
     refused += run.refused;
     rejected += run.rejected;
@@ -335,7 +339,7 @@
 
 TEST_GROUP(CoordinationProperty){};
 
-TEST(CoordinationProperty, ClientsSeeOneOrder) { search(1, 60, HoldTimes::one_each); }
+TEST(CoordinationProperty, ClientsSeeOneOrder) { check_seeds(1, 60, HoldTimes::fixed_per_client); }
 
-// A renewal, or another acquisition, whose answer was lost grants no less than its holder counts by.
-TEST(CoordinationProperty, HoldTimesMayVary) { search(1000, 60, HoldTimes::varying); }
+// A renewal or repeated acquisition whose answer is lost must not shorten the hold that its holder relies on.
+TEST(CoordinationProperty, HoldTimesMayVary) { check_seeds(1000, 60, HoldTimes::varying); }
--- a/tests/control/coordination/coordination_request_test.cpp
+++ b/tests/control/coordination/coordination_request_test.cpp
@@ -1,5 +1,5 @@
-// The HTTP requests of the coordination service: each field that is missing, malformed or out of its bounds
-// is named, and nothing else is.
+// Tests the parsing of HTTP requests of the coordination service: the findings name each field that is
+// missing, malformed or out of bounds, and no other.
 #include "control/coordination/coordination_request.hpp"
 
 #include <string>
@@ -16,7 +16,7 @@
 
 struct ReadRequest {
   std::optional<CoordinationRequest> request;
-  std::string places;  // of the findings, each with a semicolon
+  std::string places;  // of the findings, each followed by a semicolon
 };
 
 ReadRequest read(const std::string& method, const std::string& target, const std::string& body = "") {
@@ -126,7 +126,7 @@
   check_findings("", "GET", "/v1/other");
 }
 
-TEST(CoordinationRequest, BodyThatIsNoObject) {
+TEST(CoordinationRequest, BodyThatIsNotAnObject) {
   for (const char* const body : {"", "[]", "1", "{", R"({"holder":"a","holdMs":3000}x)", "\"a\""}) {
     check_findings("body;", "POST", initiate, body);
     check_findings("body;", "POST", replace, body);
@@ -157,7 +157,7 @@
   check_findings("value;", "POST", replace, with_value(0));
 }
 
-TEST(CoordinationRequest, NumbersOutOfTheirBounds) {
+TEST(CoordinationRequest, NumbersOutOfBounds) {
   const auto with = [](const char* key, const std::string& number) {
     return std::string("{\"") + key + "\":" + number + R"(,"holder":"a","value":"v"})";
   };
@@ -173,7 +173,7 @@
               good_call("POST", terminate_lock, with("fence", "9007199254740992")).fence);
 }
 
-TEST(CoordinationRequest, QueryNumbersOutOfTheirBounds) {
+TEST(CoordinationRequest, QueryNumbersOutOfBounds) {
   for (const char* const number : {"", "-1", "x", "1x", "nan", "inf", "1e300", "9007199254740994", "+1"})
     check_findings("after;", "GET", std::string("/v1/watch/g.?waitMs=1&after=") + number);
   check_findings("waitMs;", "GET", "/v1/watch/g.?after=1&waitMs=60001");
--- a/tests/control/coordination/coordination_status_test.cpp
+++ b/tests/control/coordination/coordination_status_test.cpp
@@ -1,4 +1,4 @@
-// What operators are told of the coordination service, and that it stays bounded.
+// Tests the status of the coordination service for operators, and the limits of its lists.
 #include "control/coordination/coordination_status.hpp"
 
 #include <string>
@@ -33,14 +33,14 @@
   json::Value document() const { return json::parse(coordination_status_json(status)); }
 };
 
-TEST(CoordinationStatusJson, ItsTargetIsRecognized) {
+TEST(CoordinationStatusJson, TargetIsRecognized) {
   CHECK(is_status_target("/v1/Coordination.Retrieve"));
   CHECK(is_status_target("/v1/Coordination.Retrieve?all"));
   CHECK_FALSE(is_status_target("/v1/Coordination.Retrieve/l1"));
   CHECK_FALSE(is_status_target("/v1/Status.Retrieve"));
 }
 
-TEST(CoordinationStatusJson, TheControllerItselfIsDescribed) {
+TEST(CoordinationStatusJson, DescribesTheController) {
   status.node = "core-1";
   status.proposer = "10.0.0.1:7380";
   status.is_available = true;
@@ -125,7 +125,7 @@
     STRCMP_EQUAL(std::to_string(count).c_str(), text_of(out, total).c_str());
 }
 
-TEST(CoordinationStatusJson, ANumberBelowZeroShowsAsZero) {
+TEST(CoordinationStatusJson, NegativeNumberIsWrittenAsZero) {
   state.numbers["n"] = -1;
   status.known_state = &state;
   STRCMP_EQUAL("0", text_of(only_item(document(), "numbers"), "value").c_str());
--- a/tests/control/coordination/local_times_test.cpp
+++ b/tests/control/coordination/local_times_test.cpp
@@ -1,4 +1,4 @@
-// When a hold has ended and a put is old, as one controller finds by its own steady clock.
+// Tests LocalTimes: the expiry of holds and the age of puts by one controller's steady clock.
 #include "control/coordination/local_times.hpp"
 
 #include <string>
@@ -21,7 +21,7 @@
   return out;
 }
 
-// A group whose puts have the values named, from revision `first` on.
+// Returns a state with a group that has one put per character of `values`, starting at revision `first`.
 State with_puts(std::int64_t first, const std::string& values) {
   State out;
   KeyGroup& group = out.groups["g."];
@@ -42,14 +42,14 @@
   const Lock renewed{"a", 1, 3000, 12};
 };
 
-TEST(CoordinationHoldTimes, EndsAfterTheGrantedTimeSinceItCameToBeKnown) {
+TEST(CoordinationHoldTimes, ExpiresTheGrantedTimeAfterItsObservation) {
   times.observe(with_lock(first), at(0));
   CHECK_FALSE(times.has_expired("l", first, at(3000)));
-  CHECK_FALSE(times.has_expired("l", first, at(3010)));  // clocks that do not run alike
+  CHECK_FALSE(times.has_expired("l", first, at(3010)));  // margin for different clock rates
   CHECK_TRUE(times.has_expired("l", first, at(3010.001)));
 }
 
-// Of an hour, a clock may be off by more than the least margin.
+// Over an hour, the clocks may differ by more than the minimum margin.
 TEST(CoordinationHoldTimes, MarginGrowsWithTheHold) {
   const Lock hour{"a", 1, 3'600'000, 11};
   times.observe(with_lock(hour), at(0));
@@ -57,20 +57,20 @@
   CHECK_TRUE(times.has_expired("l", hour, at(3'603'600.001)));
 }
 
-TEST(CoordinationHoldTimes, SeeingItAgainDoesNotMakeItLonger) {
+TEST(CoordinationHoldTimes, RepeatedObservationDoesNotExtendAHold) {
   for (int ms = 0; ms <= 3000; ms += 100) times.observe(with_lock(first), at(ms));
   CHECK_TRUE(times.has_expired("l", first, at(3011)));
 }
 
-TEST(CoordinationHoldTimes, RenewalBeginsWhenItIsSeen) {
+TEST(CoordinationHoldTimes, RenewalCountsFromItsObservation) {
   times.observe(with_lock(first), at(0));
   times.observe(with_lock(renewed), at(2000));
   CHECK_FALSE(times.has_expired("l", renewed, at(5010)));
   CHECK_TRUE(times.has_expired("l", renewed, at(5011)));
 }
 
-// Found in a round before it was observed: it is never taken for the grant before it.
-TEST(CoordinationHoldTimes, UnseenRenewalHasNotExpired) {
+// A renewal that was not observed yet is not mistaken for the previous grant.
+TEST(CoordinationHoldTimes, UnobservedRenewalHasNotExpired) {
   times.observe(with_lock(first), at(0));
   CHECK_FALSE(times.has_expired("l", renewed, at(100'000)));
 }
@@ -79,8 +79,7 @@
   CHECK_FALSE(times.has_expired("l", first, at(100'000)));
 }
 
-// A state that is older than one seen before, or that was never chosen, is seen in between: times begin
-// again, which only makes them later.
+// Observing an older state, or one that was never chosen, restarts the times. That only makes expiry later.
 TEST(CoordinationHoldTimes, OrderOfObservationNeverMakesAHoldShorter) {
   times.observe(with_lock(first), at(0));
   times.observe(with_lock(renewed), at(1000));
@@ -92,8 +91,8 @@
   CHECK_TRUE(times.has_expired("l", renewed, at(7511)));
 }
 
-// The lock was free in between, as seen here or not; the same holder took it once more.
-TEST(CoordinationHoldTimes, AnotherHoldOfTheSameHolderBeginsAnew) {
+// The same holder releases the lock and acquires it again: the second hold is a new one.
+TEST(CoordinationHoldTimes, SecondHoldOfTheSameHolderCountsFromItsOwnObservation) {
   times.observe(with_lock(first), at(0));
   times.observe(with_lock({"", 1, 3000, 12}), at(100));
   const Lock second{"a", 2, 3000, 13};
@@ -101,8 +100,8 @@
   CHECK_FALSE(times.has_expired("l", second, at(5910)));
 }
 
-// What the disk has was granted before the start; by the new process's clock it begins with the start.
-TEST(CoordinationHoldTimes, AfterAStartHoldsCountFromTheStart) {
+// Holds on disk were granted before the start of the process, which counts them from its start.
+TEST(CoordinationHoldTimes, AfterARestartHoldsCountFromTheStart) {
   times.observe(with_lock(first), at(0));
   LocalTimes restarted{retention};
   restarted.observe(with_lock(first), at(2900));
@@ -112,11 +111,11 @@
 
 TEST_GROUP(CoordinationPutTimes) { LocalTimes times{retention}; };
 
-TEST(CoordinationPutTimes, OfAnUnknownGroupNothingMayBeDropped) {
+TEST(CoordinationPutTimes, NothingOfAnUnknownGroupMayBeDropped) {
   CHECK_EQUAL(0, times.droppable_revision("g.", at(0)));
 }
 
-TEST(CoordinationPutTimes, PutsMayBeDroppedOnceTheyWereKnownForTheRetention) {
+TEST(CoordinationPutTimes, PutsMayBeDroppedAfterTheRetention) {
   times.observe(with_puts(1, "a"), at(0));
   times.observe(with_puts(1, "abc"), at(1000));
   CHECK_EQUAL(0, times.droppable_revision("g.", at(60'000)));
@@ -125,7 +124,7 @@
   CHECK_EQUAL(3, times.droppable_revision("g.", at(61'001)));
 }
 
-TEST(CoordinationPutTimes, AfterAStartAllCountFromTheStart) {
+TEST(CoordinationPutTimes, AfterARestartPutsCountFromTheStart) {
   times.observe(with_puts(5, "efgh"), at(0));
   CHECK_EQUAL(0, times.droppable_revision("g.", at(60'000)));
   CHECK_EQUAL(8, times.droppable_revision("g.", at(60'001)));
@@ -139,9 +138,9 @@
   CHECK_EQUAL(3, times.droppable_revision("g.", at(62'001)));
 }
 
-// A value that a round has found, but that was never chosen, has a put under a number that another put gets
-// much later. That one's age begins when it is seen itself.
-TEST(CoordinationPutTimes, AgeOfAPutThatWasNeverChosenIsNotAnothers) {
+// A put in a value that was read but never chosen has a revision that another put gets much later. The age of
+// the later put counts from its own observation.
+TEST(CoordinationPutTimes, AgeOfAPutThatWasNeverChosenIsNotReused) {
   times.observe(with_puts(1, "a"), at(0));
   times.observe(with_puts(1, "aX"), at(1000));
   times.observe(with_puts(1, "a"), at(2000));
@@ -150,8 +149,8 @@
   CHECK_EQUAL(2, times.droppable_revision("g.", at(160'001)));
 }
 
-// The same, where nothing was seen in between.
-TEST(CoordinationPutTimes, AgeOfAnotherPutUnderTheSameNumberIsNotTaken) {
+// The same without an observation of the state before the later put.
+TEST(CoordinationPutTimes, AgeOfAnotherPutWithTheSameRevisionIsNotReused) {
   times.observe(with_puts(1, "a"), at(0));
   times.observe(with_puts(1, "aX"), at(1000));
   times.observe(with_puts(1, "ab"), at(100'000));
--- a/tests/control/coordination/proposer_choice_test.cpp
+++ b/tests/control/coordination/proposer_choice_test.cpp
@@ -1,4 +1,4 @@
-// Which controller proposes: the same at all, as long as they find the same ones able.
+// Tests ProposerChoice: controllers that consider the same acceptors able to serve choose the same one.
 #include "control/coordination/proposer_choice.hpp"
 
 #include <set>
@@ -23,17 +23,17 @@
   TimePoint now = TimePoint::at_ms(1e6);
 };
 
-TEST(CoordinationProposerChoice, AllTakeTheFirstAcceptorByAddress) {
+TEST(CoordinationProposerChoice, FirstAcceptorByAddress) {
   STRCMP_EQUAL("m1", choose("m3").c_str());
   STRCMP_EQUAL("m1", choose("m4").c_str());
 }
 
-TEST(CoordinationProposerChoice, OneThatIsNotAbleIsPassedOver) {
+TEST(CoordinationProposerChoice, AcceptorThatCannotServeIsSkipped) {
   able.erase("m1");
   STRCMP_EQUAL("m2", choose("m3").c_str());
 }
 
-TEST(CoordinationProposerChoice, OwnAddressWhereNoAcceptorIsAbleOrKnown) {
+TEST(CoordinationProposerChoice, OwnAddressIfNoAcceptorCanServeOrIsKnown) {
   able = {"m4"};
   STRCMP_EQUAL("m4", choose("m4").c_str());
   STRCMP_EQUAL("m5", choose("m5").c_str());
@@ -41,7 +41,7 @@
   STRCMP_EQUAL("m5", choose("m5").c_str());
 }
 
-TEST(CoordinationProposerChoice, SuspectedOneIsPassedOverForTwoSeconds) {
+TEST(CoordinationProposerChoice, SuspectedAcceptorIsSkippedForTwoSeconds) {
   choice.suspect("m1", now);
   STRCMP_EQUAL("m2", choose("m3").c_str());
   now = now + Span::ms(1999);
@@ -50,7 +50,7 @@
   STRCMP_EQUAL("m1", choose("m3").c_str());
 }
 
-TEST(CoordinationProposerChoice, OneThatFailsAgainIsPassedOverForLonger) {
+TEST(CoordinationProposerChoice, AcceptorThatFailsAgainIsSkippedForLonger) {
   choice.suspect("m1", now);
   now = now + Span::ms(1500);
   choice.suspect("m1", now);
@@ -58,13 +58,13 @@
   STRCMP_EQUAL("m2", choose("m3").c_str());
 }
 
-TEST(CoordinationProposerChoice, OneThatAnswersIsTakenAtOnce) {
+TEST(CoordinationProposerChoice, AnswerEndsTheSuspicion) {
   choice.suspect("m1", now);
   choice.clear("m1");
   STRCMP_EQUAL("m1", choose("m3").c_str());
 }
 
-TEST(CoordinationProposerChoice, OwnAddressWhereAllAreSuspected) {
+TEST(CoordinationProposerChoice, OwnAddressIfAllAreSuspected) {
   for (const char* const address : {"m1", "m2", "m3"}) choice.suspect(address, now);
   STRCMP_EQUAL("m3", choose("m3").c_str());
 }
--- a/tests/control/coordination/review_test.cpp
+++ b/tests/control/coordination/review_test.cpp
@@ -1,5 +1,5 @@
-// The coordination state under repeats of calls that are late, holds of different lengths, history that is
-// full, and states that were found but never chosen.
+// Regression tests of the coordination state: late repetitions of calls, holds of different lengths, full
+// histories, and states that were read but never chosen.
 #include <string>
 #include <utility>
 
@@ -71,7 +71,7 @@
 }  // namespace
 
 /// One controller that proposes, and the acceptors of its register.
-TEST_GROUP(ReviewedBatches) {
+TEST_GROUP(CoordinationBatchRegression) {
   static constexpr std::size_t acceptor_count = 3;
   static constexpr Span client_timeout = Span::ms(900);
   AcceptorCluster cluster{acceptor_count, 1};
@@ -79,7 +79,7 @@
   Register reg{cluster.clock.later, transport, 1};
   LocalTimes times{history_retention};
   BatchProposer proposer{cluster.clock.later, reg, times};
-  std::size_t requests = 0;  // that have come to an acceptor
+  std::size_t requests = 0;  // received by acceptors
   int done = 0;
 
   void setup() override {
@@ -94,16 +94,16 @@
       if (answer.outcome == Outcome::done) ++done;
     });
   }
-  /// Until so many calls are done, and all messages have arrived.
+  /// Runs the simulation until `count` calls are done and all messages have arrived.
   void play_until_done(int count) {
     CHECK(cluster.clock.play(client_timeout, [&] { return done == count; }));
     cluster.clock.play(Span::ms(100));
   }
 };
 
-// Guards against: a batch that had waited for the one before it began by a read, although it changes the
-// state: a round more for each batch under load.
-TEST(ReviewedBatches, ABatchThatHasWaitedProposesAtOnce) {
+// Guards against: a batch that has waited for the previous one starts with a read although it changes the
+// state, which costs an additional round per batch under load.
+TEST(CoordinationBatchRegression, WaitingBatchProposesWithoutARead) {
   submit_number();
   play_until_done(1);
   requests = 0;
@@ -113,14 +113,14 @@
   LONGS_EQUAL(2 * 2 * acceptor_count, requests);  // two batches of two rounds
 }
 
-/// One controller, which has every call carried out on the newest state at its own time.
-TEST_GROUP(CoordinationReview) {
+/// One controller that executes every call on the newest state, by its own clock.
+TEST_GROUP(CoordinationRegression) {
   LocalTimes times{history_retention};
   TimePoint now = TimePoint::at_ms(1000);
   State state;
   Limits limits;
 
-  Answer carry_out(const Call& call) {
+  Answer execute(const Call& call) {
     times.observe(state, now);
     StateMachine machine(state, times, now, limits);
     const Answer answer = machine.apply(call);
@@ -134,90 +134,90 @@
   void pass(Span span) { now = now + span; }
 };
 
-// Guards against: a take that was passed on to two controllers is carried out by the slower one after its
-// holder has released the lock, which nobody holds then and nobody else gets.
-TEST(CoordinationReview, ATakeCarriedOutAgainAfterItsReleaseTakesNothing) {
-  const Answer taken = carry_out(acquire(1, "a"));
-  carry_out(release(2, "a", taken.number));
-  carry_out(acquire(1, "a"));
-  const Answer by_other = carry_out(acquire(3, "b"));
+// Guards against: an acquisition is forwarded to two controllers, and the slower one executes it after the
+// holder has released the lock. The lock is then held without the knowledge of its holder.
+TEST(CoordinationRegression, AcquisitionRepeatedAfterItsReleaseAcquiresNothing) {
+  const Answer acquired = execute(acquire(1, "a"));
+  execute(release(2, "a", acquired.number));
+  execute(acquire(1, "a"));
+  const Answer by_other = execute(acquire(3, "b"));
   CHECK(by_other.outcome == Outcome::done);
 }
 
-// Guards against: the repeat gives the hold a new fencing token, and its holder, which has the first one, is
-// told that it has lost the lock.
-TEST(CoordinationReview, ATakeCarriedOutAgainAfterARenewalKeepsTheToken) {
-  const Answer taken = carry_out(acquire(1, "a"));
-  carry_out(renew(2, "a", taken.number));
-  const Answer again = carry_out(acquire(1, "a"));
+// Guards against: the repetition gives the hold a new fencing token, and the holder, which has the first one,
+// is refused its next renewal.
+TEST(CoordinationRegression, AcquisitionRepeatedAfterARenewalKeepsTheToken) {
+  const Answer acquired = execute(acquire(1, "a"));
+  execute(renew(2, "a", acquired.number));
+  const Answer again = execute(acquire(1, "a"));
   CHECK(again.outcome == Outcome::done);
-  LONGS_EQUAL(taken.number, again.number);
-  CHECK(carry_out(renew(3, "a", taken.number)).outcome == Outcome::done);
+  LONGS_EQUAL(acquired.number, again.number);
+  CHECK(execute(renew(3, "a", acquired.number)).outcome == Outcome::done);
 }
 
-// A holder whose first answer was lost gets its token by the repeat.
-TEST(CoordinationReview, ATakeCarriedOutAgainIsAnsweredAlike) {
-  const Answer taken = carry_out(acquire(1, "a"));
-  const Answer again = carry_out(acquire(1, "a"));
+// A holder whose first answer was lost gets the same token by the repetition.
+TEST(CoordinationRegression, RepeatedAcquisitionGetsTheSameAnswer) {
+  const Answer acquired = execute(acquire(1, "a"));
+  const Answer again = execute(acquire(1, "a"));
   CHECK(again.outcome == Outcome::done);
-  LONGS_EQUAL(taken.number, again.number);
+  LONGS_EQUAL(acquired.number, again.number);
 }
 
-// Guards against: a renewal for a shorter time, whose answer its holder never gets, ends the hold that the
-// holder still counts by its earlier call: two holders at once.
-TEST(CoordinationReview, AShorterRenewalDoesNotEndTheHoldThatItRenews) {
-  const Answer taken = carry_out(acquire(1, "a", long_hold));
+// Guards against: a renewal for a shorter time, whose answer is lost, ends the hold while its holder still
+// relies on the earlier grant, so that there are two holders.
+TEST(CoordinationRegression, ShorterRenewalDoesNotShortenTheHold) {
+  const Answer acquired = execute(acquire(1, "a", long_hold));
   pass(Span::ms(1000));
-  carry_out(renew(2, "a", taken.number, short_hold));
+  execute(renew(2, "a", acquired.number, short_hold));
   pass(Span::ms(8500));  // 9.5 s after the first call, which was for 10 s
-  CHECK(carry_out(acquire(3, "b")).outcome == Outcome::held_by_other);
+  CHECK(execute(acquire(3, "b")).outcome == Outcome::held_by_other);
   pass(Span::ms(1000));
-  CHECK(carry_out(acquire(4, "b")).outcome == Outcome::done);
+  CHECK(execute(acquire(4, "b")).outcome == Outcome::done);
 }
 
-// The same by a take of the holder itself, which is a renewal too.
-TEST(CoordinationReview, AShorterTakeByTheHolderDoesNotEndItsHold) {
-  carry_out(acquire(1, "a", long_hold));
+// The same for an acquisition by the holder itself, which also extends its hold.
+TEST(CoordinationRegression, ShorterAcquisitionByTheHolderDoesNotShortenTheHold) {
+  execute(acquire(1, "a", long_hold));
   pass(Span::ms(1000));
-  carry_out(acquire(2, "a", short_hold));
+  execute(acquire(2, "a", short_hold));
   pass(Span::ms(8500));
-  CHECK(carry_out(acquire(3, "b")).outcome == Outcome::held_by_other);
+  CHECK(execute(acquire(3, "b")).outcome == Outcome::held_by_other);
   pass(Span::ms(1000));
-  CHECK(carry_out(acquire(4, "b")).outcome == Outcome::done);
+  CHECK(execute(acquire(4, "b")).outcome == Outcome::done);
 }
 
-// A controller that knows the renewal alone, as one that has just started, counts as long as the others.
-TEST(CoordinationReview, AShorterRenewalIsAsLongForAControllerThatKnowsNoEarlierGrant) {
-  const Answer taken = carry_out(acquire(1, "a", long_hold));
+// A controller that has observed only the renewal, for example after a restart, must not expire it earlier.
+TEST(CoordinationRegression, ShorterRenewalIsNotShorterForAControllerWithoutTheEarlierGrant) {
+  const Answer acquired = execute(acquire(1, "a", long_hold));
   pass(Span::ms(1000));
-  carry_out(renew(2, "a", taken.number, short_hold));
+  execute(renew(2, "a", acquired.number, short_hold));
   LocalTimes newly_started(history_retention);
   newly_started.observe(state, now);
   CHECK_FALSE(newly_started.has_expired("l", state.locks.at("l"), now + Span::ms(8500)));
 }
 
-// Guards against: a shorter renewal that was found and not chosen lends its beginning to its second
-// execution, whose time was computed anew and is shorter.
-TEST(CoordinationReview, ARenewalCarriedOutAgainDoesNotEndTheHoldThatItRenews) {
-  const Answer taken = carry_out(acquire(1, "a", long_hold));
+// Guards against: a shorter renewal is observed but not chosen, and is executed again with a recomputed,
+// shorter duration, which is then counted from the first observation.
+TEST(CoordinationRegression, RepeatedRenewalDoesNotShortenTheHold) {
+  const Answer acquired = execute(acquire(1, "a", long_hold));
   const State chosen = state;
   pass(Span::ms(1000));
-  carry_out(renew(2, "a", taken.number, short_hold));
+  execute(renew(2, "a", acquired.number, short_hold));
   pass(Span::ms(800));
   LocalTimes of_other_proposer(history_retention);
   of_other_proposer.observe(chosen, TimePoint::at_ms(1000));
   StateMachine other(chosen, of_other_proposer, now);
-  other.apply(renew(2, "a", taken.number, short_hold));
+  other.apply(renew(2, "a", acquired.number, short_hold));
   state = other.state();
   times.observe(state, now);
   pass(Span::ms(7700));  // 9.5 s after the first call, which was for 10 s
-  CHECK(carry_out(acquire(3, "b")).outcome == Outcome::held_by_other);
+  CHECK(execute(acquire(3, "b")).outcome == Outcome::held_by_other);
 }
 
-// Guards against: a proposer that has started anew, or was cut off, keeps a lock from others for a whole hold
-// more, although the controllers that pass calls on to it know that the hold has ended.
-TEST(CoordinationReview, AHoldThatHasEndedByAnotherControllersClockHasEnded) {
-  carry_out(acquire(1, "a"));
+// Guards against: a proposer that was restarted or partitioned blocks a lock for another whole hold time,
+// although the controllers that forward calls to it know that the hold has expired.
+TEST(CoordinationRegression, HoldThatExpiredByAnotherControllersClockHasExpired) {
+  execute(acquire(1, "a"));
   LocalTimes newly_started(history_retention);
   newly_started.observe(state, now);
   StateMachine machine(state, newly_started, now);
@@ -228,65 +228,65 @@
   CHECK(machine.apply(by_other).outcome == Outcome::done);
 }
 
-// It has ended, and not what its holder was granted since.
-TEST(CoordinationReview, ARenewedHoldHasNotEndedByAnotherControllersClock) {
-  const Answer taken = carry_out(acquire(1, "a"));
-  carry_out(renew(2, "a", taken.number));
+// Only the named grant has expired, not a later renewal.
+TEST(CoordinationRegression, RenewedHoldHasNotExpiredByAnotherControllersClock) {
+  const Answer acquired = execute(acquire(1, "a"));
+  execute(renew(2, "a", acquired.number));
   Call by_other = acquire(3, "b");
   by_other.expired_grant_id = 1;
   by_other.expired_grant_number = 1;
-  CHECK(carry_out(by_other).outcome == Outcome::held_by_other);
+  CHECK(execute(by_other).outcome == Outcome::held_by_other);
 }
 
-// A renewal of the same length does not add up with what is left.
-TEST(CoordinationReview, ARenewalCountsFromItself) {
-  const Answer taken = carry_out(acquire(1, "a"));
+// A renewal of the same length is not added to the remaining time.
+TEST(CoordinationRegression, RenewalCountsFromItsOwnTime) {
+  const Answer acquired = execute(acquire(1, "a"));
   pass(Span::ms(2000));
-  carry_out(renew(2, "a", taken.number));
+  execute(renew(2, "a", acquired.number));
   pass(Span::ms(2900));
-  CHECK(carry_out(acquire(3, "b")).outcome == Outcome::held_by_other);
+  CHECK(execute(acquire(3, "b")).outcome == Outcome::held_by_other);
   pass(Span::ms(200));
-  CHECK(carry_out(acquire(4, "b")).outcome == Outcome::done);
+  CHECK(execute(acquire(4, "b")).outcome == Outcome::done);
 }
 
-// Guards against: once its history was full, a group took no put ever again, since only a put that was taken
-// dropped old history.
-TEST(CoordinationReview, AGroupWhoseHistoryWasFullTakesPutsOnceItIsOld) {
+// Guards against: a group whose history is full never accepts a put again, because only an accepted put drops
+// old history.
+TEST(CoordinationRegression, GroupWithAFullHistoryAcceptsPutsOnceItIsOld) {
   limits.max_history_events = 3;
   for (std::int64_t revision = 0; revision < 3; ++revision)
-    CHECK(carry_out(put("g.k", "v" + std::to_string(revision), revision)).outcome == Outcome::done);
-  CHECK(carry_out(put("g.k", "v3", 3)).outcome == Outcome::limit_reached);
+    CHECK(execute(put("g.k", "v" + std::to_string(revision), revision)).outcome == Outcome::done);
+  CHECK(execute(put("g.k", "v3", 3)).outcome == Outcome::limit_reached);
   pass(history_retention + Span::ms(1));
-  const Answer later = carry_out(put("g.k", "v3", 3));
+  const Answer later = execute(put("g.k", "v3", 3));
   CHECK(later.outcome == Outcome::done);
   LONGS_EQUAL(4, later.number);
 }
 
-// Guards against: a put that was found at one acceptor and never chosen lends its age to the put that gets
-// its revision later: its history is dropped while watchers may still resume before it.
-TEST(CoordinationReview, ARevisionGivenAnewIsAsYoungAsItsPut) {
-  carry_out(put("g.k", "v1", 0));
+// Guards against: a put that was read from one acceptor and never chosen passes its age on to the put that
+// later gets its revision, so that history is dropped while watchers may still resume before it.
+TEST(CoordinationRegression, ReusedRevisionHasTheAgeOfItsOwnPut) {
+  execute(put("g.k", "v1", 0));
   const State chosen = state;
-  carry_out(put("g.k", "lost", 1));
+  execute(put("g.k", "lost", 1));
   state = chosen;
   pass(Span::ms(45000));
-  carry_out(put("g.k", "v2", 1));
+  execute(put("g.k", "v2", 1));
   pass(Span::ms(16000));  // 61 s after the lost put, 16 s after the one that was chosen
-  carry_out(put("g.k", "v3", 2));
+  execute(put("g.k", "v3", 2));
   CHECK(state.groups.at("g.").history.front().revision <= 2);
 }
 
-// The same where the state without the lost put was never seen here before the one with its successor.
-TEST(CoordinationReview, ARevisionGivenAnewElsewhereIsAsYoungAsItsPut) {
-  carry_out(put("g.k", "v1", 0));
+// The same if the state without the lost put was never observed here before the one with its successor.
+TEST(CoordinationRegression, RevisionReusedByAnotherControllerHasTheAgeOfItsOwnPut) {
+  execute(put("g.k", "v1", 0));
   State elsewhere = state;
-  carry_out(put("g.k", "lost", 1));
+  execute(put("g.k", "lost", 1));
   pass(Span::ms(45000));
   StateMachine other(elsewhere, times, now);
   other.apply(put("g.k", "v2", 1));
   state = other.state();
   times.observe(state, now);
   pass(Span::ms(16000));
-  carry_out(put("g.k", "v3", 2));
+  execute(put("g.k", "v3", 2));
   CHECK(state.groups.at("g.").history.front().revision <= 2);
 }
--- a/tests/control/coordination/state_examples.hpp
+++ b/tests/control/coordination/state_examples.hpp
@@ -1,4 +1,4 @@
-// States of the coordination service for tests: a filled one, and random ones by a seed.
+// Coordination states for tests: a fixed one with all fields set, and random ones.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace chutevane::control::coordination {
 
-// Something in every field, with bytes that are no text and numbers of many bytes.
+// Returns a state with every field set, including binary strings and numbers of many bytes.
 inline State filled_state() {
   State out;
   out.locks["free"] = {"", 3, 1000, 7};
--- a/tests/control/coordination/state_format_test.cpp
+++ b/tests/control/coordination/state_format_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of the coordination service's state, as docs/storage-format.md has them.
+// Tests that the encoding of the coordination state is the one specified in docs/storage-format.md.
 #include <string>
 
 #include "control/coordination/state.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Of the page, line by line.
+// The example in that document, line by line.
 const std::string documented_bytes =
     std::string("\x01") +       // version
     std::string("\x01\x01l") +  // one lock, "l"
@@ -45,7 +45,7 @@
   CHECK(decode("") == State());
 }
 
-TEST(CoordinationStateFormat, EachShorterAndLongerTextIsRefused) {
+TEST(CoordinationStateFormat, TruncatedOrExtendedBytesAreRefused) {
   for (std::size_t size = 1; size < documented_bytes.size(); ++size)
     CHECK_FALSE(decode(documented_bytes.substr(0, size)).has_value());
   CHECK_FALSE(decode(documented_bytes + '\0').has_value());
--- a/tests/control/coordination/state_machine_test.cpp
+++ b/tests/control/coordination/state_machine_test.cpp
@@ -1,4 +1,4 @@
-// Each call on the state of the coordination service, with each of its outcomes.
+// Tests StateMachine: each operation with each of its outcomes.
 #include "control/coordination/state_machine.hpp"
 
 #include <string>
@@ -13,7 +13,7 @@
 
 constexpr Span retention = Span::ms(60'000);
 
-// A state, and one controller's times. Each call is a change of its own.
+// A state and one controller's times. Each call is a separate change.
 struct OneController {
   explicit OneController(const Limits& bounds = {}) : limits(bounds) {}
   Answer apply(const Call& call) {
@@ -32,7 +32,7 @@
   LocalTimes times{retention};
   State state;
   TimePoint now = TimePoint::at_ms(1e6);
-  bool changed = false;  // by the newest call
+  bool changed = false;  // whether the last call has changed the state
 };
 
 Call lock_call(Operation operation, std::uint64_t id, const std::string& holder, std::int64_t fence = 0) {
@@ -100,14 +100,14 @@
   check_answer(Outcome::held_by_other, 0, controller.apply(acquire(3, "b")));
 }
 
-TEST(CoordinationLocks, SameAcquisitionCarriedOutTwiceKeepsItsToken) {
+TEST(CoordinationLocks, RepeatedAcquisitionKeepsItsToken) {
   controller.apply(acquire(1, "a"));
   controller.wait_ms(100);
   check_answer(Outcome::done, 1, controller.apply(acquire(1, "a")));
   CHECK_FALSE(controller.changed);
 }
 
-// The id is drawn at random: one that another holder's call has too means nothing.
+// Ids are random, so two holders may use the same one: their calls are different.
 TEST(CoordinationLocks, SameIdOfAnotherHolderIsAnotherCall) {
   controller.apply(acquire(1, "a"));
   check_answer(Outcome::held_by_other, 0, controller.apply(acquire(1, "b")));
@@ -142,15 +142,15 @@
   check_answer(Outcome::done, 2, controller.apply(renew(7, "a", 2)));
 }
 
-// Its holder has given it up, though nobody else has it yet.
-TEST(CoordinationLocks, RenewalAfterTheEndIsRefused) {
+// The holder considers the lock lost, even if no other holder has acquired it yet.
+TEST(CoordinationLocks, RenewalAfterExpiryIsRefused) {
   controller.apply(acquire(1, "a"));
   controller.wait_ms(3011);
   check_answer(Outcome::held_by_other, 0, controller.apply(renew(2, "a", 1)));
   CHECK_FALSE(controller.changed);
 }
 
-TEST(CoordinationLocks, SameRenewalCarriedOutTwiceIsDoneOnce) {
+TEST(CoordinationLocks, RepeatedRenewalTakesEffectOnce) {
   controller.apply(acquire(1, "a"));
   controller.apply(renew(2, "a", 1));
   controller.wait_ms(100);
@@ -158,14 +158,14 @@
   CHECK_FALSE(controller.changed);
 }
 
-TEST(CoordinationLocks, ReleasedLockIsFreeAtOnceAndItsTokensGoOn) {
+TEST(CoordinationLocks, ReleasedLockIsFreeAndItsTokensKeepIncreasing) {
   controller.apply(acquire(1, "a"));
   check_answer(Outcome::done, 0, controller.apply(release(2, "a", 1)));
   check_answer(Outcome::held_by_other, 0, controller.apply(renew(3, "a", 1)));
   check_answer(Outcome::done, 2, controller.apply(acquire(4, "b")));
 }
 
-// A late release of an earlier hold does not act on the present one, and is answered like any other.
+// A late release of an earlier hold does not affect the current one, and gets the same answer as any release.
 TEST(CoordinationLocks, ReleaseByAnOlderTokenOrAnotherHolderDoesNothing) {
   check_answer(Outcome::done, 0, controller.apply(release(1, "a", 1)));  // no such lock
   controller.apply(acquire(2, "a"));
@@ -176,7 +176,7 @@
   check_answer(Outcome::held_by_other, 0, controller.apply(acquire(6, "b")));
 }
 
-TEST(CoordinationLocks, SameReleaseCarriedOutTwiceDoesNotActOnTheNextHold) {
+TEST(CoordinationLocks, RepeatedReleaseDoesNotAffectTheNextHold) {
   controller.apply(acquire(1, "a"));
   controller.apply(release(2, "a", 1));
   controller.apply(acquire(3, "a"));
@@ -185,9 +185,9 @@
   check_answer(Outcome::held_by_other, 0, controller.apply(acquire(4, "b")));
 }
 
-// A copy of a call that was under way while the holder renewed again: its grant is a new one, which counts
-// from when it is seen, though this controller has seen the same call before.
-TEST(CoordinationLocks, RenewalCarriedOutAgainAfterANewerOneIsANewGrant) {
+// A late copy of a renewal is executed after a newer renewal: its grant is a new one, which counts from its
+// observation, although this controller has observed a grant by the same call before.
+TEST(CoordinationLocks, RenewalRepeatedAfterANewerOneIsANewGrant) {
   controller.apply(acquire(1, "a"));
   controller.apply(renew(2, "a", 1));
   LocalTimes other{retention};
@@ -202,8 +202,8 @@
   CHECK_TRUE(other.has_expired("l", controller.state.locks["l"], end + Span::ms(1)));
 }
 
-// Its answer may be lost: the holder counts by its last good call then.
-TEST(CoordinationLocks, ShorterRenewalDoesNotCutAHoldShort) {
+// If the answer is lost, the holder relies on its last answered call.
+TEST(CoordinationLocks, ShorterRenewalDoesNotShortenTheHold) {
   controller.apply(acquire(1, "a"));
   Call shorter = renew(2, "a", 1);
   shorter.hold = Span::ms(500);
@@ -214,7 +214,7 @@
   check_answer(Outcome::done, 2, controller.apply(acquire(4, "b")));
 }
 
-TEST(CoordinationLocks, ShorterAcquisitionDoesNotCutOwnHoldShort) {
+TEST(CoordinationLocks, ShorterAcquisitionDoesNotShortenTheOwnHold) {
   controller.apply(acquire(1, "a"));
   Call shorter = acquire(2, "a");
   shorter.hold = Span::ms(500);
@@ -223,8 +223,8 @@
   check_answer(Outcome::held_by_other, 0, controller.apply(acquire(3, "b")));
 }
 
-// Once the earlier hold has ended, by its release or its time, the next one is as long as it asks for.
-TEST(CoordinationLocks, ShorterAcquisitionAfterTheEndIsShort) {
+// After the earlier hold was released or has expired, the next one has the requested duration.
+TEST(CoordinationLocks, ShorterAcquisitionAfterTheEndHasTheRequestedDuration) {
   controller.apply(acquire(1, "a"));
   controller.wait_ms(3011);
   Call shorter = acquire(2, "a");
@@ -240,7 +240,7 @@
 
 TEST_GROUP(CoordinationNumbers) { OneController controller; };
 
-TEST(CoordinationNumbers, RiseUnderEachNameFromOne) {
+TEST(CoordinationNumbers, IncreaseFromOneForEachName) {
   check_answer(Outcome::done, 1, controller.apply(named(Operation::next_number, "n1")));
   check_answer(Outcome::done, 2, controller.apply(named(Operation::next_number, "n1")));
   check_answer(Outcome::done, 1, controller.apply(named(Operation::next_number, "n2")));
@@ -249,7 +249,7 @@
 
 TEST_GROUP(CoordinationKeys) { OneController controller; };
 
-TEST(CoordinationKeys, KeysOfAGroupShareOneCountOfRevisions) {
+TEST(CoordinationKeys, KeysOfAGroupShareOneRevisionCounter) {
   check_answer(Outcome::done, 1, controller.apply(put("g.a", "1")));
   check_answer(Outcome::done, 2, controller.apply(put("g.b", "2")));
   check_answer(Outcome::done, 1, controller.apply(put("h.a", "3")));
@@ -258,7 +258,7 @@
   check_answer(Outcome::done, 0, controller.apply(named(Operation::get_group_revision, "i.")));
 }
 
-TEST(CoordinationKeys, ReadHasValueAndRevisionOrNothing) {
+TEST(CoordinationKeys, ReadReturnsValueAndRevisionOrNotFound) {
   check_answer(Outcome::not_found, 0, controller.apply(named(Operation::get_key, "g.a")));
   controller.apply(put("g.b", "0"));
   check_answer(Outcome::not_found, 0, controller.apply(named(Operation::get_key, "g.a")));
@@ -274,14 +274,14 @@
   check_answer(Outcome::not_found, 0, controller.apply(named(Operation::get_key, "a")));
 }
 
-TEST(CoordinationKeys, PutWhereTheKeyHasTheRevisionNamed) {
+TEST(CoordinationKeys, PutAppliesOnlyToTheRequiredRevision) {
   check_answer(Outcome::done, 1, controller.apply(put("g.a", "1", 0)));
   controller.apply(put("g.b", "2"));
   check_answer(Outcome::revision_mismatch, 1, controller.apply(put("g.a", "3", 2)));
   check_answer(Outcome::done, 3, controller.apply(put("g.a", "4", 1)));
 }
 
-TEST(CoordinationKeys, RejectedPutNamesTheKeysRevisionAndChangesNothing) {
+TEST(CoordinationKeys, RejectedPutReturnsTheKeysRevisionAndChangesNothing) {
   controller.apply(put("g.b", "0"));
   controller.apply(put("g.a", "1"));
   const State before = controller.state;
@@ -302,13 +302,13 @@
   CHECK_FALSE(controller.changed);
 }
 
-// The value of a put is its own only under its key.
-TEST(CoordinationKeys, SameValueUnderAnotherKeyIsAnotherPut) {
+// A put is identified by its key and value.
+TEST(CoordinationKeys, SameValueForAnotherKeyIsAnotherPut) {
   controller.apply(put("g.a", "1"));
   check_answer(Outcome::done, 2, controller.apply(put("g.b", "1")));
 }
 
-TEST(CoordinationKeys, HistoryHasEveryPutUntilItIsOldAndAnotherPutComes) {
+TEST(CoordinationKeys, OldHistoryIsDroppedByTheNextPut) {
   controller.apply(put("g.a", "1"));
   controller.apply(put("g.a", "2"));
   controller.wait_ms(60'001);
@@ -319,15 +319,15 @@
   CHECK_EQUAL(3, controller.state.groups["g."].history.front().revision);
 }
 
-TEST(CoordinationKeys, TruncationAloneMakesNoNewState) {
+TEST(CoordinationKeys, TruncationAloneDoesNotChangeTheState) {
   controller.apply(put("g.a", "1"));
   controller.wait_ms(60'001);
   controller.apply(named(Operation::get_key, "g.a"));
   CHECK_FALSE(controller.changed);
 }
 
-// The newest value is recognized however old it is.
-TEST(CoordinationKeys, RepeatOfTheNewestPutOutlivesTheHistory) {
+// A repetition of a key's newest put is recognized by its value, also after its history was dropped.
+TEST(CoordinationKeys, RepeatOfTheNewestPutIsRecognizedWithoutHistory) {
   controller.apply(put("g.a", "1"));
   controller.wait_ms(60'001);
   controller.apply(put("g.b", "2"));
@@ -367,15 +367,15 @@
   check_answer(Outcome::done, 1, controller.apply(put("h.a", "6")));
 }
 
-// Once what fills it is old, there is room again.
-TEST(CoordinationLimits, FullHistoryOfOldPutsTakesTheNextPut) {
+// Old puts in a full history are dropped to make room for the next put.
+TEST(CoordinationLimits, FullHistoryOfOldPutsAcceptsTheNextPut) {
   for (const char* value : {"1", "2", "3", "4"}) controller.apply(put("g.a", value));
   controller.wait_ms(60'001);
   check_answer(Outcome::done, 5, controller.apply(put("g.a", "5")));
   CHECK_EQUAL(1U, controller.state.groups["g."].history.size());
 }
 
-// A put that is not carried out leaves nothing of its group, also where its batch has changed the state.
+// A refused put does not create its group, even if its batch has changed the state.
 TEST(CoordinationLimits, RefusedPutsLeaveNoGroups) {
   StateMachine machine({}, controller.times, controller.now, controller.limits);
   machine.apply(named(Operation::next_number, "n1"));
--- a/tests/control/coordination/state_test.cpp
+++ b/tests/control/coordination/state_test.cpp
@@ -1,5 +1,5 @@
-// The state of the coordination service as bytes: it comes back as it was written, and what is cut off or
-// changed is refused, or is another state that stands by itself.
+// Tests the encoding of the coordination state: decoding returns the encoded state; truncated or changed
+// bytes are refused, or decode to a state that can be encoded and decoded again.
 #include "control/coordination/state.hpp"
 
 #include <string>
@@ -12,17 +12,17 @@
 
 TEST_GROUP(CoordinationState){};
 
-TEST(CoordinationState, EmptyStateIsTheEmptyText) {
+TEST(CoordinationState, EmptyStateIsEncodedAsNoBytes) {
   CHECK_TRUE(encode({}).empty());
   CHECK_TRUE(decode("") == State{});
 }
 
-TEST(CoordinationState, FilledStateComesBack) {
+TEST(CoordinationState, FilledStateRoundTrip) {
   const State state = filled_state();
   CHECK_TRUE(decode(encode(state)) == state);
 }
 
-TEST(CoordinationState, RandomStatesComeBack) {
+TEST(CoordinationState, RandomStatesRoundTrip) {
   RandomSource random(11);
   for (int round = 0; round < 2000; ++round) {
     const State state = random_state(random);
@@ -30,7 +30,7 @@
   }
 }
 
-// The same state has the same bytes: differences between values rest on it.
+// Equal states have equal bytes; computing differences between values depends on it.
 TEST(CoordinationState, EncodingIsDeterministic) {
   RandomSource random(12);
   for (int round = 0; round < 200; ++round) {
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(CoordinationState, CutBytesAreRefused) {
+TEST(CoordinationState, TruncatedBytesAreRefused) {
   RandomSource random(13);
   for (int round = 0; round < 100; ++round) {
     const std::string bytes = encode(round == 0 ? filled_state() : random_state(random));
@@ -48,7 +48,7 @@
   }
 }
 
-TEST(CoordinationState, BytesBehindTheEndAreRefused) {
+TEST(CoordinationState, TrailingBytesAreRefused) {
   const std::string bytes = encode(filled_state());
   CHECK_FALSE(decode(bytes + std::string(1, '\0')).has_value());
   CHECK_FALSE(decode(bytes + "x").has_value());
@@ -60,7 +60,7 @@
   CHECK_FALSE(decode(bytes).has_value());
 }
 
-// Counts and lengths far above what follows do not allocate, and integers of too many bytes end.
+// Counts and lengths above the number of remaining bytes allocate nothing, and overlong integers are refused.
 TEST(CoordinationState, ImpossibleCountsAreRefused) {
   const std::string largest = std::string(9, '\xff') + "\x01";
   CHECK_FALSE(decode("\x01" + largest).has_value());
@@ -68,8 +68,9 @@
   CHECK_FALSE(decode("\x01" + std::string(20, '\xff')).has_value());
 }
 
-// Random bytes, and good ones of which one was changed: refused, or a state that comes back by itself.
-TEST(CoordinationState, NoisyBytesAreRefusedOrAState) {
+// Random bytes, and valid ones with one byte changed, are refused or decode to a state that can be encoded
+// and decoded again.
+TEST(CoordinationState, CorruptedBytesAreRefusedOrDecodeToAState) {
   RandomSource random(14);
   std::size_t refused = 0;
   constexpr int rounds = 20'000;
--- a/tests/control/coordination/watch_hub_test.cpp
+++ b/tests/control/coordination/watch_hub_test.cpp
@@ -1,4 +1,4 @@
-// Watchers of groups of keys: what each is sent, when, and once.
+// Tests WatchHub: each watcher gets the right response, at the right time, exactly once.
 #include "control/coordination/watch_hub.hpp"
 
 #include <string>
@@ -21,8 +21,8 @@
   group.history.push_back({key, value, group.revision});
 }
 
-// What came to one watcher.
-struct Answers {
+// The responses that one watcher has received.
+struct Responses {
   std::vector<HttpResponse> all;
   chutevane::common::HttpServer::Reply reply() {
     return [this](HttpResponse response) { all.push_back(std::move(response)); };
@@ -46,13 +46,13 @@
 }
 ;
 
-TEST(CoordinationWatchResponse, NothingWhereNoPutIsAboveTheRevision) {
+TEST(CoordinationWatchResponse, NoResponseWithoutALaterPut) {
   CHECK_FALSE(watch_response({}, 0).has_value());
   CHECK_FALSE(watch_response(group_of_puts(1, 3), 3).has_value());
   CHECK_FALSE(watch_response(group_of_puts(1, 3), 9).has_value());
 }
 
-TEST(CoordinationWatchResponse, EveryPutAboveTheRevision) {
+TEST(CoordinationWatchResponse, AllLaterPuts) {
   const auto response = watch_response(group_of_puts(1, 3), 1);
   CHECK_EQUAL(200, response->status);
   STRCMP_EQUAL(
@@ -60,7 +60,7 @@
       response->body.c_str());
 }
 
-TEST(CoordinationWatchResponse, GoneWhereTheHistoryBeginsLater) {
+TEST(CoordinationWatchResponse, GoneIfTheHistoryBeginsLater) {
   CHECK_EQUAL(200, watch_response(group_of_puts(5, 8), 4)->status);
   CHECK_EQUAL(410, watch_response(group_of_puts(5, 8), 3)->status);
   KeyGroup without_history;
@@ -68,8 +68,8 @@
   CHECK_EQUAL(410, watch_response(without_history, 7)->status);
 }
 
-// The rest comes with the watcher's next request: the revision is that of the last put sent.
-TEST(CoordinationWatchResponse, AtMostAThousandPutsAtOnce) {
+// The watcher gets the rest with its next request, so the revision is that of the last put in the response.
+TEST(CoordinationWatchResponse, AtMostAThousandPutsPerResponse) {
   const auto response = watch_response(group_of_puts(1, 1500), 100);
   CHECK_EQUAL(200, response->status);
   CHECK_TRUE(response->body.ends_with(R"({"name":"g.a","value":"v1100","revision":1100}],"revision":1100})"));
@@ -79,13 +79,13 @@
   Clockwork clock;
   WatchHub hub{clock.later};
   State state;
-  Answers first, second, third;
-  void watch(Answers & answers, std::int64_t after, const char* group = "g.") {
-    hub.add({group, after, Span::ms(2000)}, state, answers.reply());
+  Responses first, second, third;
+  void watch(Responses & responses, std::int64_t after, const char* group = "g.") {
+    hub.add({group, after, Span::ms(2000)}, state, responses.reply());
   }
 };
 
-TEST(CoordinationWatchHub, AnsweredAtOnceWhereAPutIsThere) {
+TEST(CoordinationWatchHub, AnsweredImmediatelyIfThereIsAPut) {
   put(state, "g.a", "1");
   put(state, "g.a", "2");
   watch(first, 1);
@@ -121,7 +121,7 @@
   CHECK_EQUAL(1U, hub.size());
 }
 
-// This controller is behind: neither 410, nor an older revision.
+// This controller is behind, so the response is neither 410 nor an older revision.
 TEST(CoordinationWatchHub, RevisionAboveTheKnownOneWaits) {
   put(state, "g.a", "1");
   watch(first, 5);
@@ -135,15 +135,15 @@
   first.check_only(200, R"({"events":[{"name":"g.a","value":"6","revision":6}],"revision":6})");
 }
 
-TEST(CoordinationWatchHub, GoneWhereTheHistoryBeginsLater) {
+TEST(CoordinationWatchHub, GoneIfTheHistoryBeginsLater) {
   state.groups["g."].revision = 9;
   watch(first, 3);
   CHECK_EQUAL(1U, first.all.size());
   CHECK_EQUAL(410, first.all.front().status);
 }
 
-// It waited above the known revision, and all that it asks for is dropped by the state that comes next.
-TEST(CoordinationWatchHub, GoneWhereItsPutsAreDroppedWhileItWaits) {
+// The history of the next state no longer has the first put that the watcher waits for.
+TEST(CoordinationWatchHub, GoneIfItsPutsAreDroppedWhileItWaits) {
   put(state, "g.a", "1");
   watch(first, 1);
   state.groups["g."].revision = 9;
@@ -153,7 +153,7 @@
   CHECK_EQUAL(410, first.all.front().status);
 }
 
-TEST(CoordinationWatchHub, NoEventsAfterItsTime) {
+TEST(CoordinationWatchHub, NoEventsAfterTheWaitTime) {
   put(state, "g.a", "1");
   watch(first, 1);
   clock.play(Span::ms(1999));
@@ -165,14 +165,14 @@
   CHECK_EQUAL(1U, first.all.size());
 }
 
-TEST(CoordinationWatchHub, NoEventsKeepTheRevisionOfAWatcherAbove) {
+TEST(CoordinationWatchHub, ResponseWithoutEventsKeepsAHigherRevision) {
   put(state, "g.a", "1");
   watch(first, 7);
   clock.play(Span::ms(2001));
   first.check_only(200, R"({"events":[],"revision":7})");
 }
 
-TEST(CoordinationWatchHub, GroupWithoutPutsIsWatchedToo) {
+TEST(CoordinationWatchHub, GroupWithoutPutsCanBeWatched) {
   watch(first, 0);
   put(state, "g.a", "1");
   hub.on_state(state);
@@ -195,8 +195,8 @@
   CHECK_EQUAL(1U, second.all.size());
 }
 
-// A watcher asks again from within its answer, as one does whose request was read already.
-TEST(CoordinationWatchHub, WatcherAddedByAnAnswerWaitsForTheNextPut) {
+// A reply callback adds the next watcher, as happens if the client's next request was already read.
+TEST(CoordinationWatchHub, WatcherAddedByAReplyWaitsForTheNextPut) {
   put(state, "g.a", "1");
   hub.add({"g.", 1, Span::ms(2000)}, state, [this](const HttpResponse&) { watch(first, 2); });
   put(state, "g.a", "2");
@@ -207,7 +207,7 @@
   first.check_only(200, R"({"events":[{"name":"g.a","value":"3","revision":3}],"revision":3})");
 }
 
-TEST(CoordinationWatchHub, TooManyWatchersAreSentElsewhere) {
+TEST(CoordinationWatchHub, TooManyWatchersAreRefused) {
   for (std::size_t i = 0; i < WatchHub::max_watchers; ++i)
     hub.add({"g.", 1, Span::ms(2000)}, state, [](const HttpResponse&) {});
   watch(first, 1);
