--- a/src/common/durable_state.hpp
+++ b/src/common/durable_state.hpp
@@ -13,10 +13,10 @@
 /// salted with the number of their checkpoint (common/record_framing.hpp): if a power failure undoes the
 /// truncation of a log, its old frames are not mistaken for changes to the new checkpoint.
 ///
-/// After a failed operation its effect on disk is unknown: the next recovery may see it or not, and both are
-/// consistent. A change appended after such a remainder could be hidden by it, or end up in the log of a
-/// checkpoint that the recovery does not choose. Therefore only a checkpoint may follow, to the same spare
-/// slot, until one succeeds. Its number is higher than any that the failed operation can have left.
+/// The effect of a failed operation on disk is unknown: the next recovery may see it or not, and both are
+/// consistent. A change appended next could be hidden by a torn frame, or end up in the log of a checkpoint
+/// that the recovery does not choose. Therefore only checkpoints may follow, to the slot that is not in use,
+/// until one succeeds. It replaces a failed one there, and has a higher number than the slot in use.
 #pragma once
 
 #include <cstddef>
--- a/src/common/messages/controllers.hpp
+++ b/src/common/messages/controllers.hpp
@@ -1,4 +1,4 @@
-/// Records that control sidecars exchange among themselves, and what each stores.
+/// Messages between control sidecars, and the record that each of them stores on its disk.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace chutevane::common {
 
-/// The durable state of a control sidecar other than its acceptor's. It is read at each start.
+/// The durable state of a control sidecar, except the state of its acceptors. It is read at each start.
 struct ControllerRecord {
   static constexpr const char* record = "Controller_record";
   static constexpr std::uint8_t kind = 13;
-  std::string disk;  ///< id of the disk, generated when the disk was new
-  /// The disk took part in the initial start of the system: it belongs to the first set of acceptors, which
-  /// has no disk ids.
+  std::string disk;  ///< id of the disk, generated for a new disk or after a loss of its acceptor's state
+  /// True if the disk was new at the initial start of the system and has kept its id. The first set of
+  /// acceptors has no disk ids: a sidecar with an address of that set belongs to it only if this is true.
   bool first = false;
   RegisterValue known;                   ///< the newest known chosen value
   RegisterValue initial;                 ///< first value of the newest known epoch
@@ -56,7 +56,7 @@
   std::string zone;               ///< failure domain
   bool draining = false;          ///< the sender is shutting down gracefully
   bool full = false;              ///< the message has all fields
-  std::int64_t epoch = 0;         ///< epoch of the newest first value that it knows
+  std::int64_t epoch = 0;         ///< newest epoch whose first value it knows
   std::int64_t known_number = 0;  ///< number of the newest chosen value that it knows; 0 if none
   std::int64_t accepted = 0;     ///< number of the value that its acceptor has accepted in `epoch`; 0 if none
   bool voting = false;           ///< its acceptor has entered an epoch
--- a/src/control/coordination/coordination_service.hpp
+++ b/src/control/coordination/coordination_service.hpp
@@ -3,8 +3,8 @@
 /// The state (state.hpp) is the value of a separate register, which uses the same protocol and the same
 /// acceptors as the register of the control state (control/register.hpp). Hence there is no leader whose loss
 /// would stop the service, and safety does not depend on a lease. All controllers forward their calls to one
-/// controller, which proposes them in batches (proposer_choice.hpp, batch_proposer.hpp). If it does not
-/// answer, the next one proposes them, or the controller that received the call.
+/// controller, which proposes them in batches (proposer_choice.hpp, batch_proposer.hpp). A call that it does
+/// not answer goes to the next one; a call that it declines is proposed by the controller that received it.
 ///
 /// The acceptors follow those of the control state's register: the leader of the membership role moves the
 /// coordination register to the newest set (align_acceptors()).
@@ -13,9 +13,9 @@
 /// it knows, and serves watchers from it (watch_hub.hpp).
 ///
 /// A queued call must not take effect after its client has stopped waiting. A forwarded call therefore
-/// carries its remaining time and an echo of the receiver's clock, so that a receiver whose process was
-/// stalled declines it. A controller that detects that its own process was stalled answers `unavailable` to
-/// the calls that it reads right after the stall.
+/// carries its remaining time and the timestamp of the receiver's latest gossip. If that is too old, as after
+/// a stall of the receiver, the receiver declines the call. A controller that detects that its own process
+/// was stalled answers `unavailable` to the clients' calls that it reads right after the stall.
 #pragma once
 
 #include <cstdint>
@@ -65,8 +65,8 @@
                       common::RpcServer& rpc_server, ServiceSettings settings);
 
   /// Reads the acceptor and the epoch from disk. `first_epoch` is the initial value with the first set of
-  /// acceptors, given at the first start of the whole system. Returns DataLoss if the promises of this disk's
-  /// acceptor cannot be read: the caller must then give the disk a new identity and call again with
+  /// acceptors, given until a later epoch is known. Returns DataLoss if the promises of this disk's acceptor
+  /// cannot be read: the caller must then give the disk a new identity and call again with
   /// `Unreadable::reset`. Other errors come from the disk.
   [[nodiscard]] absl::Status open(const AcceptorIdentity& identity,
                                   const std::optional<RegisterValue>& first_epoch, Unreadable unreadable);
@@ -75,8 +75,8 @@
 
   /// Must be called with each tick of the controller.
   void tick();
-  /// Moves the register to the acceptors of that epoch. Must be called with each tick by the leader of the
-  /// membership role.
+  /// Moves the register to the acceptors of that epoch of the control state. The leader of the membership
+  /// role must call it with each tick.
   void align_acceptors(const RegisterValue& control_epoch_value);
   /// Must be called when a connection to another controller is established.
   void on_peer_connected(const std::string& address);
@@ -124,7 +124,7 @@
   /// What is known about another controller's copy of the register value.
   struct PeerKnowledge {
     PeerPosition position;             // as that controller reported it
-    std::int64_t notified_number = 0;  // newest value sent over this connection
+    std::int64_t notified_number = 0;  // of the newest value sent over this connection
     TimePoint notified_at;
   };
 
--- a/src/control/member_sessions.hpp
+++ b/src/control/member_sessions.hpp
@@ -32,11 +32,11 @@
   void on_value(const common::RegisterValue& value);
   void on_endpoint_list_changed() { push_to_primary_sessions(); }
   /// Pushes what is missing and sends a heartbeat over each session, and closes sessions whose last message
-  /// is too old. Returns true if any were closed. `heartbeat`: without the fields that differ by session.
-  /// `controllers`: included when they have changed, and every `full_message_interval`.
+  /// is too old. Returns true if any were closed. `heartbeat` lacks the fields that differ by session.
+  /// `controllers` is sent along if it has changed, and every `full_message_interval`.
   bool send_heartbeats(common::ControlHeartbeat heartbeat, const std::vector<std::string>& controllers);
 
-  /// Returns true if all edges with a session have the value of that number or a later one.
+  /// Returns true if all edges with a session have acknowledged the value with that number or a later one.
   bool have_edges_acknowledged(std::int64_t number) const;
   std::vector<common::Member> members() const;
   std::size_t size() const { return sessions_.size(); }
@@ -47,7 +47,7 @@
     common::Member member;
     TimePoint opened_at;
     TimePoint received_at;               // when the last message arrived
-    std::int64_t stamp = 0;              // of that message, echoed with each heartbeat
+    std::int64_t stamp = 0;              // `stamp` of that message, echoed in each heartbeat
     EndpointListPosition list_position;  // newest position that the member has or was sent
     common::PushCursor values;
     bool is_primary = false;
--- a/src/control/storage_map_planner.hpp
+++ b/src/control/storage_map_planner.hpp
@@ -18,18 +18,18 @@
 
 namespace chutevane::control {
 
-/// A storage node that is out of contact for longer is removed from the map. This is as long as the
-/// replacement of an acceptor may take, since a node that is only restarted returns with its disk.
+/// A storage node that is out of contact for longer is removed from the map. The timeout is as long as the
+/// replacement of an acceptor may take, because a node that is only restarted returns with its disk.
 constexpr Span storage_node_absence_timeout = Span::ms(4000);
-/// The timeout if more nodes are left without it than are needed to tolerate the losses.
+/// The timeout for a node if, without it, more nodes are left than are needed to tolerate the losses.
 constexpr Span surplus_node_absence_timeout = Span::ms(1500);
-/// The timeout if a node joined within `successor_window`. That node may be the successor of the absent one,
+/// The timeout if any node joined within the last `successor_window`. It may replace the absent node,
 /// and the next loss may follow as soon as the successor has had its time to catch up.
 constexpr Span succeeded_node_absence_timeout = Span::ms(800);
 constexpr Span successor_window = Span::ms(30000);
 
-/// Minimum time to wait for an absent disk. Afterwards its contents have expired, unless turns are retained
-/// for longer. Accounts have the same lifetime.
+/// Minimum time for which the map waits for the replicas on an absent disk. After that time they have
+/// expired, unless turns are retained for longer. Accounts have the same lifetime.
 constexpr Span min_replica_expiry = Span::ms(180000);
 
 /// Plans the next map from the arguments of plan(). Its only state is when each node was last present and
--- a/src/edge/engine_model.hpp
+++ b/src/edge/engine_model.hpp
@@ -7,13 +7,13 @@
 /// consists of:
 ///  - the tokens of its own prompt that are not in the engine's prefix cache,
 ///  - the prompts that are already being processed there,
-///  - the wait for a slot if all slots are in use: all slots become free once within the time for which a
-///  request
-///    occupies a slot,
-///  - the prompts that are processed while the request runs: each of the other requests ends about once in
-///  that
-///    time and is replaced by one whose prompt is processed; and the request's own prompt delays the running
-///    ones.
+///  - the wait for a slot if all slots are in use: on average each slot becomes free once within the time
+///    for which a request occupies a slot,
+///  - the prompts that are processed while the request runs: on average each of the other requests ends once
+///    within that time, and is replaced by a request whose prompt must be processed,
+///  - the delay of the running requests by the prompt of the new one.
+/// The costs of another zone and of a new connection are not part of this model
+/// (ServiceBalancer::placement_cost).
 ///
 /// The number of requests of other processes at an endpoint is known only from the load that its last
 /// response reported. Between two reports the estimate decays from the reported value towards the mean over
@@ -29,7 +29,7 @@
  public:
   /// Records the duration of an attempt that ended with a complete response.
   void observe_slot_time(Span duration);
-  /// Records the time to the first event of a response, of whose prompt `tokens` tokens were not cached.
+  /// Records the time to the first event of a response whose prompt had `tokens` uncached tokens.
   void observe_prefill(double tokens, Span latency);
   /// Records the number of requests of other processes from an endpoint's load report.
   void observe_other_requests(double requests);
--- a/src/edge/service_balancer.hpp
+++ b/src/edge/service_balancer.hpp
@@ -4,18 +4,18 @@
 ///
 /// Timeouts and retries (after NResilience; docs/design.md, departures in docs/system.md):
 ///  - attempt_timeout() returns the smallest of the route's timeout, the time that the client still waits,
-///  and
-///    the adaptive timeout: three times the 95th percentile of the latencies of the last 10 s, at least 50
-///    ms. The adaptive timeout applies only if another attempt may follow, at least 20 responses were
-///    observed, and the attempts that it ended do not starve the estimate that it is computed from.
+///    and the adaptive timeout: three times the 95th percentile of the latencies of the last 10 s, at least
+///    50 ms. The adaptive timeout applies only if another attempt may follow, at least 20 responses were
+///    observed, and it has not cut off so many responses that its estimate could only decrease
+///    (LatencyEstimate::update_starved).
 ///  - is_expired() returns true if no time is left; nothing is sent then.
 ///  - allows_retry() returns false if less time is left than the median attempt takes.
 ///
 /// Endpoint selection, choose_endpoint():
-///  - Candidates are all endpoints except those that the request has already tried (AttemptContext::avoid)
-///  and
-///    those that are ejected after failures (for 300 ms, doubling up to 5 s). If more endpoints are ejected
-///    than not, the cause is probably not the endpoints, and none is excluded.
+///  - Candidates are all endpoints except those that have rejected or failed the request
+///    (AttemptContext::avoid) and those that are ejected after failures (for 300 ms, doubling up to 5 s). If
+///    more of the endpoints that need not be avoided are ejected than not, the cause is probably not the
+///    endpoints, and the ejected ones are candidates too.
 ///  - Subsetting: each process orders the endpoints in its own way, with its own zone first, and sends to the
 ///    first ones. The subset is sized so that each endpoint has half an attempt in flight on average, with a
 ///    minimum of three. A small subset saves connections and keeps the load reports of its endpoints recent.
@@ -23,9 +23,9 @@
 ///    endpoint with the lowest placement_cost(), in tokens of prefill (see EngineModel for the terms). An
 ///    endpoint outside the subset costs an additional connection.
 ///  - Selection by weight: all other requests go to a random endpoint, weighted by the inverse of its
-///  smoothed
-///    latency. Weights are recomputed every 2 s. Endpoints with well above the mean number of requests in
-///    flight are skipped. The draw leaves the subset only if the subset is nearly full.
+///    smoothed latency. Weights are recomputed every 2 s. Endpoints with well above the mean number of
+///    requests in flight are skipped. A candidate outside the subset is chosen only if those inside are
+///    nearly full.
 ///
 /// State per endpoint: the attempts of this process in flight, their latencies, consecutive failures, the
 /// prompt blocks that were sent there (PrefixCacheIndex), and the load that its responses report. The two
@@ -65,7 +65,7 @@
   mutable std::optional<TimePoint> sent_at{};
 };
 
-/// How an attempt ended. Updates the statistics of the service and of the endpoint.
+/// How an attempt ended. The balancer updates the statistics of the service and of the endpoint with it.
 enum class AttemptOutcome : std::uint8_t {
   served,
   failed,    ///< connection lost, invalid response, server error, or no response within the route's timeout
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -1,4 +1,4 @@
-/// The known endpoints, and which of them the rules permit: endpoint lists, drains, slow start. After a start
+/// Updates the known endpoints from endpoint lists, and decides which of them may get a call. After a start
 /// or an ejection the calls in flight at an endpoint are capped, and while it warms up their rate is limited
 /// by a token bucket (slow start).
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 constexpr double slow_start_depth = 0.3;  // fraction of the window's budget that one burst may use
 constexpr double min_slow_start_rate =
-    1.0;  // calls/s of all sidecars, so that idle ones measure the endpoint
+    1.0;  // calls/s of all sidecars together; even idle ones then measure the endpoint
 
 // Returns the fraction of a warm endpoint's load that this one can take: rises from `slow_start_share` to 1.
 double Balancer::State::slow_start_factor(const Endpoint& endpoint, TimePoint now) const {
@@ -30,9 +30,9 @@
   return endpoint.slow_start_tokens >= 1.0;
 }
 
-// All sidecars together must not overload a cold endpoint. Each one sends it its own mean rate per endpoint,
-// scaled by the slow start factor, in bursts well below the window's limit. The mean is taken over the subset
-// for an endpoint in it, and over all endpoints otherwise.
+// All sidecars together must not overload a cold endpoint. Each sidecar therefore limits its calls there to
+// its mean rate per endpoint times the slow start factor, in bursts well below the window's limit. The mean
+// is taken over the ready endpoints of the subset if the endpoint is in it, otherwise over all ready ones.
 void Balancer::State::refill_slow_start_tokens(Endpoint& endpoint, TimePoint now) {
   const int sharing = endpoint.is_in_subset ? subset_ready_count : ready_count;
   const double rate = std::max(min_slow_start_rate / sidecar_count,
@@ -83,7 +83,7 @@
     endpoint.in_flight = in_flight_before;
     endpoint.active_since = endpoint.slow_start_refilled_at = now;
     endpoint.started_at = entry.started_at;
-    // With budgets far below one call per window, this decides at random which sidecar calls it first.
+    // If budgets are far below one call per window, the random value decides which sidecar calls first.
     endpoint.slow_start_tokens = random.unit();
     if (slow_start_factor(endpoint, now) < 1.0) endpoint.concurrency_cap = initial_concurrency_cap;
   }
--- a/src/policy/policy_constants.hpp
+++ b/src/policy/policy_constants.hpp
@@ -5,7 +5,7 @@
 
 namespace chutevane {
 
-constexpr double min_subset_size = 3.0;  // endpoints; if two fail, two are left to choose from
+constexpr double min_subset_size = 3.0;  // usable endpoints; if one fails, two are left to choose from
 // Calls in progress at an endpoint, over all sidecars. With fewer its cores are idle.
 constexpr double min_calls_per_endpoint = 2.5;
 constexpr int trial_results = 25;  // results that test a restored limit: the memory of late_gain
--- a/src/pool/failover.hpp
+++ b/src/pool/failover.hpp
@@ -1,8 +1,8 @@
 /// Failover between the pools of a service: selects the pool that a call is sent to first. Does no I/O.
 ///
-/// Pools are ordered by priority. The health of a pool is the fraction of its endpoints that are ready or of
-/// its calls that succeed, whichever is worse. As a pool's health falls, its share of calls moves to the next
-/// pool quickly and in proportion, but never more than the next pool is known to sustain; it moves back
+/// Pools are ordered by priority. A pool's health is its fraction of ready endpoints or of successful calls,
+/// whichever is lower, divided by `healthy_threshold`, at most 1. As it falls, the pool's calls move to the
+/// next pool quickly and in proportion, but never more than the next pool is known to sustain; they move back
 /// slowly. Within a pool its balancer selects the endpoint, and may reject the call.
 #pragma once
 
@@ -15,18 +15,18 @@
 namespace chutevane::pool {
 
 struct FailoverConfig {
-  /// Fraction of ready endpoints and of successful calls from which a pool counts as healthy: the rest is its
-  /// spare capacity. In the operator's file: `whole_from`.
+  /// A pool is healthy if its fractions of ready endpoints and of successful calls are at least this. The
+  /// remainder up to 1 is its spare capacity. The operator's file calls this setting `whole_from`.
   double healthy_threshold = 0.8;
   /// Time constant of the exponential decay of a pool's results.
   Span memory = Span::ms(1000);
   /// Fraction of all calls by which the share of a recovered pool grows per second.
   double return_per_s = 0.05;
-  /// Fraction of its proven rate by which a pool may exceed it.
+  /// A pool may exceed its proven rate by this fraction of that rate.
   double growth = 0.2;
-  /// Calls/s for each ready endpoint of a pool whose rate is unknown.
+  /// Calls/s per ready endpoint that a pool without a stated rate may get whatever its proven rate is.
   double unknown_per_s = 5.0;
-  /// If no pool's health reaches this, calls are distributed over all pools by their ready endpoints.
+  /// If no pool's health reaches this, calls are distributed in proportion to the ready endpoints.
   double panic_threshold = 0.5;
   /// Calls/s that an unhealthy pool still gets, to detect its recovery.
   double probe_per_s = 2.0;
@@ -41,7 +41,7 @@
 
   /// Returns the pool for a new call, and counts the call as sent there.
   std::size_t choose(TimePoint now);
-  /// Returns true if a pool may get a call that failed in another one. If it is sent, call record_sent().
+  /// Returns true if a pool may get a call that failed in another one. Its sender must call record_sent().
   bool has_capacity(std::size_t pool, TimePoint now);
   void record_sent(std::size_t pool, TimePoint now);
   /// Records that a call has ended in the pool.
--- a/src/storage/placement.hpp
+++ b/src/storage/placement.hpp
@@ -1,8 +1,8 @@
-/// Placement: which storage nodes hold the replicas of a program's turns and budget.
+/// Determines which storage nodes hold the replicas of a program's turns and budget (placement).
 ///
 /// Uses rendezvous hashing (highest random weight): every node and every edge ranks the nodes of the storage
-/// map by a hash of program and node name, and takes the first ones. The result needs no communication and
-/// does not depend on the order of the map. Adding or removing a node moves only the replicas of that node.
+/// map by a hash of program and node name, and takes the first ones. This needs no communication, and the
+/// result does not depend on the order of the map. Adding or removing a node moves only that node's replicas.
 #pragma once
 
 #include <xxhash.h>
