--- a/src/edge/storage_client.hpp
+++ b/src/edge/storage_client.hpp
@@ -42,8 +42,7 @@
 /// A turn and all the turns that it continues.
 struct TurnChain {
   LookupResult result = LookupResult::unavailable;
-  std::vector<std::shared_ptr<const common::Turn>>
-      turns;  ///< oldest first; incomplete unless result is complete
+  std::vector<std::shared_ptr<const common::Turn>> turns;  ///< oldest first; all of them only if complete
 };
 
 /// Not thread-safe; all calls and callbacks run on the scheduler's thread. Must outlive its operations.
