--- a/src/storage/state_transfer.cpp
+++ b/src/storage/state_transfer.cpp
@@ -170,7 +170,7 @@
 
 std::string StateTransfer::describe() const {
   const Progress now = progress();
-  const std::string level = complete_ ? "complete" : ready_ ? "ready" : "transferring";
+  const std::string level = complete_ ? "whole" : ready_ ? "ready" : "transferring";
   return level + ", sources " + std::to_string(sources_.size()) + ", sent accounts " +
          std::to_string(now.with_accounts) + ", sent turns " + std::to_string(now.with_turns) +
          ", may skip " + std::to_string(max_skipped_sources_);
